--- /dev/null
+++ b/tests/test_unchanged.py
@@ -0,0 +1,327 @@
+# SPDX-License-Identifier: MIT
+"""What other boxes, callers, operators, endpoints and scripts rely on stays as recorded.
+
+Each test compares the code with files in ``tests/unchanged/recorded``. A red test here means
+that a peer of another release, a caller, a settings file, a data folder or a dashboard would
+notice the change.
+"""
+
+from __future__ import annotations
+
+import ast
+import asyncio
+import base64
+import inspect
+import json
+import subprocess
+import sys
+import tomllib
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+from foldloom.claims.messages import Vote
+from foldloom.cli import client as cli_client
+from foldloom.cli.load import LoadOptions
+from foldloom.cli.main import Commands
+from foldloom.controllers import plans, state, storage
+from foldloom.controllers.config import encode_config
+from foldloom.controllers.state import ReplicatedState
+from foldloom.entry.job_runner import JobOutcome
+from foldloom.exposition import metrics_text
+from foldloom.fleet.cache import PublicationCache
+from foldloom.metrics import Metrics
+from foldloom.owners.messages import EndCause
+from foldloom.settings import Settings, settings_from
+from foldloom.workers.calls import CallOutcome
+from unchanged.describe_messages import sample
+from unchanged.recorded import check
+from unchanged.samples import INTENTS, SETTINGS
+
+_ROOT = Path(__file__).parent.parent
+_CONTROLLERS = "foldloom.controllers.messages"
+_BY_SETTINGS = [
+    _CONTROLLERS,
+    "foldloom.claims.messages",
+    "foldloom.placement.messages",
+    "foldloom.entry.messages",
+    "foldloom.peers.membership",
+]
+_BY_SEEDS = [_CONTROLLERS, "foldloom.fleet.messages", "foldloom.owners.messages"]
+_COMMANDS = (
+    state.ConfirmCommand,
+    state.IncarnationCommand,
+    state.VoterReadyCommand,
+    state.ControllerJoinCommand,
+    state.ControllerLeaveCommand,
+    state.BoxesSettledCommand,
+    state.FoundCommand,
+    state.PublishCommand,
+)
+
+
+class TestMessages:
+    """Messages between boxes: numbers, order and types of fields, counters.
+
+    Only the names of fields may be changed here, together with the code.
+    """
+
+    @pytest.mark.parametrize(
+        ("name", "modules"),
+        [("messages_by_settings", _BY_SETTINGS), ("messages_by_seeds", _BY_SEEDS)],
+    )
+    def test_bytes(self, name: str, modules: list[str]) -> None:
+        """Each message has its number, its bytes and its counter."""
+        program = [sys.executable, str(_ROOT / "tests/unchanged/describe_messages.py"), *modules]
+        printed = subprocess.run(program, capture_output=True, text=True, check=True)
+        check(name, json.loads(printed.stdout))
+
+
+def _command_of(kind: Any) -> Any:
+    hints = [(field.name, field.type) for field in msgspec.structs.fields(kind)]
+    return kind(*(sample(hint, "f" + "x" * place) for place, (_, hint) in enumerate(hints)))
+
+
+def _confirm(command: str, intents: list[dict[str, Any]], known: ReplicatedState) -> bytes:
+    planned = plans.make_plan(known.config, plans.parse_intents(intents).ok)
+    return state.encode_command(state.ConfirmCommand(command, planned.ok.digest, intents))
+
+
+def _payloads(known: ReplicatedState) -> Iterator[bytes]:
+    """Yield commands of both kinds of state; each sees the effect of those before."""
+    yield b""
+    yield state.encode_command(state.FoundCommand({"a1": "a"}, {"c1": "*", "c2": "*"}))
+    yield state.encode_command(state.IncarnationCommand("a1", 41))
+    yield state.encode_command(state.VoterReadyCommand("c1", "disk-1"))
+    yield _confirm("first", INTENTS, known)
+    yield _confirm("second", [{"kind": "remove", "section": "workers", "name": "w1"}], known)
+    yield state.encode_command(state.BoxesSettledCommand(1))
+    yield state.encode_command(state.ControllerJoinCommand("c3", "disk-3"))
+    yield state.encode_command(state.ControllerLeaveCommand("c2"))
+    yield state.encode_command(state.PublishCommand(7, b'{"version":7}'))
+
+
+def _meaning(known: ReplicatedState) -> dict[str, Any]:
+    """Return what a state says, in words that do not depend on the code's names."""
+    return {
+        "config": list(known.config),
+        "publication": [known.publication.version, known.publication.document.decode()],
+        "changes": [list(changes) for changes in known.changes_since(1)],
+        "founders": known.founder_count,
+        "resent": list(known.apply(state.encode_command(state.IncarnationCommand("a1", 41)))),
+    }
+
+
+class TestData:
+    """A controller's data folder, written by the recorded release."""
+
+    def test_commands(self) -> None:
+        """The entries of the log have the same bytes."""
+        present = {
+            kind.__struct_config__.tag: state.encode_command(_command_of(kind)).hex()
+            for kind in _COMMANDS
+        }
+        check("commands", present)
+
+    def test_configuration(self) -> None:
+        """The cached configuration and the snapshot have the same bytes."""
+        known = ReplicatedState(state.empty_config({}, {}))
+        answers = [list(known.apply(payload)) for payload in _payloads(known)]
+        present = {
+            "answers": msgspec.to_builtins(answers),
+            "config": encode_config(known.config).hex(),
+            "snapshot": known.dump().hex(),
+        }
+        check("state", present)
+
+    def test_folder(self, tmp_path: Path) -> None:
+        """A folder with a snapshot and a log is read, replayed and written as before."""
+        recorded = Path(__file__).parent / "unchanged/recorded/folder.json"
+        files = _write_folder(tmp_path / "new")
+        check("folder", {name: base64.b64encode(data).decode() for name, data in files.items()})
+        old = tmp_path / "old"
+        old.mkdir()
+        for name, data in json.loads(recorded.read_text()).items():
+            (old / name).write_bytes(base64.b64decode(data))
+        opened = storage.LogStorage(str(old))
+        recovered = opened.open()
+        assert (opened.identity.storage_id, opened.identity.is_first) == ("0" * 32, True)
+        assert tuple(recovered.term_vote) == (4, "c2")
+        assert recovered.snapshot.last_index == 6
+        known = ReplicatedState(state.empty_config({}, {}))
+        known.load(recovered.snapshot.state)
+        for entry in recovered.entries:
+            known.apply(entry.payload)
+        check("folder_meaning", msgspec.to_builtins(_meaning(known)))
+
+    def test_cache(self, tmp_path: Path) -> None:
+        """The cached publication has the same bytes and is read back."""
+        written = {}
+
+        async def write(publication: state.Publication) -> None:
+            cache = PublicationCache(str(tmp_path))
+            cache.write_soon(publication)
+            assert cache._writing is not None
+            await cache._writing
+
+        asyncio.run(write(state.Publication(7, b'{"version":7}')))
+        for path in tmp_path.iterdir():
+            written[path.name] = path.read_bytes().hex()
+        check("publication_cache", written)
+        assert PublicationCache(str(tmp_path)).read().version == 7
+
+    def test_set_aside(self, tmp_path: Path) -> None:
+        """A damaged folder's parts keep their names, with the reason and a time behind."""
+        _write_folder(tmp_path)
+        storage.set_aside(str(tmp_path))
+        names = sorted(path.name.rpartition("-")[0] for path in tmp_path.iterdir())
+        assert names == ["identity.lost", "log.lost", "snapshot.lost"]
+
+
+def _write_folder(folder: Path) -> dict[str, bytes]:
+    """Write a data folder with a snapshot, entries after it, a cut and a vote."""
+    storage.format_folder(str(folder), is_first=True)
+    identity = storage.Identity("0" * 32, True)
+    record = storage._record(storage._IDENTITY, msgspec.msgpack.encode(identity))
+    (folder / "identity").write_bytes(record)
+    log = storage.LogStorage(str(folder))
+    log.open()
+    known = ReplicatedState(state.empty_config({}, {}))
+    entries = []
+    for index, payload in enumerate(_payloads(known), start=1):
+        entries.append(storage.Entry(index, 2 if index < 4 else 3, payload))
+        known.apply(payload)
+        if index == 6:
+            snapshot = storage.Snapshot(6, 3, known.dump())
+            log.save_snapshot(snapshot, storage.TermVote(3, "c1"), [])
+    log.append(entries[6:])
+    log.cut_from(9)
+    log.append(entries[8:])
+    log.save_term_vote(storage.TermVote(4, "c2"))
+    log.sync()
+    log.close()
+    return {path.name: path.read_bytes() for path in sorted(folder.iterdir())}
+
+
+class TestOwnHttp:
+    """Callers' and operators' routes of the own interface."""
+
+    def test_answers(self) -> None:
+        """Statuses, headers and bodies of every route."""
+        program = [sys.executable, "-m", "unchanged.own_http"]
+        printed = subprocess.run(
+            program, capture_output=True, text=True, check=True, cwd=_ROOT / "tests"
+        )
+        check("own_http", json.loads(printed.stdout))
+
+
+class TestSettings:
+    """Keys of the settings file and their defaults."""
+
+    def test_keys(self) -> None:
+        """Every key with its default; files that name all of them still load."""
+        check("settings", _fields(Settings))
+        assert settings_from(SETTINGS).box == "a1"
+
+
+def _fields(struct: Any) -> dict[str, Any]:
+    found: dict[str, Any] = {}
+    for field in msgspec.structs.fields(struct):
+        inner = field.type
+        if isinstance(inner, type) and issubclass(inner, msgspec.Struct):
+            found[field.name] = _fields(inner)
+        elif field.name == "peers":
+            found[field.name] = _fields(inner.__args__[0])
+        elif field.default is not msgspec.NODEFAULT:
+            found[field.name] = field.default
+        else:
+            is_made = field.default_factory is not msgspec.NODEFAULT
+            found[field.name] = field.default_factory() if is_made else "(required)"
+    return found
+
+
+class TestMetrics:
+    """Names of counters, gauges and timings."""
+
+    def test_names(self) -> None:
+        """Every name in the code; what is put into a name at run time is shown as ``{}``."""
+        names = set()
+        for folder in ("src", "platform"):
+            for path in sorted((_ROOT / folder).rglob("*.py")):
+                names |= set(_metric_names(ast.parse(path.read_text())))
+        check("metrics", sorted(names))
+
+    def test_parts_of_names(self) -> None:
+        """What is put into names at run time."""
+        present = {
+            "runs": [cause.name.lower() for cause in EndCause],
+            "starts": [outcome.value for outcome in CallOutcome],
+            "claims": [vote.name.lower() for vote in Vote],
+            "jobs": [outcome.value for outcome in JobOutcome],
+        }
+        check("metric_parts", present)
+
+    def test_text(self) -> None:
+        """How names and values are served."""
+        metrics = Metrics()
+        metrics.count("jobs.refused.over-load", 3)
+        metrics.gauge("queue.a", 2.5)
+        metrics.timing("job_ms", 7.0)
+        lines = [line for line in metrics_text(metrics).decode().splitlines() if line[0] != "#"]
+        check("metrics_text", lines)
+
+
+def _metric_names(tree: ast.AST) -> Iterator[str]:
+    for node in ast.walk(tree):
+        if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute):
+            continue
+        if node.func.attr not in ("count", "gauge", "timing") or not node.args:
+            continue
+        name = node.args[0]
+        if isinstance(name, ast.Constant) and isinstance(name.value, str):
+            yield f"{node.func.attr} {name.value}"
+        elif isinstance(name, ast.JoinedStr):
+            parts = [
+                str(part.value) if isinstance(part, ast.Constant) else "{}" for part in name.values
+            ]
+            yield f"{node.func.attr} {''.join(parts)}"
+
+
+class TestCommandLine:
+    """Verbs, flags and exit codes."""
+
+    def test_verbs(self) -> None:
+        """Every verb with its flags and their defaults."""
+        verbs = {
+            name: [str(one) for one in inspect.signature(verb).parameters.values()][1:]
+            for name, verb in vars(Commands).items()
+            if inspect.isfunction(verb) and not name.startswith("_")
+        }
+        options = LoadOptions()._asdict()
+        check("command_line", {"verbs": verbs, "load": options})
+
+    def test_exit_codes(self) -> None:
+        """What scripts tell a refusal, a failure and a conflict apart by."""
+        answers: list[tuple[int, dict[str, Any]]] = [
+            (200, {}),
+            (409, {"verdict": "refused"}),
+            (503, {"verdict": "refused"}),
+            (502, {"verdict": "failed"}),
+            (500, {}),
+        ]
+        codes = [cli_client.exit_code_of(status, fields) for status, fields in answers]
+        named = {
+            name: value for name, value in vars(cli_client).items() if name.startswith("EXIT_")
+        }
+        check("exit_codes", {"codes": codes, "named": named})
+
+
+class TestDeployFile:
+    """The users' deploy file."""
+
+    def test_content(self) -> None:
+        """Its roles, programs and addresses."""
+        check("deploy", tomllib.loads((_ROOT / "deploy/system.toml").read_text()))
--- /dev/null
+++ b/tests/test_unchanged_platform.py
@@ -0,0 +1,317 @@
+# SPDX-License-Identifier: MIT
+"""What the users' platform sees of the adapter stays as recorded.
+
+Its clients, its operator, its endpoints' heartbeats, and the orders that endpoints get.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from typing import Any
+
+import pytest
+from aiohttp import web
+from aiohttp.test_utils import TestServer
+from expression import Error, Ok
+
+from clients import ClientRoutes
+from documents import read_queues
+from foldloom.controllers.state import Publication
+from foldloom.entry.job_runner import JobOutcome, JobResult
+from foldloom.jobs.spec import Demand, RunId, TaskId
+from foldloom.metrics import Metrics
+from foldloom.verdicts import not_run
+from foldloom.workers.calls import HoldOrder, StartOrder
+from foldloom.workers.records import WorkerRecord
+from local_settings import read_settings
+from operators import OperatorRoutes
+from unchanged.http_answers import answers_of
+from unchanged.recorded import check
+from worker_calls import HttpWorkerCalls
+
+_DOCUMENT = {
+    "version": 7,
+    "routes": [
+        {
+            "name": "r",
+            "host": "127.0.0.1",
+            "path_prefix": "/p/",
+            "service": "s",
+            "timeout_ms": 1_500,
+            "target_latency_ms": 60,
+            "extension": 1.6,
+        }
+    ],
+    "services": [{"name": "s"}],
+}
+_JOB = {"spec": "s", "phases": [{"count": 1, "cpu": 500}], "best_effort": True}
+_IDS = {
+    "completed": "000000000000000a",
+    "failed": "000000000000000b",
+    "refused": "000000000000000c",
+    "expired": "000000000000000d",
+}
+_RESULTS = {
+    _IDS["completed"]: JobResult(JobOutcome.COMPLETED),
+    _IDS["failed"]: JobResult(JobOutcome.FAILED, "a task failed"),
+    _IDS["refused"]: JobResult(JobOutcome.REFUSED, "overload", 1_200),
+    _IDS["expired"]: JobResult(JobOutcome.EXPIRED, "deadline"),
+}
+
+
+class _EntryBox:
+    """An entry box that ends jobs by their id."""
+
+    def __init__(self, is_leaving: bool = False, is_configured: bool = True) -> None:
+        publication = Publication(7, json.dumps(_DOCUMENT).encode())
+        self.queues = read_queues(publication) if is_configured else None
+        self.is_leaving = is_leaving
+        self.is_ready = not is_leaving
+        self.timeouts: list[float] = []
+
+    async def wait_configured(self, _timeout_ms: float) -> None:
+        return None
+
+    async def run_job(self, job: Any, _queue: Any, timeout_ms: float) -> JobResult:
+        self.timeouts.append(timeout_ms)
+        return _RESULTS[job.job_id]
+
+
+_CLIENT_CALLS: list[tuple[str, str, Any]] = [
+    *(("POST", f"/p/{job_id}", _JOB) for job_id in _IDS.values()),
+    ("POST", "/p/short", _JOB),
+    ("POST", "/p/000000000000000e", {**_JOB, "best_effort": False}),
+    ("POST", "/p/000000000000000f", b"x" * (1024 * 1024 + 1)),
+    ("GET", "/p/", None),
+    ("GET", "/p/000000000000000a", None),
+    ("DELETE", "/p/000000000000000a", None),
+    ("PATCH", "/p/000000000000000a", None),
+    ("GET", "/other/", None),
+]
+
+
+async def _serve(handler: Any, calls: list[Any], headers: dict[str, str] | None = None) -> Any:
+    app = web.Application(client_max_size=64 * 1024 * 1024)
+    app.router.add_route("*", "/{path:.*}", handler)
+    return await answers_of(app, calls, headers or {})
+
+
+class TestClients:
+    """Clients of the platform and its balancer."""
+
+    def test_answers(self) -> None:
+        """Statuses, headers and bodies, while serving, stopping and not yet configured."""
+
+        async def play() -> Any:
+            box = _EntryBox()
+            routes = ClientRoutes(box)  # type: ignore[arg-type]
+            leaving = ClientRoutes(_EntryBox(is_leaving=True))  # type: ignore[arg-type]
+            bare = ClientRoutes(_EntryBox(is_configured=False))  # type: ignore[arg-type]
+            deadline = {"X-Foldloom-Deadline-Ms": "800"}
+            present = {
+                "serving": await _serve(routes.handle, _CLIENT_CALLS),
+                "with_deadline": await _serve(routes.handle, _CLIENT_CALLS[:1], deadline),
+                "leaving": await _serve(leaving.handle, _CLIENT_CALLS[:1]),
+                "bare": await _serve(bare.handle, _CLIENT_CALLS[:1]),
+                "ready": await _serve(routes.ready, [("GET", "/foldloom/readyz", None)]),
+                "not_ready": await _serve(leaving.ready, [("GET", "/foldloom/readyz", None)]),
+            }
+            return present | {"timeouts": box.timeouts}
+
+        check("platform_clients", asyncio.run(play()))
+
+
+class _Controller:
+    """A controller that remembers what it was told."""
+
+    def __init__(self, is_leading: bool = True) -> None:
+        self.metrics = Metrics()
+        self.told: list[Any] = []
+        self._is_leading = is_leading
+
+    async def note_worker(self, record: WorkerRecord) -> None:
+        self.told.append(list(record))
+
+    async def note_gone(self, worker: str) -> None:
+        self.told.append(worker)
+
+    async def publish(self, version: int, document: bytes, timeout_ms: float) -> Any:
+        self.told.append([version, document.decode(), timeout_ms])
+        return Ok(version) if self._is_leading else Error(not_run("no-leader", "no leader"))
+
+    async def newest(self, _timeout_ms: float) -> Any:
+        if not self._is_leading:
+            return Error(not_run("no-leader", "no leader"))
+        return Ok(Publication(7, json.dumps(_DOCUMENT).encode()))
+
+
+_REPORT = {
+    "service": "s",
+    "address": "10.0.0.1:80",
+    "zone": "a",
+    "version": "v1",
+    "slots": 8,
+    "state": "draining",
+    "cold_left_ms": 5.5,
+    "capacity": {"cpu": 16_000, "mem_mb": 32_768, "gpu": 1},
+    "labels": ["k", "r1"],
+    "remaining_ms": 900,
+    "clock_ms": 482_113,
+    "call_seq": 4,
+    "unknown": 1,
+}
+_CONTROL_CALLS: list[tuple[str, str, Any]] = [
+    ("PUT", "/foldloom/instances/i-1", _REPORT),
+    ("PUT", "/foldloom/instances/i-2", {"service": "s"}),
+    ("DELETE", "/foldloom/instances/i-1", None),
+    ("GET", "/foldloom/instances/i-1", None),
+    ("PUT", "/foldloom/config", _DOCUMENT),
+    ("PUT", "/foldloom/config?invalid", {**_DOCUMENT, "version": 0}),
+    ("GET", "/foldloom/config", None),
+    ("GET", "/foldloom/unknown", None),
+]
+
+
+class TestControl:
+    """Heartbeats of endpoints and the operator's calls."""
+
+    @pytest.mark.parametrize("is_leading", [True, False])
+    def test_answers(self, is_leading: bool) -> None:
+        """Statuses, headers and bodies, and what arrives inside."""
+
+        async def play() -> Any:
+            controller = _Controller(is_leading)
+            routes = OperatorRoutes(controller)  # type: ignore[arg-type]
+            answers = await _serve(routes.handle, _CONTROL_CALLS)
+            return {"answers": answers, "told": controller.told}
+
+        check(f"platform_control_{is_leading}".lower(), asyncio.run(play()))
+
+
+_RUN = RunId(TaskId("5c0e7a21d94b36f8", 0, 1, 17), 2)
+_LISTS = {
+    "clock_ms": 482_113,
+    "active": [["5c0e7a21d94b36f8.0.1.17", 2, "c", 41, 12]],
+    "finished": [[58, "5c0e7a21d94b36f8.0.1.9", 1, "done", ""]],
+}
+_REPLIES: list[tuple[int, Any]] = [
+    (200, _LISTS),
+    *((409, {"clock_ms": 7, "reason": reason}) for reason in ("fence", "old", "late", "room", "x")),
+    (400, {}),
+    (421, {}),
+    (429, {}),
+    (503, {}),
+    (500, {"clock_ms": 9}),
+    (200, b"no json"),
+    (200, {"clock_ms": 1, "active": [["not a task", 1, "", 1]]}),
+]
+
+
+class _Endpoint:
+    """An endpoint that keeps orders and gives one answer after the other."""
+
+    def __init__(self) -> None:
+        self.orders: list[Any] = []
+        self.answer: tuple[int, Any] = (200, {})
+
+    async def handle(self, request: web.Request) -> web.Response:
+        kept = {
+            key: request.headers[key]
+            for key in ("Content-Type", "X-Foldloom-Expected-Instance")
+            if key in request.headers
+        }
+        self.orders.append([request.method, request.path, kept, (await request.read()).decode()])
+        status, body = self.answer
+        data = body if isinstance(body, bytes) else json.dumps(body).encode()
+        return web.Response(status=status, body=data, content_type="application/json")
+
+
+class TestOrders:
+    """Calls to endpoints."""
+
+    def test_orders_and_replies(self) -> None:
+        """Paths, headers and bodies of the orders; what each answer is taken for."""
+
+        async def play() -> Any:
+            endpoint = _Endpoint()
+            app = web.Application()
+            app.router.add_route("*", "/{path:.*}", endpoint.handle)
+            calls = HttpWorkerCalls()
+            await calls.start()
+            replies = []
+            async with TestServer(app) as server:
+                address = f"{server.host}:{server.port}"
+                record = WorkerRecord("i-1", "s", address, "a", Demand())
+                for answer in _REPLIES:
+                    endpoint.answer = answer
+                    start = await calls.start_run(record, StartOrder(_RUN, "t", 7, 900, "c"))
+                    stop = await calls.stop_run(record, _RUN, 7)
+                    look = await calls.hold(record, HoldOrder(7, 57, 900, 200))
+                    replies.append(
+                        [
+                            [start.outcome.value, start.clock_ms],
+                            [stop.outcome.value, stop.clock_ms],
+                            [look.outcome.value, look.clock_ms, len(look.active), len(look.ended)],
+                        ]
+                    )
+                await calls.start_run(record, StartOrder(_RUN, "t", 7, 900))
+                await calls.hold(record, HoldOrder(7, 57, 0, 0))
+            gone = await calls.stop_run(record, _RUN, 7)
+            await calls.stop()
+            replies.append([gone.outcome.value])
+            distinct = [
+                json.loads(text) for text in sorted({json.dumps(o) for o in endpoint.orders})
+            ]
+            return {"orders": distinct, "replies": replies}
+
+        check("platform_orders", asyncio.run(play()))
+
+
+_LOCAL = """
+node_name = "edge-1"
+role = "my-edge"
+ip = "127.0.0.1"
+zone = "a"
+internal_ports = [7720, 7735]
+seed_nodes = ["127.0.0.2:8166", "127.0.0.3:8166"]
+bootstrap = true
+unknown = 1
+[listen]
+frontend = "127.0.0.1:8161"
+ready = "127.0.0.1:8167"
+[bounds]
+hold_max_ms = 500
+grace_s = 6
+"""
+
+
+class TestLocalSettings:
+    """The settings that the platform writes."""
+
+    @pytest.mark.parametrize("name", ["entry", "controller"])
+    def test_read(self, name: str, tmp_path: Any) -> None:
+        """Each field arrives where it did."""
+        text = _LOCAL
+        if name == "controller":
+            text = text.replace("frontend", "control_plane").replace(
+                "zone", 'data_dir = "/d"\nzone'
+            )
+        path = tmp_path / "local.toml"
+        path.write_text(text)
+        local = read_settings(str(path))
+        settings = local.settings
+        present = {
+            "box": settings.box,
+            "zone": settings.zone,
+            "roles": settings.roles,
+            "seeds": settings.seeds,
+            "http": [settings.http.host, settings.http.port],
+            "data": settings.data_folder,
+            "metrics": settings.metrics_address,
+            "logs": settings.logs.format,
+            "lease": settings.timings.worker_lease_ms,
+            "stop": settings.timings.stop_timeout_ms,
+            "local": list(local)[1:],
+        }
+        check(f"local_settings_{name}", present)
