--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -71,11 +71,6 @@
         self._pinned: set[tuple[str, str]] = set()
         self._started_ms = monotonic_ms()
 
-    @property
-    def followers(self) -> dict[str, Follower]:
-        """The followers by box."""
-        return dict(self._followers)
-
     def start(self) -> None:
         """Begin the term with an entry of its own and start the tasks."""
         self._node.log.add(self._node.first_payload())
--- a/src/foldloom/controllers/members.py
+++ b/src/foldloom/controllers/members.py
@@ -21,12 +21,6 @@
 )
 
 Table = dict[str, str]
-MEMBER_COMMANDS = (
-    FoundCommand,
-    VoterReadyCommand,
-    ControllerJoinCommand,
-    ControllerLeaveCommand,
-)
 
 
 class Standby(NamedTuple):
@@ -62,11 +56,6 @@
     return table
 
 
-def changes_members(payload: bytes) -> bool:
-    """Return whether an entry changes who counts."""
-    return bool(payload) and isinstance(decode_command(payload), MEMBER_COMMANDS)
-
-
 def majority_of(table: Collection[str]) -> int:
     """Return how many controllers are more than half."""
     return len(table) // 2 + 1
--- a/src/foldloom/fleet/joiner.py
+++ b/src/foldloom/fleet/joiner.py
@@ -43,13 +43,8 @@
         self._catalog = catalog
         self._interval_ms = interval_ms
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._heard_ms: dict[str, float] = {}
         network.on(WorkersSeen, self._on_workers)
 
-    def heard_since(self, since_ms: float) -> list[str]:
-        """Return the controllers that answered after *since_ms*."""
-        return [box for box, heard in self._heard_ms.items() if heard > since_ms]
-
     async def run(self) -> None:
         """Keep one task for each known controller until cancelled."""
         try:
@@ -70,7 +65,6 @@
             self._tasks[box] = asyncio.create_task(self._stay_joined(box))
         for box in set(self._tasks) - wanted:
             self._tasks.pop(box).cancel()
-            self._heard_ms.pop(box, None)
             self._network.drop_peer(box)
 
     async def _stay_joined(self, box: str) -> None:
@@ -99,7 +93,6 @@
         except PeerUnreachableError:
             return None
         now_ms = monotonic_ms()
-        self._heard_ms[box] = now_ms
         for lost in self._view.hear_controller(box, reply, now_ms):
             PEER_LOG.event("box.gone", gone=lost)
             self._network.drop_peer(lost)
--- a/src/foldloom/owners/client.py
+++ b/src/foldloom/owners/client.py
@@ -59,11 +59,6 @@
         """How long ago any owner was heard that could take a job."""
         return min(tie.silent_ms for tie in self._ties.values())
 
-    @property
-    def home_silent_ms(self) -> float:
-        """How long ago the owner of the own zone was heard."""
-        return self._home.silent_ms
-
     def hear_beat(self, beat: OwnerBeat, published_version: int) -> None:
         """Take a beat of any zone's owner."""
         tie = self._ties.get(beat.owner.zone)
--- a/src/foldloom/owners/lease.py
+++ b/src/foldloom/owners/lease.py
@@ -50,10 +50,6 @@
         self._until_ms = max(self._until_ms, until_ms)
         return until_ms
 
-    def note_until(self, until_ms: int) -> None:
-        """Note a lease that somebody else may have ordered."""
-        self._until_ms = max(self._until_ms, until_ms)
-
     def lapses_by(self) -> float:
         """Return when, by the own clock, every lease ordered so far has ended for certain."""
         return self._received_ms + max(0.0, self._until_ms - self._clock_ms) / _RATE_MIN
--- a/src/foldloom/owners/state.py
+++ b/src/foldloom/owners/state.py
@@ -175,11 +175,6 @@
         """The runs that wait for room."""
         return self._waiting
 
-    @property
-    def run_count(self) -> int:
-        """How many runs are known."""
-        return len(self._runs)
-
     def speed_of(self, worker: str) -> float:
         """Return how fast *worker* is thought to be, relative to the middle one."""
         return self._speeds.speed_of(worker)
