--- a/src/foldloom/jobs/queues.py
+++ b/src/foldloom/jobs/queues.py
@@ -36,32 +36,16 @@
         return self.stretch * longest_ms + self.slack_ms
 
 
-class Service(NamedTuple):
-    """Workers of one kind.
-
-    Args:
-        name: Its name.
-        guards_capacity: Whether its workers refuse what does not fit.
-        connections_max: How many connections one worker takes.
-    """
-
-    name: str
-    guards_capacity: bool = True
-    connections_max: int = 64
-
-
 class QueueTable:
-    """The queues and services of one version of the configuration.
+    """The queues of one version of the configuration.
 
     Args:
         version: The operator's number.
         queues: All queues.
-        services: All services.
     """
 
-    def __init__(self, version: int, queues: list[Queue], services: list[Service]) -> None:
+    def __init__(self, version: int, queues: list[Queue]) -> None:
         self._version = version
-        self._services = {service.name: service for service in services}
         self._by_host: dict[str, list[Queue]] = {}
         for queue in queues:
             self._by_host.setdefault(queue.host, []).append(queue)
@@ -79,7 +63,3 @@
             if path.startswith(queue.path_prefix):
                 return queue
         return None
-
-    def service(self, name: str) -> Service | None:
-        """Return the service called *name*, if any."""
-        return self._services.get(name)
--- a/tests/test_jobs_queues.py
+++ b/tests/test_jobs_queues.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from foldloom.jobs.queues import Queue, QueueTable, Service
+from foldloom.jobs.queues import Queue, QueueTable
 
 _TABLE = QueueTable(
     3,
@@ -12,7 +12,6 @@
         Queue("long", "h", "/a/b/", "svc", stretch=1.6, slack_ms=60),
         Queue("other", "g", "/a/", "svc"),
     ],
-    [Service("svc")],
 )
 
 
