--- a/src/foldloom/owners/state.py
+++ b/src/foldloom/owners/state.py
@@ -24,7 +24,7 @@
 from foldloom.scheduling.admission import expected_wait_ms, is_too_late, retry_after_ms
 from foldloom.scheduling.estimates import Estimates
 from foldloom.scheduling.placing import Reservation, place
-from foldloom.scheduling.policies import DEFAULT_POLICY, HOPELESS, Policy, tier_of
+from foldloom.scheduling.policies import HOPELESS, tier_of
 from foldloom.scheduling.runs import HolderId, Run, RunSpec, RunState, TraceBound
 from foldloom.scheduling.sharing import (
     VIEW_KEPT_MS,
@@ -140,10 +140,9 @@
 
     Args:
         gone_after_ms: How long after an owner lost the right to a run it may still be there.
-        policy: In which order what waits is served.
     """
 
-    def __init__(self, gone_after_ms: float, policy: Policy = DEFAULT_POLICY) -> None:
+    def __init__(self, gone_after_ms: float) -> None:
         self._gone_after_ms = gone_after_ms
         self._knows_all_workers = False
         self._runs: dict[TaskId, Run] = {}
@@ -151,7 +150,6 @@
         self._past: dict[TaskId, _Past] = {}
         self._candidates: dict[str, Candidate] = {}
         self._looked_ms: dict[str, float] = {}
-        self._policy = policy
         self._estimates = Estimates()
         self._waiting = WaitingRuns(self._estimates)
         self._speeds = WorkerSpeeds()
@@ -250,7 +248,7 @@
 
     def tell_waiting(self, now_ms: float) -> list[GroupSummary]:
         """Return what the owners of other zones should know of this queue."""
-        return self._waiting.summaries(self._policy, now_ms, _TOLD_GROUPS)
+        return self._waiting.summaries(now_ms, _TOLD_GROUPS)
 
     def release(self, key: GroupId, runs: int, zone: str, now_ms: float) -> int:
         """Give up to *runs* of a group to another zone's owner; return how many."""
@@ -403,9 +401,7 @@
 
     def place(self, now_ms: float) -> None:
         """Start what there is room for, and claim what waits elsewhere for the rest."""
-        placing = place(
-            self._policy, self._waiting, self._remote, self._candidates, self._speeds, now_ms
-        )
+        placing = place(self._waiting, self._remote, self._candidates, self._speeds, now_ms)
         for run, worker in placing.placed:
             run.enter(RunState.STARTING, now_ms, worker)
             self._starts.append(StartAction(run.run_id, worker, run.spec.text))
@@ -434,7 +430,6 @@
             self._waiting.groups,
             self._remote.claimable(now_ms),
             self._room(now_ms),
-            self._policy,
             now_ms,
         )
         if not is_too_late(group, wait_ms, now_ms):
--- a/src/foldloom/scheduling/admission.py
+++ b/src/foldloom/scheduling/admission.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from foldloom.scheduling.groups import Group
-from foldloom.scheduling.policies import Policy, rank
+from foldloom.scheduling.policies import rank
 from foldloom.scheduling.sharing import RemoteGroup
 
 _USABLE_SHARE = 0.85
@@ -33,15 +33,14 @@
     own: Iterable[Group],
     others: Iterable[RemoteGroup],
     room: Room,
-    policy: Policy,
     now_ms: float,
 ) -> float:
     """Return how long the last task of *group* is expected to wait for room."""
     asked_milli = len(group.waiting) * group.spec.demand.cpu_milli
     if asked_milli <= room.free_milli:
         return 0.0
-    place = rank(policy, group, now_ms)
-    ahead_ms = sum(one.waiting_cpu_ms for one in own if rank(policy, one, now_ms) <= place)
+    place = rank(group, now_ms)
+    ahead_ms = sum(one.waiting_cpu_ms for one in own if rank(one, now_ms) <= place)
     ahead_ms += sum(one.summary.cpu_ms for one in others if one.rank < place)
     usable = room.total_milli / 1_000 * _USABLE_SHARE
     return ahead_ms / usable if usable else float(_RETRY_MAX_MS)
--- a/src/foldloom/scheduling/placing.py
+++ b/src/foldloom/scheduling/placing.py
@@ -9,7 +9,7 @@
 
 from foldloom.jobs.spec import Demand, Placement
 from foldloom.scheduling.groups import Group
-from foldloom.scheduling.policies import HOPELESS, Policy, Rank, rank, speed_min
+from foldloom.scheduling.policies import HOPELESS, Rank, rank, speed_min
 from foldloom.scheduling.runs import Run
 from foldloom.scheduling.sharing import RESERVED_MS, GroupId, RemoteGroup, RemoteGroups, group_of
 from foldloom.scheduling.speeds import WorkerSpeeds
@@ -69,7 +69,6 @@
 
 
 def place(
-    policy: Policy,
     waiting: WaitingRuns,
     remote: RemoteGroups,
     candidates: Mapping[str, Candidate],
@@ -82,7 +81,7 @@
     if not open_workers:
         return result
     own, others = waiting.groups, remote.claimable(now_ms)
-    order = [_Next(rank(policy, group, now_ms), False, n) for n, group in enumerate(own)]
+    order = [_Next(rank(group, now_ms), False, n) for n, group in enumerate(own)]
     order += [_Next(group.rank, True, n) for n, group in enumerate(others)]
     full: set[_Kind] = set()
     for _, is_remote, number in sorted(order):
--- a/src/foldloom/scheduling/policies.py
+++ b/src/foldloom/scheduling/policies.py
@@ -1,10 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""In which order waiting groups are served: policies that can be compared."""
+"""In which order waiting groups are served, and how fast a worker each of them needs."""
 
 from __future__ import annotations
 
-from functools import singledispatch
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from foldloom.scheduling.groups import Group
 
@@ -13,30 +12,6 @@
 _SPEED_TOLERANCE = 0.75
 
 
-class ByArrival(NamedTuple):
-    """By arrival: a baseline."""
-
-
-class ByPriority(NamedTuple):
-    """By priority, then by arrival: a baseline."""
-
-
-class ByDeadline(NamedTuple):
-    """Who can still be on time goes first, the most urgent first; then who can be late."""
-
-
-class UrgentFirst(NamedTuple):
-    """As by deadline, but priority 0 goes before all others of its tier.
-
-    Its tasks are the shortest; a job of many of them needs room for all at nearly once, which
-    it seldom gets behind longer ones.
-    """
-
-
-Policy = ByArrival | ByPriority | ByDeadline | UrgentFirst
-DEFAULT_POLICY: Policy = UrgentFirst()
-
-
 class Rank(NamedTuple):
     """A group's place in the order: the least comes first.
 
@@ -51,30 +26,16 @@
     by_ms: float
 
 
-@singledispatch
-def rank(_policy: Any, _group: Group, _now_ms: float) -> Rank:
-    """Return the place of *_group* by *_policy* at *_now_ms*."""
-    raise TypeError("no such policy")
-
+def rank(group: Group, now_ms: float) -> Rank:
+    """Return the place of *group* in the order at *now_ms*.
 
-@rank.register
-def _(_policy: ByArrival, group: Group, _now_ms: float) -> Rank:
-    return Rank(ON_TIME, 0, group.spec.began_ms)
-
-
-@rank.register
-def _(_policy: ByPriority, group: Group, _now_ms: float) -> Rank:
-    return Rank(ON_TIME, group.spec.priority, group.spec.began_ms)
-
-
-@rank.register
-def _(_policy: ByDeadline, group: Group, now_ms: float) -> Rank:
-    return _by_deadline(group, now_ms, 0)
-
-
-@rank.register
-def _(_policy: UrgentFirst, group: Group, now_ms: float) -> Rank:
-    return _by_deadline(group, now_ms, min(1, group.spec.priority))
+    On time goes before late; within a tier priority 0 goes before all others, since its tasks are
+    the shortest and a job of many of them needs room for all at nearly once, which it seldom gets
+    behind longer ones; then who must start soonest.
+    """
+    tier = tier_of(group, now_ms)
+    by_ms = group.start_by() if tier == ON_TIME else group.late_start_by()
+    return Rank(tier, min(1, group.spec.priority), by_ms)
 
 
 def tier_of(group: Group, now_ms: float) -> int:
@@ -91,9 +52,3 @@
     """
     tier_ms = group.on_time_ms if tier_of(group, now_ms) == ON_TIME else group.late_ms
     return round(group.slowest(tier_ms, now_ms) * _SPEED_TOLERANCE, 1)
-
-
-def _by_deadline(group: Group, now_ms: float, level: int) -> Rank:
-    tier = tier_of(group, now_ms)
-    by_ms = group.start_by() if tier == ON_TIME else group.late_start_by()
-    return Rank(tier, level, by_ms)
--- a/src/foldloom/scheduling/waiting.py
+++ b/src/foldloom/scheduling/waiting.py
@@ -6,7 +6,7 @@
 from foldloom.jobs.spec import TaskId
 from foldloom.scheduling.estimates import Estimates
 from foldloom.scheduling.groups import Group
-from foldloom.scheduling.policies import Policy, rank, speed_min
+from foldloom.scheduling.policies import rank, speed_min
 from foldloom.scheduling.runs import Run
 from foldloom.scheduling.sharing import GroupId, GroupSummary, group_of
 
@@ -73,9 +73,9 @@
         if group is not None:
             self._waiting_count -= len(group.waiting)
 
-    def summaries(self, policy: Policy, now_ms: float, most: int) -> list[GroupSummary]:
+    def summaries(self, now_ms: float, most: int) -> list[GroupSummary]:
         """Return the first groups in order, for the owners of other zones."""
-        ranked = sorted((rank(policy, group, now_ms), key) for key, group in self._waiting_items())
+        ranked = sorted((rank(group, now_ms), key) for key, group in self._waiting_items())
         told = []
         for place, key in ranked[:most]:
             group = self._groups[key]
