--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -61,13 +61,13 @@
     config = empty_config({"a1": "a"}, {"a1": "?"})
     return config._replace(
         services={"sleep": Service(workers=["*"], concurrency_max=0, restart="never")},
-        workers={
+        endpoints={
             f"worker-{n:04d}": Worker(
                 endpoint=f"http://10.0.{n // 250}.{n % 250}:9000", zone="a", slots=8, state=ACTIVE
             )
             for n in range(workers)
         },
-        members={
+        customers={
             f"team-{n:03d}": Member(quota=1 + n % 5, concurrency_max=0) for n in range(members)
         },
     )
@@ -105,7 +105,7 @@
     for workers in (16, 32, 64, 128, 256):
         config = make_config(workers, 1)
         shard = Shard(_settings(), SlotLeases(), itertools.count(1))
-        shard.set_workers(config, list(config.workers), set(config.workers))
+        shard.set_workers(config, list(config.endpoints), set(config.endpoints))
         shard.tick(0)
         began = time.process_time()
         for number in range(_DECISIONS):
@@ -125,10 +125,10 @@
     for members in (60, 120, 240, 480):
         config = make_config(64, members)
         shard = Shard(_settings(), SlotLeases(), itertools.count(1))
-        shard.set_workers(config, list(config.workers), set(config.workers))
+        shard.set_workers(config, list(config.endpoints), set(config.endpoints))
         shard.tick(0)
         numbers = itertools.count(1)
-        for name in config.members:
+        for name in config.customers:
             shard.add("a1", SlotRequest(next(numbers), "fleet", "sleep", name, 2, 10**7, 2))
         held = [grant.message for grant in shard.match(0)]
         began = time.process_time()
--- a/src/foldloom/box.py
+++ b/src/foldloom/box.py
@@ -304,7 +304,7 @@
         return [name for name in workers_of(self._holder.config, service) if name not in leaving]
 
     async def _proves_life(self, worker: str) -> bool:
-        known = self._holder.config.workers.get(worker)
+        known = self._holder.config.endpoints.get(worker)
         return known is not None and await self._adapter.usage(known["endpoint"]) is not None
 
     async def _follow_inputs(self) -> None:
--- a/src/foldloom/controllers/config.py
+++ b/src/foldloom/controllers/config.py
@@ -19,6 +19,16 @@
 BOXES = "boxes"
 CONTROLLERS = "controllers"
 
+# Sections are named in plans, in the log and in operators' answers; two names are older than the
+# code's words.
+_FIELDS = {
+    SERVICES: "services",
+    WORKERS: "endpoints",
+    MEMBERS: "customers",
+    BOXES: "boxes",
+    CONTROLLERS: "controllers",
+}
+
 
 class Service(TypedDict):
     """A kind of task and where it may run.
@@ -67,16 +77,16 @@
     Args:
         version: Rises by one with each confirmed change.
         services: Services by name.
-        workers: Workers by name.
-        members: Members by name.
+        endpoints: Endpoints by name.
+        customers: Customers by name.
         boxes: The claim replicas' list.
         controllers: Storage id of each controller; empty until it may vote.
     """
 
     version: int
     services: dict[str, Service]
-    workers: dict[str, Worker]
-    members: dict[str, Member]
+    endpoints: dict[str, Worker]
+    customers: dict[str, Member]
     boxes: BoxList
     controllers: dict[str, str]
 
@@ -117,11 +127,17 @@
     return _DECODER.decode(data)
 
 
+def config_fields(config: Config) -> dict[str, Any]:
+    """Return *config* as operators get it, under the names of its sections."""
+    sections = {section: getattr(config, field) for section, field in _FIELDS.items()}
+    return {"version": config.version, **sections}
+
+
 def section_value(config: Config, section: str, name: str) -> Any:
     """Return what stands at ``section.name``, or ``None``."""
     if section == BOXES:
         return config.boxes
-    values: dict[str, Any] = getattr(config, section)
+    values: dict[str, Any] = getattr(config, _FIELDS[section])
     return values.get(name)
 
 
@@ -129,8 +145,8 @@
     """Return *config* with *changes* made, as *version*."""
     sections: dict[str, Any] = {
         SERVICES: dict(config.services),
-        WORKERS: dict(config.workers),
-        MEMBERS: dict(config.members),
+        WORKERS: dict(config.endpoints),
+        MEMBERS: dict(config.customers),
         CONTROLLERS: dict(config.controllers),
     }
     boxes = config.boxes
@@ -142,7 +158,8 @@
             sections[change["section"]].pop(change["name"], None)
         else:
             sections[change["section"]][change["name"]] = after
-    return config._replace(version=version, boxes=boxes, **sections)
+    fields = {_FIELDS[section]: values for section, values in sections.items()}
+    return config._replace(version=version, boxes=boxes, **fields)
 
 
 def workers_of(config: Config, service: str) -> list[str]:
@@ -152,7 +169,7 @@
         return []
     return [
         name
-        for name, worker in config.workers.items()
+        for name, worker in config.endpoints.items()
         if worker["state"] == ACTIVE
         and any(fnmatchcase(name, pattern) for pattern in definition["workers"])
     ]
--- a/src/foldloom/controllers/plans.py
+++ b/src/foldloom/controllers/plans.py
@@ -191,7 +191,7 @@
 
 @_steps.register
 def _worker(intent: WorkerIntent, config: Config) -> Step:
-    known = config.workers.get(intent.name)
+    known = config.endpoints.get(intent.name)
     if known is None and (intent.endpoint is UNSET or intent.zone is UNSET):
         return Error(f"worker {intent.name}: endpoint and zone are required for a new worker")
     base = known or Worker(endpoint="", zone="", slots=8, state=ACTIVE)
@@ -206,7 +206,7 @@
 
 @_steps.register
 def _worker_leaving(intent: WorkerLeavingIntent, config: Config) -> Step:
-    known = config.workers.get(intent.name)
+    known = config.endpoints.get(intent.name)
     if known is None:
         return Error(f"worker {intent.name}: unknown")
     return Ok([(WORKERS, intent.name, {**known, "state": LEAVING})])
@@ -214,7 +214,7 @@
 
 @_steps.register
 def _member(intent: MemberIntent, config: Config) -> Step:
-    base = config.members.get(intent.name) or Member(quota=1, concurrency_max=0)
+    base = config.customers.get(intent.name) or Member(quota=1, concurrency_max=0)
     after = _merged(base, intent, ("quota", "concurrency_max"))
     if after["quota"] < 1:
         return Error(f"member {intent.name}: quota must be at least 1")
--- a/src/foldloom/entry/operators.py
+++ b/src/foldloom/entry/operators.py
@@ -14,7 +14,7 @@
 from expression import Result
 
 from foldloom.controllers.client import ControllerClient
-from foldloom.controllers.config import Config
+from foldloom.controllers.config import config_fields
 from foldloom.controllers.holder import ConfigHolder
 from foldloom.controllers.plans import Plan, make_plan, parse_intents
 from foldloom.controllers.state import Answer, ConfirmCommand
@@ -189,11 +189,6 @@
     }
 
 
-def config_fields(config: Config) -> dict[str, Any]:
-    """Return *config* as operators get it."""
-    return config._asdict()
-
-
 def _unauthorized_problem() -> Problem:
     return not_run("unauthorized", "a bearer token of an operator is required", status=401)
 
--- a/src/foldloom/entry/requests.py
+++ b/src/foldloom/entry/requests.py
@@ -27,7 +27,7 @@
 
 class _JobBody(msgspec.Struct):
     service: Annotated[str, _NAME]
-    member: Annotated[str, _NAME]
+    customer: Annotated[str, _NAME] = msgspec.field(name="member")
     tasks: Annotated[list[TaskBody], Meta(min_length=1)]
     repeatable: bool = False
     deadline_ms: Annotated[int, Meta(ge=1)] = 0
@@ -69,10 +69,12 @@
     deadline_ms = min(deadline_ms, settings.timings.deadline_max_ms)
     # A Raw over the body would keep all of it alive; tasks outlive it, so copy.
     payloads = [msgspec.Raw(bytes(task.payload)) for task in parsed.tasks]
-    content = [parsed.service, parsed.member, parsed.repeatable, _canonical(payloads)]
+    content = [parsed.service, parsed.customer, parsed.repeatable, _canonical(payloads)]
     digest = content_digest(content)
     return Ok(
-        JobRequest(parsed.service, parsed.member, parsed.repeatable, deadline_ms, payloads, digest)
+        JobRequest(
+            parsed.service, parsed.customer, parsed.repeatable, deadline_ms, payloads, digest
+        )
     )
 
 
--- a/src/foldloom/entry/run.py
+++ b/src/foldloom/entry/run.py
@@ -151,27 +151,27 @@
         if not self._waiting:
             self._return_unused(arrived)
             return None
-        endpoint = self._endpoint_of(arrived)
-        if not endpoint:
+        url = self._url_of(arrived)
+        if not url:
             self._return_unused(arrived)
             self._context.slots.ask(want, 1)
             return None
         index = self._waiting.popleft()
-        task = asyncio.create_task(self._attempt(index, arrived, endpoint))
-        self._attempts[task] = (index, endpoint)
+        task = asyncio.create_task(self._attempt(index, arrived, url))
+        self._attempts[task] = (index, url)
         task.add_done_callback(lambda ended: self._end_attempt(ended, index, arrived))
         return None
 
-    def _endpoint_of(self, slot: Slot) -> str:
+    def _url_of(self, slot: Slot) -> str:
         """Return where to start a task on *slot* now, or '' if it must not be used."""
-        worker = self._context.config().workers.get(slot.worker)
+        worker = self._context.config().endpoints.get(slot.worker)
         if worker is None or worker["state"] != ACTIVE:
             return ""
         if slot.worker in self._context.leaving() or monotonic_ms() >= slot.expires_ms:
             return ""
         return worker["endpoint"]
 
-    async def _attempt(self, index: int, slot: Slot, endpoint: str) -> Result[TaskAnswer, Problem]:
+    async def _attempt(self, index: int, slot: Slot, url: str) -> Result[TaskAnswer, Problem]:
         """Make one attempt at task *index*."""
         context = self._context
         now_ms = monotonic_ms()
@@ -199,7 +199,7 @@
         self._maybe_ran += 1
         context.budget.note_start()
         context.metrics.count("tasks.started")
-        return await context.adapter.start_task(endpoint, self._submission, index, call, left_ms)
+        return await context.adapter.start_task(url, self._submission, index, call, left_ms)
 
     def _end_attempt(
         self, task: asyncio.Task[Result[TaskAnswer, Problem]], index: int, slot: Slot
@@ -240,8 +240,8 @@
     def _stop_attempts(self) -> None:
         """Ask the workers to stop what still runs of a failed job, and wait for none of it."""
         stops = [
-            self._context.adapter.stop_task(endpoint, self._submission, index)
-            for index, endpoint in self._attempts.values()
+            self._context.adapter.stop_task(url, self._submission, index)
+            for index, url in self._attempts.values()
         ]
         for attempt in list(self._attempts):
             attempt.cancel()
--- a/src/foldloom/owners/tie.py
+++ b/src/foldloom/owners/tie.py
@@ -53,7 +53,7 @@
         self._network = network
         self._hand_overs = hand_overs
         self._session_ms = float(timings.session_ms)
-        self._gone_after_ms = gone_after_ms(timings.worker_lease_ms)
+        self._gone_after_ms = gone_after_ms(timings.endpoint_lease_ms)
         self._owner = OwnerRecord(zone)
         self._echoed_ms = -1e12
         self._beaten_ms = -1e12
--- a/src/foldloom/owners/zone_owner.py
+++ b/src/foldloom/owners/zone_owner.py
@@ -79,8 +79,8 @@
         catalog_age_ms: Callable[[], float],
     ) -> None:
         self.calls = calls
-        self.lease_ms = float(timings.worker_lease_ms)
-        self.lease_real_ms = longest_real_ms(timings.worker_lease_ms)
+        self.lease_ms = float(timings.endpoint_lease_ms)
+        self.lease_real_ms = longest_real_ms(timings.endpoint_lease_ms)
         self._record = record
         self._view = view
         self._network = network
@@ -90,7 +90,7 @@
         self._published_version = published_version
         self._on_fenced = on_fenced
         self._catalog_age_ms = catalog_age_ms
-        self._state = OwnerState(gone_after_ms(timings.worker_lease_ms))
+        self._state = OwnerState(gone_after_ms(timings.endpoint_lease_ms))
         self._sessions = Sessions(record.zone, record.token, network, timings.session_ms)
         self._links: dict[str, WorkerLink] = {}
         self._link_tasks: dict[str, asyncio.Task[None]] = {}
--- a/src/foldloom/placement/admission.py
+++ b/src/foldloom/placement/admission.py
@@ -40,7 +40,7 @@
     """Return a refusal if *request* overflows a queue or can't be served in time."""
     is_full = (
         seen.queued + request.tasks > limits.queued_tasks_max
-        or seen.queued_member + request.tasks > limits.queued_tasks_per_member_max
+        or seen.queued_member + request.tasks > limits.queued_tasks_per_customer_max
     )
     wait_ms = expected_wait_ms(request.tasks, seen)
     over_ms = wait_ms + _RUN_MEANS * seen.mean_ms - request.left_ms * _ADMIT_SHARE
--- a/src/foldloom/placement/lease_manager.py
+++ b/src/foldloom/placement/lease_manager.py
@@ -87,7 +87,7 @@
 
     def follow(self, config: Config, leaving: set[str], reachable_zones: set[str]) -> None:
         """Take over or leave shards, and take the workers' states."""
-        names = shard_names(config, self._settings.limits.lease_shard_workers)
+        names = shard_names(config, self._settings.limits.lease_shard_endpoints)
         self._shard_of_worker = {
             worker: shard for shard, workers in names.items() for worker in workers
         }
@@ -95,7 +95,7 @@
             self._leave(gone)
         usable = {
             name
-            for name, worker in config.workers.items()
+            for name, worker in config.endpoints.items()
             if name not in leaving and may_take(worker, reachable_zones)
         }
         for name, workers in names.items():
--- a/src/foldloom/placement/shard.py
+++ b/src/foldloom/placement/shard.py
@@ -299,13 +299,13 @@
 
     def _free_of(self, worker: str, now_ms: float) -> int:
         """Return the free slots of *worker*; an ejected one has one if it may be probed."""
-        if self._config is None or worker not in self._config.workers:
+        if self._config is None or worker not in self._config.endpoints:
             return 0
         busy = self._busy.get(worker, 0)
         if self._health.is_ejected(worker):
             may_probe = worker in self._proven and self._health.may_probe(worker, now_ms)
             return 1 if may_probe and not busy else 0
-        return max(0, self._config.workers[worker]["slots"] - busy)
+        return max(0, self._config.endpoints[worker]["slots"] - busy)
 
     def _grant(self, pending: Pending, choice: Choice, now_ms: float) -> Grant:
         request, worker = pending.request, choice.worker
@@ -352,20 +352,20 @@
         """Return how many tasks of *service* the shard can finish a millisecond."""
         assert self._config is not None
         return sum(
-            self._config.workers[worker]["slots"] / mean_ms
+            self._config.endpoints[worker]["slots"] / mean_ms
             for worker, mean_ms in self._views[service].mean_ms.items()
             if not self._health.is_ejected(worker)
         )
 
     def _quota_of(self, member: str) -> int:
-        if self._config is None or member not in self._config.members:
+        if self._config is None or member not in self._config.customers:
             return 1
-        return self._config.members[member]["quota"]
+        return self._config.customers[member]["quota"]
 
     def _is_member_full(self, member: str) -> bool:
-        if self._config is None or member not in self._config.members:
+        if self._config is None or member not in self._config.customers:
             return False
-        most = self._config.members[member]["concurrency_max"]
+        most = self._config.customers[member]["concurrency_max"]
         return bool(most) and self._running.get(("member", member), 0) >= most
 
     def _is_service_full(self, service: str) -> bool:
--- a/src/foldloom/placement/shards.py
+++ b/src/foldloom/placement/shards.py
@@ -19,10 +19,10 @@
 
 def shard_names(config: Config, shard_workers_max: int) -> dict[str, list[str]]:
     """Return the workers of each shard, by the shard's name."""
-    if len(config.workers) <= shard_workers_max:
-        return {FLEET: list(config.workers)} if config.workers else {}
+    if len(config.endpoints) <= shard_workers_max:
+        return {FLEET: list(config.endpoints)} if config.endpoints else {}
     by_zone: dict[str, list[str]] = {}
-    for name, worker in config.workers.items():
+    for name, worker in config.endpoints.items():
         by_zone.setdefault(worker["zone"], []).append(name)
     shards: dict[str, list[str]] = {}
     for zone, names in by_zone.items():
--- a/src/foldloom/placement/slots.py
+++ b/src/foldloom/placement/slots.py
@@ -204,7 +204,7 @@
     def _shard_names(self) -> dict[str, list[str]]:
         config = self._config()
         if self._shards[0] != config.version:
-            names = shard_names(config, self._settings.limits.lease_shard_workers)
+            names = shard_names(config, self._settings.limits.lease_shard_endpoints)
             self._shards = (config.version, names)
             self._shard_of = {
                 worker: shard for shard, workers in names.items() for worker in workers
--- a/src/foldloom/settings.py
+++ b/src/foldloom/settings.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""The daemon's settings: a YAML file, every field checked, units in the names."""
+"""The daemon's settings: a YAML file, every field checked, units in the names.
+
+Keys are promises to operators. Where a key uses an older word than the code (``worker``,
+``member``), ``msgspec.field(name=...)`` maps it to the attribute.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +47,8 @@
 class PeerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One box of the system, this one included.
 
-    ``address`` is ``IP:port`` of its peer socket, as seen from this box.
+    ``address`` is ``IP:port`` of its peer socket, as seen from this box. ``http_url`` is accepted
+    and ignored: nothing reads it any more, but files that hold it must still load.
     """
 
     box: Name
@@ -60,15 +65,17 @@
     tasks_per_job_max: PositiveInt = 2_000
     jobs_in_flight_max: PositiveInt = 4_000
     queued_tasks_max: PositiveInt = 4_000
-    queued_tasks_per_member_max: PositiveInt = 4_000
-    connections_per_worker: PositiveInt = 64
+    queued_tasks_per_customer_max: PositiveInt = msgspec.field(
+        default=4_000, name="queued_tasks_per_member_max"
+    )
+    connections_per_endpoint: PositiveInt = msgspec.field(default=64, name="connections_per_worker")
     answer_max_bytes: PositiveInt = 1024 * 1024
     retained_jobs_max: PositiveInt = 200_000
     retained_bytes_max: PositiveInt = 256 * 1024 * 1024
     claims_max: PositiveInt = 1_000_000
     retry_share: Share = 0.1
     ejected_share_max: Share = 0.34
-    lease_shard_workers: PositiveInt = 64
+    lease_shard_endpoints: PositiveInt = msgspec.field(default=64, name="lease_shard_workers")
 
 
 class TimingSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -91,7 +98,7 @@
     owner_beat_ms: PositiveInt = 100
     owner_silent_ms: PositiveInt = 400
     session_ms: PositiveInt = 400
-    worker_lease_ms: PositiveInt = 600
+    endpoint_lease_ms: PositiveInt = msgspec.field(default=600, name="worker_lease_ms")
     drain_ms: PositiveInt = 2_500
 
 
@@ -131,7 +138,7 @@
     data_folder: str = ""
     secret_key_file: str = ""
     operator_tokens_file: str = ""
-    worker_ca_file: str = ""
+    endpoint_ca_file: str = msgspec.field(default="", name="worker_ca_file")
     platform_url: str = ""
     metrics_address: str = ""
     policy: str = "slot-leases"
@@ -216,7 +223,7 @@
         "statsd": StatsdSettings,
     }
     owner = sections.get(section, Settings)
-    return [field.name for field in msgspec.structs.fields(owner)]
+    return [field.encode_name for field in msgspec.structs.fields(owner)]
 
 
 def _check_whole(settings: Settings, path: str) -> None:
--- a/src/foldloom/workers/adapter.py
+++ b/src/foldloom/workers/adapter.py
@@ -75,11 +75,11 @@
     async def start(self) -> None:
         """Open the client session."""
         tls: ssl.SSLContext | bool = True
-        if self._settings.worker_ca_file:
-            tls = ssl.create_default_context(cafile=self._settings.worker_ca_file)
+        if self._settings.endpoint_ca_file:
+            tls = ssl.create_default_context(cafile=self._settings.endpoint_ca_file)
         connector = aiohttp.TCPConnector(
             limit=0,
-            limit_per_host=self._settings.limits.connections_per_worker,
+            limit_per_host=self._settings.limits.connections_per_endpoint,
             keepalive_timeout=_KEEPALIVE_S,
             ssl=tls,
         )
@@ -95,11 +95,11 @@
             await self._session.close()
 
     async def start_task(
-        self, endpoint: str, submission: str, index: int, call: TaskCall, left_ms: float
+        self, base_url: str, submission: str, index: int, call: TaskCall, left_ms: float
     ) -> Result[TaskAnswer, Problem]:
         """Send one attempt and return the worker's answer, or whether it may have run."""
         assert self._session is not None
-        url = f"{endpoint}/v1/tasks/{submission}/{index}"
+        url = f"{base_url}/v1/tasks/{submission}/{index}"
         timeout = aiohttp.ClientTimeout(
             total=max(0.001, left_ms / 1_000), sock_connect=_CONNECT_TIMEOUT_S
         )
@@ -126,10 +126,10 @@
             return Error(may_have_run("worker-lost", type(error).__name__))
         return _checked(body, call["attempt"], monotonic_ms() - began_ms)
 
-    async def stop_task(self, endpoint: str, submission: str, index: int) -> None:
+    async def stop_task(self, base_url: str, submission: str, index: int) -> None:
         """Ask a worker to stop a task; whether it did is not known."""
         assert self._session is not None
-        url = f"{endpoint}/v1/tasks/{submission}/{index}/stop"
+        url = f"{base_url}/v1/tasks/{submission}/{index}/stop"
         timeout = aiohttp.ClientTimeout(total=_STOP_TIMEOUT_S)
         try:
             async with self._session.post(url, timeout=timeout, allow_redirects=False):
@@ -137,12 +137,12 @@
         except (TimeoutError, aiohttp.ClientError, OSError):
             return
 
-    async def usage(self, endpoint: str) -> int | None:
+    async def usage(self, base_url: str) -> int | None:
         """Return how many tasks a worker reports as running, or ``None`` without a report."""
         assert self._session is not None
         timeout = aiohttp.ClientTimeout(total=_USAGE_TIMEOUT_S)
         try:
-            async with self._session.get(f"{endpoint}/v1/usage", timeout=timeout) as response:
+            async with self._session.get(f"{base_url}/v1/usage", timeout=timeout) as response:
                 if response.status != 200:
                     return None
                 return _USAGES.decode(await self._read(response)).running
--- a/src/foldloom/workers/usage.py
+++ b/src/foldloom/workers/usage.py
@@ -33,7 +33,7 @@
     async def run(self) -> None:
         """Poll until cancelled."""
         while True:
-            workers = self._config().workers
+            workers = self._config().endpoints
             asked = [self._adapter.usage(worker["endpoint"]) for worker in workers.values()]
             reports = await asyncio.gather(*asked)
             for name, running in zip(workers, reports, strict=True):
--- a/tests/test_owners_client.py
+++ b/tests/test_owners_client.py
@@ -198,7 +198,7 @@
         """A run whose owner fell silent is over, but may have been carried out."""
 
         async def play() -> None:
-            rig = Rig(TimingSettings(session_ms=1, worker_lease_ms=1))
+            rig = Rig(TimingSettings(session_ms=1, endpoint_lease_ms=1))
             rig.beat(1)
             await rig.submit()
             watching = asyncio.create_task(rig.client.run())
@@ -263,7 +263,7 @@
         """
 
         async def play() -> None:
-            rig = Rig(TimingSettings(session_ms=1, worker_lease_ms=1))
+            rig = Rig(TimingSettings(session_ms=1, endpoint_lease_ms=1))
             rig.beat(1)
             rig.beat(2, _OTHER)
             await rig.submit()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -38,8 +38,8 @@
     base = Service(workers=["*"], concurrency_max=0, restart="never")
     return empty_config({}, {})._replace(
         services={"s": Service(**{**base, **service})},
-        members=known,
-        workers={
+        customers=known,
+        endpoints={
             f"w{n}": Worker(endpoint="http://w", zone="a", slots=2, state=ACTIVE)
             for n in range(worker_count)
         },
@@ -59,7 +59,7 @@
         }
     )
     shard = Shard(settings, SlotLeases(), itertools.count(1))
-    shard.set_workers(config, list(config.workers), set(config.workers))
+    shard.set_workers(config, list(config.endpoints), set(config.endpoints))
     return shard
 
 
@@ -244,9 +244,9 @@
         """A leaving worker gets no grant from the moment that it is known."""
         config = _config(2)
         shard = _shard(config)
-        leaving = {**config.workers["w0"], "state": LEAVING}
-        changed = config._replace(workers={**config.workers, "w0": leaving})  # type: ignore[dict-item]
-        shard.set_workers(changed, list(changed.workers), {"w1"})
+        leaving = {**config.endpoints["w0"], "state": LEAVING}
+        changed = config._replace(endpoints={**config.endpoints, "w0": leaving})  # type: ignore[dict-item]
+        shard.set_workers(changed, list(changed.endpoints), {"w1"})
         shard.add("a1", _request(1, 5))
         assert {grant.message.worker for grant in shard.match(0.0)} == {"w1"}
 
@@ -423,7 +423,7 @@
         """Over the bound every worker is in one shard of its own zone, managed there."""
         names = shard_names(_config(200), 64)
         assert sorted(w for workers in names.values() for w in workers) == sorted(
-            _config(200).workers
+            _config(200).endpoints
         )
         assert all(name.startswith("a/") for name in names)
         assert manager_of("a/0", {"a1": "a", "b1": "b"}) == "a1"
--- a/tests/test_unchanged.py
+++ b/tests/test_unchanged.py
@@ -232,14 +232,14 @@
     for field in msgspec.structs.fields(struct):
         inner = field.type
         if isinstance(inner, type) and issubclass(inner, msgspec.Struct):
-            found[field.name] = _fields(inner)
+            found[field.encode_name] = _fields(inner)
         elif field.name == "peers":
-            found[field.name] = _fields(inner.__args__[0])
+            found[field.encode_name] = _fields(inner.__args__[0])
         elif field.default is not msgspec.NODEFAULT:
-            found[field.name] = field.default
+            found[field.encode_name] = field.default
         else:
             is_made = field.default_factory is not msgspec.NODEFAULT
-            found[field.name] = field.default_factory() if is_made else "(required)"
+            found[field.encode_name] = field.default_factory() if is_made else "(required)"
     return found
 
 
--- a/tests/test_unchanged_platform.py
+++ b/tests/test_unchanged_platform.py
@@ -310,7 +310,7 @@
             "data": settings.data_folder,
             "metrics": settings.metrics_address,
             "logs": settings.logs.format,
-            "lease": settings.timings.worker_lease_ms,
+            "lease": settings.timings.endpoint_lease_ms,
             "stop": settings.timings.stop_timeout_ms,
             "local": list(local)[1:],
         }
