--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -97,14 +97,14 @@
     ),
     Break(
         "attempt id is echoed",
-        "workers/adapter.py",
+        "endpoints/adapter.py",
         "if reply.attempt != attempt:",
         "if False:",
         _CLAIMS + "TestWorkerFaults::test_bad_answer_is_never_passed_on",
     ),
     Break(
         "bounded answers",
-        "workers/adapter.py",
+        "endpoints/adapter.py",
         "if len(body) > most:",
         "if False:",
         _CLAIMS + "TestWorkerFaults::test_bad_answer_is_never_passed_on",
@@ -210,7 +210,7 @@
     ),
     Break(
         "leaving workers are heard of",
-        "workers/platform.py",
+        "endpoints/platform.py",
         'if one.state == "leaving"',
         "if False",
         _PLACE + "TestLeavingWorkers::test_by_platform_list",
--- a/src/foldloom/box.py
+++ b/src/foldloom/box.py
@@ -18,6 +18,9 @@
 from foldloom.controllers.holder import ConfigHolder
 from foldloom.controllers.leadership import ANY_STORAGE
 from foldloom.controllers.node import ControllerNode
+from foldloom.endpoints.adapter import WorkerAdapter
+from foldloom.endpoints.platform import PlatformList
+from foldloom.endpoints.usage import UsageReports
 from foldloom.entry.coordinator import Coordinator
 from foldloom.entry.follow import Follower
 from foldloom.entry.http import HttpServer
@@ -36,9 +39,6 @@
 from foldloom.placement.shards import Managers
 from foldloom.placement.slots import DirectSlots, LeasedSlots, SlotSource
 from foldloom.settings import CONTROLLER, ENTRY, Settings
-from foldloom.workers.adapter import WorkerAdapter
-from foldloom.workers.platform import PlatformList
-from foldloom.workers.usage import UsageReports
 
 _FOLLOW_S = 0.1
 _MANAGERS_KEPT_MS = 50.0
--- a/src/foldloom/boxes/controller.py
+++ b/src/foldloom/boxes/controller.py
@@ -15,6 +15,8 @@
 from foldloom.controllers.node import ControllerNode
 from foldloom.controllers.state import Publication
 from foldloom.controllers.storage import format_folder
+from foldloom.endpoints.catalog import WorkerCatalog
+from foldloom.endpoints.records import WorkerRecord
 from foldloom.fleet.cache import PublicationCache
 from foldloom.fleet.joiner import Joiner
 from foldloom.fleet.messages import BoxRecord
@@ -29,8 +31,6 @@
 from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import CONTROLLER, Settings
 from foldloom.verdicts import Problem
-from foldloom.workers.catalog import WorkerCatalog
-from foldloom.workers.records import WorkerRecord
 
 
 class ControllerHost:
--- a/src/foldloom/boxes/entry.py
+++ b/src/foldloom/boxes/entry.py
@@ -8,6 +8,8 @@
 from typing import Any
 
 from foldloom.controllers.state import Publication
+from foldloom.endpoints.calls import WorkerCalls
+from foldloom.endpoints.catalog import WorkerCatalog
 from foldloom.entry.job_runner import JobDesk, JobResult
 from foldloom.fleet.joiner import Joiner
 from foldloom.fleet.messages import BoxRecord, OwnerBeat, OwnerRecord
@@ -24,8 +26,6 @@
 from foldloom.owners.zone_owner import ZoneOwner
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
 from foldloom.settings import ENTRY, Settings
-from foldloom.workers.calls import WorkerCalls
-from foldloom.workers.catalog import WorkerCatalog
 
 _OWNER_LOST_MS = 1_500.0
 
--- a/src/foldloom/workers/calls.py
+++ b/src/foldloom/endpoints/calls.py
@@ -11,8 +11,8 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
+from foldloom.endpoints.records import WorkerRecord
 from foldloom.jobs.spec import RunId
-from foldloom.workers.records import WorkerRecord
 
 
 class CallOutcome(Enum):
--- a/src/foldloom/workers/catalog.py
+++ b/src/foldloom/endpoints/catalog.py
@@ -5,7 +5,7 @@
 
 from typing import NamedTuple
 
-from foldloom.workers.records import WorkerRecord, WorkerState
+from foldloom.endpoints.records import WorkerRecord, WorkerState
 
 _GONE_KEPT = 2_000
 
--- a/src/foldloom/workers/usage.py
+++ b/src/foldloom/endpoints/usage.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from foldloom.controllers.config import Config
-from foldloom.workers.adapter import WorkerAdapter
+from foldloom.endpoints.adapter import WorkerAdapter
 
 _POLL_S = 0.5
 
--- a/src/foldloom/entry/run.py
+++ b/src/foldloom/entry/run.py
@@ -13,6 +13,7 @@
 from expression import Error, Ok, Result
 
 from foldloom.controllers.config import ACTIVE, Config, Service
+from foldloom.endpoints.adapter import TaskAnswer, TaskCall, WorkerAdapter
 from foldloom.entry.requests import JobRequest
 from foldloom.logs import PLACE_LOG
 from foldloom.metrics import Metrics
@@ -21,7 +22,6 @@
 from foldloom.placement.retries import RetryBudget, may_retry
 from foldloom.placement.slots import Slot, SlotSource, Want
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
-from foldloom.workers.adapter import TaskAnswer, TaskCall, WorkerAdapter
 
 _RETRY_AFTER_MS = 500
 _RETRY_PAUSE_S = 0.01
--- a/src/foldloom/fleet/joiner.py
+++ b/src/foldloom/fleet/joiner.py
@@ -5,14 +5,14 @@
 
 import asyncio
 
+from foldloom.endpoints.catalog import WorkerCatalog
+from foldloom.endpoints.records import WorkerRecord
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.fleet.messages import Join, JoinReply, Noted, WorkersSeen
 from foldloom.fleet.published import PublishedHolder
 from foldloom.fleet.view import FleetView
 from foldloom.logs import PEER_LOG
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
-from foldloom.workers.catalog import WorkerCatalog
-from foldloom.workers.records import WorkerRecord
 
 _LOST_AFTER = 3
 _WATCH_S = 0.1
--- a/src/foldloom/fleet/messages.py
+++ b/src/foldloom/fleet/messages.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from foldloom.controllers.state import Publication
+from foldloom.endpoints.records import WorkerRecord
 from foldloom.peers.messages import register
-from foldloom.workers.records import WorkerRecord
 
 
 class BoxRecord(NamedTuple):
--- a/src/foldloom/fleet/registry.py
+++ b/src/foldloom/fleet/registry.py
@@ -12,6 +12,8 @@
 from typing import Any, NamedTuple
 
 from foldloom.controllers.state import Publication
+from foldloom.endpoints.catalog import WorkerCatalog
+from foldloom.endpoints.records import WorkerRecord, WorkerState
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.fleet.messages import (
     BoxRecord,
@@ -28,8 +30,6 @@
 from foldloom.logs import WORKER_LOG
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
 from foldloom.settings import CONTROLLER, ENTRY
-from foldloom.workers.catalog import WorkerCatalog
-from foldloom.workers.records import WorkerRecord, WorkerState
 
 _LIVE_MS = 1_500.0
 _FORGET_MS = 10_000.0
--- a/src/foldloom/owners/worker_link.py
+++ b/src/foldloom/owners/endpoint_link.py
@@ -6,11 +6,11 @@
 import asyncio
 from typing import TYPE_CHECKING
 
+from foldloom.endpoints.calls import CallOutcome, HoldOrder, HoldReply
+from foldloom.endpoints.records import WorkerRecord
 from foldloom.logs import WORKER_LOG
 from foldloom.owners.lease import LAPSE_MARGIN_MS, WorkerClock
 from foldloom.peers.wire import monotonic_ms
-from foldloom.workers.calls import CallOutcome, HoldOrder, HoldReply
-from foldloom.workers.records import WorkerRecord
 
 if TYPE_CHECKING:
     from foldloom.owners.zone_owner import ZoneOwner
--- a/src/foldloom/owners/state.py
+++ b/src/foldloom/owners/state.py
@@ -10,6 +10,8 @@
 
 from typing import NamedTuple
 
+from foldloom.endpoints.calls import ActiveRun, CallOutcome, EndedRun, EndKind
+from foldloom.endpoints.records import WorkerRecord
 from foldloom.fleet.messages import ZoneLoad
 from foldloom.jobs.spec import RunId, TaskId
 from foldloom.owners.messages import (
@@ -22,6 +24,7 @@
 )
 from foldloom.scheduling.admission import Room as WorkerRoom
 from foldloom.scheduling.admission import expected_wait_ms, is_too_late, retry_after_ms
+from foldloom.scheduling.endpoints import Candidate, ForeignRun
 from foldloom.scheduling.estimates import Estimates
 from foldloom.scheduling.placing import Reservation, place
 from foldloom.scheduling.policies import HOPELESS, tier_of
@@ -35,9 +38,6 @@
 )
 from foldloom.scheduling.speeds import WorkerSpeeds
 from foldloom.scheduling.waiting import WaitingRuns
-from foldloom.scheduling.workers import Candidate, ForeignRun
-from foldloom.workers.calls import ActiveRun, CallOutcome, EndedRun, EndKind
-from foldloom.workers.records import WorkerRecord
 
 _FOREIGN_GRACE_MS = 300.0
 _CANCEL_REMEMBERED_MS = 500.0
--- a/src/foldloom/owners/zone_owner.py
+++ b/src/foldloom/owners/zone_owner.py
@@ -7,11 +7,21 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
+from foldloom.endpoints.calls import (
+    ActiveRun,
+    CallOutcome,
+    EndedRun,
+    StartOrder,
+    WorkerCalls,
+)
+from foldloom.endpoints.catalog import WorkerCatalog
+from foldloom.endpoints.records import WorkerRecord
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.fleet.messages import Echo, OwnerBeat, OwnerRecord, ZoneLoad
 from foldloom.fleet.view import FleetView
 from foldloom.logs import PLACE_LOG, WORKER_LOG
 from foldloom.metrics import Metrics
+from foldloom.owners.endpoint_link import SUSPECT_AFTER_MS, WorkerLink
 from foldloom.owners.lease import STOP_OVERDUE_MS, gone_after_ms, longest_real_ms
 from foldloom.owners.messages import (
     CancelJob,
@@ -25,19 +35,9 @@
 )
 from foldloom.owners.sessions import Sessions
 from foldloom.owners.state import ClaimAction, EndAction, OwnerState, StartAction, StopAction
-from foldloom.owners.worker_link import SUSPECT_AFTER_MS, WorkerLink
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
 from foldloom.scheduling.runs import HolderId
 from foldloom.settings import TimingSettings
-from foldloom.workers.calls import (
-    ActiveRun,
-    CallOutcome,
-    EndedRun,
-    StartOrder,
-    WorkerCalls,
-)
-from foldloom.workers.catalog import WorkerCatalog
-from foldloom.workers.records import WorkerRecord
 
 _TICK_S = 0.02
 _STOP_REPEAT_MS = 100.0
--- a/src/foldloom/scheduling/workers.py
+++ b/src/foldloom/scheduling/endpoints.py
@@ -5,9 +5,9 @@
 
 from typing import NamedTuple
 
+from foldloom.endpoints.records import WorkerRecord, WorkerState
 from foldloom.jobs.spec import Demand, TaskId
 from foldloom.scheduling.rooms import Room, fits
-from foldloom.workers.records import WorkerRecord, WorkerState
 
 
 class ForeignRun(NamedTuple):
--- a/src/foldloom/scheduling/placing.py
+++ b/src/foldloom/scheduling/placing.py
@@ -8,13 +8,13 @@
 from typing import NamedTuple
 
 from foldloom.jobs.spec import Demand, Placement
+from foldloom.scheduling.endpoints import Candidate
 from foldloom.scheduling.groups import Group
 from foldloom.scheduling.policies import HOPELESS, Rank, rank, speed_min
 from foldloom.scheduling.runs import Run
 from foldloom.scheduling.sharing import RESERVED_MS, GroupId, RemoteGroup, RemoteGroups, group_of
 from foldloom.scheduling.speeds import WorkerSpeeds
 from foldloom.scheduling.waiting import WaitingRuns
-from foldloom.scheduling.workers import Candidate
 
 _reservation_numbers = itertools.count(1)
 
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -247,7 +247,7 @@
                 continue
             command = [
                 sys.executable,
-                str(_STANDINS / "worker.py"),
+                str(_STANDINS / "endpoint.py"),
                 "--ports",
                 ",".join(str(spec.port) for spec in specs),
                 "--speeds",
--- a/tests/models/worker_world.py
+++ b/tests/models/endpoint_world.py
@@ -5,8 +5,8 @@
 
 from typing import NamedTuple
 
+from foldloom.endpoints.calls import ActiveRun, CallOutcome, EndedRun, EndKind
 from foldloom.jobs.spec import RunId, TaskId
-from foldloom.workers.calls import ActiveRun, CallOutcome, EndedRun, EndKind
 
 
 class Look(NamedTuple):
--- a/tests/platform_system.py
+++ b/tests/platform_system.py
@@ -20,7 +20,7 @@
 from aiohttp import ClientError, ClientSession, ClientTimeout
 
 from cluster import free_port
-from standins.run_worker import SERVICE, RunWorker, Sightings
+from standins.run_endpoint import SERVICE, RunWorker, Sightings
 
 _ROOT = Path(__file__).resolve().parent.parent
 _HOST, _PREFIX = "desk.example", "/jobs/"
--- a/tests/standins/run_worker.py
+++ b/tests/standins/run_endpoint.py
@@ -17,9 +17,9 @@
 from aiohttp import ClientError, ClientSession, web
 
 from bodies import task_of, task_text
+from foldloom.endpoints.calls import CallOutcome, EndKind
 from foldloom.jobs.spec import RunId, TaskId
-from foldloom.workers.calls import CallOutcome, EndKind
-from models.worker_world import SimulatedWorker
+from models.endpoint_world import SimulatedWorker
 
 SERVICE = "svc"
 CAPACITY = {"cpu": 16_000, "mem_mb": 32_768, "gpu": 0}
--- a/tests/test_workers_catalog.py
+++ b/tests/test_endpoints_catalog.py
@@ -3,9 +3,9 @@
 
 from __future__ import annotations
 
+from foldloom.endpoints.catalog import WorkerCatalog
+from foldloom.endpoints.records import WorkerRecord, WorkerState
 from foldloom.jobs.spec import Demand
-from foldloom.workers.catalog import WorkerCatalog
-from foldloom.workers.records import WorkerRecord, WorkerState
 
 _READY = WorkerRecord("w1", "svc", "127.0.0.1:9", "a", Demand(16_000, 32_000, 0), sequence=5)
 
--- a/tests/test_owners_machine.py
+++ b/tests/test_owners_machine.py
@@ -11,13 +11,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from foldloom.endpoints.calls import CallOutcome, EndKind
 from foldloom.jobs.spec import RunId, TaskId
 from foldloom.owners.lease import LAPSE_MARGIN_MS, STOP_OVERDUE_MS, WorkerClock, gone_after_ms
 from foldloom.owners.messages import EndCause, RunOrder
 from foldloom.owners.state import OwnerState, StartAction, StopAction
 from foldloom.scheduling.runs import HolderId
-from foldloom.workers.calls import CallOutcome, EndKind
-from models.worker_world import SimulatedWorker
+from models.endpoint_world import SimulatedWorker
 from test_owners_state import submission, worker
 
 _LEASE_MS = 600.0
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -5,13 +5,13 @@
 
 from typing import Any
 
+from foldloom.endpoints.calls import ActiveRun, CallOutcome, EndedRun, EndKind
+from foldloom.endpoints.records import WorkerRecord
 from foldloom.jobs.spec import Demand, Placement, RunId, TaskId
 from foldloom.owners.messages import EndCause, Objective, RunEnd, RunOrder, SubmitRuns, SubmitStatus
 from foldloom.owners.state import OwnerState
 from foldloom.scheduling.runs import HolderId
 from foldloom.scheduling.sharing import GroupId
-from foldloom.workers.calls import ActiveRun, CallOutcome, EndedRun, EndKind
-from foldloom.workers.records import WorkerRecord
 
 _GONE_AFTER_MS = 750.0
 _E1 = HolderId("e1", 1)
--- a/tests/test_owners_zone_owner.py
+++ b/tests/test_owners_zone_owner.py
@@ -7,13 +7,13 @@
 from collections.abc import Coroutine
 from typing import Any
 
+from foldloom.endpoints.catalog import WorkerCatalog
 from foldloom.fleet.messages import BoxRecord, Echo, OwnerRecord
 from foldloom.fleet.view import FleetView
 from foldloom.metrics import Metrics
 from foldloom.owners.zone_owner import ZoneOwner
 from foldloom.peers.wire import monotonic_ms
 from foldloom.settings import ENTRY, TimingSettings
-from foldloom.workers.catalog import WorkerCatalog
 
 _ZONE = "z"
 _TOKEN = 5
--- a/tests/test_unchanged.py
+++ b/tests/test_unchanged.py
@@ -30,13 +30,13 @@
 from foldloom.controllers import plans, state, storage
 from foldloom.controllers.config import encode_config
 from foldloom.controllers.state import ReplicatedState
+from foldloom.endpoints.calls import CallOutcome
 from foldloom.entry.job_runner import JobOutcome
 from foldloom.exposition import metrics_text
 from foldloom.fleet.cache import PublicationCache
 from foldloom.metrics import Metrics
 from foldloom.owners.messages import EndCause
 from foldloom.settings import Settings, settings_from
-from foldloom.workers.calls import CallOutcome
 from unchanged.describe_messages import sample
 from unchanged.recorded import check
 from unchanged.samples import INTENTS, SETTINGS
--- a/tests/test_unchanged_platform.py
+++ b/tests/test_unchanged_platform.py
@@ -17,18 +17,18 @@
 
 from clients import ClientRoutes
 from documents import read_queues
+from endpoint_calls import HttpWorkerCalls
 from foldloom.controllers.state import Publication
+from foldloom.endpoints.calls import HoldOrder, StartOrder
+from foldloom.endpoints.records import WorkerRecord
 from foldloom.entry.job_runner import JobOutcome, JobResult
 from foldloom.jobs.spec import Demand, RunId, TaskId
 from foldloom.metrics import Metrics
 from foldloom.verdicts import not_run
-from foldloom.workers.calls import HoldOrder, StartOrder
-from foldloom.workers.records import WorkerRecord
 from local_settings import read_settings
 from operators import OperatorRoutes
 from unchanged.http_answers import answers_of
 from unchanged.recorded import check
-from worker_calls import HttpWorkerCalls
 
 _DOCUMENT = {
     "version": 7,
