--- a/src/foldloom/peers/messages.py
+++ b/src/foldloom/peers/messages.py
@@ -14,6 +14,7 @@
 _ENCODER = msgspec.msgpack.Encoder()
 _KINDS: dict[int, type] = {}
 _KIND_OF: dict[type, int] = {}
+_COUNTED_AS: dict[type, str] = {}
 _DECODERS: dict[int, msgspec.msgpack.Decoder[Any]] = {}
 
 MessageType = TypeVar("MessageType", bound=type)
@@ -56,12 +57,23 @@
 _ENVELOPES = msgspec.msgpack.Decoder(Envelope)
 
 
-def register(kind: int, message_type: MessageType) -> MessageType:
-    """Give *message_type* its number on the wire; numbers are never used again."""
+def register(kind: int, message_type: MessageType, counted_as: str = "") -> MessageType:
+    """Give *message_type* its number on the wire; numbers are never used again.
+
+    Args:
+        kind: The number.
+        message_type: A NamedTuple.
+        counted_as: Its name in the counter of sent messages, if that is not the class's: the
+            names of metrics stay when a class is renamed.
+
+    Raises:
+        ValueError: The number is taken.
+    """
     if kind in _KINDS:
         raise ValueError(f"kind {kind} is taken by {_KINDS[kind].__name__}")
     _KINDS[kind] = message_type
     _KIND_OF[message_type] = kind
+    _COUNTED_AS[message_type] = counted_as or message_type.__name__
     _DECODERS[kind] = msgspec.msgpack.Decoder(message_type)
     return message_type
 
@@ -71,6 +83,11 @@
     return _KIND_OF[type(message)]
 
 
+def counted_as(message: object) -> str:
+    """Return the name under which sent messages of *message*'s type are counted."""
+    return _COUNTED_AS[type(message)]
+
+
 def encode_body(message: object) -> msgspec.Raw:
     """Return *message* encoded for a frame."""
     return msgspec.Raw(_ENCODER.encode(message))
--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -28,6 +28,7 @@
 from foldloom.peers.messages import (
     Envelope,
     Frame,
+    counted_as,
     decode_body,
     decode_envelope,
     encode_body,
@@ -227,7 +228,7 @@
             return
         frame = Frame(kind_of(message), request_id, reply_to, ttl_ms, encode_body(message))
         outbox.append(frame)
-        self._metrics.count(f"messages.sent.{type(message).__name__}")
+        self._metrics.count(f"messages.sent.{counted_as(message)}")
         self._wakeups[box].set()
 
     async def _send_to(self, peer: PeerSettings) -> None:
