--- a/benchmarks/bare.py
+++ b/benchmarks/bare.py
@@ -25,7 +25,7 @@
 
 
 async def _bare(urls: list[str]) -> dict[str, float]:
-    """Post to the workers as fast as the client can, 256 at a time."""
+    """Post to the endpoints as fast as the client can, 256 at a time."""
     body = {"attempt": "x", "lease": 1, "service": "sleep", "member": "m1", "deadline_ms": 1000}
     data = json.dumps({**body, "payload": {"ms": 1, "pad": "x" * 100}}).encode()
     left = iter(range(_POSTS))
@@ -47,8 +47,8 @@
     """Measure both, twice, interleaved."""
     folder = Path(tempfile.mkdtemp(prefix="foldloom-bare-"))
     rows: list[dict[str, Any]] = []
-    with Cluster(folder, zones="a", controllers=1, workers_per_zone=8) as cluster:
-        urls = [f"http://127.0.0.1:{spec.port}" for spec in cluster.workers]
+    with Cluster(folder, zones="a", controllers=1, endpoints_per_zone=8) as cluster:
+        urls = [f"http://127.0.0.1:{spec.port}" for spec in cluster.endpoints]
         pid = cluster.processes["a1"].pid
         for round_number in range(2):
             bare = uvloop.run(_bare(urls))
--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -100,22 +100,22 @@
         "endpoints/adapter.py",
         "if reply.attempt != attempt:",
         "if False:",
-        _CLAIMS + "TestWorkerFaults::test_bad_answer_is_never_passed_on",
+        _CLAIMS + "TestEndpointFaults::test_bad_answer_is_never_passed_on",
     ),
     Break(
         "bounded answers",
         "endpoints/adapter.py",
         "if len(body) > most:",
         "if False:",
-        _CLAIMS + "TestWorkerFaults::test_bad_answer_is_never_passed_on",
+        _CLAIMS + "TestEndpointFaults::test_bad_answer_is_never_passed_on",
     ),
     Break(
         "what may have run is not retried",
         "placement/retries.py",
-        '    if service["restart"] != RESTART_AFTER_WORKER_DEATH:\n        return False\n'
-        "    return is_repeatable and problem.reason in _WORKER_DEATHS",
+        '    if service["restart"] != RESTART_AFTER_ENDPOINT_DEATH:\n        return False\n'
+        "    return is_repeatable and problem.reason in _ENDPOINT_DEATHS",
         "    return True",
-        _CLAIMS + "TestWorkerFaults::test_bad_answer_is_never_passed_on",
+        _CLAIMS + "TestEndpointFaults::test_bad_answer_is_never_passed_on",
     ),
     Break(
         "jobs in flight end before a stop",
@@ -154,9 +154,9 @@
     ),
     Break(
         "strict majority",
-        "controllers/node.py",
-        "return len(self.controllers) // 2 + 1",
-        "return len(self.controllers) // 2",
+        "controllers/members.py",
+        "return len(table) // 2 + 1",
+        "return len(table) // 2",
         _CONTROL + "TestEvenHalves::test_two_and_two",
     ),
     Break(
@@ -182,8 +182,8 @@
     ),
     Break(
         "older lives are not heard",
-        "peers/wire.py",
-        "if known is not None and envelope.incarnation < known.incarnation:",
+        "peers/lives.py",
+        "if known is not None and life < known.life:",
         "if False:",
         "tests/test_wire.py::TestLateMessages::test_older_life_is_dropped",
     ),
@@ -213,28 +213,27 @@
         "endpoints/platform.py",
         'if one.state == "leaving"',
         "if False",
-        _PLACE + "TestLeavingWorkers::test_by_platform_list",
+        _PLACE + "TestLeavingEndpoints::test_by_platform_list",
     ),
     Break(
         "a drain is put into the plan",
         "controllers/plans.py",
         '"state": LEAVING',
         '"state": ACTIVE',
-        _PLACE + "TestLeavingWorkers::test_by_confirmed_intent",
+        _PLACE + "TestLeavingEndpoints::test_by_confirmed_intent",
     ),
     Break(
         "overdue tasks eject a worker",
         "placement/shard.py",
-        'self._eject(worker, "its tasks are overdue", now_ms)',
+        'self._eject(endpoint, "its tasks are overdue", now_ms)',
         "pass",
-        _PLACE + "TestSickWorkers::test_frozen_worker",
+        _PLACE + "TestSickEndpoints::test_frozen_endpoint",
     ),
     Break(
         "a lost lease manager is replaced",
         "box.py",
-        "                if self._membership.is_serving(box)\n            }\n"
-        "            self._managers[shard]",
-        "            }\n            self._managers[shard]",
+        "            if self._membership.is_serving(box)\n        }",
+        "        }",
         _PLACE + "TestLostManager::test_another_takes_over",
     ),
 ]
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -24,9 +24,9 @@
 from foldloom.controllers.config import (
     ACTIVE,
     Config,
+    Endpoint,
     Member,
     Service,
-    Worker,
     empty_config,
     encode_config,
 )
@@ -56,16 +56,16 @@
     )
 
 
-def make_config(workers: int, members: int) -> Config:
+def make_config(endpoints: int, members: int) -> Config:
     """Return a configuration of that size."""
     config = empty_config({"a1": "a"}, {"a1": "?"})
     return config._replace(
         services={"sleep": Service(workers=["*"], concurrency_max=0, restart="never")},
         endpoints={
-            f"worker-{n:04d}": Worker(
+            f"worker-{n:04d}": Endpoint(
                 endpoint=f"http://10.0.{n // 250}.{n % 250}:9000", zone="a", slots=8, state=ACTIVE
             )
-            for n in range(workers)
+            for n in range(endpoints)
         },
         customers={
             f"team-{n:03d}": Member(quota=1 + n % 5, concurrency_max=0) for n in range(members)
@@ -100,12 +100,12 @@
 
 
 def placement_decisions() -> list[list[float]]:
-    """Return (workers of a shard, microseconds a task: request, grant, return) pairs."""
+    """Return (endpoints of a shard, microseconds a task: request, grant, return) pairs."""
     rows = []
-    for workers in (16, 32, 64, 128, 256):
-        config = make_config(workers, 1)
+    for endpoints in (16, 32, 64, 128, 256):
+        config = make_config(endpoints, 1)
         shard = Shard(_settings(), SlotLeases(), itertools.count(1))
-        shard.set_workers(config, list(config.endpoints), set(config.endpoints))
+        shard.set_endpoints(config, list(config.endpoints), set(config.endpoints))
         shard.tick(0)
         began = time.process_time()
         for number in range(_DECISIONS):
@@ -113,9 +113,9 @@
             shard.add("a1", request)
             for grant in shard.match(number):
                 message = grant.message
-                back = SlotReturn(message.lease_id, message.worker, "sleep", 100.0, SlotUse.DONE)
+                back = SlotReturn(message.lease_id, message.endpoint, "sleep", 100.0, SlotUse.DONE)
                 shard.give_back(back, number)
-        rows.append([workers, (time.process_time() - began) / _DECISIONS * 1e6])
+        rows.append([endpoints, (time.process_time() - began) / _DECISIONS * 1e6])
     return rows
 
 
@@ -125,7 +125,7 @@
     for members in (60, 120, 240, 480):
         config = make_config(64, members)
         shard = Shard(_settings(), SlotLeases(), itertools.count(1))
-        shard.set_workers(config, list(config.endpoints), set(config.endpoints))
+        shard.set_endpoints(config, list(config.endpoints), set(config.endpoints))
         shard.tick(0)
         numbers = itertools.count(1)
         for name in config.customers:
@@ -135,7 +135,7 @@
         for number in range(_DECISIONS):
             message = held.pop(0)
             shard.give_back(
-                SlotReturn(message.lease_id, message.worker, "sleep", 100.0, SlotUse.DONE), 0
+                SlotReturn(message.lease_id, message.endpoint, "sleep", 100.0, SlotUse.DONE), 0
             )
             name = f"team-{number % members:03d}"
             shard.add("a1", SlotRequest(next(numbers), "fleet", "sleep", name, 1, 10**7, 1))
@@ -145,7 +145,7 @@
 
 
 def config_bytes() -> dict[str, list[list[float]]]:
-    """Return bytes of an encoded configuration by workers and by members."""
+    """Return bytes of an encoded configuration by endpoints and by members."""
     sizes = (200, 400, 800, 1_600)
     return {
         "config_bytes_by_workers": [[n, len(encode_config(make_config(n, 0)))] for n in sizes],
@@ -210,7 +210,7 @@
     rows: dict[str, list[list[float]]] = {"cpu_by_single_task_jobs": [], "cpu_by_batched_tasks": []}
     for key, tasks in (("cpu_by_single_task_jobs", 1), ("cpu_by_batched_tasks", 64)):
         folder = Path(tempfile.mkdtemp(prefix="foldloom-capacity-"))
-        with Cluster(folder, boxes_per_zone=1, workers_per_zone=8) as cluster:
+        with Cluster(folder, boxes_per_zone=1, endpoints_per_zone=8) as cluster:
             for rate in (100, 200, 300, 400):
                 rows[key].append([rate, _cpu_at(cluster, rate, tasks)])
     return rows
@@ -233,7 +233,7 @@
     """Return memory of a coordinator by tasks in flight, and the time of one large job."""
     memory, large = [], []
     folder = Path(tempfile.mkdtemp(prefix="foldloom-capacity-"))
-    with Cluster(folder, zones="a", controllers=1, workers_per_zone=8) as cluster:
+    with Cluster(folder, zones="a", controllers=1, endpoints_per_zone=8) as cluster:
         pid = cluster.processes["a1"].pid
         for tasks in (64, 256, 1_024, 1_700):
             cpu = cpu_seconds(pid)
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -11,14 +11,14 @@
 _BEGIN = "<!-- tables: begin; written by benchmarks/capacity.py -->"
 _END = "<!-- tables: end -->"
 
-WORKERS = 1_700
+ENDPOINTS = 1_700
 TASKS_PER_S = 36_000
 MEMBERS = 480
 CHANGES_PER_DAY = 2_400
 ENTRY_BOXES = 60
 RETENTION_S = 180
 MEAN_JOB_TASKS = 10
-SHARD_WORKERS = 64
+SHARD_ENDPOINTS = 64
 REPLICAS = 3
 CPU_BOUND = 0.019
 MEMORY_BOUND_MB = 64
@@ -71,14 +71,14 @@
     tasks = TASKS_PER_S / boxes
     jobs = tasks / MEAN_JOB_TASKS
     claims = jobs * RETENTION_S * REPLICAS
-    shards = math.ceil(WORKERS / SHARD_WORKERS)
+    shards = math.ceil(ENDPOINTS / SHARD_ENDPOINTS)
     shard_tasks = TASKS_PER_S / shards
-    decision_us = slopes["decision_us_by_workers"].at(SHARD_WORKERS)
+    decision_us = slopes["decision_us_by_workers"].at(SHARD_ENDPOINTS)
     vote_s = slopes["claim_vote_cpu_s"].slope
     claim_bytes = slopes["claim_bytes"].slope
     change_rate = CHANGES_PER_DAY / DAY_S
     config_bytes = (
-        slopes["config_bytes_by_workers"].at(WORKERS)
+        slopes["config_bytes_by_workers"].at(ENDPOINTS)
         + slopes["config_bytes_by_members"].slope * MEMBERS
     )
     extrapolated = "slope, extrapolated"
@@ -158,7 +158,7 @@
         Row(
             "entry: lease manager",
             "workers of a shard",
-            SHARD_WORKERS,
+            SHARD_ENDPOINTS,
             "workers",
             math.inf,
             "setting",
--- a/benchmarks/drain.py
+++ b/benchmarks/drain.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""When the last task starts on a worker that is drained under load.
+"""When the last task starts on an endpoint that is drained under load.
 
-Run: ``.venv/bin/python benchmarks/drain.py``. Nine boxes, 60% of the slots, three fast workers
+Run: ``.venv/bin/python benchmarks/drain.py``. Nine boxes, 60% of the slots, three fast endpoints
 drained one after the other; times count from the moment that the confirm was sent. Writes
 ``benchmarks/drain.json``.
 """
@@ -36,7 +36,7 @@
             cluster.confirm([{"kind": "worker-leaving", "name": name}])
             time.sleep(1)
         load.communicate(timeout=60)
-        for spec in cluster.workers:
+        for spec in cluster.endpoints:
             if spec.name in sent:
                 fields = http("GET", f"http://127.0.0.1:{spec.port}/starts").fields
                 last = max(fields["first_start_s"].values()) - sent[spec.name]
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -51,8 +51,8 @@
         lambda c, _p: c.signal("workers-a", signal.SIGCONT),
     ),
     "a worker ten times slower": (
-        lambda c, _p: c.control_worker("aw1", speed=0.1),
-        lambda c, _p: c.control_worker("aw1", speed=1.0),
+        lambda c, _p: c.control_endpoint("aw1", speed=0.1),
+        lambda c, _p: c.control_endpoint("aw1", speed=1.0),
     ),
     "a worker drained": (_drain, _nothing),
     "lease manager killed": (lambda c, _p: c.kill(_manager(c)), _nothing),
@@ -70,7 +70,7 @@
         with Cluster(
             folder,
             boxes_per_zone=3,
-            workers_per_zone=8,
+            endpoints_per_zone=8,
             slow_every=3,
             address_of=proxy.address_of,
         ) as cluster:
@@ -93,7 +93,7 @@
             running = {
                 zone for zone in "abc" if cluster.processes[f"workers-{zone}"].poll() is None
             }
-            cluster.workers = [spec for spec in cluster.workers if spec.zone in running]
+            cluster.endpoints = [spec for spec in cluster.endpoints if spec.zone in running]
             most = max(cluster.starts().values())
     finally:
         proxy.close()
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -3,7 +3,7 @@
 
 Run: ``.venv/bin/python benchmarks/placement.py [--quick] [--out FILE]``. Policies are
 interleaved: for each seed, every policy runs every point before the next seed begins.
-Ideal is the longest of a job's tasks' own times on a full-speed worker.
+Ideal is the longest of a job's tasks' own times on a full-speed endpoint.
 """
 
 from __future__ import annotations
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -24,21 +24,21 @@
     Args:
         name: Whose.
         boxes_per_zone: Entry boxes in each of three zones.
-        workers_per_zone: Workers in each; each third one runs at half speed.
-        slots: Slots of a worker.
+        endpoints_per_zone: Endpoints in each; each third one runs at half speed.
+        slots: Slots of an endpoint.
     """
 
     name: str
     boxes_per_zone: int = 3
-    workers_per_zone: int = 8
+    endpoints_per_zone: int = 8
     slots: int = 8
 
     @property
     def tasks_per_second(self) -> float:
         """The rate that keeps every slot busy, with tasks of 50 to 500 ms."""
-        workers = 3 * self.workers_per_zone
-        slow = workers // 3
-        return (workers - slow + slow * 0.5) * self.slots / (MEAN_TASK_MS / 1_000)
+        endpoints = 3 * self.endpoints_per_zone
+        slow = endpoints // 3
+        return (endpoints - slow + slow * 0.5) * self.slots / (MEAN_TASK_MS / 1_000)
 
 
 SCENARIOS = {"sahulat": Scenario("sahulat"), "kestrelwood": Scenario("kestrelwood")}
@@ -63,7 +63,7 @@
     return Cluster(
         folder,
         boxes_per_zone=scenario.boxes_per_zone,
-        workers_per_zone=scenario.workers_per_zone,
+        endpoints_per_zone=scenario.endpoints_per_zone,
         slow_every=3,
         overrides=overrides,
     )
--- a/examples/run_local.py
+++ b/examples/run_local.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Start three boxes in three zones and three workers on loopback, and answer one job.
+"""Start three boxes in three zones and three endpoints on loopback, and answer one job.
 
 The processes are ended when the job is answered, unless ``--keep`` is given.
 """
--- a/src/foldloom/__init__.py
+++ b/src/foldloom/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""foldloom: a dispatcher for sub-second tasks on small fleets of mixed workers."""
+"""foldloom: a dispatcher for sub-second tasks on small fleets of mixed endpoints."""
 
 from foldloom.exceptions import CommandError, FoldloomError, SettingsError
 from foldloom.settings import Settings, load_settings
--- a/src/foldloom/box.py
+++ b/src/foldloom/box.py
@@ -14,11 +14,11 @@
 from foldloom.claims.table import ClaimTable
 from foldloom.controllers.boxes import BoxListKeeper
 from foldloom.controllers.client import ControllerClient
-from foldloom.controllers.config import Config, empty_config, workers_of
+from foldloom.controllers.config import Config, empty_config, endpoints_of
 from foldloom.controllers.holder import ConfigHolder
 from foldloom.controllers.leadership import ANY_STORAGE
 from foldloom.controllers.node import ControllerNode
-from foldloom.endpoints.adapter import WorkerAdapter
+from foldloom.endpoints.adapter import EndpointAdapter
 from foldloom.endpoints.platform import PlatformList
 from foldloom.endpoints.usage import UsageReports
 from foldloom.entry.coordinator import Coordinator
@@ -74,7 +74,7 @@
             self._node = ControllerNode(
                 settings, self._network, self._metrics, initial, self._holder.adopt
             )
-        self._adapter = WorkerAdapter(settings)
+        self._adapter = EndpointAdapter(settings)
         self._platform = PlatformList(settings.platform_url, settings.timings.platform_poll_ms)
         self._claims: ClaimService | None = None
         self._leases: LeaseManager | None = None
@@ -227,7 +227,7 @@
         if not isinstance(policy, SlotLeases):
             reports = UsageReports(self._adapter, lambda: self._holder.config)
             self._spawn(reports.run())
-            return DirectSlots(policy, self._usable_workers, lambda: reports.running)
+            return DirectSlots(policy, self._usable_endpoints, lambda: reports.running)
         self._leases = LeaseManager(
             self._settings,
             self._network,
@@ -299,12 +299,12 @@
             for load in state.heartbeat.loads
         }
 
-    def _usable_workers(self, service: str) -> list[str]:
+    def _usable_endpoints(self, service: str) -> list[str]:
         leaving = self._platform.leaving
-        return [name for name in workers_of(self._holder.config, service) if name not in leaving]
+        return [name for name in endpoints_of(self._holder.config, service) if name not in leaving]
 
-    async def _proves_life(self, worker: str) -> bool:
-        known = self._holder.config.endpoints.get(worker)
+    async def _proves_life(self, endpoint: str) -> bool:
+        known = self._holder.config.endpoints.get(endpoint)
         return known is not None and await self._adapter.usage(known["endpoint"]) is not None
 
     async def _follow_inputs(self) -> None:
--- a/src/foldloom/boxes/controller.py
+++ b/src/foldloom/boxes/controller.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A controller of an open network: it keeps what is published and hears the workers."""
+"""A controller of an open network: it keeps what is published and hears the endpoints."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from foldloom.controllers.node import ControllerNode
 from foldloom.controllers.state import Publication
 from foldloom.controllers.storage import format_folder
-from foldloom.endpoints.catalog import WorkerCatalog
-from foldloom.endpoints.records import WorkerRecord
+from foldloom.endpoints.catalog import EndpointCatalog
+from foldloom.endpoints.records import EndpointRecord
 from foldloom.fleet.cache import PublicationCache
 from foldloom.fleet.joiner import Joiner
 from foldloom.fleet.messages import BoxRecord
@@ -66,7 +66,7 @@
         )
         self._publisher = Publisher(self._node, self._network)
         self._joiner = Joiner(
-            self._network, self._view, self._holder, WorkerCatalog(), settings.timings.join_ms
+            self._network, self._view, self._holder, EndpointCatalog(), settings.timings.join_ms
         )
         self._tasks: set[asyncio.Task[Any]] = set()
 
@@ -111,13 +111,13 @@
         """Return what is published now, for certain."""
         return await self._publisher.newest(timeout_ms)
 
-    async def note_worker(self, record: WorkerRecord) -> None:
-        """Take a worker's heartbeat."""
-        await self._registry.note_worker(record)
+    async def note_endpoint(self, record: EndpointRecord) -> None:
+        """Take an endpoint's heartbeat."""
+        await self._registry.note_endpoint(record)
 
-    async def note_gone(self, worker: str) -> None:
-        """Take a worker's farewell."""
-        await self._registry.note_gone(worker)
+    async def note_gone(self, endpoint: str) -> None:
+        """Take an endpoint's farewell."""
+        await self._registry.note_gone(endpoint)
 
     def follow_seeds(self, seeds: list[str]) -> None:
         """Take new seeds from reloaded settings."""
@@ -143,7 +143,7 @@
         CONTROLLER_LOG.event("process.stopped", role=CONTROLLER)
 
     def _controllers(self) -> list[str]:
-        """Return all that take workers' and operators' calls, with a vote or without."""
+        """Return all that take endpoints' and operators' calls, with a vote or without."""
         return sorted(
             {self._settings.box, *self._node.controllers, *self._registry.live_controllers()}
         )
--- a/src/foldloom/boxes/entry.py
+++ b/src/foldloom/boxes/entry.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""An entry box of an open network: it takes jobs, and may own its zone's workers."""
+"""An entry box of an open network: it takes jobs, and may own its zone's endpoints."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from typing import Any
 
 from foldloom.controllers.state import Publication
-from foldloom.endpoints.calls import WorkerCalls
-from foldloom.endpoints.catalog import WorkerCatalog
+from foldloom.endpoints.calls import EndpointCalls
+from foldloom.endpoints.catalog import EndpointCatalog
 from foldloom.entry.job_runner import JobDesk, JobResult
 from foldloom.fleet.joiner import Joiner
 from foldloom.fleet.messages import BoxRecord, OwnerBeat, OwnerRecord
@@ -37,13 +37,13 @@
 
     Args:
         settings: This box's settings.
-        calls: How workers are called.
+        calls: How endpoints are called.
         read_queues: Returns the queues that a published document names.
         label: What people call this box.
     """
 
     def __init__(
-        self, settings: Settings, calls: WorkerCalls, read_queues: ReadQueues, label: str = ""
+        self, settings: Settings, calls: EndpointCalls, read_queues: ReadQueues, label: str = ""
     ) -> None:
         self._settings = settings
         self._calls = calls
@@ -57,7 +57,7 @@
         )
         self._view = FleetView(own, settings.seeds)
         self._holder = PublishedHolder(self._network, self._on_publication)
-        self._catalog = WorkerCatalog()
+        self._catalog = EndpointCatalog()
         self._started_ms = monotonic_ms()
         self._joiner = Joiner(
             self._network, self._view, self._holder, self._catalog, settings.timings.join_ms
--- a/src/foldloom/cli/explain.py
+++ b/src/foldloom/cli/explain.py
@@ -17,9 +17,9 @@
         "owner.claimed",
         "owner.left",
         "owner.heard",
-        "worker.silent",
-        "worker.lapsed",
-        "worker.answers",
+        "endpoint.silent",
+        "endpoint.lapsed",
+        "endpoint.answers",
         "session.ended",
         "process.up",
         "process.stopping",
@@ -28,6 +28,10 @@
     )
 )
 
+# The release before called an endpoint a worker; its logs are still read.
+_OLD_EVENT_PREFIX, _EVENT_PREFIX = "worker.", "endpoint."
+_OLD_ENDPOINT_FIELD, _ENDPOINT_FIELD = "worker", "endpoint"
+
 
 class Line(NamedTuple):
     """One event.
@@ -118,7 +122,7 @@
     """Return the reason that was given, and what went wrong on the way to it."""
     reasons = [str(line.fields.get("reason", "")) for line in ended]
     retries = [
-        f"{line.fields.get('run')} {line.fields.get('cause')} on {line.fields.get('worker')}"
+        f"{line.fields.get('run')} {line.fields.get('cause')} on {line.fields.get('endpoint')}"
         for line in own
         if line.event == "run.retried"
     ]
@@ -143,5 +147,17 @@
         return None
     if not isinstance(fields, dict) or "event" not in fields:
         return None
-    first = [str(fields.pop(key, "")) for key in _KEYS_FIRST]
-    return Line(first[0], first[1], first[2], fields)
+    time, box, event = (str(fields.pop(key, "")) for key in _KEYS_FIRST)
+    return Line(time, box, _present_event(event), _present_fields(fields))
+
+
+def _present_event(event: str) -> str:
+    """Return the name that *event* has in this release."""
+    if not event.startswith(_OLD_EVENT_PREFIX):
+        return event
+    return _EVENT_PREFIX + event.removeprefix(_OLD_EVENT_PREFIX)
+
+
+def _present_fields(fields: dict[str, Any]) -> dict[str, Any]:
+    """Return *fields* under the names that they have in this release, in the same order."""
+    return {_ENDPOINT_FIELD if key == _OLD_ENDPOINT_FIELD else key: fields[key] for key in fields}
--- a/src/foldloom/cli/load.py
+++ b/src/foldloom/cli/load.py
@@ -2,7 +2,7 @@
 """Open-loop load: jobs leave at random moments of a fixed mean rate, whatever comes back.
 
 Waiting is not hidden: a job's response time counts from the moment it was due. The ideal is
-the longest of its tasks' own times, on a full-speed worker.
+the longest of its tasks' own times, on a full-speed endpoint.
 """
 
 from __future__ import annotations
--- a/src/foldloom/controllers/config.py
+++ b/src/foldloom/controllers/config.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The configuration: services, workers, members and the list of boxes."""
+"""The configuration: services, endpoints, members and the list of boxes."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 ACTIVE = "active"
 LEAVING = "leaving"
 RESTART_NEVER = "never"
-RESTART_AFTER_WORKER_DEATH = "after-worker-death"
+RESTART_AFTER_ENDPOINT_DEATH = "after-worker-death"
 
 SERVICES = "services"
-WORKERS = "workers"
+ENDPOINTS = "workers"
 MEMBERS = "members"
 BOXES = "boxes"
 CONTROLLERS = "controllers"
@@ -23,7 +23,7 @@
 # code's words.
 _FIELDS = {
     SERVICES: "services",
-    WORKERS: "endpoints",
+    ENDPOINTS: "endpoints",
     MEMBERS: "customers",
     BOXES: "boxes",
     CONTROLLERS: "controllers",
@@ -33,7 +33,7 @@
 class Service(TypedDict):
     """A kind of task and where it may run.
 
-    ``workers`` holds shell patterns on worker names. ``concurrency_max`` is a bound on its
+    ``workers`` holds shell patterns on endpoint names. ``concurrency_max`` is a bound on its
     running tasks on each zone (0: none). ``restart`` is ``never`` or ``after-worker-death``.
     """
 
@@ -42,7 +42,7 @@
     restart: str
 
 
-class Worker(TypedDict):
+class Endpoint(TypedDict):
     """A back end that runs tasks at ``endpoint`` (a URL), ``slots`` at a time."""
 
     endpoint: str
@@ -85,7 +85,7 @@
 
     version: int
     services: dict[str, Service]
-    endpoints: dict[str, Worker]
+    endpoints: dict[str, Endpoint]
     customers: dict[str, Member]
     boxes: BoxList
     controllers: dict[str, str]
@@ -145,7 +145,7 @@
     """Return *config* with *changes* made, as *version*."""
     sections: dict[str, Any] = {
         SERVICES: dict(config.services),
-        WORKERS: dict(config.endpoints),
+        ENDPOINTS: dict(config.endpoints),
         MEMBERS: dict(config.customers),
         CONTROLLERS: dict(config.controllers),
     }
@@ -162,14 +162,14 @@
     return config._replace(version=version, boxes=boxes, **fields)
 
 
-def workers_of(config: Config, service: str) -> list[str]:
-    """Return the names of the active workers that may serve *service*."""
+def endpoints_of(config: Config, service: str) -> list[str]:
+    """Return the names of the active endpoints that may serve *service*."""
     definition = config.services.get(service)
     if definition is None:
         return []
     return [
         name
-        for name, worker in config.endpoints.items()
-        if worker["state"] == ACTIVE
+        for name, endpoint in config.endpoints.items()
+        if endpoint["state"] == ACTIVE
         and any(fnmatchcase(name, pattern) for pattern in definition["workers"])
     ]
--- a/src/foldloom/controllers/plans.py
+++ b/src/foldloom/controllers/plans.py
@@ -14,17 +14,17 @@
     ACTIVE,
     BOXES,
     CONTROLLERS,
+    ENDPOINTS,
     LEAVING,
     MEMBERS,
     RESTART_NEVER,
     SERVICES,
-    WORKERS,
     BoxList,
     Change,
     Config,
+    Endpoint,
     Member,
     Service,
-    Worker,
     apply_changes,
     section_value,
 )
@@ -42,8 +42,8 @@
     restart: Literal["never", "after-worker-death"] | UnsetType = UNSET
 
 
-class WorkerIntent(msgspec.Struct, tag_field="kind", tag="worker", forbid_unknown_fields=True):
-    """Let a worker join, or change it; it becomes active."""
+class EndpointIntent(msgspec.Struct, tag_field="kind", tag="worker", forbid_unknown_fields=True):
+    """Let an endpoint join, or change it; it becomes active."""
 
     name: str
     endpoint: str | UnsetType = UNSET
@@ -51,10 +51,10 @@
     slots: int | UnsetType = UNSET
 
 
-class WorkerLeavingIntent(
+class EndpointLeavingIntent(
     msgspec.Struct, tag_field="kind", tag="worker-leaving", forbid_unknown_fields=True
 ):
-    """Give a worker no new work."""
+    """Give an endpoint no new work."""
 
     name: str
 
@@ -68,7 +68,7 @@
 
 
 class RemoveIntent(msgspec.Struct, tag_field="kind", tag="remove", forbid_unknown_fields=True):
-    """Remove a service, a worker or a member."""
+    """Remove a service, an endpoint or a member."""
 
     section: Literal["services", "workers", "members"]
     name: str
@@ -108,8 +108,8 @@
 
 Intent = (
     ServiceIntent
-    | WorkerIntent
-    | WorkerLeavingIntent
+    | EndpointIntent
+    | EndpointLeavingIntent
     | MemberIntent
     | RemoveIntent
     | BoxJoiningIntent
@@ -190,26 +190,26 @@
 
 
 @_steps.register
-def _worker(intent: WorkerIntent, config: Config) -> Step:
+def _endpoint(intent: EndpointIntent, config: Config) -> Step:
     known = config.endpoints.get(intent.name)
     if known is None and (intent.endpoint is UNSET or intent.zone is UNSET):
         return Error(f"worker {intent.name}: endpoint and zone are required for a new worker")
-    base = known or Worker(endpoint="", zone="", slots=8, state=ACTIVE)
+    base = known or Endpoint(endpoint="", zone="", slots=8, state=ACTIVE)
     after = _merged(base, intent, ("endpoint", "zone", "slots"))
     after["state"] = ACTIVE
     if after["slots"] < 1:
         return Error(f"worker {intent.name}: slots must be at least 1")
     if not str(after["endpoint"]).startswith(("http://", "https://")):
         return Error(f"worker {intent.name}: endpoint must be an http or https URL")
-    return Ok([(WORKERS, intent.name, after)])
+    return Ok([(ENDPOINTS, intent.name, after)])
 
 
 @_steps.register
-def _worker_leaving(intent: WorkerLeavingIntent, config: Config) -> Step:
+def _endpoint_leaving(intent: EndpointLeavingIntent, config: Config) -> Step:
     known = config.endpoints.get(intent.name)
     if known is None:
         return Error(f"worker {intent.name}: unknown")
-    return Ok([(WORKERS, intent.name, {**known, "state": LEAVING})])
+    return Ok([(ENDPOINTS, intent.name, {**known, "state": LEAVING})])
 
 
 @_steps.register
--- a/src/foldloom/endpoints/__init__.py
+++ b/src/foldloom/endpoints/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""The way to workers and to the platform's list."""
+"""The way to endpoints and to the platform's list."""
--- a/src/foldloom/endpoints/adapter.py
+++ b/src/foldloom/endpoints/adapter.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The narrow adapter to workers: start a task, stop one, read the usage, over HTTP.
+"""The narrow adapter to endpoints: start a task, stop one, read the usage, over HTTP.
 
 Every attempt is sent exactly once. aiohttp sends a POST again for no reason of its own; a
 keep-alive connection that closes under it is an error here, and the task may have run.
@@ -26,7 +26,7 @@
 
 
 class TaskCall(TypedDict):
-    """One attempt at one task, as the worker gets it.
+    """One attempt at one task, as the endpoint gets it.
 
     ``attempt`` is unique, and the reply must echo it; ``lease`` is the slot's; the answer is of
     use for ``deadline_ms``; ``payload`` is the caller's JSON, passed on as it came.
@@ -50,7 +50,7 @@
 
 
 class TaskAnswer(NamedTuple):
-    """A worker's whole answer, as JSON, and how long the attempt took."""
+    """An endpoint's whole answer, as JSON, and how long the attempt took."""
 
     answer: msgspec.Raw
     service_ms: float
@@ -61,11 +61,11 @@
 _USAGES = msgspec.json.Decoder(_UsageReply)
 
 
-class WorkerAdapter:
-    """Talk to workers.
+class EndpointAdapter:
+    """Talk to endpoints.
 
     Args:
-        settings: Connections for each worker and the bound on answers.
+        settings: Connections for each endpoint and the bound on answers.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -97,7 +97,7 @@
     async def start_task(
         self, base_url: str, submission: str, index: int, call: TaskCall, left_ms: float
     ) -> Result[TaskAnswer, Problem]:
-        """Send one attempt and return the worker's answer, or whether it may have run."""
+        """Send one attempt and return the endpoint's answer, or whether it may have run."""
         assert self._session is not None
         url = f"{base_url}/v1/tasks/{submission}/{index}"
         timeout = aiohttp.ClientTimeout(
@@ -127,7 +127,7 @@
         return _checked(body, call["attempt"], monotonic_ms() - began_ms)
 
     async def stop_task(self, base_url: str, submission: str, index: int) -> None:
-        """Ask a worker to stop a task; whether it did is not known."""
+        """Ask an endpoint to stop a task; whether it did is not known."""
         assert self._session is not None
         url = f"{base_url}/v1/tasks/{submission}/{index}/stop"
         timeout = aiohttp.ClientTimeout(total=_STOP_TIMEOUT_S)
@@ -138,7 +138,7 @@
             return
 
     async def usage(self, base_url: str) -> int | None:
-        """Return how many tasks a worker reports as running, or ``None`` without a report."""
+        """Return how many tasks an endpoint reports as running, or ``None`` without a report."""
         assert self._session is not None
         timeout = aiohttp.ClientTimeout(total=_USAGE_TIMEOUT_S)
         try:
--- a/src/foldloom/endpoints/calls.py
+++ b/src/foldloom/endpoints/calls.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""How a worker is told what to run, whatever is spoken on the wire.
+"""How an endpoint is told what to run, whatever is spoken on the wire.
 
-A worker runs what it was started with under a lease that covers everything on it, measured by
+An endpoint runs what it was started with under a lease that covers everything on it, measured by
 its own steady clock. It lists what runs and what has ended; ends are listed until a later call
 says that they were seen.
 """
@@ -11,12 +11,12 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from foldloom.endpoints.records import WorkerRecord
+from foldloom.endpoints.records import EndpointRecord
 from foldloom.jobs.spec import RunId
 
 
 class CallOutcome(Enum):
-    """What became of a call to a worker."""
+    """What became of a call to an endpoint."""
 
     DONE = "done"
     FENCED = "fenced"
@@ -41,7 +41,7 @@
 
 
 class ActiveRun(NamedTuple):
-    """A run that a worker lists as present."""
+    """A run that an endpoint lists as present."""
 
     run_id: RunId
     checkpoint: str = ""
@@ -49,7 +49,7 @@
 
 
 class EndedRun(NamedTuple):
-    """An end that a worker lists; ``number`` rises within one life of the worker."""
+    """An end that an endpoint lists; ``number`` rises within one life of the endpoint."""
 
     number: int
     run_id: RunId
@@ -58,13 +58,13 @@
 
 
 class StartOrder(NamedTuple):
-    """What a worker is told to start.
+    """What an endpoint is told to start.
 
     Args:
         run_id: The run.
         spec: What the task is told.
         token: The owner's fencing token.
-        until_ms: The end of the lease, by the worker's clock.
+        until_ms: The end of the lease, by the endpoint's clock.
         checkpoint: Where to go on from; empty for the beginning.
     """
 
@@ -76,12 +76,12 @@
 
 
 class HoldOrder(NamedTuple):
-    """A look at a worker, which may renew its lease and wait for an end.
+    """A look at an endpoint, which may renew its lease and wait for an end.
 
     Args:
         token: The owner's fencing token.
         seen: The number up to which ends were taken note of.
-        until_ms: The new end of the lease, by the worker's clock; 0 to renew nothing.
+        until_ms: The new end of the lease, by the endpoint's clock; 0 to renew nothing.
         wait_ms: How long the answer may wait for an end.
     """
 
@@ -96,7 +96,7 @@
 
     Args:
         outcome: What became of it.
-        clock_ms: The worker's clock when it answered; 0 if it told none.
+        clock_ms: The endpoint's clock when it answered; 0 if it told none.
         detail: For the log.
     """
 
@@ -115,14 +115,14 @@
     detail: str = ""
 
 
-class WorkerCalls(Protocol):
-    """Calls to workers; none of them raises for what a worker or the network does."""
+class EndpointCalls(Protocol):
+    """Calls to endpoints; none of them raises for what an endpoint or the network does."""
 
-    async def start_run(self, worker: WorkerRecord, order: StartOrder) -> CallReply:
+    async def start_run(self, endpoint: EndpointRecord, order: StartOrder) -> CallReply:
         """Start a run; the same order again changes nothing."""
 
-    async def stop_run(self, worker: WorkerRecord, run_id: RunId, token: int) -> CallReply:
+    async def stop_run(self, endpoint: EndpointRecord, run_id: RunId, token: int) -> CallReply:
         """Stop a run; one that is not there yet will never start."""
 
-    async def hold(self, worker: WorkerRecord, order: HoldOrder) -> HoldReply:
+    async def hold(self, endpoint: EndpointRecord, order: HoldOrder) -> HoldReply:
         """Look at what runs and what has ended, and renew the lease."""
--- a/src/foldloom/endpoints/platform.py
+++ b/src/foldloom/endpoints/platform.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The platform's lagging list of which boxes and workers are live and which are leaving."""
+"""The platform's lagging list of which boxes and endpoints are live and which are leaving."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import aiohttp
 import msgspec
 
-from foldloom.logs import WORKER_LOG
+from foldloom.logs import ENDPOINT_LOG
 
 _TIMEOUT_S = 1.0
 
@@ -58,9 +58,9 @@
             async with session.get(f"{self._url}/v1/boxes") as response:
                 listed = _REPLIES.decode(await response.read())
         except (aiohttp.ClientError, OSError, TimeoutError, msgspec.DecodeError) as error:
-            WORKER_LOG.debug("No list from the platform: {}.", type(error).__name__)
+            ENDPOINT_LOG.debug("No list from the platform: {}.", type(error).__name__)
             return
         leaving = frozenset(one.name for one in listed.boxes if one.state == "leaving")
         if leaving != self._leaving:
-            WORKER_LOG.info("Leaving by the platform's list: {}.", ", ".join(sorted(leaving)))
+            ENDPOINT_LOG.info("Leaving by the platform's list: {}.", ", ".join(sorted(leaving)))
         self._leaving = leaving
--- a/src/foldloom/endpoints/records.py
+++ b/src/foldloom/endpoints/records.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What workers say of themselves in their heartbeats."""
+"""What endpoints say of themselves in their heartbeats."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from foldloom.jobs.spec import Demand
 
 
-class WorkerState(StrEnum):
-    """Whether a worker takes new work."""
+class EndpointState(StrEnum):
+    """Whether an endpoint takes new work."""
 
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
-class WorkerRecord(NamedTuple):
-    """One life of a worker, as its newest heartbeat describes it.
+class EndpointRecord(NamedTuple):
+    """One life of an endpoint, as its newest heartbeat describes it.
 
     Args:
-        worker: The id of this life; another life has another one, also at the same address.
+        endpoint: The id of this life; another life has another one, also at the same address.
         service: The service that it belongs to.
         address: ``IP:port`` where it takes orders.
         zone: Its zone.
@@ -34,19 +34,19 @@
         remaining_ms: While it drains, the least time that it stays.
     """
 
-    worker: str
+    endpoint: str
     service: str
     address: str
     zone: str
     capacity: Demand
     labels: tuple[str, ...] = ()
-    state: WorkerState = WorkerState.READY
+    state: EndpointState = EndpointState.READY
     sequence: int = 0
     version: str = ""
     cold_left_ms: int = 0
     remaining_ms: int = 0
 
-    def says_the_same(self, other: WorkerRecord) -> bool:
+    def says_the_same(self, other: EndpointRecord) -> bool:
         """Return whether *other* differs in nothing that decisions look at."""
         return self._replace(sequence=0, cold_left_ms=0, remaining_ms=0) == other._replace(
             sequence=0, cold_left_ms=0, remaining_ms=0
--- a/src/foldloom/endpoints/usage.py
+++ b/src/foldloom/endpoints/usage.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The workers' lagging usage reports, polled for the policies that decide by them."""
+"""The endpoints' lagging usage reports, polled for the policies that decide by them."""
 
 from __future__ import annotations
 
@@ -7,36 +7,36 @@
 from collections.abc import Callable
 
 from foldloom.controllers.config import Config
-from foldloom.endpoints.adapter import WorkerAdapter
+from foldloom.endpoints.adapter import EndpointAdapter
 
 _POLL_S = 0.5
 
 
 class UsageReports:
-    """Poll ``GET /v1/usage`` of every worker.
+    """Poll ``GET /v1/usage`` of every endpoint.
 
     Args:
-        adapter: The way to workers.
+        adapter: The way to endpoints.
         config: Returns the configuration in force.
     """
 
-    def __init__(self, adapter: WorkerAdapter, config: Callable[[], Config]) -> None:
+    def __init__(self, adapter: EndpointAdapter, config: Callable[[], Config]) -> None:
         self._adapter = adapter
         self._config = config
         self._running: dict[str, int] = {}
 
     @property
     def running(self) -> dict[str, int]:
-        """Running tasks by worker, as last reported."""
+        """Running tasks by endpoint, as last reported."""
         return self._running
 
     async def run(self) -> None:
         """Poll until cancelled."""
         while True:
-            workers = self._config().endpoints
-            asked = [self._adapter.usage(worker["endpoint"]) for worker in workers.values()]
+            endpoints = self._config().endpoints
+            asked = [self._adapter.usage(endpoint["endpoint"]) for endpoint in endpoints.values()]
             reports = await asyncio.gather(*asked)
-            for name, running in zip(workers, reports, strict=True):
+            for name, running in zip(endpoints, reports, strict=True):
                 if running is not None:
                     self._running[name] = running
             await asyncio.sleep(_POLL_S)
--- a/src/foldloom/entry/job_runner.py
+++ b/src/foldloom/entry/job_runner.py
@@ -158,7 +158,7 @@
             "run.retried",
             job=self._job.job_id,
             run=end.run_id.text,
-            worker=end.worker,
+            endpoint=end.endpoint,
             cause=end.cause.name.lower(),
             failures=attempts.failures,
             failures_max=self._queue.attempts_max,
--- a/src/foldloom/entry/requests.py
+++ b/src/foldloom/entry/requests.py
@@ -39,7 +39,7 @@
     Args:
         service: The service.
         member: The member on whose account it runs.
-        repeatable: Whether its tasks may run again after a worker died.
+        repeatable: Whether its tasks may run again after an endpoint died.
         deadline_ms: How long the answer is of use, from its arrival.
         payloads: One JSON value a task.
         digest: Of all of the above but the deadline.
--- a/src/foldloom/entry/run.py
+++ b/src/foldloom/entry/run.py
@@ -13,7 +13,7 @@
 from expression import Error, Ok, Result
 
 from foldloom.controllers.config import ACTIVE, Config, Service
-from foldloom.endpoints.adapter import TaskAnswer, TaskCall, WorkerAdapter
+from foldloom.endpoints.adapter import EndpointAdapter, TaskAnswer, TaskCall
 from foldloom.entry.requests import JobRequest
 from foldloom.logs import PLACE_LOG
 from foldloom.metrics import Metrics
@@ -27,8 +27,8 @@
 _RETRY_PAUSE_S = 0.01
 _SLOT_EXPIRED = "slot-expired"
 _DEADLINE = may_have_run("deadline", "the job did not end in time", status=504)
-# A job's deadline says nothing of the worker: tasks overdue are judged by the lease manager.
-_NO_FAULT_OF_WORKER = (_SLOT_EXPIRED, "worker-timeout")
+# A job's deadline says nothing of the endpoint: tasks overdue are judged by the lease manager.
+_NO_FAULT_OF_ENDPOINT = (_SLOT_EXPIRED, "worker-timeout")
 _STOPS: set[asyncio.Task[None]] = set()
 
 
@@ -38,17 +38,17 @@
     Args:
         attempt_prefix: Makes attempt ids unique: box and incarnation.
         attempt_numbers: Counts attempts.
-        adapter: The way to workers.
+        adapter: The way to endpoints.
         slots: Where slots come from.
         budget: The box's retry budget.
         metrics: Counters.
         config: Returns the configuration in force.
-        leaving: Returns the workers that the platform calls leaving.
+        leaving: Returns the endpoints that the platform calls leaving.
     """
 
     attempt_prefix: str
     attempt_numbers: itertools.count[int]
-    adapter: WorkerAdapter
+    adapter: EndpointAdapter
     slots: SlotSource
     budget: RetryBudget
     metrics: Metrics
@@ -164,12 +164,12 @@
 
     def _url_of(self, slot: Slot) -> str:
         """Return where to start a task on *slot* now, or '' if it must not be used."""
-        worker = self._context.config().endpoints.get(slot.worker)
-        if worker is None or worker["state"] != ACTIVE:
+        endpoint = self._context.config().endpoints.get(slot.endpoint)
+        if endpoint is None or endpoint["state"] != ACTIVE:
             return ""
-        if slot.worker in self._context.leaving() or monotonic_ms() >= slot.expires_ms:
+        if slot.endpoint in self._context.leaving() or monotonic_ms() >= slot.expires_ms:
             return ""
-        return worker["endpoint"]
+        return endpoint["endpoint"]
 
     async def _attempt(self, index: int, slot: Slot, url: str) -> Result[TaskAnswer, Problem]:
         """Make one attempt at task *index*."""
@@ -192,7 +192,7 @@
             "Task {}/{} goes to {} as {} on lease {}.",
             self._submission,
             index,
-            slot.worker,
+            slot.endpoint,
             attempt,
             slot.lease_id,
         )
@@ -238,7 +238,7 @@
         return None
 
     def _stop_attempts(self) -> None:
-        """Ask the workers to stop what still runs of a failed job, and wait for none of it."""
+        """Ask the endpoints to stop what still runs of a failed job, and wait for none of it."""
         stops = [
             self._context.adapter.stop_task(url, self._submission, index)
             for index, url in self._attempts.values()
@@ -259,7 +259,7 @@
     """Return what an attempt's end says about its slot, and the service time."""
     if result.is_ok():
         return SlotUse.DONE, result.ok.service_ms
-    if result.error.reason in _NO_FAULT_OF_WORKER:
+    if result.error.reason in _NO_FAULT_OF_ENDPOINT:
         return SlotUse.UNUSED, 0.0
     if result.error.run is Run.NOT_RUN:
         return SlotUse.NOT_RUN, 0.0
--- a/src/foldloom/fleet/joiner.py
+++ b/src/foldloom/fleet/joiner.py
@@ -5,10 +5,10 @@
 
 import asyncio
 
-from foldloom.endpoints.catalog import WorkerCatalog
-from foldloom.endpoints.records import WorkerRecord
+from foldloom.endpoints.catalog import EndpointCatalog
+from foldloom.endpoints.records import EndpointRecord
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.fleet.messages import Join, JoinReply, Noted, WorkersSeen
+from foldloom.fleet.messages import EndpointsSeen, Join, JoinReply, Noted
 from foldloom.fleet.published import PublishedHolder
 from foldloom.fleet.view import FleetView
 from foldloom.logs import PEER_LOG
@@ -25,7 +25,7 @@
         network: The peers.
         view: What is known of the others.
         holder: The published configuration.
-        catalog: The list of workers.
+        catalog: The list of endpoints.
         interval_ms: How often to tell each controller.
     """
 
@@ -34,7 +34,7 @@
         network: PeerNetwork,
         view: FleetView,
         holder: PublishedHolder,
-        catalog: WorkerCatalog,
+        catalog: EndpointCatalog,
         interval_ms: int,
     ) -> None:
         self._network = network
@@ -43,7 +43,7 @@
         self._catalog = catalog
         self._interval_ms = interval_ms
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        network.on(WorkersSeen, self._on_workers)
+        network.on(EndpointsSeen, self._on_endpoints)
 
     async def run(self) -> None:
         """Keep one task for each known controller until cancelled."""
@@ -96,16 +96,16 @@
         for lost in self._view.hear_controller(box, reply, now_ms):
             PEER_LOG.event("box.gone", gone=lost)
             self._network.drop_peer(lost)
-        self._merge(reply.workers)
+        self._merge(reply.endpoints)
         if reply.published_version > self._holder.version:
             await self._holder.catch_up(box, reply.published_version)
         return reply
 
-    def _on_workers(self, _sender: str, message: WorkersSeen) -> Noted:
-        self._merge(message.workers)
+    def _on_endpoints(self, _sender: str, message: EndpointsSeen) -> Noted:
+        self._merge(message.endpoints)
         return Noted()
 
-    def _merge(self, workers: list[WorkerRecord]) -> None:
+    def _merge(self, endpoints: list[EndpointRecord]) -> None:
         now_ms = monotonic_ms()
-        for record in workers:
+        for record in endpoints:
             self._catalog.merge(record, now_ms)
--- a/src/foldloom/fleet/messages.py
+++ b/src/foldloom/fleet/messages.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from foldloom.controllers.state import Publication
-from foldloom.endpoints.records import WorkerRecord
+from foldloom.endpoints.records import EndpointRecord
 from foldloom.peers.messages import register
 
 
@@ -31,7 +31,7 @@
 
 
 class OwnerRecord(NamedTuple):
-    """Who owns the workers of a zone.
+    """Who owns the endpoints of a zone.
 
     Args:
         zone: The zone.
@@ -68,11 +68,11 @@
     Args:
         controllers: Addresses of all controllers.
         boxes: The live entry boxes.
-        owners: Who owns which zone's workers.
+        owners: Who owns which zone's endpoints.
         published_version: The newest published version known there.
         catalog_life: This controller's life.
         catalog_revision: The revision of its catalog.
-        workers: The workers of the sender's zone that changed since the sender last asked.
+        endpoints: The endpoints of the sender's zone that changed since the sender last asked.
     """
 
     controllers: list[str]
@@ -81,13 +81,13 @@
     published_version: int
     catalog_life: int
     catalog_revision: int
-    workers: list[WorkerRecord]
+    endpoints: list[EndpointRecord]
 
 
-class WorkersSeen(NamedTuple):
-    """A controller passes on what workers said, at once."""
+class EndpointsSeen(NamedTuple):
+    """A controller passes on what endpoints said, at once."""
 
-    workers: list[WorkerRecord]
+    endpoints: list[EndpointRecord]
 
 
 class Noted(NamedTuple):
@@ -118,10 +118,10 @@
 
 
 class ZoneLoad(NamedTuple):
-    """How loaded a zone's workers are.
+    """How loaded a zone's endpoints are.
 
     Args:
-        free_milli: Thousandths of cores that nothing takes, on workers in use.
+        free_milli: Thousandths of cores that nothing takes, on endpoints in use.
         total_milli: All of them.
         queued_milli: What waits, in thousandths of cores.
     """
@@ -192,11 +192,14 @@
     owner: OwnerRecord
 
 
+# Counters keep the names that these messages had before.
+_COUNTED_AS: dict[type, str] = {EndpointsSeen: "WorkersSeen"}
+
 for _kind, _type in enumerate(
     (
         Join,
         JoinReply,
-        WorkersSeen,
+        EndpointsSeen,
         Noted,
         Published,
         PullPublished,
@@ -211,4 +214,4 @@
     ),
     start=80,
 ):
-    register(_kind, _type)
+    register(_kind, _type, _COUNTED_AS.get(_type, ""))
--- a/src/foldloom/fleet/registry.py
+++ b/src/foldloom/fleet/registry.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""A controller's soft state: the boxes that joined, the workers heard, who owns which zone.
+"""A controller's soft state: the boxes that joined, the endpoints heard, who owns which zone.
 
 Nothing here is kept on disk or agreed upon: every controller hears the boxes itself, and
-workers report to any of them, which passes their words on at once.
+endpoints report to any of them, which passes their words on at once.
 """
 
 from __future__ import annotations
@@ -12,11 +12,12 @@
 from typing import Any, NamedTuple
 
 from foldloom.controllers.state import Publication
-from foldloom.endpoints.catalog import WorkerCatalog
-from foldloom.endpoints.records import WorkerRecord, WorkerState
+from foldloom.endpoints.catalog import EndpointCatalog
+from foldloom.endpoints.records import EndpointRecord, EndpointState
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.fleet.messages import (
     BoxRecord,
+    EndpointsSeen,
     Join,
     JoinReply,
     OwnerAnswer,
@@ -24,16 +25,15 @@
     OwnerQuery,
     OwnerRecord,
     Published,
-    WorkersSeen,
 )
 from foldloom.fleet.published import PublishedHolder
-from foldloom.logs import WORKER_LOG
+from foldloom.logs import ENDPOINT_LOG
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
 from foldloom.settings import CONTROLLER, ENTRY
 
 _LIVE_MS = 1_500.0
 _FORGET_MS = 10_000.0
-_WORKER_SILENT_MS = 12_000.0
+_ENDPOINT_SILENT_MS = 12_000.0
 _TELL_TIMEOUT_MS = 350
 _TIDY_S = 1.0
 
@@ -53,7 +53,7 @@
 
 
 class Registry:
-    """Answer joins, keep the list of workers, push what is new.
+    """Answer joins, keep the list of endpoints, push what is new.
 
     Args:
         network: The peers.
@@ -70,7 +70,7 @@
         self._network = network
         self._holder = holder
         self._controllers = controllers
-        self._catalog = WorkerCatalog()
+        self._catalog = EndpointCatalog()
         self._joined: dict[str, _Joined] = {}
         self._owners: dict[str, _Heard] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -79,12 +79,12 @@
         network.on(OwnerQuery, self._on_owner_query)
 
     @property
-    def catalog(self) -> WorkerCatalog:
-        """The workers that reported here."""
+    def catalog(self) -> EndpointCatalog:
+        """The endpoints that reported here."""
         return self._catalog
 
     async def run(self) -> None:
-        """Forget boxes and workers that fell silent, until cancelled."""
+        """Forget boxes and endpoints that fell silent, until cancelled."""
         while True:
             await asyncio.sleep(_TIDY_S)
             now_ms = monotonic_ms()
@@ -94,52 +94,52 @@
                 del self._joined[box]
                 if box not in self._controllers():
                     self._network.drop_peer(box)
-            for worker in self._catalog.silent_since(now_ms - _WORKER_SILENT_MS):
-                self._catalog.forget(worker)
+            for endpoint in self._catalog.silent_since(now_ms - _ENDPOINT_SILENT_MS):
+                self._catalog.forget(endpoint)
 
     def push(self, publication: Publication) -> None:
         """Send a newer publication to every live entry box at once."""
         for record in self._live_entries():
             self._spawn(self._tell(record.box, Published(publication)))
 
-    async def note_worker(self, record: WorkerRecord) -> None:
-        """Take a worker's heartbeat; what it changes is known in its zone when this returns.
+    async def note_endpoint(self, record: EndpointRecord) -> None:
+        """Take an endpoint's heartbeat; what it changes is known in its zone when this returns.
 
         A zone's boxes that can't be reached learn it by their next join.
         """
         now_ms = monotonic_ms()
         if not self._catalog.merge(record, now_ms):
             return
-        WORKER_LOG.event(
-            "worker.reported",
-            worker=record.worker,
+        ENDPOINT_LOG.event(
+            "endpoint.reported",
+            endpoint=record.endpoint,
             service=record.service,
             zone=record.zone,
             address=record.address,
             state=record.state.value,
             sequence=record.sequence,
         )
-        newest = self._catalog.get(record.worker)
+        newest = self._catalog.get(record.endpoint)
         if newest is not None:
             await self._tell_zone(newest)
 
-    async def note_gone(self, worker: str) -> None:
-        """Take a worker's farewell."""
-        if not self._catalog.remove(worker, monotonic_ms()):
+    async def note_gone(self, endpoint: str) -> None:
+        """Take an endpoint's farewell."""
+        if not self._catalog.remove(endpoint, monotonic_ms()):
             return
-        WORKER_LOG.event("worker.left", worker=worker)
-        newest = self._catalog.get(worker)
+        ENDPOINT_LOG.event("endpoint.left", endpoint=endpoint)
+        newest = self._catalog.get(endpoint)
         if newest is not None:
             await self._tell_zone(newest)
 
-    async def _tell_zone(self, record: WorkerRecord) -> None:
+    async def _tell_zone(self, record: EndpointRecord) -> None:
         told = [
-            self._tell(entry.box, WorkersSeen([record]))
+            self._tell(entry.box, EndpointsSeen([record]))
             for entry in self._live_entries()
             if entry.zone == record.zone
         ]
-        # A ready worker may wait for the next join; a leaving one must not be given work.
-        if record.state is WorkerState.READY:
+        # A ready endpoint may wait for the next join; a leaving one must not be given work.
+        if record.state is EndpointState.READY:
             for telling in told:
                 self._spawn(telling)
             return
@@ -170,10 +170,10 @@
         self._joined[record.box] = _Joined(record, now_ms)
         life = self._network.incarnation
         known_revision = message.catalog_revision if message.catalog_life == life else 0
-        workers = [
-            worker
-            for worker in self._catalog.changes_since(known_revision)
-            if worker.zone == record.zone
+        endpoints = [
+            endpoint
+            for endpoint in self._catalog.changes_since(known_revision)
+            if endpoint.zone == record.zone
         ]
         return JoinReply(
             controllers=self._controllers(),
@@ -182,7 +182,7 @@
             published_version=self._holder.version,
             catalog_life=life,
             catalog_revision=self._catalog.revision,
-            workers=workers,
+            endpoints=endpoints,
         )
 
     def _on_owner_beat(self, _sender: str, beat: OwnerBeat) -> None:
--- a/src/foldloom/jobs/queues.py
+++ b/src/foldloom/jobs/queues.py
@@ -13,7 +13,7 @@
         name: Its name.
         host: The host name that requests carry.
         path_prefix: What their path begins with.
-        service: The service whose workers run its tasks.
+        service: The service whose endpoints run its tasks.
         priority: 0 comes first.
         attempts_max: How many failed runs of one task fail its job.
         timeout_ms: How long a request may take if it doesn't say so itself.
--- a/src/foldloom/jobs/spec.py
+++ b/src/foldloom/jobs/spec.py
@@ -7,7 +7,7 @@
 
 
 class Demand(NamedTuple):
-    """What one task takes of a worker.
+    """What one task takes of an endpoint.
 
     Args:
         cpu_milli: Thousandths of a core.
@@ -24,14 +24,14 @@
     """Where a step's tasks may run.
 
     Args:
-        label: A label that the worker must have; empty for any.
+        label: A label that the endpoint must have; empty for any.
         rack: The rack that holds the data; empty for none.
-        per_worker_max: At most so many of the step's tasks on one worker; 0 for no bound.
+        per_endpoint_max: At most so many of the step's tasks on one endpoint; 0 for no bound.
     """
 
     label: str = ""
     rack: str = ""
-    per_worker_max: int = 0
+    per_endpoint_max: int = 0
 
 
 class Step(NamedTuple):
--- a/src/foldloom/logs.py
+++ b/src/foldloom/logs.py
@@ -88,7 +88,7 @@
 PLACE_LOG = PartLogger("place")
 CONTROLLER_LOG = PartLogger("controller")
 CONFIG_LOG = PartLogger("config")
-WORKER_LOG = PartLogger("worker")
+ENDPOINT_LOG = PartLogger("endpoint")
 PEER_LOG = PartLogger("peer")
 
 
--- a/src/foldloom/owners/__init__.py
+++ b/src/foldloom/owners/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""Owners of workers: leases, starts, stops and ends of runs."""
+"""Owners of endpoints: leases, starts, stops and ends of runs."""
--- a/src/foldloom/owners/election.py
+++ b/src/foldloom/owners/election.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""When a box may claim its zone's workers, and with which token: decisions only.
+"""When a box may claim its zone's endpoints, and with which token: decisions only.
 
-Workers obey the highest token that they have seen, so two owners at a time do no harm; they
-only take workers from each other. The rules here keep that from happening: a box claims only
+Endpoints obey the highest token that they have seen, so two owners at a time do no harm; they
+only take endpoints from each other. The rules here keep that from happening: a box claims only
 when its owner has been silent, nobody whom it reaches hears the owner, and it reaches somebody
 at all.
 """
@@ -52,7 +52,7 @@
     """Return whether a box that does not hear its owner may claim the zone.
 
     A box that reaches nobody can't tell a dead owner from its own isolation, and must not
-    take the workers from an owner that others hear.
+    take the endpoints from an owner that others hear.
     """
     if witnesses.asked and not witnesses.answered:
         return False
@@ -71,7 +71,7 @@
 
 
 def token_above(refused: int, tries: int, box_bits: int) -> int:
-    """Return a token after a worker refused *refused* for a higher one that nobody knows of.
+    """Return a token after an endpoint refused *refused* for a higher one that nobody knows of.
 
     The step doubles with each of *tries*: after a clock that went back, few steps are enough.
     """
--- a/src/foldloom/owners/elector.py
+++ b/src/foldloom/owners/elector.py
@@ -149,8 +149,8 @@
         """Stop owning."""
         self._step_down()
 
-    def note_fenced(self, worker: str) -> None:
-        """Note that a worker has seen a higher token than this owner's."""
+    def note_fenced(self, endpoint: str) -> None:
+        """Note that an endpoint has seen a higher token than this owner's."""
         owner = self._owner
         if owner is None:
             return
@@ -159,7 +159,7 @@
             self._fenced_count = 0
         self._fenced_ms = now_ms
         self._fenced_count += 1
-        PLACE_LOG.event("owner.fenced", worker=worker, token=owner.token)
+        PLACE_LOG.event("owner.fenced", endpoint=endpoint, token=owner.token)
         token = token_above(owner.token, self._fenced_count, self._box_bits)
         self._step_down()
         # Somebody else may own the zone. The beats tell; if there are none, claim above it.
--- a/src/foldloom/owners/endpoint_link.py
+++ b/src/foldloom/owners/endpoint_link.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""An owner's one task for each worker: it looks, renews the lease and hears of ends."""
+"""An owner's one task for each endpoint: it looks, renews the lease and hears of ends."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING
 
 from foldloom.endpoints.calls import CallOutcome, HoldOrder, HoldReply
-from foldloom.endpoints.records import WorkerRecord
-from foldloom.logs import WORKER_LOG
-from foldloom.owners.lease import LAPSE_MARGIN_MS, WorkerClock
+from foldloom.endpoints.records import EndpointRecord
+from foldloom.logs import ENDPOINT_LOG
+from foldloom.owners.lease import LAPSE_MARGIN_MS, EndpointClock
 from foldloom.peers.wire import monotonic_ms
 
 if TYPE_CHECKING:
@@ -21,18 +21,18 @@
 SUSPECT_AFTER_MS = 80
 
 
-class WorkerLink:
-    """The owner's tie to one life of a worker.
+class EndpointLink:
+    """The owner's tie to one life of an endpoint.
 
     Args:
         owner: The owner.
-        record: The worker.
+        record: The endpoint.
     """
 
-    def __init__(self, owner: ZoneOwner, record: WorkerRecord) -> None:
+    def __init__(self, owner: ZoneOwner, record: EndpointRecord) -> None:
         self._owner = owner
         self.record = record
-        self.clock = WorkerClock()
+        self.clock = EndpointClock()
         self.heard_ms = monotonic_ms()
         self._seen = 0
         self._is_silent = False
@@ -44,7 +44,7 @@
         return self._is_silent
 
     def order_until(self, now_ms: float) -> int:
-        """Return the end of a new lease, by the worker's clock; 0 while that is not known."""
+        """Return the end of a new lease, by the endpoint's clock; 0 while that is not known."""
         if not self.clock.is_known:
             return 0
         return self.clock.order_until(now_ms, self._owner.lease_ms)
@@ -62,7 +62,7 @@
         return True
 
     async def run(self) -> None:
-        """Look again and again until the worker's life is over or the owner ends."""
+        """Look again and again until the endpoint's life is over or the owner ends."""
         pause_s = _RETRY_S
         while True:
             sent_ms = monotonic_ms()
@@ -76,9 +76,9 @@
                     await asyncio.sleep(_RETRY_S)
                 continue
             if reply.outcome is CallOutcome.FENCED:
-                await self._owner.note_fenced(self.record.worker)
+                await self._owner.note_fenced(self.record.endpoint)
             elif reply.outcome is CallOutcome.OTHER_LIFE:
-                self._owner.note_life_over(self.record.worker)
+                self._owner.note_life_over(self.record.endpoint)
                 return
             else:
                 self._fall_silent(reply)
@@ -86,9 +86,11 @@
             pause_s = min(pause_s * 2, _RETRY_MAX_S)
 
     async def _look(self, order: HoldOrder) -> HoldReply:
-        """Look once; an answer that is late already costs the worker its trust."""
+        """Look once; an answer that is late already costs the endpoint its trust."""
         doubt = asyncio.get_running_loop().call_later(
-            (order.wait_ms + SUSPECT_AFTER_MS) / 1_000, self._owner.note_silent, self.record.worker
+            (order.wait_ms + SUSPECT_AFTER_MS) / 1_000,
+            self._owner.note_silent,
+            self.record.endpoint,
         )
         try:
             return await self._owner.calls.hold(self.record, order)
@@ -96,7 +98,7 @@
             doubt.cancel()
 
     def _next_order(self, now_ms: float) -> HoldOrder:
-        renews = self.clock.is_known and self._owner.may_renew(self.record.worker, now_ms)
+        renews = self.clock.is_known and self._owner.may_renew(self.record.endpoint, now_ms)
         until_ms = self.order_until(now_ms) if renews else 0
         wait_ms = _LOOK_MS if renews and not self._is_silent else 0
         return HoldOrder(self._owner.token, self._seen, until_ms, wait_ms)
@@ -106,22 +108,22 @@
         self.clock.note(reply.clock_ms, now_ms)
         self.heard_ms = now_ms
         if self._is_silent:
-            WORKER_LOG.event("worker.answers", worker=self.record.worker)
+            ENDPOINT_LOG.event("endpoint.answers", endpoint=self.record.endpoint)
         self._is_silent = False
         self._has_lapsed = False
         fresh = tuple(end for end in reply.ended if end.number > self._seen)
         if fresh:
             self._seen = max(end.number for end in fresh)
-        self._owner.take_report(self.record.worker, reply.active, fresh, sent_ms, now_ms)
+        self._owner.take_report(self.record.endpoint, reply.active, fresh, sent_ms, now_ms)
 
     def _fall_silent(self, reply: HoldReply) -> None:
         if not self._is_silent:
-            WORKER_LOG.event(
-                "worker.silent",
-                worker=self.record.worker,
+            ENDPOINT_LOG.event(
+                "endpoint.silent",
+                endpoint=self.record.endpoint,
                 address=self.record.address,
                 detail=reply.detail,
                 heard_ms_ago=int(monotonic_ms() - self.heard_ms),
             )
         self._is_silent = True
-        self._owner.note_silent(self.record.worker)
+        self._owner.note_silent(self.record.endpoint)
--- a/src/foldloom/owners/lease.py
+++ b/src/foldloom/owners/lease.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Leases on workers, in the worker's own time.
+"""Leases on endpoints, in the endpoint's own time.
 
-A worker measures leases by its own steady clock, which may run slow by a known share. The
+An endpoint measures leases by its own steady clock, which may run slow by a known share. The
 owner sees that clock only in answers, which are late by an unknown delay. All bounds here err
 so that a run is never thought ended while it may go on.
 """
@@ -14,8 +14,8 @@
 _RATE_MIN = 1.0 - CLOCK_SLOW_SHARE
 
 
-class WorkerClock:
-    """A worker's steady clock as an owner knows it; all times in milliseconds."""
+class EndpointClock:
+    """An endpoint's steady clock as an owner knows it; all times in milliseconds."""
 
     def __init__(self) -> None:
         self._clock_ms = 0.0
@@ -25,12 +25,12 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether the worker ever told its clock."""
+        """Whether the endpoint ever told its clock."""
         return self._is_known
 
     @property
     def until_ms(self) -> int:
-        """The latest end of a lease that was ever ordered, by the worker's clock."""
+        """The latest end of a lease that was ever ordered, by the endpoint's clock."""
         return self._until_ms
 
     def note(self, clock_ms: float, received_ms: float) -> None:
@@ -41,7 +41,7 @@
             self._is_known = True
 
     def reads_at_least(self, now_ms: float) -> float:
-        """Return a time that the worker's clock has passed by *now_ms* for certain."""
+        """Return a time that the endpoint's clock has passed by *now_ms* for certain."""
         return self._clock_ms + (now_ms - self._received_ms) * _RATE_MIN
 
     def order_until(self, now_ms: float, lease_ms: float) -> int:
@@ -56,14 +56,14 @@
 
 
 def longest_real_ms(lease_ms: float) -> float:
-    """Return how long a lease of *lease_ms* lasts at most while the worker's clock is slow."""
+    """Return how long a lease of *lease_ms* lasts at most while the endpoint's clock is slow."""
     return lease_ms / _RATE_MIN
 
 
 def gone_after_ms(lease_ms: float) -> float:
-    """Return how long after an owner lost the right to a run it may still be on a worker.
+    """Return how long after an owner lost the right to a run it may still be on an endpoint.
 
-    The owner orders it to stop at once. While that is not confirmed it renews the worker's
+    The owner orders it to stop at once. While that is not confirmed it renews the endpoint's
     lease for ``STOP_OVERDUE_MS`` more at most.
     """
     return STOP_OVERDUE_MS + longest_real_ms(lease_ms) + LAPSE_MARGIN_MS
--- a/src/foldloom/owners/messages.py
+++ b/src/foldloom/owners/messages.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Messages between entry boxes and the owners of workers: runs, their ends, cancels."""
+"""Messages between entry boxes and the owners of endpoints: runs, their ends, cancels."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
         job_id: The job.
         repeat: Which time of it.
         queue: Where the job was handed in.
-        service: Whose workers run it.
+        service: Whose endpoints run it.
         spec: What its tasks are told.
         demand: What each task takes.
         placement: Where they may run.
@@ -118,8 +118,8 @@
 class EndCause(IntEnum):
     """How a run that an owner was handed ended.
 
-    ``MOVED``: it is on no worker and is to be handed to another zone's owner. ``HOPELESS``: it
-    is on no worker and can't earn anything any more.
+    ``MOVED``: it is on no endpoint and is to be handed to another zone's owner. ``HOPELESS``: it
+    is on no endpoint and can't earn anything any more.
     """
 
     DONE = 0
@@ -133,12 +133,12 @@
 
 
 class RunEnd(NamedTuple):
-    """The end of one run; after it the run is certainly not on any worker.
+    """The end of one run; after it the run is certainly not on any endpoint.
 
     Args:
         run_id: The run.
         cause: How it ended.
-        worker: Where it ran; empty if it never started.
+        endpoint: Where it ran; empty if it never started.
         ran_ms: How long it ran, as the owner saw it.
         checkpoint: Where it could go on from.
         moved_to: With ``MOVED``, the zone.
@@ -148,7 +148,7 @@
 
     run_id: RunId
     cause: EndCause
-    worker: str = ""
+    endpoint: str = ""
     ran_ms: int = 0
     checkpoint: str = ""
     moved_to: str = ""
--- a/src/foldloom/owners/state.py
+++ b/src/foldloom/owners/state.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""An owner's state: runs, workers, sessions. Nothing here waits, sends or reads a clock.
+"""An owner's state: runs, endpoints, sessions. Nothing here waits, sends or reads a clock.
 
 Events come in as calls; what must be done is collected and taken by the caller. The promise
 that holds here: of one task at most one run is present, and another one starts only once the
-one before is certainly on no worker.
+one before is certainly on no endpoint.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from foldloom.endpoints.calls import ActiveRun, CallOutcome, EndedRun, EndKind
-from foldloom.endpoints.records import WorkerRecord
+from foldloom.endpoints.records import EndpointRecord
 from foldloom.fleet.messages import ZoneLoad
 from foldloom.jobs.spec import RunId, TaskId
 from foldloom.owners.messages import (
@@ -22,7 +22,7 @@
     SubmitRuns,
     SubmitStatus,
 )
-from foldloom.scheduling.admission import Room as WorkerRoom
+from foldloom.scheduling.admission import Room as EndpointRoom
 from foldloom.scheduling.admission import expected_wait_ms, is_too_late, retry_after_ms
 from foldloom.scheduling.endpoints import Candidate, ForeignRun
 from foldloom.scheduling.estimates import Estimates
@@ -36,7 +36,7 @@
     RemoteGroups,
     group_of,
 )
-from foldloom.scheduling.speeds import WorkerSpeeds
+from foldloom.scheduling.speeds import EndpointSpeeds
 from foldloom.scheduling.waiting import WaitingRuns
 
 _FOREIGN_GRACE_MS = 300.0
@@ -61,18 +61,18 @@
 
 
 class StartAction(NamedTuple):
-    """Start *run_id* on *worker*."""
+    """Start *run_id* on *endpoint*."""
 
     run_id: RunId
-    worker: str
+    endpoint: str
     text: str
 
 
 class StopAction(NamedTuple):
-    """Stop *run_id* on *worker*."""
+    """Stop *run_id* on *endpoint*."""
 
     run_id: RunId
-    worker: str
+    endpoint: str
 
 
 class ClaimAction(NamedTuple):
@@ -136,7 +136,7 @@
 
 
 class OwnerState:
-    """The runs of one zone's workers.
+    """The runs of one zone's endpoints.
 
     Args:
         gone_after_ms: How long after an owner lost the right to a run it may still be there.
@@ -144,7 +144,7 @@
 
     def __init__(self, gone_after_ms: float) -> None:
         self._gone_after_ms = gone_after_ms
-        self._knows_all_workers = False
+        self._knows_all_endpoints = False
         self._runs: dict[TaskId, Run] = {}
         self._tasks_of_job: dict[str, set[TaskId]] = {}
         self._past: dict[TaskId, _Past] = {}
@@ -152,7 +152,7 @@
         self._looked_ms: dict[str, float] = {}
         self._estimates = Estimates()
         self._waiting = WaitingRuns(self._estimates)
-        self._speeds = WorkerSpeeds()
+        self._speeds = EndpointSpeeds()
         self._starts: list[StartAction] = []
         self._stops: list[StopAction] = []
         self._claims: list[ClaimAction] = []
@@ -165,7 +165,7 @@
 
     @property
     def candidates(self) -> dict[str, Candidate]:
-        """The workers by id."""
+        """The endpoints by id."""
         return self._candidates
 
     @property
@@ -173,9 +173,9 @@
         """The runs that wait for room."""
         return self._waiting
 
-    def speed_of(self, worker: str) -> float:
-        """Return how fast *worker* is thought to be, relative to the middle one."""
-        return self._speeds.speed_of(worker)
+    def speed_of(self, endpoint: str) -> float:
+        """Return how fast *endpoint* is thought to be, relative to the middle one."""
+        return self._speeds.speed_of(endpoint)
 
     def run_of(self, task: TaskId) -> Run | None:
         """Return the present run of *task*, if any."""
@@ -270,50 +270,50 @@
         for reservation in claim.reservations[granted:]:
             self._unreserve(reservation)
 
-    # Workers.
+    # Endpoints.
 
     def trust_catalog(self) -> None:
-        """Note that every worker that an earlier owner knew is known here."""
-        self._knows_all_workers = True
+        """Note that every endpoint that an earlier owner knew is known here."""
+        self._knows_all_endpoints = True
 
-    def follow_worker(self, record: WorkerRecord) -> None:
-        """Know a worker, or a newer record of it."""
-        known = self._candidates.get(record.worker)
+    def follow_endpoint(self, record: EndpointRecord) -> None:
+        """Know an endpoint, or a newer record of it."""
+        known = self._candidates.get(record.endpoint)
         if known is None:
-            self._candidates[record.worker] = Candidate(record)
+            self._candidates[record.endpoint] = Candidate(record)
             return
         known.follow(record)
 
-    def drop_worker(self, worker: str, now_ms: float) -> None:
-        """Forget a worker whose life is certainly over: nothing runs there any more."""
-        self.note_lapsed(worker, now_ms)
-        self._candidates.pop(worker, None)
-        self._looked_ms.pop(worker, None)
-        self._speeds.forget(worker)
+    def drop_endpoint(self, endpoint: str, now_ms: float) -> None:
+        """Forget an endpoint whose life is certainly over: nothing runs there any more."""
+        self.note_lapsed(endpoint, now_ms)
+        self._candidates.pop(endpoint, None)
+        self._looked_ms.pop(endpoint, None)
+        self._speeds.forget(endpoint)
 
-    def distrust(self, worker: str) -> None:
-        """Give a worker no more work until it has been looked at again."""
-        candidate = self._candidates.get(worker)
+    def distrust(self, endpoint: str) -> None:
+        """Give an endpoint no more work until it has been looked at again."""
+        candidate = self._candidates.get(endpoint)
         if candidate is not None:
             candidate.is_trusted = False
 
-    def note_lapsed(self, worker: str, now_ms: float) -> None:
-        """Note that every lease on *worker* has ended for certain."""
-        candidate = self._candidates.get(worker)
+    def note_lapsed(self, endpoint: str, now_ms: float) -> None:
+        """Note that every lease on *endpoint* has ended for certain."""
+        candidate = self._candidates.get(endpoint)
         if candidate is None:
             return
         candidate.is_trusted = False
         candidate.foreign.clear()
         for task in candidate.room.tasks:
             run = self._runs.get(task)
-            if run is None or run.worker != worker:
+            if run is None or run.endpoint != endpoint:
                 candidate.room.release(task)
                 continue
             self._finish(run, EndCause.LAPSED, "", now_ms)
 
-    def has_overdue_stop(self, worker: str, before_ms: float) -> bool:
+    def has_overdue_stop(self, endpoint: str, before_ms: float) -> bool:
         """Return whether a run there was to be stopped before *before_ms* and is still listed."""
-        candidate = self._candidates.get(worker)
+        candidate = self._candidates.get(endpoint)
         if candidate is None:
             return False
         present = (self._runs.get(task) for task in candidate.room.tasks)
@@ -324,31 +324,31 @@
 
     def report(
         self,
-        worker: str,
+        endpoint: str,
         active: tuple[ActiveRun, ...],
         ended: tuple[EndedRun, ...],
         looked_ms: float,
         now_ms: float,
     ) -> None:
-        """Take a worker's lists; the look was sent at *looked_ms*."""
-        candidate = self._candidates.get(worker)
+        """Take an endpoint's lists; the look was sent at *looked_ms*."""
+        candidate = self._candidates.get(endpoint)
         if candidate is None:
             return
         for end in ended:
             self._note_end(candidate, end, now_ms)
         present = {one.run_id for one in active}
         self._compare(candidate, present, looked_ms, now_ms)
-        self._looked_ms[worker] = looked_ms
+        self._looked_ms[endpoint] = looked_ms
         candidate.is_trusted = True
 
-    def note_start(self, run_id: RunId, worker: str, outcome: CallOutcome, now_ms: float) -> None:
+    def note_start(self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float) -> None:
         """Take the answer to an order to start."""
         run = self._runs.get(run_id.task)
-        if run is None or run.number != run_id.run or run.worker != worker:
+        if run is None or run.number != run_id.run or run.endpoint != endpoint:
             return
         if outcome is CallOutcome.DONE:
             if run.state is RunState.STARTING:
-                run.enter(RunState.RUNNING, now_ms, worker)
+                run.enter(RunState.RUNNING, now_ms, endpoint)
             return
         if outcome is CallOutcome.UNKNOWN:
             # It may be carried out at any time until the lease in the order has passed; the
@@ -359,12 +359,12 @@
         if run.state is RunState.STOPPING:
             self._finish(run, EndCause.STOPPED, "", now_ms)
             return
-        self._start_again(run, outcome, worker, now_ms)
+        self._start_again(run, outcome, endpoint, now_ms)
 
-    def note_stop(self, run_id: RunId, worker: str, outcome: CallOutcome, now_ms: float) -> None:
+    def note_stop(self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float) -> None:
         """Take the answer to an order to stop."""
         run = self._runs.get(run_id.task)
-        if run is None or run.number != run_id.run or run.worker != worker:
+        if run is None or run.number != run_id.run or run.endpoint != endpoint:
             return
         if run.state is not RunState.STOPPING:
             return
@@ -372,14 +372,14 @@
             run.stop_known_ms = now_ms
 
     def stops_to_repeat(self, before_ms: float, now_ms: float) -> list[StopAction]:
-        """Return the stops that no worker has confirmed since *before_ms*."""
+        """Return the stops that no endpoint has confirmed since *before_ms*."""
         repeated = []
         for run in self._runs.values():
             if run.state is not RunState.STOPPING or run.stop_known_ms:
                 continue
             if run.stop_sent_ms < before_ms:
                 run.stop_sent_ms = now_ms
-                repeated.append(StopAction(run.run_id, run.worker))
+                repeated.append(StopAction(run.run_id, run.endpoint))
         return repeated
 
     def tick(self, now_ms: float) -> None:
@@ -402,9 +402,9 @@
     def place(self, now_ms: float) -> None:
         """Start what there is room for, and claim what waits elsewhere for the rest."""
         placing = place(self._waiting, self._remote, self._candidates, self._speeds, now_ms)
-        for run, worker in placing.placed:
-            run.enter(RunState.STARTING, now_ms, worker)
-            self._starts.append(StartAction(run.run_id, worker, run.spec.text))
+        for run, endpoint in placing.placed:
+            run.enter(RunState.STARTING, now_ms, endpoint)
+            self._starts.append(StartAction(run.run_id, endpoint, run.spec.text))
         self._claims.extend(ClaimAction(*claimed) for claimed in placing.claimed)
 
     def _is_late_submit(self, holder: HolderId, job_id: str, now_ms: float) -> bool:
@@ -438,12 +438,12 @@
         return SubmitReply(SubmitStatus.REFUSED, "overload", retry_after_ms(wait_ms))
 
     def _is_warming_up(self, now_ms: float) -> bool:
-        """Return whether workers may not have been looked at yet: room is not known then."""
+        """Return whether endpoints may not have been looked at yet: room is not known then."""
         if not self._first_ms:
             self._first_ms = now_ms
         return now_ms - self._first_ms < _WARM_UP_MS
 
-    def _room(self, now_ms: float) -> WorkerRoom:
+    def _room(self, now_ms: float) -> EndpointRoom:
         """Return the room of this zone and of those that were heard lately."""
         in_use = [one.room for one in self._candidates.values() if one.is_open(now_ms)]
         loads = [
@@ -451,7 +451,7 @@
         ]
         total = sum(room.capacity.cpu_milli for room in in_use)
         free = sum(max(0, room.free.cpu_milli) for room in in_use)
-        return WorkerRoom(
+        return EndpointRoom(
             total + sum(load.total_milli for load in loads),
             free + sum(load.free_milli for load in loads),
         )
@@ -466,7 +466,7 @@
             del self._reservations[key]
 
     def _unreserve(self, reservation: Reservation) -> None:
-        candidate = self._candidates.get(reservation.worker)
+        candidate = self._candidates.get(reservation.endpoint)
         if candidate is not None:
             candidate.room.unreserve(reservation.number)
 
@@ -490,7 +490,7 @@
             ran_ms = now_ms - run.began_ms
             if ran_ms <= _OVERDUE_FACTOR * group.expected_ms:
                 continue
-            self._speeds.note_overdue(run.worker, ran_ms, group.expected_ms)
+            self._speeds.note_overdue(run.endpoint, ran_ms, group.expected_ms)
             is_stuck = ran_ms > _STUCK_FACTOR * group.longest_ms + _STUCK_MIN_MS
             if is_stuck and now_ms < group.late_start_by():
                 self._stop(run, now_ms)
@@ -531,8 +531,8 @@
             self._waiting.add(run)
 
     def _adopt_foreign(self, run: Run, now_ms: float) -> bool:
-        """Take over a run that a worker lists already; return whether one does."""
-        for worker, candidate in self._candidates.items():
+        """Take over a run that an endpoint lists already; return whether one does."""
+        for endpoint, candidate in self._candidates.items():
             foreign = candidate.foreign.get(run.task)
             if foreign is None:
                 continue
@@ -540,7 +540,7 @@
             del candidate.foreign[run.task]
             candidate.room.release(run.task)
             candidate.room.charge(run.task, run.spec.demand)
-            run.enter(RunState.RUNNING, now_ms, worker)
+            run.enter(RunState.RUNNING, now_ms, endpoint)
             return True
         return False
 
@@ -556,21 +556,21 @@
             self._stop(run, now_ms)
 
     def _stop(self, run: Run, now_ms: float) -> None:
-        worker = run.worker
-        run.enter(RunState.STOPPING, now_ms, worker)
+        endpoint = run.endpoint
+        run.enter(RunState.STOPPING, now_ms, endpoint)
         run.stop_sent_ms = now_ms
-        self._stops.append(StopAction(run.run_id, worker))
+        self._stops.append(StopAction(run.run_id, endpoint))
 
-    def _start_again(self, run: Run, outcome: CallOutcome, worker: str, now_ms: float) -> None:
+    def _start_again(self, run: Run, outcome: CallOutcome, endpoint: str, now_ms: float) -> None:
         """Queue a run that certainly did not start."""
-        candidate = self._candidates.get(worker)
+        candidate = self._candidates.get(endpoint)
         if outcome is CallOutcome.OLD_RUN:
             run.number += 1
         elif outcome is CallOutcome.INVALID:
             self._finish(run, EndCause.REFUSED, "", now_ms)
             return
         elif outcome is CallOutcome.OTHER_LIFE:
-            self.distrust(worker)
+            self.distrust(endpoint)
         elif candidate is not None:
             pause = _UNHEALTHY_PAUSE_MS if outcome is CallOutcome.REFUSED else _NO_ROOM_PAUSE_MS
             candidate.blocked_until_ms = now_ms + pause
@@ -578,45 +578,45 @@
         self._waiting.add(run)
 
     def _note_end(self, candidate: Candidate, end: EndedRun, now_ms: float) -> None:
-        worker = candidate.record.worker
+        endpoint = candidate.record.endpoint
         task = end.run_id.task
         run = self._runs.get(task)
         candidate.foreign.pop(task, None)
         if run is None:
-            self._remember(task, end, worker, now_ms)
+            self._remember(task, end, endpoint, now_ms)
             return
         if run.number > end.run_id.run:
             return
         if run.state is RunState.TRACED and end.how is not EndKind.DONE:
             # Its box may not know of a later run that an earlier owner started elsewhere.
             run.number = end.run_id.run
-        elif run.state is RunState.TRACED or run.worker == worker:
+        elif run.state is RunState.TRACED or run.endpoint == endpoint:
             run.number = end.run_id.run
-            run.worker = worker
+            run.endpoint = endpoint
             self._finish(run, _CAUSES[end.how], end.checkpoint, now_ms)
 
-    def _remember(self, task: TaskId, end: EndedRun, worker: str, now_ms: float) -> None:
+    def _remember(self, task: TaskId, end: EndedRun, endpoint: str, now_ms: float) -> None:
         """Keep an end that nobody waits for now; an earlier owner's box may ask for it."""
         known = self._past.get(task)
         if known is not None and known.number >= end.run_id.run:
             return
-        told = RunEnd(end.run_id, _CAUSES[end.how], worker, 0, end.checkpoint)
+        told = RunEnd(end.run_id, _CAUSES[end.how], endpoint, 0, end.checkpoint)
         self._past.pop(task, None)
         self._past[task] = _Past(end.run_id.run, now_ms, told, True, {})
 
     def _compare(
         self, candidate: Candidate, present: set[RunId], looked_ms: float, now_ms: float
     ) -> None:
-        """Hold what a worker lists as present against what is thought to be there."""
-        worker = candidate.record.worker
+        """Hold what an endpoint lists as present against what is thought to be there."""
+        endpoint = candidate.record.endpoint
         for run_id in present:
             run = self._runs.get(run_id.task)
             if run is not None and run.state in (RunState.TRACED, RunState.QUEUED):
                 self._waiting.remove(run.task)
                 run.number = run_id.run
                 candidate.room.charge(run.task, run.spec.demand)
-                run.enter(RunState.RUNNING, now_ms, worker)
-            elif run is None or run.worker != worker or run.number != run_id.run:
+                run.enter(RunState.RUNNING, now_ms, endpoint)
+            elif run is None or run.endpoint != endpoint or run.number != run_id.run:
                 candidate.foreign.setdefault(run_id.task, ForeignRun(run_id.run, now_ms))
         listed = {run_id.task for run_id in present}
         for task in list(candidate.foreign):
@@ -624,7 +624,7 @@
                 del candidate.foreign[task]
         for task in candidate.room.tasks:
             run = self._runs.get(task)
-            if run is None or run.worker != worker:
+            if run is None or run.endpoint != endpoint:
                 candidate.room.release(task)
             elif run.run_id not in present and max(run.since_ms, run.stop_known_ms) < looked_ms:
                 self._note_absent(run, now_ms)
@@ -643,27 +643,27 @@
                 self._finish(run, EndCause.LOST, "", now_ms)
 
     def _is_found_nowhere(self, run: Run) -> bool:
-        """Return whether every worker of the service was looked at since it could have started."""
-        if not self._knows_all_workers:
+        """Return whether every endpoint of the service was looked at after it could start."""
+        if not self._knows_all_endpoints:
             return False
         after = run.traced_until.reports_after_ms
         return all(
-            self._looked_ms.get(worker, 0.0) > after
-            for worker, candidate in self._candidates.items()
+            self._looked_ms.get(endpoint, 0.0) > after
+            for endpoint, candidate in self._candidates.items()
             if candidate.record.service == run.spec.service
         )
 
     def _stop_foreign(self, now_ms: float) -> None:
         """Stop what nobody claims: the box that wanted it is gone."""
-        for worker, candidate in self._candidates.items():
+        for endpoint, candidate in self._candidates.items():
             for task, known in candidate.foreign.items():
                 if now_ms - known.noted_ms > _FOREIGN_GRACE_MS:
                     candidate.foreign[task] = known._replace(noted_ms=now_ms)
-                    self._stops.append(StopAction(RunId(task, known.number), worker))
+                    self._stops.append(StopAction(RunId(task, known.number), endpoint))
 
     def _finish(self, run: Run, cause: EndCause, checkpoint: str, now_ms: float) -> None:
         """Tell the holders of a run's end, or start it anew if the stop was not theirs."""
-        worker = run.worker
+        endpoint = run.endpoint
         ran_ms = int(now_ms - run.began_ms) if run.began_ms else 0
         was_stopping = run.state is RunState.STOPPING
         if cause is EndCause.DONE and not was_stopping and ran_ms:
@@ -674,7 +674,7 @@
             run.enter(RunState.QUEUED, now_ms)
             self._waiting.add(run)
             return
-        self._tell_holders(run, RunEnd(run.run_id, cause, worker, ran_ms, checkpoint))
+        self._tell_holders(run, RunEnd(run.run_id, cause, endpoint, ran_ms, checkpoint))
         self._forget(run)
         self._keep_past(run, now_ms)
 
@@ -695,15 +695,15 @@
         )
 
     def _learn(self, run: Run, ran_ms: float) -> None:
-        """Learn from a run that is done, about its worker, its job and its queue."""
+        """Learn from a run that is done, about its endpoint, its job and its queue."""
         group = self._waiting.group(run)
-        self._speeds.note(run.worker, ran_ms, group.expected_ms)
-        work_ms = ran_ms * self._speeds.speed_of(run.worker)
+        self._speeds.note(run.endpoint, ran_ms, group.expected_ms)
+        work_ms = ran_ms * self._speeds.speed_of(run.endpoint)
         group.note_done(work_ms)
         self._estimates.note(run.spec.queue, run.spec.estimate_ms, work_ms)
 
     def _release(self, run: Run) -> None:
-        candidate = self._candidates.get(run.worker)
+        candidate = self._candidates.get(run.endpoint)
         if candidate is not None:
             candidate.room.release(run.task)
 
--- a/src/foldloom/owners/zone_owner.py
+++ b/src/foldloom/owners/zone_owner.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The owner of a zone's workers while this box holds the token: it alone calls them."""
+"""The owner of a zone's endpoints while this box holds the token: it alone calls them."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
     ActiveRun,
     CallOutcome,
     EndedRun,
+    EndpointCalls,
     StartOrder,
-    WorkerCalls,
 )
-from foldloom.endpoints.catalog import WorkerCatalog
-from foldloom.endpoints.records import WorkerRecord
+from foldloom.endpoints.catalog import EndpointCatalog
+from foldloom.endpoints.records import EndpointRecord
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.fleet.messages import Echo, OwnerBeat, OwnerRecord, ZoneLoad
 from foldloom.fleet.view import FleetView
-from foldloom.logs import PLACE_LOG, WORKER_LOG
+from foldloom.logs import ENDPOINT_LOG, PLACE_LOG
 from foldloom.metrics import Metrics
-from foldloom.owners.endpoint_link import SUSPECT_AFTER_MS, WorkerLink
+from foldloom.owners.endpoint_link import SUSPECT_AFTER_MS, EndpointLink
 from foldloom.owners.lease import STOP_OVERDUE_MS, gone_after_ms, longest_real_ms
 from foldloom.owners.messages import (
     CancelJob,
@@ -50,18 +50,18 @@
 
 
 class ZoneOwner:
-    """One term of owning a zone's workers.
+    """One term of owning a zone's endpoints.
 
     Args:
         record: This owner: zone, token, box.
         view: The other boxes.
         network: The peers.
-        calls: How workers are called.
-        catalog: The workers.
+        calls: How endpoints are called.
+        catalog: The endpoints.
         timings: Intervals and bounds.
         metrics: Counters.
         published_version: Returns the published version in force here.
-        on_fenced: Called when a worker has seen a higher token.
+        on_fenced: Called when an endpoint has seen a higher token.
         catalog_age_ms: Returns for how long the catalog has been kept up.
     """
 
@@ -70,8 +70,8 @@
         record: OwnerRecord,
         view: FleetView,
         network: PeerNetwork,
-        calls: WorkerCalls,
-        catalog: WorkerCatalog,
+        calls: EndpointCalls,
+        catalog: EndpointCatalog,
         timings: TimingSettings,
         metrics: Metrics,
         published_version: Callable[[], int],
@@ -92,7 +92,7 @@
         self._catalog_age_ms = catalog_age_ms
         self._state = OwnerState(gone_after_ms(timings.endpoint_lease_ms))
         self._sessions = Sessions(record.zone, record.token, network, timings.session_ms)
-        self._links: dict[str, WorkerLink] = {}
+        self._links: dict[str, EndpointLink] = {}
         self._link_tasks: dict[str, asyncio.Task[None]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
         self._is_closed = False
@@ -110,12 +110,12 @@
 
     @property
     def state(self) -> OwnerState:
-        """The runs and workers."""
+        """The runs and endpoints."""
         return self._state
 
     @property
     def load(self) -> ZoneLoad:
-        """How loaded the workers in use are."""
+        """How loaded the endpoints in use are."""
         now_ms = monotonic_ms()
         in_use = [one for one in self._state.candidates.values() if one.is_open(now_ms)]
         return ZoneLoad(
@@ -133,7 +133,7 @@
         return not self._sessions.has_other(own, monotonic_ms())
 
     def start(self) -> None:
-        """Look at every worker and begin to beat."""
+        """Look at every endpoint and begin to beat."""
         self._spawn(self._beat())
         self._spawn(self._tick())
         self._spawn(self._share())
@@ -194,42 +194,42 @@
             self._state.end_session(earlier, now_ms)
         self._sessions.grant(holder, echo.beat_ms)
 
-    def may_renew(self, worker: str, now_ms: float) -> bool:
-        """Return whether the lease of *worker* may be renewed.
+    def may_renew(self, endpoint: str, now_ms: float) -> bool:
+        """Return whether the lease of *endpoint* may be renewed.
 
         A run that should have stopped long ago and is still listed must not live on by it.
         Rights are looked at here too: after a freeze this may come before any tick.
         """
         self._end_lapsed_sessions(now_ms)
-        return not self._state.has_overdue_stop(worker, now_ms - STOP_OVERDUE_MS)
+        return not self._state.has_overdue_stop(endpoint, now_ms - STOP_OVERDUE_MS)
 
     def take_report(
         self,
-        worker: str,
+        endpoint: str,
         active: tuple[ActiveRun, ...],
         ended: tuple[EndedRun, ...],
         sent_ms: float,
         now_ms: float,
     ) -> None:
-        """Take a worker's lists."""
+        """Take an endpoint's lists."""
         if self._is_closed:
             return
         self._metrics.count("workers.looks")
-        self._state.report(worker, active, ended, sent_ms, now_ms)
+        self._state.report(endpoint, active, ended, sent_ms, now_ms)
         self._act()
 
-    def note_silent(self, worker: str) -> None:
-        """Note that *worker* does not answer."""
-        self._state.distrust(worker)
+    def note_silent(self, endpoint: str) -> None:
+        """Note that *endpoint* does not answer."""
+        self._state.distrust(endpoint)
 
-    def note_life_over(self, worker: str) -> None:
-        """Note that *worker*'s life is over for certain."""
-        WORKER_LOG.info("Worker {} is another life now.", worker)
-        self._catalog.remove(worker, monotonic_ms())
+    def note_life_over(self, endpoint: str) -> None:
+        """Note that *endpoint*'s life is over for certain."""
+        ENDPOINT_LOG.info("Endpoint {} is another life now.", endpoint)
+        self._catalog.remove(endpoint, monotonic_ms())
 
-    async def note_fenced(self, worker: str) -> None:
-        """Note that *worker* has seen a higher token."""
-        self._on_fenced(worker)
+    async def note_fenced(self, endpoint: str) -> None:
+        """Note that *endpoint* has seen a higher token."""
+        self._on_fenced(endpoint)
 
     def _tell_submit(self, sender: str, message: SubmitRuns, reply: SubmitReply) -> None:
         load = self.load
@@ -305,7 +305,7 @@
     def _end_lapsed_sessions(self, now_ms: float) -> None:
         """Stop the runs of boxes whose right is over, counted from when it was over."""
         for right in self._sessions.end_lapsed(now_ms):
-            WORKER_LOG.event(
+            ENDPOINT_LOG.event(
                 "session.ended",
                 sender=right.holder.box,
                 over_for_ms=int(now_ms - right.ended_ms),
@@ -314,44 +314,44 @@
 
     def _follow_catalog(self, now_ms: float) -> None:
         records = {
-            record.worker: record
+            record.endpoint: record
             for record in self._catalog.records
             if record.zone == self._record.zone
         }
-        for worker, record in records.items():
-            self._state.follow_worker(record)
-            link = self._links.get(worker)
+        for endpoint, record in records.items():
+            self._state.follow_endpoint(record)
+            link = self._links.get(endpoint)
             if link is None:
                 self._open_link(record)
             else:
                 link.record = record
-        for worker in set(self._links) - set(records):
-            self._close_link(worker, now_ms)
+        for endpoint in set(self._links) - set(records):
+            self._close_link(endpoint, now_ms)
 
-    def _open_link(self, record: WorkerRecord) -> None:
-        link = WorkerLink(self, record)
-        self._links[record.worker] = link
-        self._link_tasks[record.worker] = asyncio.create_task(link.run())
+    def _open_link(self, record: EndpointRecord) -> None:
+        link = EndpointLink(self, record)
+        self._links[record.endpoint] = link
+        self._link_tasks[record.endpoint] = asyncio.create_task(link.run())
 
-    def _close_link(self, worker: str, now_ms: float) -> None:
-        """Let go of a worker that is gone; what it ran ends with it."""
-        del self._links[worker]
-        self._link_tasks.pop(worker).cancel()
-        self._state.drop_worker(worker, now_ms)
+    def _close_link(self, endpoint: str, now_ms: float) -> None:
+        """Let go of an endpoint that is gone; what it ran ends with it."""
+        del self._links[endpoint]
+        self._link_tasks.pop(endpoint).cancel()
+        self._state.drop_endpoint(endpoint, now_ms)
 
     def _judge_silent(self, now_ms: float) -> None:
-        # Somebody else may own the zone by now, and reach a worker that is silent here: it
+        # Somebody else may own the zone by now, and reach an endpoint that is silent here: it
         # would keep what this owner takes for lapsed (tests/models/owners_model.py).
         if self.is_isolated:
             return
-        for worker, link in self._links.items():
+        for endpoint, link in self._links.items():
             if link.has_lapsed(now_ms):
-                WORKER_LOG.event(
-                    "worker.lapsed", worker=worker, silent_ms=int(now_ms - link.heard_ms)
+                ENDPOINT_LOG.event(
+                    "endpoint.lapsed", endpoint=endpoint, silent_ms=int(now_ms - link.heard_ms)
                 )
-                self._state.note_lapsed(worker, now_ms)
+                self._state.note_lapsed(endpoint, now_ms)
             if link.is_silent and now_ms - link.heard_ms > _FORGET_SILENT_MS:
-                self._catalog.forget(worker)
+                self._catalog.forget(endpoint)
 
     def _act(self) -> None:
         """Carry out what the state has decided."""
@@ -378,7 +378,7 @@
             "run.ended",
             job=end.run_id.task.job_id,
             run=end.run_id.text,
-            worker=end.worker,
+            endpoint=end.endpoint,
             cause=end.cause.name.lower(),
             ran_ms=end.ran_ms,
             moved_to=end.moved_to,
@@ -400,7 +400,7 @@
         self._state.note_claimed(claim, granted)
 
     async def _start(self, action: StartAction) -> None:
-        link = self._links.get(action.worker)
+        link = self._links.get(action.endpoint)
         now_ms = monotonic_ms()
         run = self._state.run_of(action.run_id.task)
         # Looked at right before the call: after a freeze nobody may want this run any more.
@@ -408,16 +408,16 @@
             self._sessions.has_right(holder, now_ms) for holder in run.holders
         )
         # A start renews the lease of everything there.
-        may_start = is_wanted and self.may_renew(action.worker, now_ms)
+        may_start = is_wanted and self.may_renew(action.endpoint, now_ms)
         until_ms = 0 if link is None or not may_start else link.order_until(now_ms)
         if link is None or until_ms == 0 or self._is_closed:
-            self._state.note_start(action.run_id, action.worker, CallOutcome.LATE, now_ms)
+            self._state.note_start(action.run_id, action.endpoint, CallOutcome.LATE, now_ms)
             return
         self._tell_start(action, until_ms, now_ms)
         self._metrics.count("runs.started")
         order = StartOrder(action.run_id, action.text, self.token, until_ms)
         doubt = asyncio.get_running_loop().call_later(
-            SUSPECT_AFTER_MS / 1_000, self._state.distrust, action.worker
+            SUSPECT_AFTER_MS / 1_000, self._state.distrust, action.endpoint
         )
         reply = await self.calls.start_run(link.record, order)
         doubt.cancel()
@@ -430,19 +430,19 @@
                 "run.not_started",
                 job=action.run_id.task.job_id,
                 run=action.run_id.text,
-                worker=action.worker,
+                endpoint=action.endpoint,
                 outcome=reply.outcome.value,
                 detail=reply.detail,
             )
             self._metrics.count(f"starts.{reply.outcome.value}")
         if reply.outcome is CallOutcome.FENCED:
-            self._on_fenced(action.worker)
-        self._state.note_start(action.run_id, action.worker, reply.outcome, now_ms)
+            self._on_fenced(action.endpoint)
+        self._state.note_start(action.run_id, action.endpoint, reply.outcome, now_ms)
         self._act()
 
     def _tell_start(self, action: StartAction, until_ms: int, now_ms: float) -> None:
         run = self._state.run_of(action.run_id.task)
-        candidate = self._state.candidates.get(action.worker)
+        candidate = self._state.candidates.get(action.endpoint)
         if run is None or candidate is None:
             return
         self._metrics.timing("job_age_at_start_ms", now_ms - run.spec.began_ms)
@@ -450,30 +450,30 @@
             "run.placed",
             job=action.run_id.task.job_id,
             run=action.run_id.text,
-            worker=action.worker,
+            endpoint=action.endpoint,
             token=self.token,
             until_ms=until_ms,
             job_age_ms=int(now_ms - run.spec.began_ms),
-            speed=round(self._state.speed_of(action.worker), 2),
+            speed=round(self._state.speed_of(action.endpoint), 2),
             free_milli=candidate.room.free.cpu_milli,
         )
 
     async def _stop(self, action: StopAction) -> None:
-        link = self._links.get(action.worker)
+        link = self._links.get(action.endpoint)
         if link is None or self._is_closed:
             return
         PLACE_LOG.event(
             "run.stopped",
             job=action.run_id.task.job_id,
             run=action.run_id.text,
-            worker=action.worker,
+            endpoint=action.endpoint,
             token=self.token,
         )
         self._metrics.count("runs.stopped")
         reply = await self.calls.stop_run(link.record, action.run_id, self.token)
         if reply.outcome is CallOutcome.FENCED:
-            self._on_fenced(action.worker)
-        self._state.note_stop(action.run_id, action.worker, reply.outcome, monotonic_ms())
+            self._on_fenced(action.endpoint)
+        self._state.note_stop(action.run_id, action.endpoint, reply.outcome, monotonic_ms())
 
     def _spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
--- a/src/foldloom/placement/health.py
+++ b/src/foldloom/placement/health.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Which workers are sick: ejected on failures, on tasks overdue, or far slower than peers.
+"""Which endpoints are sick: ejected on failures, on tasks overdue, or far slower than peers.
 
-An ejected worker gets one task at a time as a probe; no more than a set share is ejected.
+An ejected endpoint gets one task at a time as a probe; no more than a set share is ejected.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Condition(NamedTuple):
-    """What is known of one worker's health.
+    """What is known of one endpoint's health.
 
     Args:
         failures: Failures in a row.
@@ -30,11 +30,11 @@
 
 
 class Health:
-    """The health of a shard's workers.
+    """The health of a shard's endpoints.
 
     Args:
-        ejection_ms: How long until an ejected worker is probed.
-        share_max: The most workers ejected at a time, as a share.
+        ejection_ms: How long until an ejected endpoint is probed.
+        share_max: The most endpoints ejected at a time, as a share.
     """
 
     def __init__(self, ejection_ms: int, share_max: float) -> None:
@@ -42,46 +42,46 @@
         self._share_max = share_max
         self._conditions: dict[str, Condition] = {}
 
-    def is_ejected(self, worker: str) -> bool:
-        """Return whether *worker* is ejected."""
-        return self._conditions.get(worker, _WELL).ejected_until_ms > 0
+    def is_ejected(self, endpoint: str) -> bool:
+        """Return whether *endpoint* is ejected."""
+        return self._conditions.get(endpoint, _WELL).ejected_until_ms > 0
 
-    def may_probe(self, worker: str, now_ms: float) -> bool:
-        """Return whether an ejected *worker* is due for a probe."""
-        return now_ms >= self._conditions.get(worker, _WELL).ejected_until_ms
+    def may_probe(self, endpoint: str, now_ms: float) -> bool:
+        """Return whether an ejected *endpoint* is due for a probe."""
+        return now_ms >= self._conditions.get(endpoint, _WELL).ejected_until_ms
 
-    def note_success(self, worker: str) -> bool:
-        """Take in a task that went well; return whether *worker* came back."""
-        known = self._conditions.get(worker)
+    def note_success(self, endpoint: str) -> bool:
+        """Take in a task that went well; return whether *endpoint* came back."""
+        known = self._conditions.get(endpoint)
         if known is None:
             return False
         if not known.ejected_until_ms:
-            del self._conditions[worker]
+            del self._conditions[endpoint]
             return False
         successes = known.successes + 1
         if successes >= _PROBE_SUCCESSES:
-            del self._conditions[worker]
+            del self._conditions[endpoint]
             return True
-        self._conditions[worker] = known._replace(successes=successes, ejected_until_ms=1.0)
+        self._conditions[endpoint] = known._replace(successes=successes, ejected_until_ms=1.0)
         return False
 
-    def note_failure(self, worker: str, worker_count: int, now_ms: float) -> bool:
-        """Take in a failure; return whether *worker* is ejected for it."""
-        known = self._conditions.get(worker, _WELL)
+    def note_failure(self, endpoint: str, endpoint_count: int, now_ms: float) -> bool:
+        """Take in a failure; return whether *endpoint* is ejected for it."""
+        known = self._conditions.get(endpoint, _WELL)
         failures = known.failures + 1
-        self._conditions[worker] = known._replace(failures=failures, successes=0)
+        self._conditions[endpoint] = known._replace(failures=failures, successes=0)
         if known.ejected_until_ms:
-            return self.eject(worker, worker_count, now_ms)
+            return self.eject(endpoint, endpoint_count, now_ms)
         if failures < _FAILURES_TO_EJECT:
             return False
-        return self.eject(worker, worker_count, now_ms)
+        return self.eject(endpoint, endpoint_count, now_ms)
 
-    def eject(self, worker: str, worker_count: int, now_ms: float) -> bool:
-        """Eject *worker* unless too many are; return whether it is ejected."""
-        known = self._conditions.get(worker, _WELL)
+    def eject(self, endpoint: str, endpoint_count: int, now_ms: float) -> bool:
+        """Eject *endpoint* unless too many are; return whether it is ejected."""
+        known = self._conditions.get(endpoint, _WELL)
         ejected = sum(1 for one in self._conditions.values() if one.ejected_until_ms)
-        if not known.ejected_until_ms and ejected + 1 > worker_count * self._share_max:
+        if not known.ejected_until_ms and ejected + 1 > endpoint_count * self._share_max:
             return False
         until = now_ms + self._ejection_ms
-        self._conditions[worker] = known._replace(ejected_until_ms=until, successes=0)
+        self._conditions[endpoint] = known._replace(ejected_until_ms=until, successes=0)
         return True
--- a/src/foldloom/placement/lease_manager.py
+++ b/src/foldloom/placement/lease_manager.py
@@ -40,7 +40,7 @@
         metrics: Counters.
         policy: How a slot is chosen.
         manager_of: Returns the lease manager of a shard, as this box sees it.
-        proves_life: Asks a worker for a sign of life.
+        proves_life: Asks an endpoint for a sign of life.
         is_live: Returns whether a box is heard.
     """
 
@@ -63,7 +63,7 @@
         self._is_live = is_live
         self._shards: dict[str, Shard] = {}
         self._settled_ms: dict[str, float] = {}
-        self._shard_of_worker: dict[str, str] = {}
+        self._shard_of_endpoint: dict[str, str] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         # A random start keeps ids of different lease managers apart.
         self._lease_ids = itertools.count(random.getrandbits(_LEASE_ID_BITS))
@@ -86,44 +86,44 @@
         return dict(self._shards)
 
     def follow(self, config: Config, leaving: set[str], reachable_zones: set[str]) -> None:
-        """Take over or leave shards, and take the workers' states."""
+        """Take over or leave shards, and take the endpoints' states."""
         names = shard_names(config, self._settings.limits.lease_shard_endpoints)
-        self._shard_of_worker = {
-            worker: shard for shard, workers in names.items() for worker in workers
+        self._shard_of_endpoint = {
+            endpoint: shard for shard, endpoints in names.items() for endpoint in endpoints
         }
         for gone in set(self._shards) - set(names):
             self._leave(gone)
         usable = {
             name
-            for name, worker in config.endpoints.items()
-            if name not in leaving and may_take(worker, reachable_zones)
+            for name, endpoint in config.endpoints.items()
+            if name not in leaving and may_take(endpoint, reachable_zones)
         }
-        for name, workers in names.items():
+        for name, endpoints in names.items():
             if self._manager_of(name) != self._settings.box:
                 self._leave(name)
                 continue
             shard = self._shards.get(name) or self._take_over(name)
-            shard.set_workers(config, workers, usable)
+            shard.set_endpoints(config, endpoints, usable)
 
     async def run(self) -> None:
-        """End leases, probe sick workers and hand out slots, until cancelled."""
+        """End leases, probe sick endpoints and hand out slots, until cancelled."""
         while True:
             await asyncio.sleep(_TICK_S)
             now_ms = monotonic_ms()
             for name, shard in list(self._shards.items()):
                 shard.tick(now_ms)
                 shard.drop_lost(self._is_live)
-                for worker in shard.to_prove(now_ms):
-                    shard.note_dead(worker, now_ms)
-                    self._spawn(self._prove(shard, worker))
+                for endpoint in shard.to_prove(now_ms):
+                    shard.note_dead(endpoint, now_ms)
+                    self._spawn(self._prove(shard, endpoint))
                 self._hand_out(name, shard)
                 self._metrics.gauge(f"leases.{name}", shard.lease_count)
                 self._metrics.gauge(f"queue.{name}", shard.queued)
 
-    async def _prove(self, shard: Shard, worker: str) -> None:
+    async def _prove(self, shard: Shard, endpoint: str) -> None:
         self._metrics.count("messages.wasted.probe")
-        if await self._proves_life(worker):
-            shard.prove(worker)
+        if await self._proves_life(endpoint):
+            shard.prove(endpoint)
 
     def _take_over(self, name: str) -> Shard:
         shard = Shard(self._settings, self._policy, self._lease_ids)
@@ -160,7 +160,7 @@
             shard.cancel(sender, message.request_id)
 
     def _on_return(self, _sender: str, message: SlotReturn) -> None:
-        name = self._shard_of_worker.get(message.worker, "")
+        name = self._shard_of_endpoint.get(message.endpoint, "")
         shard = self._shards.get(name)
         if shard is None:
             self._metrics.count("messages.wasted.return")
@@ -171,7 +171,7 @@
     def _on_hold(self, sender: str, message: SlotHold) -> None:
         now_ms = monotonic_ms()
         for held in message.leases:
-            shard = self._shards.get(self._shard_of_worker.get(held.worker, ""))
+            shard = self._shards.get(self._shard_of_endpoint.get(held.endpoint, ""))
             if shard is not None:
                 shard.hold(sender, held, now_ms)
 
--- a/src/foldloom/placement/messages.py
+++ b/src/foldloom/placement/messages.py
@@ -15,7 +15,7 @@
     Args:
         request_id: The coordinator's number for it; sent again it counts once.
         shard: The shard whose slots are wanted.
-        service: Whose workers may serve.
+        service: Whose endpoints may serve.
         member: On whose account.
         tasks: How many tasks wait.
         left_ms: How long until the job's deadline.
@@ -36,13 +36,13 @@
 
     Args:
         request_id: The request that it serves.
-        worker: The worker's name.
+        endpoint: The endpoint's name.
         lease_id: Unique among all leases ever made.
         ttl_ms: How long the lease lasts if it is not renewed.
     """
 
     request_id: int
-    worker: str
+    endpoint: str
     lease_id: int
     ttl_ms: int
 
@@ -75,14 +75,14 @@
 
     Args:
         lease_id: The lease.
-        worker: The worker's name.
+        endpoint: The endpoint's name.
         service: The service whose task ran.
-        service_ms: How long the task took at the worker.
+        service_ms: How long the task took at the endpoint.
         use: What came of it.
     """
 
     lease_id: int
-    worker: str
+    endpoint: str
     service: str
     service_ms: float
     use: SlotUse
@@ -92,7 +92,7 @@
     """A lease that a coordinator holds."""
 
     lease_id: int
-    worker: str
+    endpoint: str
     service: str
     member: str
     age_ms: int
--- a/src/foldloom/placement/policies.py
+++ b/src/foldloom/placement/policies.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which worker a task goes to: one function, a policy for each way.
+"""Which endpoint a task goes to: one function, a policy for each way.
 
 Every policy sees the same :class:`View` and returns a :class:`Choice`, or ``None`` to wait.
 """
@@ -13,10 +13,10 @@
 
 
 class View(NamedTuple):
-    """What a decision is made on; the maps are by worker.
+    """What a decision is made on; the maps are by endpoint.
 
     Args:
-        workers: The workers that may serve the task, the fastest first.
+        endpoints: The endpoints that may serve the task, the fastest first.
         mean_ms: The expected service time there.
         free_slots: Slots that no lease holds.
         busy_slots: Slots that a lease holds.
@@ -27,7 +27,7 @@
             the more, the shorter the job.
     """
 
-    workers: Sequence[str]
+    endpoints: Sequence[str]
     mean_ms: Mapping[str, float] = {}
     free_slots: Mapping[str, int] = {}
     busy_slots: Mapping[str, int] = {}
@@ -38,30 +38,30 @@
 
 
 class Choice(NamedTuple):
-    """A worker, and whether it is one of the fast ones."""
+    """An endpoint, and whether it is one of the fast ones."""
 
-    worker: str
+    endpoint: str
     is_fast: bool = True
 
 
 class RandomChoice(NamedTuple):
-    """Any worker, evenly."""
+    """Any endpoint, evenly."""
 
 
 class LeastLocalCount(NamedTuple):
-    """The worker with the fewest of this box's own tasks."""
+    """The endpoint with the fewest of this box's own tasks."""
 
 
 class PowerOfTwo(NamedTuple):
-    """The lesser loaded of two random workers, by the lagging report."""
+    """The lesser loaded of two random endpoints, by the lagging report."""
 
 
 class SlotLeases(NamedTuple):
     """A free slot by least expected finish time, from leases.
 
     Args:
-        alike: Workers within this ratio of the reference count as fast.
-        reference_share: The reference is the worker at this share of the order by speed: a
+        alike: Endpoints within this ratio of the reference count as fast.
+        reference_share: The reference is the endpoint at this share of the order by speed: a
             single lucky measurement must not make all others look slow.
     """
 
@@ -81,39 +81,39 @@
 
 @singledispatch
 def choose(policy: Any, _view: View) -> Choice | None:
-    """Return the worker for one task under *policy*, or ``None`` to wait."""
+    """Return the endpoint for one task under *policy*, or ``None`` to wait."""
     raise TypeError(f"no policy {type(policy).__name__}")
 
 
 @choose.register
 def _(_policy: RandomChoice, view: View) -> Choice | None:
-    if not view.workers:
+    if not view.endpoints:
         return None
-    return Choice(random.choice(view.workers))
+    return Choice(random.choice(view.endpoints))
 
 
 @choose.register
 def _(_policy: LeastLocalCount, view: View) -> Choice | None:
-    if not view.workers:
+    if not view.endpoints:
         return None
-    fewest = min(view.local_count.get(worker, 0) for worker in view.workers)
-    least = [one for one in view.workers if view.local_count.get(one, 0) == fewest]
+    fewest = min(view.local_count.get(endpoint, 0) for endpoint in view.endpoints)
+    least = [one for one in view.endpoints if view.local_count.get(one, 0) == fewest]
     return Choice(random.choice(least))
 
 
 @choose.register
 def _(_policy: PowerOfTwo, view: View) -> Choice | None:
-    if not view.workers:
+    if not view.endpoints:
         return None
-    pair = random.sample(view.workers, min(2, len(view.workers)))
+    pair = random.sample(view.endpoints, min(2, len(view.endpoints)))
     return Choice(min(pair, key=lambda one: _known_count(view, one)))
 
 
 @choose.register
 def _(policy: SlotLeases, view: View) -> Choice | None:
-    if not view.workers:
+    if not view.endpoints:
         return None
-    reference = view.workers[int(len(view.workers) * policy.reference_share)]
+    reference = view.endpoints[int(len(view.endpoints) * policy.reference_share)]
     reference_ms = view.mean_ms[reference]
     fast, slow = _split(view, reference_ms * policy.alike)
     most_free = max(fast, key=lambda one: view.free_slots[one])
@@ -136,12 +136,12 @@
 
 
 def _split(view: View, fast_limit_ms: float) -> tuple[Sequence[str], Sequence[str]]:
-    """Return the fast workers and the slow ones; there is always a fast one."""
+    """Return the fast endpoints and the slow ones; there is always a fast one."""
     place = 1
-    while place < len(view.workers) and view.mean_ms[view.workers[place]] <= fast_limit_ms:
+    while place < len(view.endpoints) and view.mean_ms[view.endpoints[place]] <= fast_limit_ms:
         place += 1
-    return view.workers[:place], view.workers[place:]
+    return view.endpoints[:place], view.endpoints[place:]
 
 
-def _known_count(view: View, worker: str) -> int:
-    return view.reported_count.get(worker, 0) + view.local_count.get(worker, 0)
+def _known_count(view: View, endpoint: str) -> int:
+    return view.reported_count.get(endpoint, 0) + view.local_count.get(endpoint, 0)
--- a/src/foldloom/placement/retries.py
+++ b/src/foldloom/placement/retries.py
@@ -3,12 +3,12 @@
 
 from __future__ import annotations
 
-from foldloom.controllers.config import RESTART_AFTER_WORKER_DEATH, Service
+from foldloom.controllers.config import RESTART_AFTER_ENDPOINT_DEATH, Service
 from foldloom.verdicts import Problem, Run
 
 _TOKENS_START = 10.0
 _TOKENS_MAX = 100.0
-_WORKER_DEATHS = ("worker-lost",)
+_ENDPOINT_DEATHS = ("worker-lost",)
 
 
 class RetryBudget:
@@ -43,10 +43,10 @@
     """Return whether a task may be attempted again after *problem*.
 
     An attempt that certainly did not run may always be. One that may have run may be only
-    after its worker died, only if the service says so and the request is repeatable.
+    after its endpoint died, only if the service says so and the request is repeatable.
     """
     if problem.run is Run.NOT_RUN:
         return True
-    if service["restart"] != RESTART_AFTER_WORKER_DEATH:
+    if service["restart"] != RESTART_AFTER_ENDPOINT_DEATH:
         return False
-    return is_repeatable and problem.reason in _WORKER_DEATHS
+    return is_repeatable and problem.reason in _ENDPOINT_DEATHS
--- a/src/foldloom/placement/shard.py
+++ b/src/foldloom/placement/shard.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from foldloom.controllers.config import Config, workers_of
+from foldloom.controllers.config import Config, endpoints_of
 from foldloom.placement.admission import RETRY_MAX_MS, LoadSeen, judge
 from foldloom.placement.health import Health
 from foldloom.placement.messages import (
@@ -34,14 +34,14 @@
 _SHORT_SHARE = 0.03
 _SHARE_PER_DOUBLING = 0.035
 _SHARE_MAX = 0.5
-_NO_WORKER_RETRY_MS = 1_000
+_NO_ENDPOINT_RETRY_MS = 1_000
 
 
 class Lease(NamedTuple):
     """A slot in a coordinator's hands."""
 
     lease_id: int
-    worker: str
+    endpoint: str
     service: str
     member: str
     coordinator: str
@@ -57,7 +57,7 @@
 
 
 class Shard:
-    """The workers of one shard.
+    """The endpoints of one shard.
 
     Args:
         settings: Limits and timings.
@@ -71,7 +71,7 @@
         self._lease_ids = lease_ids
         self._config: Config | None = None
         self._usable: set[str] = set()
-        self._workers_of: dict[str, list[str]] = {}
+        self._endpoints_of: dict[str, list[str]] = {}
         self._leases: dict[int, Lease] = {}
         self._busy: dict[str, int] = {}
         self._free: dict[str, int] = {}
@@ -93,7 +93,7 @@
 
     @property
     def free_slots(self) -> int:
-        """How many slots no lease holds, on workers that get work."""
+        """How many slots no lease holds, on endpoints that get work."""
         return sum(self._free.values())
 
     @property
@@ -106,16 +106,16 @@
         events, self._events = self._events, []
         return events
 
-    def set_workers(self, config: Config, names: list[str], usable: set[str]) -> None:
-        """Take the configuration: *names* are this shard's workers, *usable* get work."""
+    def set_endpoints(self, config: Config, names: list[str], usable: set[str]) -> None:
+        """Take the configuration: *names* are this shard's endpoints, *usable* get work."""
         self._config = config
         self._usable = usable.intersection(names)
         members = set(names)
-        self._workers_of = {
-            service: [name for name in workers_of(config, service) if name in members]
+        self._endpoints_of = {
+            service: [name for name in endpoints_of(config, service) if name in members]
             for service in config.services
         }
-        self._free = {worker: self._free_of(worker, 0.0) for worker in self._usable}
+        self._free = {endpoint: self._free_of(endpoint, 0.0) for endpoint in self._usable}
         self._refresh_views()
 
     def add(self, coordinator: str, request: SlotRequest) -> SlotRefusal | None:
@@ -147,7 +147,7 @@
         self._lend(
             Lease(
                 held.lease_id,
-                held.worker,
+                held.endpoint,
                 held.service,
                 held.member,
                 coordinator,
@@ -162,46 +162,46 @@
         if lease is not None:
             self._end(lease)
         if message.use is SlotUse.DONE:
-            self._speeds.note(message.service, message.worker, message.service_ms, now_ms)
+            self._speeds.note(message.service, message.endpoint, message.service_ms, now_ms)
             self._judge_success(message, now_ms)
         elif message.use in (SlotUse.FAILED, SlotUse.NOT_RUN):
-            self._note_failure(message.worker, now_ms)
+            self._note_failure(message.endpoint, now_ms)
 
-    def prove(self, worker: str) -> None:
-        """Note that an ejected worker answers again, so that a task may probe it."""
-        self._proven.add(worker)
+    def prove(self, endpoint: str) -> None:
+        """Note that an ejected endpoint answers again, so that a task may probe it."""
+        self._proven.add(endpoint)
 
     def to_prove(self, now_ms: float) -> list[str]:
-        """Return the ejected workers that are due for a sign of life."""
+        """Return the ejected endpoints that are due for a sign of life."""
         return [
-            worker
-            for worker in self._usable
-            if self._health.is_ejected(worker)
-            and worker not in self._proven
-            and self._health.may_probe(worker, now_ms)
+            endpoint
+            for endpoint in self._usable
+            if self._health.is_ejected(endpoint)
+            and endpoint not in self._proven
+            and self._health.may_probe(endpoint, now_ms)
         ]
 
-    def note_dead(self, worker: str, now_ms: float) -> None:
-        """Note that an ejected worker gave no sign of life."""
-        self._health.eject(worker, len(self._usable), now_ms)
+    def note_dead(self, endpoint: str, now_ms: float) -> None:
+        """Note that an ejected endpoint gave no sign of life."""
+        self._health.eject(endpoint, len(self._usable), now_ms)
 
     def tick(self, now_ms: float) -> None:
-        """End leases that were not renewed and eject workers whose tasks are overdue."""
+        """End leases that were not renewed and eject endpoints whose tasks are overdue."""
         ttl = self._settings.timings.lease_ttl_ms
         overdue: dict[str, int] = {}
         for lease in list(self._leases.values()):
             if now_ms - lease.renewed_ms > ttl:
-                self._events.append(f"Lease {lease.lease_id} on {lease.worker} ran out.")
+                self._events.append(f"Lease {lease.lease_id} on {lease.endpoint} ran out.")
                 self._end(lease)
                 continue
-            limit = _OVERDUE_RATIO * self._speeds.mean_ms(lease.service, lease.worker)
+            limit = _OVERDUE_RATIO * self._speeds.mean_ms(lease.service, lease.endpoint)
             if now_ms - lease.since_ms > max(_OVERDUE_MIN_MS, limit):
-                overdue[lease.worker] = overdue.get(lease.worker, 0) + 1
-        for worker, count in overdue.items():
-            if count * 2 >= self._busy.get(worker, 0) and not self._health.is_ejected(worker):
-                self._eject(worker, "its tasks are overdue", now_ms)
-        for worker in self._usable:
-            self._free[worker] = self._free_of(worker, now_ms)
+                overdue[lease.endpoint] = overdue.get(lease.endpoint, 0) + 1
+        for endpoint, count in overdue.items():
+            if count * 2 >= self._busy.get(endpoint, 0) and not self._health.is_ejected(endpoint):
+                self._eject(endpoint, "its tasks are overdue", now_ms)
+        for endpoint in self._usable:
+            self._free[endpoint] = self._free_of(endpoint, now_ms)
         self._speeds.doubt_stale(now_ms)
         self._granted.refresh(now_ms)
         self._refresh_views()
@@ -246,9 +246,9 @@
         view = self._views.get(service)
         if view is None or self._is_service_full(service):
             return None
-        for worker in self._proven:
-            if self._free.get(worker) and worker in view.workers:
-                return Choice(worker, is_fast=False)
+        for endpoint in self._proven:
+            if self._free.get(endpoint) and endpoint in view.endpoints:
+                return Choice(endpoint, is_fast=False)
         newest = self._queue.newest_of(service)
         job_size = self._job_size(service, newest.request.job_tasks)
         queued_ahead = self._queue.tasks_of_service(service) - 1
@@ -271,7 +271,7 @@
 
         One that has a slow one already, as its job ends late anyway; else the newest, which
         has waited least and would wait longest for a fast one. Once the queue is long, the
-        first: everybody waits for longer than a slow worker takes.
+        first: everybody waits for longer than a slow endpoint takes.
         """
         if self.expected_wait_ms(service) > _LONG_QUEUE_MEANS * self._speeds.service_mean_ms(
             service
@@ -287,8 +287,8 @@
         return newest
 
     def _refresh_views(self) -> None:
-        """Order each service's workers by speed anew."""
-        for service, names in self._workers_of.items():
+        """Order each service's endpoints by speed anew."""
+        for service, names in self._endpoints_of.items():
             means = {
                 name: self._speeds.mean_ms(service, name) for name in names if name in self._usable
             }
@@ -297,27 +297,27 @@
             self._sizes[service] = self._speeds.sizes(service)
             self._rates[service] = self._rate_now(service)
 
-    def _free_of(self, worker: str, now_ms: float) -> int:
-        """Return the free slots of *worker*; an ejected one has one if it may be probed."""
-        if self._config is None or worker not in self._config.endpoints:
+    def _free_of(self, endpoint: str, now_ms: float) -> int:
+        """Return the free slots of *endpoint*; an ejected one has one if it may be probed."""
+        if self._config is None or endpoint not in self._config.endpoints:
             return 0
-        busy = self._busy.get(worker, 0)
-        if self._health.is_ejected(worker):
-            may_probe = worker in self._proven and self._health.may_probe(worker, now_ms)
+        busy = self._busy.get(endpoint, 0)
+        if self._health.is_ejected(endpoint):
+            may_probe = endpoint in self._proven and self._health.may_probe(endpoint, now_ms)
             return 1 if may_probe and not busy else 0
-        return max(0, self._config.endpoints[worker]["slots"] - busy)
+        return max(0, self._config.endpoints[endpoint]["slots"] - busy)
 
     def _grant(self, pending: Pending, choice: Choice, now_ms: float) -> Grant:
-        request, worker = pending.request, choice.worker
+        request, endpoint = pending.request, choice.endpoint
         pending.has_slow = pending.has_slow or not choice.is_fast
         lease_id = next(self._lease_ids)
-        if self._health.is_ejected(worker):
-            self._proven.discard(worker)
-            self._events.append(f"Probe {worker} with one task.")
+        if self._health.is_ejected(endpoint):
+            self._proven.discard(endpoint)
+            self._events.append(f"Probe {endpoint} with one task.")
         self._lend(
             Lease(
                 lease_id,
-                worker,
+                endpoint,
                 request.service,
                 request.member,
                 pending.coordinator,
@@ -328,14 +328,14 @@
         self._queue.take_one(pending)
         self._granted.note(request.member)
         ttl = self._settings.timings.lease_ttl_ms
-        message = SlotGrant(request.request_id, worker, lease_id, ttl)
+        message = SlotGrant(request.request_id, endpoint, lease_id, ttl)
         return Grant(pending.coordinator, message)
 
     def _judge(self, request: SlotRequest) -> SlotRefusal | None:
         """Return a refusal if the request can't be served in time."""
-        workers = self._workers_of.get(request.service, ())
-        if not any(worker in self._usable for worker in workers):
-            return SlotRefusal(request.request_id, "no-worker", _NO_WORKER_RETRY_MS)
+        endpoints = self._endpoints_of.get(request.service, ())
+        if not any(endpoint in self._usable for endpoint in endpoints):
+            return SlotRefusal(request.request_id, "no-worker", _NO_ENDPOINT_RETRY_MS)
         active = self._queue.members | self._granted.members | {request.member}
         seen = LoadSeen(
             self.queued,
@@ -352,9 +352,9 @@
         """Return how many tasks of *service* the shard can finish a millisecond."""
         assert self._config is not None
         return sum(
-            self._config.endpoints[worker]["slots"] / mean_ms
-            for worker, mean_ms in self._views[service].mean_ms.items()
-            if not self._health.is_ejected(worker)
+            self._config.endpoints[endpoint]["slots"] / mean_ms
+            for endpoint, mean_ms in self._views[service].mean_ms.items()
+            if not self._health.is_ejected(endpoint)
         )
 
     def _quota_of(self, member: str) -> int:
@@ -383,44 +383,44 @@
         self._count(lease, -1)
 
     def _count(self, lease: Lease, by: int) -> None:
-        self._busy[lease.worker] = self._busy.get(lease.worker, 0) + by
+        self._busy[lease.endpoint] = self._busy.get(lease.endpoint, 0) + by
         for key in (("member", lease.member), ("service", lease.service)):
             self._running[key] = self._running.get(key, 0) + by
-        if lease.worker in self._free:
-            self._free[lease.worker] = self._free_of(lease.worker, lease.renewed_ms)
+        if lease.endpoint in self._free:
+            self._free[lease.endpoint] = self._free_of(lease.endpoint, lease.renewed_ms)
 
     def _judge_success(self, message: SlotReturn, now_ms: float) -> None:
-        """Eject a worker that is far slower than its peers; take one back that is not."""
-        worker = message.worker
-        sick_ms = _SICK_RATIO * self._peer_mean_ms(message.service, worker)
-        if not self._health.is_ejected(worker):
-            if self._speeds.mean_ms(message.service, worker) > sick_ms:
-                self._eject(worker, "it is far slower than its peers", now_ms)
+        """Eject an endpoint that is far slower than its peers; take one back that is not."""
+        endpoint = message.endpoint
+        sick_ms = _SICK_RATIO * self._peer_mean_ms(message.service, endpoint)
+        if not self._health.is_ejected(endpoint):
+            if self._speeds.mean_ms(message.service, endpoint) > sick_ms:
+                self._eject(endpoint, "it is far slower than its peers", now_ms)
             return
         # The probe itself counts: the average still holds the tasks that hung.
         if message.service_ms > sick_ms:
-            self._health.eject(worker, len(self._usable), now_ms)
+            self._health.eject(endpoint, len(self._usable), now_ms)
             return
-        self._proven.add(worker)
-        if self._health.note_success(worker):
-            self._proven.discard(worker)
-            self._speeds.forget(worker)
-            self._events.append(f"{worker} is well again.")
-
-    def _peer_mean_ms(self, service: str, worker: str) -> float:
-        """Return the median service time of the workers of *service*."""
+        self._proven.add(endpoint)
+        if self._health.note_success(endpoint):
+            self._proven.discard(endpoint)
+            self._speeds.forget(endpoint)
+            self._events.append(f"{endpoint} is well again.")
+
+    def _peer_mean_ms(self, service: str, endpoint: str) -> float:
+        """Return the median service time of the endpoints of *service*."""
         view = self._views.get(service)
-        if view is None or not view.workers:
-            return self._speeds.mean_ms(service, worker)
-        return view.mean_ms[view.workers[len(view.workers) // 2]]
-
-    def _note_failure(self, worker: str, now_ms: float) -> None:
-        was_ejected = self._health.is_ejected(worker)
-        is_ejected = self._health.note_failure(worker, len(self._usable), now_ms)
-        self._proven.discard(worker)
+        if view is None or not view.endpoints:
+            return self._speeds.mean_ms(service, endpoint)
+        return view.mean_ms[view.endpoints[len(view.endpoints) // 2]]
+
+    def _note_failure(self, endpoint: str, now_ms: float) -> None:
+        was_ejected = self._health.is_ejected(endpoint)
+        is_ejected = self._health.note_failure(endpoint, len(self._usable), now_ms)
+        self._proven.discard(endpoint)
         if is_ejected and not was_ejected:
-            self._events.append(f"Eject {worker}: it failed again and again.")
+            self._events.append(f"Eject {endpoint}: it failed again and again.")
 
-    def _eject(self, worker: str, why: str, now_ms: float) -> None:
-        if self._health.eject(worker, len(self._usable), now_ms):
-            self._events.append(f"Eject {worker}: {why}.")
+    def _eject(self, endpoint: str, why: str, now_ms: float) -> None:
+        if self._health.eject(endpoint, len(self._usable), now_ms):
+            self._events.append(f"Eject {endpoint}: {why}.")
--- a/src/foldloom/placement/shards.py
+++ b/src/foldloom/placement/shards.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Which lease manager hands out which workers' slots.
+"""Which lease manager hands out which endpoints' slots.
 
-Workers are grouped into shards; each shard has one lease manager: the live entry box that
+Endpoints are grouped into shards; each shard has one lease manager: the live entry box that
 rendezvous hashing picks. A small fleet is one shard, so that one queue sees every slot; a
 larger one is split by zone, then by hash.
 """
@@ -12,21 +12,21 @@
 
 import xxhash
 
-from foldloom.controllers.config import Config, Worker
+from foldloom.controllers.config import Config, Endpoint
 
 FLEET = "fleet"
 
 
-def shard_names(config: Config, shard_workers_max: int) -> dict[str, list[str]]:
-    """Return the workers of each shard, by the shard's name."""
-    if len(config.endpoints) <= shard_workers_max:
+def shard_names(config: Config, shard_endpoints_max: int) -> dict[str, list[str]]:
+    """Return the endpoints of each shard, by the shard's name."""
+    if len(config.endpoints) <= shard_endpoints_max:
         return {FLEET: list(config.endpoints)} if config.endpoints else {}
     by_zone: dict[str, list[str]] = {}
-    for name, worker in config.endpoints.items():
-        by_zone.setdefault(worker["zone"], []).append(name)
+    for name, endpoint in config.endpoints.items():
+        by_zone.setdefault(endpoint["zone"], []).append(name)
     shards: dict[str, list[str]] = {}
     for zone, names in by_zone.items():
-        count = -(-len(names) // shard_workers_max)
+        count = -(-len(names) // shard_endpoints_max)
         for name in names:
             shards.setdefault(f"{zone}/{_bucket(name, count)}", []).append(name)
     return shards
@@ -75,9 +75,9 @@
         self._managers.clear()
 
 
-def may_take(worker: Worker, reachable_zones: set[str]) -> bool:
-    """Return whether *worker* lies in a zone that can be reached."""
-    return worker["zone"] in reachable_zones
+def may_take(endpoint: Endpoint, reachable_zones: set[str]) -> bool:
+    """Return whether *endpoint* lies in a zone that can be reached."""
+    return endpoint["zone"] in reachable_zones
 
 
 def _bucket(name: str, count: int) -> int:
--- a/src/foldloom/placement/slots.py
+++ b/src/foldloom/placement/slots.py
@@ -2,7 +2,7 @@
 """A coordinator's side of slots: ask for them, hold them, give them back.
 
 Two sources with the same calls: :class:`LeasedSlots` asks lease managers;
-:class:`DirectSlots` picks a worker at once by a baseline policy, without any lease.
+:class:`DirectSlots` picks an endpoint at once by a baseline policy, without any lease.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
     Args:
         lease_id: The lease; 0 for a direct pick.
-        worker: The worker's name.
+        endpoint: The endpoint's name.
         service: The service it was asked for.
         member: On whose account.
         granted_ms: Own monotonic clock at its arrival.
@@ -50,7 +50,7 @@
     """
 
     lease_id: int
-    worker: str
+    endpoint: str
     service: str
     member: str
     granted_ms: float
@@ -64,7 +64,7 @@
 
     Args:
         request_id: This box's number for it.
-        service: Whose workers may serve.
+        service: Whose endpoints may serve.
         member: On whose account.
         deadline_ms: The job's deadline on the own monotonic clock.
         job_tasks: How many tasks the whole job has.
@@ -171,8 +171,8 @@
         self._held.pop(slot.lease_id, None)
         if use is SlotUse.UNUSED:
             self._metrics.count("messages.wasted.unused-slot")
-        message = SlotReturn(slot.lease_id, slot.worker, slot.service, service_ms, use)
-        self._send(message, self._manager_of_worker(slot.worker))
+        message = SlotReturn(slot.lease_id, slot.endpoint, slot.service, service_ms, use)
+        self._send(message, self._manager_of_endpoint(slot.endpoint))
 
     async def run(self) -> None:
         """Renew leases, and ask again where a lease manager was lost, until cancelled."""
@@ -207,7 +207,7 @@
             names = shard_names(config, self._settings.limits.lease_shard_endpoints)
             self._shards = (config.version, names)
             self._shard_of = {
-                worker: shard for shard, workers in names.items() for worker in workers
+                endpoint: shard for shard, endpoints in names.items() for endpoint in endpoints
             }
         return self._shards[1]
 
@@ -218,9 +218,9 @@
         self._managers = managers
         return changed
 
-    def _manager_of_worker(self, worker: str) -> str:
+    def _manager_of_endpoint(self, endpoint: str) -> str:
         self._shard_names()
-        shard = self._shard_of.get(worker, "")
+        shard = self._shard_of.get(endpoint, "")
         return self._manager_of(shard) if shard else ""
 
     def _pick_shard(self) -> str:
@@ -265,13 +265,15 @@
         now_ms = monotonic_ms()
         want = self._wants.get(message.request_id)
         if want is None or want.outstanding == 0:
-            slot = Slot(message.lease_id, message.worker, "", "", now_ms, now_ms)
+            slot = Slot(message.lease_id, message.endpoint, "", "", now_ms, now_ms)
             self.give_back(slot, 0.0, SlotUse.UNUSED)
             return
         want.outstanding -= 1
         want.touched_ms = now_ms
         expires_ms = now_ms + message.ttl_ms - _SAFETY_MS
-        slot = Slot(message.lease_id, message.worker, want.service, want.member, now_ms, expires_ms)
+        slot = Slot(
+            message.lease_id, message.endpoint, want.service, want.member, now_ms, expires_ms
+        )
         self._held[slot.lease_id] = slot
         want.arrivals.put_nowait(slot)
 
@@ -286,20 +288,24 @@
         by_manager: dict[str, list[HeldSlot]] = {}
         for slot in self._held.values():
             held = HeldSlot(
-                slot.lease_id, slot.worker, slot.service, slot.member, int(now_ms - slot.granted_ms)
+                slot.lease_id,
+                slot.endpoint,
+                slot.service,
+                slot.member,
+                int(now_ms - slot.granted_ms),
             )
-            by_manager.setdefault(self._manager_of_worker(slot.worker), []).append(held)
+            by_manager.setdefault(self._manager_of_endpoint(slot.endpoint), []).append(held)
         for box, leases in by_manager.items():
             self._send(SlotHold(leases), box)
 
 
 class DirectSlots:
-    """A worker at once by a baseline policy.
+    """An endpoint at once by a baseline policy.
 
     Args:
         policy: The policy.
-        candidates: Returns the usable workers of a service and their mean service times.
-        reported: Returns each worker's running tasks by its lagging report.
+        candidates: Returns the usable endpoints of a service and their mean service times.
+        reported: Returns each endpoint's running tasks by its lagging report.
     """
 
     def __init__(
@@ -319,7 +325,7 @@
         return Want(next(self._ids), service, member, deadline_ms, job_tasks)
 
     def ask(self, want: Want, count: int) -> None:
-        """Pick *count* workers at once."""
+        """Pick *count* endpoints at once."""
         reported = self._reported()
         for _ in range(count):
             view = View(
@@ -329,10 +335,10 @@
             if choice is None:
                 want.arrivals.put_nowait(SlotRefusal(want.request_id, "no-worker", _RESEND_MS))
                 return
-            worker = choice.worker
-            self._local[worker] = self._local.get(worker, 0) + 1
+            endpoint = choice.endpoint
+            self._local[endpoint] = self._local.get(endpoint, 0) + 1
             now_ms = monotonic_ms()
-            slot = Slot(0, worker, want.service, want.member, now_ms, want.deadline_ms)
+            slot = Slot(0, endpoint, want.service, want.member, now_ms, want.deadline_ms)
             want.arrivals.put_nowait(slot)
 
     def close(self, want: Want) -> None:
@@ -344,4 +350,4 @@
 
     def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
         """Give a slot back."""
-        self._local[slot.worker] = self._local.get(slot.worker, 1) - 1
+        self._local[slot.endpoint] = self._local.get(slot.endpoint, 1) - 1
--- a/src/foldloom/placement/speeds.py
+++ b/src/foldloom/placement/speeds.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How fast each worker runs each service, from what its tasks took."""
+"""How fast each endpoint runs each service, from what its tasks took."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Speed(NamedTuple):
-    """The moving average of a worker's service time.
+    """The moving average of an endpoint's service time.
 
     Args:
         mean_ms: The average, milliseconds.
@@ -29,40 +29,40 @@
 
 
 class SpeedTable:
-    """Moving averages for each service and worker."""
+    """Moving averages for each service and endpoint."""
 
     def __init__(self) -> None:
-        self._by_worker: dict[tuple[str, str], Speed] = {}
+        self._by_endpoint: dict[tuple[str, str], Speed] = {}
         self._by_service: dict[str, Speed] = {}
         self._sizes: dict[str, deque[float]] = {}
 
     def note(
         self,
         service: str,
-        worker: str,
+        endpoint: str,
         service_ms: float,
         now_ms: float = 0.0,
     ) -> None:
-        """Take in that a task of *service* took *service_ms* on *worker*."""
-        known = self._by_worker.get((service, worker))
+        """Take in that a task of *service* took *service_ms* on *endpoint*."""
+        known = self._by_endpoint.get((service, endpoint))
         if known is not None and known.samples >= _SAMPLES_TO_TRUST:
             sizes = self._sizes.setdefault(service, deque(maxlen=_SIZES_KEPT))
             sizes.append(service_ms / known.mean_ms)
-        self._by_worker[service, worker] = _averaged(known, service_ms, _ALPHA, now_ms)
+        self._by_endpoint[service, endpoint] = _averaged(known, service_ms, _ALPHA, now_ms)
         before = self._by_service.get(service)
         self._by_service[service] = _averaged(before, service_ms, _ALPHA, now_ms)
 
     def service_mean_ms(self, service: str) -> float:
-        """Return the mean service time of *service* over all workers."""
+        """Return the mean service time of *service* over all endpoints."""
         known = self._by_service.get(service)
         return _DEFAULT_MS if known is None else known.mean_ms
 
-    def mean_ms(self, service: str, worker: str) -> float:
-        """Return the expected service time of *service* on *worker*.
+    def mean_ms(self, service: str, endpoint: str) -> float:
+        """Return the expected service time of *service* on *endpoint*.
 
-        A worker with few samples is taken for average, so that it gets work and is measured.
+        An endpoint with few samples is taken for average, so that it gets work and is measured.
         """
-        known = self._by_worker.get((service, worker))
+        known = self._by_endpoint.get((service, endpoint))
         if known is None or known.samples < _SAMPLES_TO_TRUST:
             return self.service_mean_ms(service)
         return known.mean_ms
@@ -71,17 +71,17 @@
         """Return the latest tasks' sizes, in rising order; 1 is a mean task."""
         return sorted(self._sizes.get(service, ()))
 
-    def forget(self, worker: str) -> None:
-        """Drop what is known of *worker*."""
-        for key in [key for key in self._by_worker if key[1] == worker]:
-            del self._by_worker[key]
+    def forget(self, endpoint: str) -> None:
+        """Drop what is known of *endpoint*."""
+        for key in [key for key in self._by_endpoint if key[1] == endpoint]:
+            del self._by_endpoint[key]
 
     def doubt_stale(self, now_ms: float) -> None:
-        """Trust no average that is old, so that a worker that nobody picks is measured again."""
-        for key, known in self._by_worker.items():
+        """Trust no average that is old, so that an endpoint that nobody picks is measured again."""
+        for key, known in self._by_endpoint.items():
             if now_ms - known.seen_ms > _STALE_MS and known.samples >= _SAMPLES_TO_TRUST:
                 doubted = known._replace(samples=_SAMPLES_TO_TRUST - _SAMPLES_TO_RENEW)
-                self._by_worker[key] = doubted
+                self._by_endpoint[key] = doubted
 
 
 def _averaged(known: Speed | None, value: float, alpha: float, now_ms: float) -> Speed:
--- a/src/foldloom/scheduling/__init__.py
+++ b/src/foldloom/scheduling/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""Which run goes to which worker, and when: decisions without sockets."""
+"""Which run goes to which endpoint, and when: decisions without sockets."""
--- a/src/foldloom/scheduling/admission.py
+++ b/src/foldloom/scheduling/admission.py
@@ -20,7 +20,7 @@
     """What could run a group, in thousandths of cores.
 
     Args:
-        total_milli: All workers in use, here and where runs could be moved to.
+        total_milli: All endpoints in use, here and where runs could be moved to.
         free_milli: What nothing takes of it.
     """
 
--- a/src/foldloom/scheduling/endpoints.py
+++ b/src/foldloom/scheduling/endpoints.py
@@ -1,17 +1,17 @@
 # SPDX-License-Identifier: MIT
-"""The workers of a zone as placement sees them."""
+"""The endpoints of a zone as placement sees them."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-from foldloom.endpoints.records import WorkerRecord, WorkerState
+from foldloom.endpoints.records import EndpointRecord, EndpointState
 from foldloom.jobs.spec import Demand, TaskId
 from foldloom.scheduling.rooms import Room, fits
 
 
 class ForeignRun(NamedTuple):
-    """A run that a worker lists and that nobody has claimed yet.
+    """A run that an endpoint lists and that nobody has claimed yet.
 
     Args:
         number: The run's number.
@@ -23,20 +23,20 @@
 
 
 class Candidate:
-    """One worker.
+    """One endpoint.
 
     Args:
         record: What it says of itself.
     """
 
-    def __init__(self, record: WorkerRecord) -> None:
+    def __init__(self, record: EndpointRecord) -> None:
         self.record = record
         self.room = Room(record.capacity)
         self.is_trusted = False
         self.blocked_until_ms = 0.0
         self.foreign: dict[TaskId, ForeignRun] = {}
 
-    def follow(self, record: WorkerRecord) -> None:
+    def follow(self, record: EndpointRecord) -> None:
         """Take a newer record of the same life."""
         self.record = record
         self.room.set_capacity(record.capacity)
@@ -48,7 +48,7 @@
         """
         return (
             self.is_trusted
-            and self.record.state is WorkerState.READY
+            and self.record.state is EndpointState.READY
             and not self.foreign
             and now_ms >= self.blocked_until_ms
         )
--- a/src/foldloom/scheduling/estimates.py
+++ b/src/foldloom/scheduling/estimates.py
@@ -25,7 +25,7 @@
 
 
 class Estimates:
-    """Expected work of tasks, in milliseconds on a worker of speed 1.
+    """Expected work of tasks, in milliseconds on an endpoint of speed 1.
 
     A guess and the queue's mean are weighed by how far each has been off.
     """
--- a/src/foldloom/scheduling/groups.py
+++ b/src/foldloom/scheduling/groups.py
@@ -19,7 +19,7 @@
 
     Args:
         spec: What the runs share.
-        expected_ms: How long one task is expected to take on a worker of speed 1.
+        expected_ms: How long one task is expected to take on an endpoint of speed 1.
     """
 
     def __init__(self, spec: RunSpec, expected_ms: float) -> None:
@@ -75,7 +75,7 @@
         return len(self.waiting) * self.expected_ms * self.spec.demand.cpu_milli / 1_000
 
     def slowest(self, tier_ms: float, now_ms: float) -> float:
-        """Return how slow a worker may be for a task that starts now to end by *tier_ms*.
+        """Return how slow an endpoint may be for a task that starts now to end by *tier_ms*.
 
         Args:
             tier_ms: Until when the job must be answered; own clock.
@@ -85,7 +85,7 @@
         return self.longest_ms / left_ms if left_ms > 0 else math.inf
 
     def start_by(self, speed: float = 1.0) -> float:
-        """Return until when a task may start on a worker of *speed* for the job to be on time."""
+        """Return until when a task on an endpoint of *speed* may start and the job be on time."""
         return self.on_time_ms - _ANSWER_MS - self.longest_ms / speed
 
     def late_start_by(self, speed: float = 1.0) -> float:
@@ -93,7 +93,7 @@
         return self.late_ms - _ANSWER_MS - self.longest_ms / speed
 
     def note_done(self, work_ms: float) -> None:
-        """Learn from one of its tasks, which took *work_ms* on a worker of speed 1."""
+        """Learn from one of its tasks, which took *work_ms* on an endpoint of speed 1."""
         if work_ms > 0:
             self._done_log_sum += math.log(work_ms)
             self._done += 1
--- a/src/foldloom/scheduling/placing.py
+++ b/src/foldloom/scheduling/placing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which waiting run goes to which worker now."""
+"""Which waiting run goes to which endpoint now."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from foldloom.scheduling.policies import HOPELESS, Rank, rank, speed_min
 from foldloom.scheduling.runs import Run
 from foldloom.scheduling.sharing import RESERVED_MS, GroupId, RemoteGroup, RemoteGroups, group_of
-from foldloom.scheduling.speeds import WorkerSpeeds
+from foldloom.scheduling.speeds import EndpointSpeeds
 from foldloom.scheduling.waiting import WaitingRuns
 
 _reservation_numbers = itertools.count(1)
 
 
 class Placed(NamedTuple):
-    """A decision: *run* goes to *worker*."""
+    """A decision: *run* goes to *endpoint*."""
 
     run: Run
-    worker: str
+    endpoint: str
 
 
 class Reservation(NamedTuple):
-    """Room that is kept on a worker, under a number."""
+    """Room that is kept on an endpoint, under a number."""
 
-    worker: str
+    endpoint: str
     number: int
 
 
@@ -51,7 +51,7 @@
 class _Kind(NamedTuple):
     """Runs that fit where any one of them fits.
 
-    ``speed_min`` is how fast a worker must be for the job not to fall into a lower tier.
+    ``speed_min`` is how fast an endpoint must be for the job not to fall into a lower tier.
     """
 
     service: str
@@ -72,13 +72,13 @@
     waiting: WaitingRuns,
     remote: RemoteGroups,
     candidates: Mapping[str, Candidate],
-    speeds: WorkerSpeeds,
+    speeds: EndpointSpeeds,
     now_ms: float,
 ) -> Placing:
     """Return who starts where now, and charge the room; the runs are taken out of the queue."""
     result = Placing([], [])
-    open_workers = [one for one in candidates.values() if one.is_open(now_ms)]
-    if not open_workers:
+    open_endpoints = [one for one in candidates.values() if one.is_open(now_ms)]
+    if not open_endpoints:
         return result
     own, others = waiting.groups, remote.claimable(now_ms)
     order = [_Next(rank(group, now_ms), False, n) for n, group in enumerate(own)]
@@ -86,17 +86,17 @@
     full: set[_Kind] = set()
     for _, is_remote, number in sorted(order):
         if is_remote:
-            _claim(others[number], open_workers, speeds, full, now_ms, result.claimed)
+            _claim(others[number], open_endpoints, speeds, full, now_ms, result.claimed)
         else:
-            _place_own(own[number], waiting, open_workers, speeds, full, now_ms, result.placed)
+            _place_own(own[number], waiting, open_endpoints, speeds, full, now_ms, result.placed)
     return result
 
 
 def _place_own(
     group: Group,
     waiting: WaitingRuns,
-    open_workers: list[Candidate],
-    speeds: WorkerSpeeds,
+    open_endpoints: list[Candidate],
+    speeds: EndpointSpeeds,
     full: set[_Kind],
     now_ms: float,
     placed: list[Placed],
@@ -106,72 +106,72 @@
     if kind in full:
         return
     for run in list(group.waiting.values()):
-        chosen = choose_worker(kind, group_of(run.task), open_workers, speeds)
+        chosen = choose_endpoint(kind, group_of(run.task), open_endpoints, speeds)
         if chosen is None:
-            if not spec.placement.per_worker_max:
+            if not spec.placement.per_endpoint_max:
                 full.add(kind)
             return
         chosen.room.charge(run.task, spec.demand)
         waiting.remove(run.task)
-        placed.append(Placed(run, chosen.record.worker))
+        placed.append(Placed(run, chosen.record.endpoint))
 
 
 def _claim(
     group: RemoteGroup,
-    open_workers: list[Candidate],
-    speeds: WorkerSpeeds,
+    open_endpoints: list[Candidate],
+    speeds: EndpointSpeeds,
     full: set[_Kind],
     now_ms: float,
     claimed: list[Claimed],
 ) -> None:
     summary = group.summary
     kind = _Kind(summary.service, summary.demand, summary.placement, summary.speed_min)
-    # How many of its step a worker has is known only where all of the step is.
-    if kind in full or summary.tier == HOPELESS or summary.placement.per_worker_max:
+    # How many of its step an endpoint has is known only where all of the step is.
+    if kind in full or summary.tier == HOPELESS or summary.placement.per_endpoint_max:
         return
     reservations: list[Reservation] = []
     while group.left > 0:
-        chosen = choose_worker(kind, summary.group, open_workers, speeds)
+        chosen = choose_endpoint(kind, summary.group, open_endpoints, speeds)
         if chosen is None:
             full.add(kind)
             break
         number = next(_reservation_numbers)
         chosen.room.reserve(number, summary.demand, now_ms + RESERVED_MS)
-        reservations.append(Reservation(chosen.record.worker, number))
+        reservations.append(Reservation(chosen.record.endpoint, number))
         group.left -= 1
     if reservations:
         claimed.append(Claimed(group.zone, summary.group, reservations))
 
 
-def choose_worker(
-    kind: _Kind, group: GroupId, open_workers: Iterable[Candidate], speeds: WorkerSpeeds
+def choose_endpoint(
+    kind: _Kind, group: GroupId, open_endpoints: Iterable[Candidate], speeds: EndpointSpeeds
 ) -> Candidate | None:
-    """Return the best worker with room, if any: near the data, fast, tightly filled."""
-    fitting = [one for one in open_workers if _may_run(kind, group, one, speeds)]
+    """Return the best endpoint with room, if any: near the data, fast, tightly filled."""
+    fitting = [one for one in open_endpoints if _may_run(kind, group, one, speeds)]
     if not fitting:
         return None
     return max(fitting, key=lambda one: _preference(kind, one, speeds))
 
 
-def _may_run(kind: _Kind, group: GroupId, candidate: Candidate, speeds: WorkerSpeeds) -> bool:
+def _may_run(kind: _Kind, group: GroupId, candidate: Candidate, speeds: EndpointSpeeds) -> bool:
     record = candidate.record
     if record.service != kind.service or not candidate.takes(kind.demand):
         return False
-    if speeds.speed_of(record.worker) < kind.speed_min:
+    if speeds.speed_of(record.endpoint) < kind.speed_min:
         return False
     placement = kind.placement
     if placement.label and placement.label not in record.labels:
         return False
-    if not placement.per_worker_max:
+    if not placement.per_endpoint_max:
         return True
-    return candidate.room.count_of(group.job_id, group.step) < placement.per_worker_max
+    return candidate.room.count_of(group.job_id, group.step) < placement.per_endpoint_max
 
 
 def _preference(
-    kind: _Kind, candidate: Candidate, speeds: WorkerSpeeds
+    kind: _Kind, candidate: Candidate, speeds: EndpointSpeeds
 ) -> tuple[bool, float, int, str]:
     rack = kind.placement.rack
     is_near = not rack or rack in candidate.record.labels
     left = candidate.room.free.cpu_milli - kind.demand.cpu_milli
-    worker = candidate.record.worker
-    return (is_near, round(speeds.speed_of(worker), 1), -left, worker)
+    endpoint = candidate.record.endpoint
+    return (is_near, round(speeds.speed_of(endpoint), 1), -left, endpoint)
--- a/src/foldloom/scheduling/policies.py
+++ b/src/foldloom/scheduling/policies.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""In which order waiting groups are served, and how fast a worker each of them needs."""
+"""In which order waiting groups are served, and how fast an endpoint each of them needs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from foldloom.scheduling.groups import Group
 
 ON_TIME, LATE, HOPELESS = 0, 1, 2
-# Estimates are rough: a worker is left out only if it is too slow by more than that.
+# Estimates are rough: an endpoint is left out only if it is too slow by more than that.
 _SPEED_TOLERANCE = 0.75
 
 
@@ -46,7 +46,7 @@
 
 
 def speed_min(group: Group, now_ms: float) -> float:
-    """Return how fast a worker must be for a group to stay in its tier.
+    """Return how fast an endpoint must be for a group to stay in its tier.
 
     It is rounded, so that groups that are alike fit where any of them fits.
     """
--- a/src/foldloom/scheduling/rooms.py
+++ b/src/foldloom/scheduling/rooms.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How much of each worker is taken."""
+"""How much of each endpoint is taken."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class Room:
-    """One worker's capacity and what is charged to it.
+    """One endpoint's capacity and what is charged to it.
 
     Args:
         capacity: All of it.
--- a/src/foldloom/scheduling/runs.py
+++ b/src/foldloom/scheduling/runs.py
@@ -35,7 +35,7 @@
     Args:
         job_id: The job.
         queue: Where it was handed in.
-        service: Whose workers run it.
+        service: Whose endpoints run it.
         text: What its tasks are told.
         demand: What each takes.
         placement: Where they may run.
@@ -69,7 +69,7 @@
     """The present run of one task; at most one of a task is known to an owner.
 
     ``began_ms`` is when this owner ordered the start (0: an earlier owner did);
-    ``stop_known_ms`` when the worker confirmed an order to stop (0: not yet); ``was_ordered``
+    ``stop_known_ms`` when the endpoint confirmed an order to stop (0: not yet); ``was_ordered``
     whether a start of the task was ever ordered here; ``holders`` who wants it, each with the
     number under which it handed the run over last.
 
@@ -93,7 +93,7 @@
         "task",
         "traced_until",
         "was_ordered",
-        "worker",
+        "endpoint",
     )
 
     def __init__(
@@ -104,7 +104,7 @@
         self.spec = spec
         self.state = state
         self.since_ms = since_ms
-        self.worker = ""
+        self.endpoint = ""
         self.began_ms = 0.0
         self.stop_known_ms = 0.0
         self.stop_sent_ms = 0.0
@@ -114,11 +114,11 @@
 
     @property
     def run_id(self) -> RunId:
-        """The run's id on workers."""
+        """The run's id on endpoints."""
         return RunId(self.task, self.number)
 
-    def enter(self, state: RunState, now_ms: float, worker: str = "") -> None:
-        """Go to *state*; *worker* is where it is from then on."""
+    def enter(self, state: RunState, now_ms: float, endpoint: str = "") -> None:
+        """Go to *state*; *endpoint* is where it is from then on."""
         self.was_ordered = self.was_ordered or state is not RunState.QUEUED
         if state is RunState.STARTING:
             self.began_ms = now_ms
@@ -127,15 +127,15 @@
             self.stop_known_ms = 0.0
         self.state = state
         self.since_ms = now_ms
-        self.worker = worker
+        self.endpoint = endpoint
 
 
 class TraceBound(NamedTuple):
     """Until when a run that an earlier owner may have started must be looked for.
 
     Args:
-        reports_after_ms: A look at every worker after this time finds it, if it runs.
-        lost_at_ms: By then its lease has lapsed on any worker.
+        reports_after_ms: A look at every endpoint after this time finds it, if it runs.
+        lost_at_ms: By then its lease has lapsed on any endpoint.
     """
 
     reports_after_ms: float
--- a/src/foldloom/scheduling/sharing.py
+++ b/src/foldloom/scheduling/sharing.py
@@ -35,7 +35,7 @@
 
     Args:
         group: Which.
-        service: Whose workers run it.
+        service: Whose endpoints run it.
         demand: What each task takes.
         placement: Where they may run.
         tier: Its tier.
@@ -43,7 +43,7 @@
         by_in_ms: In how long it must start.
         waiting: How many of its runs wait.
         cpu_ms: How much processor they will take, in core milliseconds.
-        speed_min: How fast a worker must be for the job to stay in its tier.
+        speed_min: How fast an endpoint must be for the job to stay in its tier.
     """
 
     group: GroupId
--- a/src/foldloom/scheduling/speeds.py
+++ b/src/foldloom/scheduling/speeds.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How fast each worker is, learned from how long its runs take."""
+"""How fast each endpoint is, learned from how long its runs take."""
 
 from __future__ import annotations
 
@@ -11,43 +11,43 @@
 _NOTES_PER_CENTRE = 25
 
 
-class WorkerSpeeds:
-    """Speeds relative to the middle worker: 2.0 takes half as long.
+class EndpointSpeeds:
+    """Speeds relative to the middle endpoint: 2.0 takes half as long.
 
-    Each run is compared with how long it was expected to take on a worker of speed 1; that is
+    Each run is compared with how long it was expected to take on an endpoint of speed 1; that is
     rough, so many runs are averaged, in logarithms. Since expectations are learned from speeds
-    and speeds from expectations, the middle worker is held at 1: else both would drift.
+    and speeds from expectations, the middle endpoint is held at 1: else both would drift.
     """
 
     def __init__(self) -> None:
-        self._log_by_worker: dict[str, float] = {}
+        self._log_by_endpoint: dict[str, float] = {}
         self._centre = 0.0
         self._notes = 0
 
-    def speed_of(self, worker: str) -> float:
-        """Return the speed of *worker*; 1.0 while nothing is known."""
-        known = self._log_by_worker.get(worker)
+    def speed_of(self, endpoint: str) -> float:
+        """Return the speed of *endpoint*; 1.0 while nothing is known."""
+        known = self._log_by_endpoint.get(endpoint)
         return 1.0 if known is None else math.exp(self._centre - known)
 
-    def note(self, worker: str, ran_ms: float, expected_ms: float) -> None:
+    def note(self, endpoint: str, ran_ms: float, expected_ms: float) -> None:
         """Learn from a run that was done."""
         if ran_ms <= 0 or expected_ms <= 0:
             return
         ratio = math.log(ran_ms / expected_ms)
-        known = self._log_by_worker.get(worker, self._centre)
-        self._log_by_worker[worker] = known + _WEIGHT * (ratio + self._centre - known)
+        known = self._log_by_endpoint.get(endpoint, self._centre)
+        self._log_by_endpoint[endpoint] = known + _WEIGHT * (ratio + self._centre - known)
         self._notes += 1
         if self._notes % _NOTES_PER_CENTRE == 0:
-            self._centre = statistics.median(self._log_by_worker.values())
+            self._centre = statistics.median(self._log_by_endpoint.values())
 
-    def note_overdue(self, worker: str, ran_ms: float, expected_ms: float) -> None:
+    def note_overdue(self, endpoint: str, ran_ms: float, expected_ms: float) -> None:
         """Learn from a run that has taken *ran_ms* and goes on: it is at least so slow."""
         if ran_ms <= 0 or expected_ms <= 0:
             return
         at_least = math.log(ran_ms / expected_ms) - _OVERDUE_MARGIN + self._centre
-        if at_least > self._log_by_worker.get(worker, self._centre):
-            self._log_by_worker[worker] = at_least
+        if at_least > self._log_by_endpoint.get(endpoint, self._centre):
+            self._log_by_endpoint[endpoint] = at_least
 
-    def forget(self, worker: str) -> None:
-        """Forget a worker that is gone."""
-        self._log_by_worker.pop(worker, None)
+    def forget(self, endpoint: str) -> None:
+        """Forget an endpoint that is gone."""
+        self._log_by_endpoint.pop(endpoint, None)
--- a/src/foldloom/verdicts.py
+++ b/src/foldloom/verdicts.py
@@ -8,7 +8,7 @@
 
 
 class Run(StrEnum):
-    """Whether any task of a request may have started on a worker."""
+    """Whether any task of a request may have started on an endpoint."""
 
     NOT_RUN = "not-run"
     MAY_HAVE_RUN = "may-have-run"
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Real daemons and worker stand-ins as processes of their own, on loopback."""
+"""Real daemons and endpoint stand-ins as processes of their own, on loopback."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     headers: dict[str, str]
 
 
-class WorkerSpec(NamedTuple):
-    """A worker stand-in's endpoint."""
+class EndpointSpec(NamedTuple):
+    """An endpoint stand-in's endpoint."""
 
     name: str
     zone: str
@@ -103,15 +103,15 @@
 
 
 class Cluster:
-    """Boxes named ``a1, b1, c1, a2, ...`` over the zones, and workers in each zone.
+    """Boxes named ``a1, b1, c1, a2, ...`` over the zones, and endpoints in each zone.
 
     Args:
         folder: Where settings, logs and data go.
         zones: The zones' names.
         boxes_per_zone: Entry boxes in each.
         controllers: How many boxes, one zone after the other, are controllers too.
-        workers_per_zone: Worker stand-ins in each.
-        slow_every: Each n-th worker runs at half speed; 0 for none.
+        endpoints_per_zone: Endpoint stand-ins in each.
+        slow_every: Each n-th endpoint runs at half speed; 0 for none.
         overrides: Settings for every box, merged over the defaults.
         address_of: Returns the address at which *sender* reaches *receiver*; for proxies.
     """
@@ -122,7 +122,7 @@
         zones: str = "abc",
         boxes_per_zone: int = 1,
         controllers: int = 3,
-        workers_per_zone: int = 1,
+        endpoints_per_zone: int = 1,
         slow_every: int = 0,
         overrides: dict[str, Any] | None = None,
         address_of: Callable[[str, str, int], int] | None = None,
@@ -135,15 +135,15 @@
         self.controllers = self.boxes[:controllers]
         self._peer_ports = {box: free_port() for box in self.boxes}
         self.http_ports = {box: free_port() for box in self.boxes}
-        self.workers = [
-            WorkerSpec(f"{zone}w{n + 1}", zone, free_port(), 1.0)
+        self.endpoints = [
+            EndpointSpec(f"{zone}w{n + 1}", zone, free_port(), 1.0)
             for zone in zones
-            for n in range(workers_per_zone)
+            for n in range(endpoints_per_zone)
         ]
         if slow_every:
-            self.workers = [
+            self.endpoints = [
                 spec._replace(speed=0.5) if n % slow_every == slow_every - 1 else spec
-                for n, spec in enumerate(self.workers)
+                for n, spec in enumerate(self.endpoints)
             ]
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         folder.mkdir(parents=True, exist_ok=True)
@@ -159,8 +159,8 @@
         self.end()
 
     def start(self) -> None:
-        """Start the workers and the boxes and put the first intents in force."""
-        self.start_workers()
+        """Start the endpoints and the boxes and put the first intents in force."""
+        self.start_endpoints()
         for box in self.boxes:
             self.write_settings(box)
             if box in self.controllers:
@@ -171,8 +171,8 @@
         self.wait_ready()
 
     def first_intents(self) -> list[dict[str, Any]]:
-        """Return intents for the service ``sleep`` on all workers and one member."""
-        workers = [
+        """Return intents for the service ``sleep`` on all endpoints and one member."""
+        endpoints = [
             {
                 "kind": "worker",
                 "name": spec.name,
@@ -180,12 +180,12 @@
                 "zone": spec.zone,
                 "slots": 8,
             }
-            for spec in self.workers
+            for spec in self.endpoints
         ]
         return [
             {"kind": "service", "name": "sleep", "workers": ["*"]},
             {"kind": "member", "name": "m1", "quota": 1},
-            *workers,
+            *endpoints,
         ]
 
     def write_settings(self, box: str) -> Path:
@@ -239,10 +239,10 @@
         command = [sys.executable, "-m", "foldloom.daemon", str(self.folder / f"{box}.yaml")]
         self._start(box, command)
 
-    def start_workers(self) -> None:
+    def start_endpoints(self) -> None:
         """Start one process of stand-ins for each zone."""
         for zone in self.zones:
-            specs = [spec for spec in self.workers if spec.zone == zone]
+            specs = [spec for spec in self.endpoints if spec.zone == zone]
             if not specs:
                 continue
             command = [
@@ -254,7 +254,7 @@
                 ",".join(str(spec.speed) for spec in specs),
             ]
             self._start(f"workers-{zone}", command)
-        for spec in self.workers:
+        for spec in self.endpoints:
             url = f"http://127.0.0.1:{spec.port}/starts"
             wait_until(lambda url=url: http("GET", url).status == 200, f"worker {spec.name}")
 
@@ -349,17 +349,17 @@
             wait_until(lambda box=box: self.status(box)["boxes"][box]["can_vote"], f"{box} votes")
 
     def starts(self) -> dict[str, int]:
-        """Return how often each task was started, over all workers."""
+        """Return how often each task was started, over all endpoints."""
         total: dict[str, int] = {}
-        for spec in self.workers:
+        for spec in self.endpoints:
             fields = http("GET", f"http://127.0.0.1:{spec.port}/starts").fields
             for key, count in fields["starts"].items():
                 total[key] = total.get(key, 0) + count
         return total
 
-    def control_worker(self, name: str, **wanted: Any) -> None:
+    def control_endpoint(self, name: str, **wanted: Any) -> None:
         """Set ``speed`` or ``refuse`` of a stand-in."""
-        spec = next(spec for spec in self.workers if spec.name == name)
+        spec = next(spec for spec in self.endpoints if spec.name == name)
         http("POST", f"http://127.0.0.1:{spec.port}/control", wanted)
 
     def cli(self, *arguments: str) -> subprocess.CompletedProcess[str]:
--- a/tests/models/endpoint_world.py
+++ b/tests/models/endpoint_world.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Workers as they behave: leases, fences, ends, and orders that are carried out late."""
+"""Endpoints as they behave: leases, fences, ends, and orders that are carried out late."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     ended: tuple[EndedRun, ...]
 
 
-class SimulatedWorker:
-    """One worker.
+class SimulatedEndpoint:
+    """One endpoint.
 
     Args:
         name: Its id.
--- a/tests/models/owners_model.py
+++ b/tests/models/owners_model.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 """A small specification of owners and one task, for exhaustive checking.
 
-Two workers, of which the first has a slow clock; two owners, of which the first may live on;
+Two endpoints, of which the first has a slow clock; two owners, of which the first may live on;
 two entry boxes, of which the first dies or loses its caller, and the second is handed the same
 job again. Time passes
 in ticks; whatever may happen in a tick happens in any order or not at all, which covers cuts,
@@ -17,10 +17,10 @@
 from minicheck import Protocol
 
 FIRST, SECOND = 0, 1
-SLOW_WORKER, WORKERS = 0, (0, 1)
+SLOW_ENDPOINT, ENDPOINTS = 0, (0, 1)
 NEVER = -1
 
-# In ticks: how long a grant and a lease last, and a lease by the slow worker's clock.
+# In ticks: how long a grant and a lease last, and a lease by the slow endpoint's clock.
 SESSION, LEASE, LEASE_SLOW = 2, 1, 2
 
 
@@ -31,7 +31,7 @@
     right_is_looked_at_first: bool = True
     lapse_counts_slow_clocks: bool = True
     orders_expire: bool = True
-    workers_fence: bool = True
+    endpoints_fence: bool = True
     new_owner_looks_first: bool = True
     claims_after_silence: bool = True
     same_job_attaches: bool = True
@@ -53,8 +53,8 @@
     PLACED = 3
 
 
-class Worker(NamedTuple):
-    """A worker; its lease ends at ``until``, which is real time."""
+class Endpoint(NamedTuple):
+    """An endpoint; its lease ends at ``until``, which is real time."""
 
     is_running: bool = False
     until: int = 0
@@ -67,7 +67,7 @@
     is_active: bool = False
     right_until: int = 0
     belief: Belief = Belief.UNKNOWN
-    worker: int = NEVER
+    endpoint: int = NEVER
     gone_at: int = 0
     looked: frozenset[int] = frozenset()
 
@@ -75,7 +75,7 @@
 class Order(NamedTuple):
     """An order to start that is still on its way; it expires at ``until``, real time."""
 
-    worker: int
+    endpoint: int
     token: int
     until: int
 
@@ -84,7 +84,7 @@
     """Everything."""
 
     now: int
-    workers: tuple[Worker, Worker]
+    endpoints: tuple[Endpoint, Endpoint]
     owners: tuple[Owner, Owner]
     order: Order | None
     box_lost: int
@@ -95,7 +95,7 @@
 def owners_protocol(rules: Rules, bounds: Bounds) -> Protocol:
     """Return the protocol under *rules* as minicheck takes it."""
     first = Owner(is_active=True, right_until=SESSION, belief=Belief.QUEUED)
-    start = State(0, (Worker(), Worker()), (first, Owner()), None, NEVER, True, False)
+    start = State(0, (Endpoint(), Endpoint()), (first, Owner()), None, NEVER, True, False)
     return Protocol(
         name="owners",
         candidate=False,
@@ -106,8 +106,8 @@
     )
 
 
-def _runs_once(fields: dict[str, tuple[Worker, Worker]]) -> bool:
-    return sum(worker.is_running for worker in fields["workers"]) <= 1
+def _runs_once(fields: dict[str, tuple[Endpoint, Endpoint]]) -> bool:
+    return sum(endpoint.is_running for endpoint in fields["endpoints"]) <= 1
 
 
 def _steps(state: State, rules: Rules, bounds: Bounds) -> Iterator[tuple[str, State]]:
@@ -127,10 +127,10 @@
 def _tick(state: State) -> State:
     now = state.now + 1
     ended = [
-        worker._replace(is_running=worker.is_running and now < worker.until)
-        for worker in state.workers
+        endpoint._replace(is_running=endpoint.is_running and now < endpoint.until)
+        for endpoint in state.endpoints
     ]
-    return state._replace(now=now, workers=(ended[0], ended[1]))
+    return state._replace(now=now, endpoints=(ended[0], ended[1]))
 
 
 def _boxes(state: State, rules: Rules, bounds: Bounds) -> Iterator[tuple[str, State]]:
@@ -173,15 +173,15 @@
 def _late_order(state: State, order: Order, rules: Rules) -> Iterator[tuple[str, State]]:
     """Carry out an order that is late."""
     after = state._replace(order=None)
-    worker = state.workers[order.worker]
-    is_fenced = rules.workers_fence and order.token < worker.token
+    endpoint = state.endpoints[order.endpoint]
+    is_fenced = rules.endpoints_fence and order.token < endpoint.token
     has_expired = rules.orders_expire and state.now >= order.until
-    if is_fenced or has_expired or worker.is_running:
+    if is_fenced or has_expired or endpoint.is_running:
         yield "a late order is refused", after
         return
     until = order.until if rules.orders_expire else state.now + LEASE
-    started = Worker(True, until, max(order.token, worker.token))
-    yield f"a late order starts on worker {order.worker}", _work(after, order.worker, started)
+    started = Endpoint(True, until, max(order.token, endpoint.token))
+    yield f"a late order starts on worker {order.endpoint}", _work(after, order.endpoint, started)
 
 
 def _owner(state: State, number: int, rules: Rules) -> Iterator[tuple[str, State]]:
@@ -195,16 +195,16 @@
         yield from _start(state, number, rules)
 
 
-def _is_fenced(state: State, number: int, worker: int, rules: Rules) -> bool:
-    return rules.workers_fence and number < state.workers[worker].token
+def _is_fenced(state: State, number: int, endpoint: int, rules: Rules) -> bool:
+    return rules.endpoints_fence and number < state.endpoints[endpoint].token
 
 
-def _lease_end(state: State, worker: int) -> int:
-    return state.now + (LEASE_SLOW if worker == SLOW_WORKER else LEASE)
+def _lease_end(state: State, endpoint: int) -> int:
+    return state.now + (LEASE_SLOW if endpoint == SLOW_ENDPOINT else LEASE)
 
 
-def _gone_at(state: State, worker: int, rules: Rules) -> int:
-    return _lease_end(state, worker) if rules.lapse_counts_slow_clocks else state.now + LEASE
+def _gone_at(state: State, endpoint: int, rules: Rules) -> int:
+    return _lease_end(state, endpoint) if rules.lapse_counts_slow_clocks else state.now + LEASE
 
 
 def _placed(
@@ -212,18 +212,18 @@
 ) -> Iterator[tuple[str, State]]:
     """Renew, stop, or think a run gone whose lease is over for certain."""
     owner = state.owners[number]
-    worker = state.workers[owner.worker]
-    can_call = not _is_fenced(state, number, owner.worker, rules)
+    endpoint = state.endpoints[owner.endpoint]
+    can_call = not _is_fenced(state, number, owner.endpoint, rules)
     may_renew = has_right or not rules.right_is_looked_at_first
-    if can_call and may_renew and worker.is_running:
-        until = max(worker.until, _lease_end(state, owner.worker))
-        renewed = _work(state, owner.worker, worker._replace(until=until, token=number))
-        gone_at = max(owner.gone_at, _gone_at(state, owner.worker, rules))
+    if can_call and may_renew and endpoint.is_running:
+        until = max(endpoint.until, _lease_end(state, owner.endpoint))
+        renewed = _work(state, owner.endpoint, endpoint._replace(until=until, token=number))
+        gone_at = max(owner.gone_at, _gone_at(state, owner.endpoint, rules))
         yield f"owner {number} renews", _own(renewed, number, owner._replace(gone_at=gone_at))
     if can_call and not has_right:
-        stopped = _work(state, owner.worker, Worker(False, 0, number))
-        if state.order is not None and state.order.worker == owner.worker:
-            # A worker never starts a run that it was told to stop.
+        stopped = _work(state, owner.endpoint, Endpoint(False, 0, number))
+        if state.order is not None and state.order.endpoint == owner.endpoint:
+            # An endpoint never starts a run that it was told to stop.
             stopped = stopped._replace(order=None)
         yield (
             f"owner {number} stops it",
@@ -237,19 +237,19 @@
 def _traced(state: State, number: int) -> Iterator[tuple[str, State]]:
     """Look for a run that the owner before may have started, or wait until it is gone."""
     owner = state.owners[number]
-    for worker in WORKERS:
-        seen = _work(state, worker, state.workers[worker]._replace(token=number))
-        if state.workers[worker].is_running:
+    for endpoint in ENDPOINTS:
+        seen = _work(state, endpoint, state.endpoints[endpoint]._replace(token=number))
+        if state.endpoints[endpoint].is_running:
             found = owner._replace(
-                belief=Belief.PLACED, worker=worker, gone_at=_lease_end(state, worker)
+                belief=Belief.PLACED, endpoint=endpoint, gone_at=_lease_end(state, endpoint)
             )
-            yield f"owner {number} finds it on worker {worker}", _own(seen, number, found)
+            yield f"owner {number} finds it on worker {endpoint}", _own(seen, number, found)
             continue
-        looked = owner._replace(looked=owner.looked | {worker})
+        looked = owner._replace(looked=owner.looked | {endpoint})
         if state.now >= owner.gone_at - LEASE_SLOW:
-            is_nowhere = len(looked.looked) == len(WORKERS)
+            is_nowhere = len(looked.looked) == len(ENDPOINTS)
             looked = looked._replace(belief=Belief.QUEUED) if is_nowhere else looked
-            yield f"owner {number} looks at worker {worker}", _own(seen, number, looked)
+            yield f"owner {number} looks at worker {endpoint}", _own(seen, number, looked)
     if state.now >= owner.gone_at:
         queued = owner._replace(belief=Belief.QUEUED)
         yield f"owner {number} knows it gone", _own(state, number, queued)
@@ -258,20 +258,20 @@
 def _start(state: State, number: int, rules: Rules) -> Iterator[tuple[str, State]]:
     """Order a start, which is carried out at once or late."""
     owner = state.owners[number]
-    for worker in WORKERS:
-        if _is_fenced(state, number, worker, rules):
+    for endpoint in ENDPOINTS:
+        if _is_fenced(state, number, endpoint, rules):
             continue
-        until = _lease_end(state, worker)
+        until = _lease_end(state, endpoint)
         placed = owner._replace(
-            belief=Belief.PLACED, worker=worker, gone_at=_gone_at(state, worker, rules)
+            belief=Belief.PLACED, endpoint=endpoint, gone_at=_gone_at(state, endpoint, rules)
         )
         after = _own(state, number, placed)
-        if not state.workers[worker].is_running:
-            started = _work(after, worker, Worker(True, until, number))
-            yield f"owner {number} starts it on worker {worker}", started
+        if not state.endpoints[endpoint].is_running:
+            started = _work(after, endpoint, Endpoint(True, until, number))
+            yield f"owner {number} starts it on worker {endpoint}", started
         if state.order is None:
-            late = after._replace(order=Order(worker, number, until))
-            yield f"owner {number}'s order to worker {worker} is late", late
+            late = after._replace(order=Order(endpoint, number, until))
+            yield f"owner {number}'s order to worker {endpoint} is late", late
 
 
 def _own(state: State, number: int, owner: Owner) -> State:
@@ -280,7 +280,7 @@
     return state._replace(owners=(owners[0], owners[1]))
 
 
-def _work(state: State, number: int, worker: Worker) -> State:
-    workers = list(state.workers)
-    workers[number] = worker
-    return state._replace(workers=(workers[0], workers[1]))
+def _work(state: State, number: int, endpoint: Endpoint) -> State:
+    endpoints = list(state.endpoints)
+    endpoints[number] = endpoint
+    return state._replace(endpoints=(endpoints[0], endpoints[1]))
--- a/tests/platform_system.py
+++ b/tests/platform_system.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The platform's programs as real processes on loopback, with stand-ins of workers and clients.
+"""The platform's programs as real processes on loopback, with stand-ins of endpoints and clients.
 
 Each machine has a loopback address of its own, since the platform's machines use equal ports.
 """
@@ -20,7 +20,7 @@
 from aiohttp import ClientError, ClientSession, ClientTimeout
 
 from cluster import free_port
-from standins.run_endpoint import SERVICE, RunWorker, Sightings
+from standins.run_endpoint import SERVICE, RunEndpoint, Sightings
 
 _ROOT = Path(__file__).resolve().parent.parent
 _HOST, _PREFIX = "desk.example", "/jobs/"
@@ -66,15 +66,15 @@
 
 
 class PlatformSystem:
-    """One controller, some entry processes and some workers.
+    """One controller, some entry processes and some endpoints.
 
     Args:
         folder: Where settings and the controller's disk lie.
         entries: How many entry processes.
-        workers: How many workers.
+        endpoints: How many endpoints.
     """
 
-    def __init__(self, folder: Path, entries: int = 3, workers: int = 2) -> None:
+    def __init__(self, folder: Path, entries: int = 3, endpoints: int = 2) -> None:
         self.entries = [f"e{number}" for number in range(entries)]
         self.sightings = Sightings()
         self.processes: dict[str, asyncio.subprocess.Process] = {}
@@ -83,15 +83,17 @@
         subnet = _next_subnet()
         names = ["c0", *self.entries]
         self._ips = {name: f"{subnet}.{number + 1}" for number, name in enumerate(names)}
-        self.workers = [
-            RunWorker(f"w{number}", f"{subnet}.{100 + number}", free_port(), _ZONE, self.sightings)
-            for number in range(workers)
+        self.endpoints = [
+            RunEndpoint(
+                f"w{number}", f"{subnet}.{100 + number}", free_port(), _ZONE, self.sightings
+            )
+            for number in range(endpoints)
         ]
         self._session: ClientSession | None = None
 
     @property
     def control(self) -> str:
-        """Where workers and the operator call."""
+        """Where endpoints and the operator call."""
         return self.address("c0", "control")
 
     def address(self, name: str, listener: str) -> str:
@@ -111,16 +113,16 @@
     async def _start_all(self) -> None:
         for name in self._ips:
             await self.start(name, is_first=True)
-        for worker in self.workers:
-            await worker.start([self.control])
+        for endpoint in self.endpoints:
+            await endpoint.start([self.control])
         await self.until(lambda: self.configure(1), "the configuration is acknowledged")
         for name in self.entries:
             await self.until(lambda name=name: self._is_ready(name), f"{name} is ready")
         await self.until(self._serves, "a job is served")
 
     async def __aexit__(self, *_: object) -> None:
-        for worker in self.workers:
-            await worker.stop()
+        for endpoint in self.endpoints:
+            await endpoint.stop()
         for name in list(self.processes):
             await self.kill(name)
         assert self._session is not None
@@ -262,7 +264,7 @@
 
 
 def play(scenario: Callable[[PlatformSystem], Awaitable[None]], folder: Path, **sizes: int) -> None:
-    """Start a system and play *scenario* on it; no task may ever be on two workers."""
+    """Start a system and play *scenario* on it; no task may ever be on two endpoints."""
 
     async def run() -> None:
         async with PlatformSystem(folder, **sizes) as system:
--- a/tests/standins/endpoint.py
+++ b/tests/standins/endpoint.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A worker stand-in: serves one or more endpoints, counts every start, fails on demand.
+"""An endpoint stand-in: serves one or more endpoints, counts every start, fails on demand.
 
 A task's payload is ``{"ms": N, "fault": NAME}``; it takes N ms at full speed. ``GET /starts``
 tells how often each task was started; ``POST /control`` sets ``speed`` and ``refuse``.
@@ -20,7 +20,7 @@
 _OVERSIZED_BYTES = 2 * 1024 * 1024
 
 
-class WorkerStandin:
+class EndpointStandin:
     """One endpoint."""
 
     def __init__(self, speed: float, slots: int) -> None:
@@ -101,7 +101,7 @@
 
 async def _serve(ports: list[int], speeds: list[float], slots: int) -> None:
     for port, speed in zip(ports, speeds, strict=True):
-        runner = web.AppRunner(WorkerStandin(speed, slots).app(), access_log=None)
+        runner = web.AppRunner(EndpointStandin(speed, slots).app(), access_log=None)
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", port).start()
     await asyncio.Event().wait()
