--- a/tests/standins/run_endpoint.py
+++ b/tests/standins/run_endpoint.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A worker stand-in that speaks the platform's runs, holds, leases and fences.
+"""An endpoint stand-in that speaks the platform's runs, holds, leases and fences.
 
 It serves in the test's own event loop, so that a test can look at what ran where. A task's text
 is ``{"ms": N}``: it takes so long; ``{"how": "failed"}`` makes it end so.
@@ -19,7 +19,7 @@
 from bodies import task_of, task_text
 from foldloom.endpoints.calls import CallOutcome, EndKind
 from foldloom.jobs.spec import RunId, TaskId
-from models.endpoint_world import SimulatedWorker
+from models.endpoint_world import SimulatedEndpoint
 
 SERVICE = "svc"
 CAPACITY = {"cpu": 16_000, "mem_mb": 32_768, "gpu": 0}
@@ -38,22 +38,22 @@
 
 
 class Sightings:
-    """What all workers of a test have run: starts by task, and tasks seen on two at a time."""
+    """What all endpoints of a test have run: starts by task, and tasks seen on two at a time."""
 
     def __init__(self) -> None:
         self.starts: Counter[TaskId] = Counter()
         self.doubled: list[TaskId] = []
-        self.workers: list[RunWorker] = []
+        self.endpoints: list[RunEndpoint] = []
 
     def note_start(self, task: TaskId) -> None:
         """Note a start and look where else the task runs."""
         self.starts[task] += 1
-        if sum(task in worker.simulated.active for worker in self.workers) > 1:
+        if sum(task in endpoint.simulated.active for endpoint in self.endpoints) > 1:
             self.doubled.append(task)
 
 
-class RunWorker:
-    """One worker.
+class RunEndpoint:
+    """One endpoint.
 
     Args:
         name: Its id.
@@ -65,7 +65,7 @@
 
     def __init__(self, name: str, host: str, port: int, zone: str, sightings: Sightings) -> None:
         self.name = name
-        self.simulated = SimulatedWorker(name, _CLOCK_RATE)
+        self.simulated = SimulatedEndpoint(name, _CLOCK_RATE)
         self.state = "ready"
         self.is_silent = False
         self.is_draining_known = False
@@ -78,7 +78,7 @@
         self._sequence = 0
         self._tasks: list[asyncio.Task[None]] = []
         self._runner: web.ServerRunner | None = None
-        sightings.workers.append(self)
+        sightings.endpoints.append(self)
 
     async def start(self, controllers: list[str]) -> None:
         """Listen, and report to the *controllers* in turn."""
--- a/tests/test_claims_faults.py
+++ b/tests/test_claims_faults.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 """Submissions run once, verdicts are true, answers are whole: real processes under faults.
 
-At most once is counted at the workers; "not run" is checked by no worker having seen it.
+At most once is counted at the endpoints; "not run" is checked by no endpoint having seen it.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
         return [count for key, count in starts.items() if key.startswith(f"{submission}/")]
 
     def wait_started(self, submission: str) -> None:
-        """Wait until a worker has seen the submission."""
+        """Wait until an endpoint has seen the submission."""
         wait_until(lambda: self.started(submission), f"{submission} started")
 
     def replicas(self, submission: str) -> tuple[str, ...]:
@@ -82,7 +82,7 @@
 
 
 def _assert_truthful(answer: HttpAnswer, started: list[int]) -> None:
-    """A whole answer, or a problem; refused means that no worker saw it."""
+    """A whole answer, or a problem; refused means that no endpoint saw it."""
     if answer.status == 200:
         return
     assert answer.fields["verdict"] in ("failed", "refused")
@@ -297,8 +297,8 @@
         assert rig.started("handed") == [1]
 
 
-class TestWorkerFaults:
-    """Workers that answer badly or die."""
+class TestEndpointFaults:
+    """Endpoints that answer badly or die."""
 
     @pytest.mark.parametrize("fault", ["cut-short", "crossed", "oversized", "error"])
     def test_bad_answer_is_never_passed_on(self, rig: Rig, fault: str) -> None:
@@ -321,12 +321,12 @@
         assert rig.started("late") == [1]
 
     def test_refused_everywhere_is_not_run(self, rig: Rig) -> None:
-        """A task that every worker truly refuses makes a job that is refused as not run."""
+        """A task that every endpoint truly refuses makes a job that is refused as not run."""
         answer = rig.cluster.submit("a1", "none-takes", [{"fault": "refuse"}], deadline_ms=3_000)
         assert (answer.fields["verdict"], answer.fields["run"]) == ("refused", "not-run")
         assert rig.started("none-takes") == []
 
-    def test_worker_killed_mid_task(self, own_rig: Rig) -> None:
+    def test_endpoint_killed_mid_task(self, own_rig: Rig) -> None:
         """Not restarted by default; restarted by confirmed intent, if marked repeatable."""
         rig = own_rig
         restart = "after-worker-death"
@@ -352,6 +352,6 @@
         for service in ("once", "pinned"):
             assert answers[service].fields["verdict"] == "failed"
             assert answers[service].fields["run"] == "may-have-run"
-        rig.cluster.workers = [spec for spec in rig.cluster.workers if spec.zone != "a"]
+        rig.cluster.endpoints = [spec for spec in rig.cluster.endpoints if spec.zone != "a"]
         assert rig.started("job-once") == rig.started("job-pinned") == []
         assert max(rig.started("job-again")) == 1
--- a/tests/test_cli_explain.py
+++ b/tests/test_cli_explain.py
@@ -65,6 +65,23 @@
         assert life.cause == "resumed at owner o2; too late"
         assert life_text(life).endswith("outcome: expired\ncause: resumed at owner o2; too late")
 
+    def test_words_of_the_release_before(self, tmp_path: Path) -> None:
+        """Logs that say worker for an endpoint are shown in the words of this release."""
+        run = f"{_JOB}.0.0.0#1"
+        lines = [
+            _line(1, "e1", "job.accepted", job=_JOB, tasks=1),
+            _line(2, "e1", "worker.silent", worker="w1"),
+            _line(3, "e1", "run.retried", job=_JOB, run=run, cause="lost", worker="w1"),
+            _line(4, "e1", "endpoint.lapsed", endpoint="w1"),
+            _line(5, "e1", "run.retried", job=_JOB, run=run, cause="failed", endpoint="w2"),
+            _line(6, "e1", "job.ended", job=_JOB, outcome="failed"),
+        ]
+        path = tmp_path / "log"
+        path.write_bytes(b"".join(lines))
+        life = explain(_JOB, read_lines([str(path)]))
+        assert [line.event for line in life.lines[1:5:2]] == ["endpoint.silent", "endpoint.lapsed"]
+        assert life.cause == f"{run} lost on w1; {run} failed on w2"
+
     def test_first_part_of_an_id(self, logs: list[str]) -> None:
         """The first digits are enough."""
         assert explain("c0ffee", read_lines(logs)).job == _JOB
--- a/tests/test_owners_election.py
+++ b/tests/test_owners_election.py
@@ -27,7 +27,7 @@
         assert not may_claim(Witnesses(3, 2, 80.0, 7), _SILENT_MS)
 
     def test_isolated(self) -> None:
-        """A box that reaches nobody does not take the workers from an owner that lives."""
+        """A box that reaches nobody does not take the endpoints from an owner that lives."""
         assert not may_claim(Witnesses(3, 0, None, 7), _SILENT_MS)
 
     def test_alone(self) -> None:
--- a/tests/test_owners_lease.py
+++ b/tests/test_owners_lease.py
@@ -1,26 +1,26 @@
 # SPDX-License-Identifier: MIT
-"""Leases in a worker's own time: never thought ended while something may run."""
+"""Leases in an endpoint's own time: never thought ended while something may run."""
 
 from __future__ import annotations
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from foldloom.owners.lease import CLOCK_SLOW_SHARE, WorkerClock, gone_after_ms
+from foldloom.owners.lease import CLOCK_SLOW_SHARE, EndpointClock, gone_after_ms
 
 _rates = st.floats(min_value=1.0 - CLOCK_SLOW_SHARE, max_value=1.0)
 _delays = st.floats(min_value=0.0, max_value=300.0)
 
 
-class TestWorkerClock:
-    """What an owner may conclude from a worker's clock."""
+class TestEndpointClock:
+    """What an owner may conclude from an endpoint's clock."""
 
     @given(rate=_rates, delay=_delays, wait=st.floats(0.0, 5_000.0), lease=st.floats(1.0, 1_000.0))
     def test_bounds_err_on_the_safe_side(
         self, rate: float, delay: float, wait: float, lease: float
     ) -> None:
         """A lease is no longer than asked for, and has lapsed by the time that is told."""
-        clock = WorkerClock()
+        clock = EndpointClock()
         told_at = 1_000.0
         clock.note(50_000.0, told_at + delay)
 
@@ -35,7 +35,7 @@
 
     def test_remembers_the_longest_lease(self) -> None:
         """An earlier, longer lease still holds after a shorter one was ordered."""
-        clock = WorkerClock()
+        clock = EndpointClock()
         clock.note(1_000.0, 0.0)
         clock.order_until(0.0, 600.0)
         clock.order_until(0.0, 100.0)
@@ -44,7 +44,7 @@
 
     def test_late_answer_does_not_turn_the_clock_back(self) -> None:
         """An answer that was held up tells less than an earlier one."""
-        clock = WorkerClock()
+        clock = EndpointClock()
         clock.note(2_000.0, 100.0)
         clock.note(1_500.0, 150.0)
         assert clock.reads_at_least(150.0) > 2_000.0
--- a/tests/test_owners_machine.py
+++ b/tests/test_owners_machine.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Owners come and go, workers are cut off, orders are late: no task is on two workers."""
+"""Owners come and go, endpoints are cut off, orders are late: no task is on two endpoints."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 from foldloom.endpoints.calls import CallOutcome, EndKind
 from foldloom.jobs.spec import RunId, TaskId
-from foldloom.owners.lease import LAPSE_MARGIN_MS, STOP_OVERDUE_MS, WorkerClock, gone_after_ms
+from foldloom.owners.lease import LAPSE_MARGIN_MS, STOP_OVERDUE_MS, EndpointClock, gone_after_ms
 from foldloom.owners.messages import EndCause, RunOrder
 from foldloom.owners.state import OwnerState, StartAction, StopAction
 from foldloom.scheduling.runs import HolderId
-from models.endpoint_world import SimulatedWorker
-from test_owners_state import submission, worker
+from models.endpoint_world import SimulatedEndpoint
+from test_owners_state import endpoint, submission
 
 _LEASE_MS = 600.0
 _SESSION_MS = 400.0
 _RESEND_MS = 1_300.0
 _ANSWER_MS = 250.0
 _JOBS = ["0" * 16, "1" * 16]
-_WORKERS = ["w1", "w2"]
-_workers = st.sampled_from(_WORKERS)
+_ENDPOINTS = ["w1", "w2"]
+_endpoints = st.sampled_from(_ENDPOINTS)
 _jobs = st.sampled_from(_JOBS)
 
 
@@ -35,26 +35,26 @@
 
     at_ms: float
     kind: str
-    worker: str
+    endpoint: str
     run_id: RunId
     token: int
     until: float
 
 
 class Term:
-    """One owner with what it knows of the workers' clocks."""
+    """One owner with what it knows of the endpoints' clocks."""
 
     def __init__(self, token: int, now_ms: float) -> None:
         self.token = token
         self.state = OwnerState(gone_after_ms(_LEASE_MS))
         self.state.trust_catalog()
-        self.clocks = {name: WorkerClock() for name in _WORKERS}
-        self.heard_ms = dict.fromkeys(_WORKERS, now_ms)
-        self.seen = dict.fromkeys(_WORKERS, 0)
+        self.clocks = {name: EndpointClock() for name in _ENDPOINTS}
+        self.heard_ms = dict.fromkeys(_ENDPOINTS, now_ms)
+        self.seen = dict.fromkeys(_ENDPOINTS, 0)
         self.silent: set[str] = set()
         self.lapsed: set[str] = set()
-        for name in _WORKERS:
-            self.state.follow_worker(worker(name))
+        for name in _ENDPOINTS:
+            self.state.follow_endpoint(endpoint(name))
 
 
 class OwnersMachine(RuleBasedStateMachine):
@@ -63,7 +63,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
-        self.workers = {name: SimulatedWorker(name, 0.98) for name in _WORKERS}
+        self.endpoints = {name: SimulatedEndpoint(name, 0.98) for name in _ENDPOINTS}
         self.term = Term(1, 0.0)
         self.old: Term | None = None
         self.old_right_ms = 0.0
@@ -109,18 +109,18 @@
             self.free_at[job] = self.now + _RESEND_MS
             self.term.state.cancel(holder, job, self.now)
 
-    # What the network and the workers do.
+    # What the network and the endpoints do.
 
-    @rule(name=_workers, is_reachable=st.booleans())
+    @rule(name=_endpoints, is_reachable=st.booleans())
     def cut(self, name: str, is_reachable: bool) -> None:
-        """Cut a worker off or heal it; it runs on."""
-        self.workers[name].is_reachable = is_reachable
+        """Cut an endpoint off or heal it; it runs on."""
+        self.endpoints[name].is_reachable = is_reachable
 
-    @rule(name=_workers, how=st.sampled_from([EndKind.DONE, EndKind.FAILED]))
+    @rule(name=_endpoints, how=st.sampled_from([EndKind.DONE, EndKind.FAILED]))
     def finish(self, name: str, how: EndKind) -> None:
-        """End what runs on a worker."""
-        for task in list(self.workers[name].active):
-            self.workers[name].finish(task, how, self.now)
+        """End what runs on an endpoint."""
+        for task in list(self.endpoints[name].active):
+            self.endpoints[name].finish(task, how, self.now)
 
     @rule(span=st.sampled_from([5.0, 50.0, 200.0, 450.0, 700.0]))
     def wait(self, span: float) -> None:
@@ -129,15 +129,15 @@
 
     # What the owner does.
 
-    @rule(name=_workers)
+    @rule(name=_endpoints)
     def look(self, name: str) -> None:
-        """Look at a worker and renew its lease."""
+        """Look at an endpoint and renew its lease."""
         self._look(self.term, name)
 
     @rule(fate=st.sampled_from(["done", "lost", "answer-lost", "late"]))
     def act(self, fate: str) -> None:
-        """Look at all workers, place runs and send orders, which meet their fate."""
-        for name in _WORKERS:
+        """Look at all endpoints, place runs and send orders, which meet their fate."""
+        for name in _ENDPOINTS:
             self._look(self.term, name)
         self.term.state.tick(self.now)
         self.term.state.place(self.now)
@@ -164,9 +164,9 @@
             self.term.state.submit(holder, message, self.now)
 
     @precondition(lambda self: self.old is not None)
-    @rule(name=_workers, hears_stops=st.booleans())
+    @rule(name=_endpoints, hears_stops=st.booleans())
     def old_owner_acts(self, name: str, hears_stops: bool) -> None:
-        """The owner before, which reaches all workers, goes on with what it has the right to."""
+        """The owner before, which reaches all endpoints, goes on with what it has the right to."""
         assert self.old is not None
         if self.now >= self.old_right_ms:
             for holder in self.old_holders:
@@ -174,7 +174,7 @@
         self._look(self.old, name)
         self.old.state.place(self.now)
         for start in self.old.state.take_starts():
-            if self._may_renew(self.old, start.worker):
+            if self._may_renew(self.old, start.endpoint):
                 self._order_start(self.old, start, "done")
         if hears_stops:
             for stop in self.old.state.take_stops():
@@ -183,21 +183,21 @@
 
     @invariant()
     def runs_once(self) -> None:
-        """Of one task at most one run is on any worker, and no worker is over its room."""
+        """Of one task at most one run is on any endpoint, and no endpoint is over its room."""
         present: list[TaskId] = []
-        for one in self.workers.values():
+        for one in self.endpoints.values():
             one.lapse(self.now)
             present.extend(one.active)
         assert len(present) == len(set(present)), present
 
     def teardown(self) -> None:
         """Heal everything and let all that runs end: each open task is done."""
-        for one in self.workers.values():
+        for one in self.endpoints.values():
             one.is_reachable = True
         for _ in range(60):
             self.act("done")
             self._pass(50.0)
-            for name in _WORKERS:
+            for name in _ENDPOINTS:
                 self.finish(name, EndKind.DONE)
         assert not self.open, self.open
 
@@ -215,7 +215,7 @@
             self.term.state.submit(holder, again, self.now)
 
     def _look(self, term: Term, name: str) -> None:
-        simulated = self.workers[name]
+        simulated = self.endpoints[name]
         clock = term.clocks[name]
         may_renew = clock.is_known and self._may_renew(term, name)
         until = clock.order_until(self.now, _LEASE_MS) if may_renew else 0
@@ -240,18 +240,18 @@
         return not term.state.has_overdue_stop(name, self.now - STOP_OVERDUE_MS)
 
     def _reaches(self, term: Term, name: str) -> bool:
-        return term is self.old or self.workers[name].is_reachable
+        return term is self.old or self.endpoints[name].is_reachable
 
     def _order_start(self, term: Term, action: StartAction, fate: str) -> None:
-        until = term.clocks[action.worker].order_until(self.now, _LEASE_MS)
-        simulated = self.workers[action.worker]
-        if not self._reaches(term, action.worker):
+        until = term.clocks[action.endpoint].order_until(self.now, _LEASE_MS)
+        simulated = self.endpoints[action.endpoint]
+        if not self._reaches(term, action.endpoint):
             fate = "lost"
         if fate == "done":
             outcome = simulated.start(action.run_id, term.token, until, self.now)
-            term.state.note_start(action.run_id, action.worker, outcome, self.now)
+            term.state.note_start(action.run_id, action.endpoint, outcome, self.now)
             return
-        order = Late(0.0, "start", action.worker, action.run_id, term.token, until)
+        order = Late(0.0, "start", action.endpoint, action.run_id, term.token, until)
         if fate == "late":
             self.late.append(order._replace(at_ms=self.now + 2_000.0))
         elif fate == "answer-lost":
@@ -259,12 +259,12 @@
         self.late.append(order._replace(at_ms=self.now + _ANSWER_MS, kind="no-answer"))
 
     def _order_stop(self, term: Term, action: StopAction, fate: str) -> None:
-        simulated = self.workers[action.worker]
-        if not self._reaches(term, action.worker) or fate in ("lost", "late"):
+        simulated = self.endpoints[action.endpoint]
+        if not self._reaches(term, action.endpoint) or fate in ("lost", "late"):
             return
         outcome = simulated.stop(action.run_id, term.token, self.now)
         if fate == "done":
-            term.state.note_stop(action.run_id, action.worker, outcome, self.now)
+            term.state.note_stop(action.run_id, action.endpoint, outcome, self.now)
 
     def _pass(self, span: float) -> None:
         """Let time pass in steps, as an owner's tick does."""
@@ -291,11 +291,11 @@
         self.late = [order for order in self.late if order.at_ms > self.now]
         for order in due:
             if order.kind == "start":
-                simulated = self.workers[order.worker]
+                simulated = self.endpoints[order.endpoint]
                 simulated.start(order.run_id, order.token, order.until, self.now)
             elif order.token == self.term.token:
                 self.term.state.note_start(
-                    order.run_id, order.worker, CallOutcome.UNKNOWN, self.now
+                    order.run_id, order.endpoint, CallOutcome.UNKNOWN, self.now
                 )
 
 
@@ -311,7 +311,7 @@
 
     def _step(self, machine: OwnersMachine, rng: random.Random) -> None:
         """Take one step."""
-        name, job = rng.choice(_WORKERS), rng.choice(_JOBS)
+        name, job = rng.choice(_ENDPOINTS), rng.choice(_JOBS)
         kind = rng.choices(
             ["submit", "act", "wait", "cut", "leave", "die", "owner", "old", "finish"],
             [5, 12, 8, 3, 1, 1, 1, 4, 1],
@@ -347,7 +347,7 @@
         machine.teardown()
         machine.runs_once()
 
-    def test_no_task_is_on_two_workers(self) -> None:
+    def test_no_task_is_on_two_endpoints(self) -> None:
         """After each step of each walk the rule holds; at the end each open task is done."""
         first = int(os.environ.get("FOLDLOOM_FIRST_SEED", "0"))
         for seed in range(first, first + self._WALKS):
--- a/tests/test_owners_model.py
+++ b/tests/test_owners_model.py
@@ -21,10 +21,10 @@
 
 
 class TestOwnersProtocol:
-    """Two owners, two workers, two boxes that are handed the same job."""
+    """Two owners, two endpoints, two boxes that are handed the same job."""
 
     def test_one_run_at_a_time(self) -> None:
-        """No task is ever on two workers."""
+        """No task is ever on two endpoints."""
         assert _check(Rules(), Bounds(_TICKS)) == {"runs_once": True}
 
     @pytest.mark.parametrize("rule", Rules._fields)
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: MIT
-"""An owner's runs: of one task at most one is on a worker, and each gets its end."""
+"""An owner's runs: of one task at most one is on an endpoint, and each gets its end."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from foldloom.endpoints.calls import ActiveRun, CallOutcome, EndedRun, EndKind
-from foldloom.endpoints.records import WorkerRecord
+from foldloom.endpoints.records import EndpointRecord
 from foldloom.jobs.spec import Demand, Placement, RunId, TaskId
 from foldloom.owners.messages import EndCause, Objective, RunEnd, RunOrder, SubmitRuns, SubmitStatus
 from foldloom.owners.state import OwnerState
@@ -20,9 +20,9 @@
 _TASK = TaskId(_JOB, 0, 0, 0)
 
 
-def worker(name: str, cpu: int = 16_000, **changes: Any) -> WorkerRecord:
-    """Return a worker of the service ``svc``."""
-    return WorkerRecord(name, "svc", f"{name}:1", "a", Demand(cpu, 32_000, 0))._replace(**changes)
+def endpoint(name: str, cpu: int = 16_000, **changes: Any) -> EndpointRecord:
+    """Return an endpoint of the service ``svc``."""
+    return EndpointRecord(name, "svc", f"{name}:1", "a", Demand(cpu, 32_000, 0))._replace(**changes)
 
 
 def submission(
@@ -50,12 +50,12 @@
     return message._replace(**changes)
 
 
-def owner_with(*records: WorkerRecord) -> OwnerState:
+def owner_with(*records: EndpointRecord) -> OwnerState:
     """Return an owner that has looked at all of *records*."""
     state = OwnerState(_GONE_AFTER_MS)
     for record in records:
-        state.follow_worker(record)
-        state.report(record.worker, (), (), 0.0, 1.0)
+        state.follow_endpoint(record)
+        state.report(record.endpoint, (), (), 0.0, 1.0)
     return state
 
 
@@ -69,25 +69,25 @@
     state.submit(_E1, submission(), now_ms)
     state.place(now_ms)
     action = state.take_starts()[0]
-    state.note_start(action.run_id, action.worker, CallOutcome.DONE, now_ms + 1)
+    state.note_start(action.run_id, action.endpoint, CallOutcome.DONE, now_ms + 1)
     return action.run_id
 
 
 class TestPlacing:
     """Runs go where there is room."""
 
-    def test_no_worker_is_overfilled(self) -> None:
+    def test_no_endpoint_is_overfilled(self) -> None:
         """Two tasks of 6.8 cores fit on 16, three on 24; the rest waits."""
-        state = owner_with(worker("w1"), worker("w2", 24_000))
+        state = owner_with(endpoint("w1"), endpoint("w2", 24_000))
         assert state.submit(_E1, submission(7), 1.0).status is SubmitStatus.TAKEN
         state.place(1.0)
-        placed = [action.worker for action in state.take_starts()]
+        placed = [action.endpoint for action in state.take_starts()]
         assert sorted(placed) == ["w1", "w1", "w2", "w2", "w2"]
         assert len(state.waiting) == 2
 
-    def test_untrusted_worker_gets_nothing(self) -> None:
-        """A worker that does not answer gets no work until it was looked at again."""
-        state = owner_with(worker("w1"))
+    def test_untrusted_endpoint_gets_nothing(self) -> None:
+        """An endpoint that does not answer gets no work until it was looked at again."""
+        state = owner_with(endpoint("w1"))
         state.distrust("w1")
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
@@ -96,16 +96,16 @@
         state.place(3.0)
         assert len(state.take_starts()) == 1
 
-    def test_label_and_bound_on_one_worker(self) -> None:
-        """A label must be there, and no more of a step than allowed sits on one worker."""
-        state = owner_with(worker("w1", labels=("x",)), worker("w2"))
+    def test_label_and_bound_on_one_endpoint(self) -> None:
+        """A label must be there, and no more of a step than allowed sits on one endpoint."""
+        state = owner_with(endpoint("w1", labels=("x",)), endpoint("w2"))
         state.submit(_E1, submission(3, placement=Placement("x", "", 1)), 1.0)
         state.place(1.0)
-        assert [action.worker for action in state.take_starts()] == ["w1"]
+        assert [action.endpoint for action in state.take_starts()] == ["w1"]
 
     def test_room_comes_back_with_the_end(self) -> None:
         """The next run starts when the end of one is listed."""
-        state = owner_with(worker("w1", 7_000))
+        state = owner_with(endpoint("w1", 7_000))
         run_id = start_one(state)
         state.submit(_E1, submission(job_id="1" * 16), 20.0)
         state.place(20.0)
@@ -120,7 +120,7 @@
 
     def test_done(self) -> None:
         """A done run is told once, with how long it ran."""
-        state = owner_with(worker("w1"))
+        state = owner_with(endpoint("w1"))
         run_id = start_one(state)
         state.report("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 100.0, 110.0)
         told = ends_of(state)
@@ -129,33 +129,33 @@
         assert state.run_of(run_id.task) is None
 
     def test_lapsed(self) -> None:
-        """When a worker's lease has lapsed, what it ran has ended."""
-        state = owner_with(worker("w1"))
+        """When an endpoint's lease has lapsed, what it ran has ended."""
+        state = owner_with(endpoint("w1"))
         start_one(state)
         state.note_lapsed("w1", 700.0)
         assert [end.cause for _, end in ends_of(state)] == [EndCause.LAPSED]
 
     def test_unanswered_start(self) -> None:
         """A start without an answer is stopped; another one follows only after its end."""
-        state = owner_with(worker("w1"), worker("w2"))
+        state = owner_with(endpoint("w1"), endpoint("w2"))
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
         first = state.take_starts()[0]
-        state.note_start(first.run_id, first.worker, CallOutcome.UNKNOWN, 200.0)
+        state.note_start(first.run_id, first.endpoint, CallOutcome.UNKNOWN, 200.0)
         state.place(200.0)
         assert [action.run_id for action in state.take_stops()] == [first.run_id]
         assert state.take_starts() == []
-        state.note_stop(first.run_id, first.worker, CallOutcome.DONE, 210.0)
-        state.report(first.worker, (), (), 205.0, 212.0)
+        state.note_stop(first.run_id, first.endpoint, CallOutcome.DONE, 210.0)
+        state.report(first.endpoint, (), (), 205.0, 212.0)
         state.place(212.0)
         assert state.take_starts() == []
-        state.report(first.worker, (), (), 215.0, 216.0)
+        state.report(first.endpoint, (), (), 215.0, 216.0)
         state.place(216.0)
         assert state.take_starts()[0].run_id == RunId(_TASK, 2)
 
     def test_old_run_gets_a_higher_number(self) -> None:
-        """A worker that has ended this run before is given the next one."""
-        state = owner_with(worker("w1"))
+        """An endpoint that has ended this run before is given the next one."""
+        state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
         first = state.take_starts()[0]
@@ -164,8 +164,8 @@
         assert state.take_starts()[0].run_id == RunId(_TASK, 2)
 
     def test_no_room_waits_and_keeps_its_number(self) -> None:
-        """A worker without room is left alone for a while."""
-        state = owner_with(worker("w1"))
+        """An endpoint without room is left alone for a while."""
+        state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
         first = state.take_starts()[0]
@@ -190,7 +190,7 @@
 
         Seen on the bench: trouble-2 of Kestrelwood in journal a8e3cc0a, TWICE at 33.012 s.
         """
-        state = owner_with(worker("w1"))
+        state = owner_with(endpoint("w1"))
         state.submit(_E1, _handed_over(1), 1.0)
         assert state.release(self._GROUP, 1, "other", 2.0) == 1
         state.submit(_E1, _handed_over(1), 150.0)
@@ -199,7 +199,7 @@
 
     def test_a_late_copy_after_its_end(self) -> None:
         """A run that has ended is not started again by a copy of the order for it."""
-        state = owner_with(worker("w1"))
+        state = owner_with(endpoint("w1"))
         state.submit(_E1, _handed_over(1), 1.0)
         state.place(1.0)
         run_id = state.take_starts()[0].run_id
@@ -212,7 +212,7 @@
 
     def test_a_run_that_comes_back(self) -> None:
         """A run that another zone gave back is handed over anew, and starts."""
-        state = owner_with(worker("w1"))
+        state = owner_with(endpoint("w1"))
         state.submit(_E1, _handed_over(1), 1.0)
         state.release(self._GROUP, 1, "other", 2.0)
         state.submit(_E1, _handed_over(3), 10.0)
@@ -221,14 +221,14 @@
 
     def test_a_run_that_moved_has_not_started(self) -> None:
         """A cancel after it tells the truth."""
-        state = owner_with(worker("w1"))
+        state = owner_with(endpoint("w1"))
         state.submit(_E1, _handed_over(1), 1.0)
         state.release(self._GROUP, 1, "other", 2.0)
         assert not state.cancel(_E1, _JOB, 3.0)
 
     def test_each_holder_has_its_own_number(self) -> None:
         """A run that two boxes want ends for each under its own number."""
-        state = owner_with(worker("w1"))
+        state = owner_with(endpoint("w1"))
         state.submit(_E1, _handed_over(7), 1.0)
         state.submit(_E2, _handed_over(3), 1.0)
         state.place(1.0)
@@ -251,8 +251,8 @@
         assert not state.cancel(_E1, _JOB, 2_001.0)
 
     def test_started_before(self) -> None:
-        """One that was ordered to start on a worker that fell silent is not."""
-        state = owner_with(worker("w1"))
+        """One that was ordered to start on an endpoint that fell silent is not."""
+        state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(objective=Objective(0, 1.6, 60, 0)), 1.0)
         state.place(1.0)
         first = state.take_starts()[0]
@@ -264,7 +264,7 @@
 
     def test_cancelled_after_a_start_was_ordered(self) -> None:
         """A cancel tells that something may have started."""
-        state = owner_with(worker("w1"))
+        state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
         first = state.take_starts()[0]
@@ -277,7 +277,7 @@
 
     def test_cancel_stops(self) -> None:
         """A cancelled job's run is stopped, and its room is kept until the end is listed."""
-        state = owner_with(worker("w1", 7_000))
+        state = owner_with(endpoint("w1", 7_000))
         run_id = start_one(state)
         state.cancel(_E1, _JOB, 20.0)
         assert [action.run_id for action in state.take_stops()] == [run_id]
@@ -287,7 +287,7 @@
 
     def test_same_job_through_another_box(self) -> None:
         """A job that is sent again attaches to its run; it goes on while one wants it."""
-        state = owner_with(worker("w1"), worker("w2"))
+        state = owner_with(endpoint("w1"), endpoint("w2"))
         run_id = start_one(state)
         state.submit(_E2, submission(), 30.0)
         state.place(30.0)
@@ -300,7 +300,7 @@
 
     def test_sent_again_while_it_is_stopped(self) -> None:
         """A run that is being stopped starts anew after its end, under the next number."""
-        state = owner_with(worker("w1"), worker("w2"))
+        state = owner_with(endpoint("w1"), endpoint("w2"))
         run_id = start_one(state)
         state.end_session(_E1, 20.0)
         stopped = state.take_stops()[0]
@@ -308,14 +308,14 @@
         state.place(25.0)
         assert state.take_starts() == []
         ended = EndedRun(1, run_id, EndKind.STOPPED)
-        state.report(stopped.worker, (), (ended,), 26.0, 27.0)
+        state.report(stopped.endpoint, (), (ended,), 26.0, 27.0)
         state.place(27.0)
         assert state.take_starts()[0].run_id == RunId(_TASK, 2)
         assert ends_of(state) == []
 
     def test_sent_again_after_the_end(self) -> None:
         """A job that comes again after its end starts above the numbers used before."""
-        state = owner_with(worker("w1"))
+        state = owner_with(endpoint("w1"))
         run_id = start_one(state)
         state.report("w1", (), (EndedRun(1, run_id, EndKind.FAILED),), 50.0, 51.0)
         state.submit(_E2, submission(), 60.0)
@@ -327,11 +327,11 @@
     """A new owner takes over what an earlier one started."""
 
     def test_running_run_is_adopted(self) -> None:
-        """A run that a worker lists is kept, whichever comes first: the look or the box."""
+        """A run that an endpoint lists is kept, whichever comes first: the look or the box."""
         run_id = RunId(_TASK, 3)
         for looks_first in (True, False):
             state = OwnerState(_GONE_AFTER_MS)
-            state.follow_worker(worker("w1"))
+            state.follow_endpoint(endpoint("w1"))
             if looks_first:
                 state.report("w1", (ActiveRun(run_id),), (), 0.0, 1.0)
             state.submit(_E1, submission(run=3, is_resumed=True), 2.0)
@@ -346,8 +346,8 @@
         """An earlier run's end does not let another start while a later one may be elsewhere."""
         state = OwnerState(_GONE_AFTER_MS)
         state.trust_catalog()
-        state.follow_worker(worker("w1"))
-        state.follow_worker(worker("w2"))
+        state.follow_endpoint(endpoint("w1"))
+        state.follow_endpoint(endpoint("w2"))
         state.submit(_E1, submission(is_resumed=True), 1.0)
         state.report("w2", (), (EndedRun(4, RunId(_TASK, 2), EndKind.STOPPED),), 2.0, 3.0)
         state.tick(4.0)
@@ -359,17 +359,17 @@
         assert [(end.run_id.run, end.cause) for _, end in ends_of(state)] == [(3, EndCause.DONE)]
 
     def test_end_that_came_before_the_box(self) -> None:
-        """An end that a worker still lists is told when the box asks for it."""
+        """An end that an endpoint still lists is told when the box asks for it."""
         state = OwnerState(_GONE_AFTER_MS)
-        state.follow_worker(worker("w1"))
+        state.follow_endpoint(endpoint("w1"))
         state.report("w1", (), (EndedRun(4, RunId(_TASK, 1), EndKind.DONE),), 0.0, 1.0)
         state.submit(_E1, submission(is_resumed=True), 2.0)
         assert [end.cause for _, end in ends_of(state)] == [EndCause.DONE]
 
     def test_nowhere_found_is_lost_only_after_the_lease(self) -> None:
-        """A run that may be on a worker that nobody reaches is not given up before its lease."""
-        state = owner_with(worker("w1"))
-        state.follow_worker(worker("w2"))
+        """A run that may be on an endpoint that nobody reaches is not given up before its lease."""
+        state = owner_with(endpoint("w1"))
+        state.follow_endpoint(endpoint("w2"))
         state.submit(_E1, submission(is_resumed=True, old_right_ms=200), 1_000.0)
         state.tick(1_900.0)
         assert ends_of(state) == []
@@ -377,8 +377,8 @@
         assert [end.cause for _, end in ends_of(state)] == [EndCause.LOST]
 
     def test_looked_everywhere_is_lost_at_once(self) -> None:
-        """Once every worker was looked at after the earlier right, the run is nowhere."""
-        state = owner_with(worker("w1"), worker("w2"))
+        """Once every endpoint was looked at after the earlier right, the run is nowhere."""
+        state = owner_with(endpoint("w1"), endpoint("w2"))
         state.trust_catalog()
         state.submit(_E1, submission(is_resumed=True, old_right_ms=100), 1_000.0)
         state.report("w1", (), (), 1_101.0, 1_102.0)
@@ -390,9 +390,9 @@
         assert [end.cause for _, end in ends_of(state)] == [EndCause.LOST]
 
     def test_unclaimed_run_is_stopped(self) -> None:
-        """What no box claims is stopped after a while; until then its worker gets no work."""
+        """What no box claims is stopped after a while; until then its endpoint gets no work."""
         state = OwnerState(_GONE_AFTER_MS)
-        state.follow_worker(worker("w1"))
+        state.follow_endpoint(endpoint("w1"))
         stranger = RunId(TaskId("f" * 16, 0, 0, 0), 1)
         state.report("w1", (ActiveRun(stranger),), (), 0.0, 1.0)
         state.submit(_E1, submission(), 10.0)
--- a/tests/test_owners_zone_owner.py
+++ b/tests/test_owners_zone_owner.py
@@ -7,7 +7,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from foldloom.endpoints.catalog import WorkerCatalog
+from foldloom.endpoints.catalog import EndpointCatalog
 from foldloom.fleet.messages import BoxRecord, Echo, OwnerRecord
 from foldloom.fleet.view import FleetView
 from foldloom.metrics import Metrics
@@ -44,11 +44,11 @@
         view,
         network,
         calls,
-        WorkerCatalog(),
+        EndpointCatalog(),
         TimingSettings(session_ms=50),
         Metrics(),
         lambda: 0,
-        lambda _worker: None,
+        lambda _endpoint: None,
         lambda: 0.0,
     )
 
@@ -62,7 +62,7 @@
 
 
 class TestIsolation:
-    """An owner that nobody hears must not take a silent worker's runs for lapsed."""
+    """An owner that nobody hears must not take a silent endpoint's runs for lapsed."""
 
     def test_alone_in_the_system(self) -> None:
         """With no other entry box there is nobody who could own the zone."""
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -16,7 +16,7 @@
 
 @pytest.fixture(scope="module")
 def cluster(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Cluster]:
-    """Three boxes, three workers."""
+    """Three boxes, three endpoints."""
     with Cluster(tmp_path_factory.mktemp("path")) as running:
         yield running
 
@@ -33,7 +33,7 @@
         assert [one["echo"] for one in answer.fields["answers"]] == payloads
 
     def test_one_log_line_a_placement(self, cluster: Cluster) -> None:
-        """Each task's placement is one log line with task, worker and lease."""
+        """Each task's placement is one log line with task, endpoint and lease."""
         cluster.submit("b1", "logged", [{"ms": 1}] * 3)
         lines = [line for line in cluster.log("b1").splitlines() if "place: Task logged/" in line]
         assert len(lines) == 3
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -13,9 +13,9 @@
     ACTIVE,
     LEAVING,
     Config,
+    Endpoint,
     Member,
     Service,
-    Worker,
     empty_config,
 )
 from foldloom.metrics import Metrics
@@ -33,15 +33,17 @@
 _LONG_MS = 10**7
 
 
-def _config(worker_count: int, members: dict[str, Member] | None = None, **service: Any) -> Config:
+def _config(
+    endpoint_count: int, members: dict[str, Member] | None = None, **service: Any
+) -> Config:
     known = members or {"m1": Member(quota=1, concurrency_max=0)}
     base = Service(workers=["*"], concurrency_max=0, restart="never")
     return empty_config({}, {})._replace(
         services={"s": Service(**{**base, **service})},
         customers=known,
         endpoints={
-            f"w{n}": Worker(endpoint="http://w", zone="a", slots=2, state=ACTIVE)
-            for n in range(worker_count)
+            f"w{n}": Endpoint(endpoint="http://w", zone="a", slots=2, state=ACTIVE)
+            for n in range(endpoint_count)
         },
     )
 
@@ -59,7 +61,7 @@
         }
     )
     shard = Shard(settings, SlotLeases(), itertools.count(1))
-    shard.set_workers(config, list(config.endpoints), set(config.endpoints))
+    shard.set_endpoints(config, list(config.endpoints), set(config.endpoints))
     return shard
 
 
@@ -69,7 +71,7 @@
 
 def _give_back(shard: Shard, grant: Grant, ms: float, use: SlotUse = SlotUse.DONE) -> None:
     message = grant.message
-    shard.give_back(SlotReturn(message.lease_id, message.worker, "s", ms, use), 0.0)
+    shard.give_back(SlotReturn(message.lease_id, message.endpoint, "s", ms, use), 0.0)
 
 
 class TestPolicies:
@@ -77,11 +79,11 @@
 
     @pytest.mark.parametrize("name", POLICIES)
     def test_nothing_to_choose_from(self, name: str) -> None:
-        """Without a worker every policy waits."""
+        """Without an endpoint every policy waits."""
         assert choose(POLICIES[name], View([])) is None
 
     def test_least_local_count(self) -> None:
-        """The worker with the fewest own tasks is chosen."""
+        """The endpoint with the fewest own tasks is chosen."""
         view = View(["w0", "w1"], local_count={"w0": 2, "w1": 1})
         assert choose(POLICIES["least-local-count"], view) == Choice("w1")
 
@@ -172,7 +174,9 @@
             held = [*held[4:], *shard.match(step * 100.0)]
             for grant in held:
                 lease = grant.message
-                shard.hold("a1", HeldSlot(lease.lease_id, lease.worker, "s", "m", 0), step * 100.0)
+                shard.hold(
+                    "a1", HeldSlot(lease.lease_id, lease.endpoint, "s", "m", 0), step * 100.0
+                )
             shard.tick(step * 100.0)
         # Four slots of 100 ms are 40 tasks a second; calm takes 10 of them, so the queue lasts
         # for its length over 30, not over 40.
@@ -206,8 +210,8 @@
         assert shard.add("a1", _request(3, 9)) is not None
         assert shard.add("a1", _request(4, 1, "m2")) is None
 
-    def test_no_worker(self) -> None:
-        """A service that no usable worker serves is refused."""
+    def test_no_endpoint(self) -> None:
+        """A service that no usable endpoint serves is refused."""
         refusal = _shard(_config(1, None, workers=["x*"])).add("a1", _request(1))
         assert refusal is not None
         assert refusal.reason == "no-worker"
@@ -228,7 +232,7 @@
         shard = _shard(_config(1))
         shard.add("a1", _request(1, 2))
         kept, _lost = shard.match(0.0)
-        held = HeldSlot(kept.message.lease_id, kept.message.worker, "s", "m1", 0)
+        held = HeldSlot(kept.message.lease_id, kept.message.endpoint, "s", "m1", 0)
         shard.hold("a1", held, 1_500.0)
         shard.tick(2_500.0)
         assert shard.lease_count == 1
@@ -240,41 +244,41 @@
         shard.add("a1", _request(1, 5))
         assert len(shard.match(0.0)) == 1
 
-    def test_leaving_worker_gets_nothing(self) -> None:
-        """A leaving worker gets no grant from the moment that it is known."""
+    def test_leaving_endpoint_gets_nothing(self) -> None:
+        """A leaving endpoint gets no grant from the moment that it is known."""
         config = _config(2)
         shard = _shard(config)
         leaving = {**config.endpoints["w0"], "state": LEAVING}
         changed = config._replace(endpoints={**config.endpoints, "w0": leaving})  # type: ignore[dict-item]
-        shard.set_workers(changed, list(changed.endpoints), {"w1"})
+        shard.set_endpoints(changed, list(changed.endpoints), {"w1"})
         shard.add("a1", _request(1, 5))
-        assert {grant.message.worker for grant in shard.match(0.0)} == {"w1"}
+        assert {grant.message.endpoint for grant in shard.match(0.0)} == {"w1"}
 
     def test_slow_slot_goes_to_job_that_has_one(self) -> None:
-        """A slow slot goes to the job that is late anyway, not to one on fast workers only."""
+        """A slow slot goes to the job that is late anyway, not to one on fast endpoints only."""
         shard = _shard(_config(2))
         for _ in range(20):
             shard.add("a1", _request(1, 4))
             for grant in shard.match(0.0):
-                _give_back(shard, grant, 200.0 if grant.message.worker == "w1" else 100.0)
+                _give_back(shard, grant, 200.0 if grant.message.endpoint == "w1" else 100.0)
             shard.cancel("a1", 1)
         shard.tick(0.0)
         for number in (2, 3):
             shard.add("a1", _request(number, 12))
-        slow = [g for g in shard.match(0.0) if g.message.worker == "w1"]
+        slow = [g for g in shard.match(0.0) if g.message.endpoint == "w1"]
         assert len(slow) == 2
         assert len({grant.message.request_id for grant in slow}) == 1
 
 
 class TestHealth:
-    """Ejection of workers."""
+    """Ejection of endpoints."""
 
     def test_failures_eject_up_to_the_share(self) -> None:
-        """Three failures in a row eject a worker, never more than the share."""
+        """Three failures in a row eject an endpoint, never more than the share."""
         health = Health(1_000, 0.34)
-        for worker in ("w0", "w1"):
+        for endpoint in ("w0", "w1"):
             for _ in range(3):
-                health.note_failure(worker, 3, 0.0)
+                health.note_failure(endpoint, 3, 0.0)
         assert health.is_ejected("w0")
         assert not health.is_ejected("w1")
 
@@ -289,12 +293,12 @@
         assert not health.is_ejected("w0")
 
     def test_overdue_tasks_eject(self) -> None:
-        """A worker that answers none of its tasks for long is ejected."""
+        """An endpoint that answers none of its tasks for long is ejected."""
         shard = _shard(_config(3))
         shard.add("a1", _request(1, 6))
         grants = shard.match(0.0)
         for grant in grants:
-            if grant.message.worker != "w0":
+            if grant.message.endpoint != "w0":
                 _give_back(shard, grant, 100.0)
             else:
                 held = HeldSlot(grant.message.lease_id, "w0", "s", "m1", 0)
@@ -303,20 +307,20 @@
         assert "Eject w0" in " ".join(shard.take_events())
 
     def test_far_slower_is_ejected_and_probed_only_after_a_sign_of_life(self) -> None:
-        """A worker ten times slower than its peers is ejected; a probe needs proof of life."""
+        """An endpoint ten times slower than its peers is ejected; a probe needs proof of life."""
         shard = _shard(_config(4))
         for number in range(160):
-            worker = f"w{number % 4}"
-            shard.hold("a1", HeldSlot(number, worker, "s", "m1", 0), 0.0)
-            ms = 1_000.0 if worker == "w3" and number > 40 else 100.0
-            shard.give_back(SlotReturn(number, worker, "s", ms, SlotUse.DONE), 0.0)
+            endpoint = f"w{number % 4}"
+            shard.hold("a1", HeldSlot(number, endpoint, "s", "m1", 0), 0.0)
+            ms = 1_000.0 if endpoint == "w3" and number > 40 else 100.0
+            shard.give_back(SlotReturn(number, endpoint, "s", ms, SlotUse.DONE), 0.0)
             shard.tick(0.0)
         shard.add("a1", _request(2, 8))
-        assert "w3" not in {grant.message.worker for grant in shard.match(0.0)}
+        assert "w3" not in {grant.message.endpoint for grant in shard.match(0.0)}
         assert shard.to_prove(5_000.0) == ["w3"]
         shard.prove("w3")
         shard.tick(5_000.0)
-        probes = [g for g in shard.match(5_000.0) if g.message.worker == "w3"]
+        probes = [g for g in shard.match(5_000.0) if g.message.endpoint == "w3"]
         assert len(probes) == 1
 
 
@@ -324,7 +328,7 @@
     """Measured speeds."""
 
     def test_stale_average_is_measured_again(self) -> None:
-        """A worker that nobody picked for long counts as average until it is measured again."""
+        """An endpoint that nobody picked for long counts as average until it is measured again."""
         speeds = SpeedTable()
         for _ in range(10):
             speeds.note("s", "slow", 500.0, 0.0)
@@ -408,10 +412,10 @@
 
 
 class TestShards:
-    """Who manages which workers."""
+    """Who manages which endpoints."""
 
     def test_small_fleet_is_one_shard(self) -> None:
-        """Up to the bound all workers are one shard, managed by one live box."""
+        """Up to the bound all endpoints are one shard, managed by one live box."""
         assert list(shard_names(_config(24), 64)) == [FLEET]
         boxes = {"a1": "a", "b1": "b", "c1": "c"}
         manager = manager_of(FLEET, boxes)
@@ -420,9 +424,9 @@
         assert manager_of(FLEET, {}) == ""
 
     def test_large_fleet_is_split_within_zones(self) -> None:
-        """Over the bound every worker is in one shard of its own zone, managed there."""
+        """Over the bound every endpoint is in one shard of its own zone, managed there."""
         names = shard_names(_config(200), 64)
-        assert sorted(w for workers in names.values() for w in workers) == sorted(
+        assert sorted(w for endpoints in names.values() for w in endpoints) == sorted(
             _config(200).endpoints
         )
         assert all(name.startswith("a/") for name in names)
--- a/tests/test_placement_faults.py
+++ b/tests/test_placement_faults.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Placement under faults: real processes, workers leaving, frozen, slow; managers killed."""
+"""Placement under faults: real processes, endpoints leaving, frozen, slow; managers killed."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from cluster import Cluster, free_port, http, wait_until
 
 
-def _starts_on(cluster: Cluster, worker: str) -> int:
-    port = next(spec.port for spec in cluster.workers if spec.name == worker)
+def _starts_on(cluster: Cluster, endpoint: str) -> int:
+    port = next(spec.port for spec in cluster.endpoints if spec.name == endpoint)
     return sum(http("GET", f"http://127.0.0.1:{port}/starts").fields["starts"].values())
 
 
@@ -31,11 +31,11 @@
         return list(pool.map(run, range(jobs)))
 
 
-class TestLeavingWorkers:
-    """Workers that leave get no new work."""
+class TestLeavingEndpoints:
+    """Endpoints that leave get no new work."""
 
     def test_by_confirmed_intent(self, tmp_path: Path) -> None:
-        """Once a drain is in force everywhere, the worker gets nothing; others serve."""
+        """Once a drain is in force everywhere, the endpoint gets nothing; others serve."""
         with Cluster(tmp_path) as cluster:
             assert set(_run_jobs(cluster, "before", 20)) == {200}
             version = cluster.confirm([{"kind": "worker-leaving", "name": "aw1"}])
@@ -46,7 +46,7 @@
             assert _starts_on(cluster, "aw1") == before
 
     def test_by_platform_list(self, tmp_path: Path) -> None:
-        """A worker that the platform's lagging list calls leaving gets nothing either."""
+        """An endpoint that the platform's lagging list calls leaving gets nothing either."""
         listed: list[dict[str, str]] = []
 
         class Handler(BaseHTTPRequestHandler):
@@ -83,23 +83,23 @@
             server.shutdown()
 
 
-def _is_quiet(cluster: Cluster, worker: str) -> bool:
-    before = _starts_on(cluster, worker)
+def _is_quiet(cluster: Cluster, endpoint: str) -> bool:
+    before = _starts_on(cluster, endpoint)
     _run_jobs(cluster, f"quiet-{len(cluster.starts())}", 6)
-    return _starts_on(cluster, worker) == before
+    return _starts_on(cluster, endpoint) == before
 
 
-class TestSickWorkers:
-    """Workers that hang or slow down."""
+class TestSickEndpoints:
+    """Endpoints that hang or slow down."""
 
     @pytest.fixture
     def cluster(self, tmp_path: Path) -> Iterator[Cluster]:
-        """Three boxes and three workers."""
+        """Three boxes and three endpoints."""
         with Cluster(tmp_path) as running:
             yield running
 
-    def test_frozen_worker(self, cluster: Cluster) -> None:
-        """A frozen worker is ejected, others serve; awake, it is probed and comes back."""
+    def test_frozen_endpoint(self, cluster: Cluster) -> None:
+        """A frozen endpoint is ejected, others serve; awake, it is probed and comes back."""
         assert set(_run_jobs(cluster, "warm", 30)) == {200}
         cluster.signal("workers-a", signal.SIGSTOP)
         with ThreadPoolExecutor(8) as pool:
@@ -121,9 +121,9 @@
         assert max(cluster.starts().values()) == 1
 
     def test_ten_times_slower(self, cluster: Cluster) -> None:
-        """A worker that becomes ten times slower is left alone while others have slots."""
+        """An endpoint that becomes ten times slower is left alone while others have slots."""
         assert set(_run_jobs(cluster, "warm", 60)) == {200}
-        cluster.control_worker("bw1", speed=0.1)
+        cluster.control_endpoint("bw1", speed=0.1)
 
         def is_left_alone() -> bool:
             before = _starts_on(cluster, "bw1")
@@ -132,8 +132,8 @@
 
         wait_until(is_left_alone, "bw1 gets at most 2 of 48 tasks")
 
-    def test_dead_workers_are_left_out(self, cluster: Cluster) -> None:
-        """Jobs go on when a worker's process is gone: its attempts certainly did not run."""
+    def test_dead_endpoints_are_left_out(self, cluster: Cluster) -> None:
+        """Jobs go on when an endpoint's process is gone: its attempts certainly did not run."""
         assert set(_run_jobs(cluster, "warm", 20)) == {200}
         cluster.kill("workers-c")
         assert set(_run_jobs(cluster, "gone", 40)) <= {200, 502}
--- a/tests/test_platform_bodies.py
+++ b/tests/test_platform_bodies.py
@@ -130,7 +130,7 @@
 
 
 class TestNames:
-    """Names of tasks and the rows of a worker's lists."""
+    """Names of tasks and the rows of an endpoint's lists."""
 
     def test_task(self) -> None:
         """A task's name holds job, time, step and number."""
--- a/tests/test_platform_system.py
+++ b/tests/test_platform_system.py
@@ -69,17 +69,17 @@
 
         play(scenario, tmp_path)
 
-    def test_draining_worker(self, tmp_path: Path) -> None:
+    def test_draining_endpoint(self, tmp_path: Path) -> None:
         """Once a heartbeat that says draining is answered, nothing new starts there."""
 
         async def scenario(system: PlatformSystem) -> None:
-            system.workers[0].state = "draining"
+            system.endpoints[0].state = "draining"
             for number in range(200):
                 body = steps(2, ms=5, estimate_ms=500)
                 answer = await system.submit(system.entries[number % 3], number, body)
                 assert answer.status == 200
-            assert system.workers[0].is_draining_known
-            assert system.workers[0].starts_after_draining == 0
+            assert system.endpoints[0].is_draining_known
+            assert system.endpoints[0].starts_after_draining == 0
 
         play(scenario, tmp_path)
 
@@ -121,7 +121,7 @@
 
     def __init__(self, folder: Path) -> None:
         self._runner = asyncio.Runner()
-        self.system = PlatformSystem(folder, entries=1, workers=1)
+        self.system = PlatformSystem(folder, entries=1, endpoints=1)
         self._runner.run(self.system.__aenter__())
 
     def submit(self, text: str, body: Any) -> Answer:
@@ -247,11 +247,11 @@
         play(scenario, tmp_path)
 
 
-class TestLostWorker:
-    """A worker that falls silent keeps its tasks until its lease is over, and not longer."""
+class TestLostEndpoint:
+    """An endpoint that falls silent keeps its tasks until its lease is over, and not longer."""
 
     def test_its_tasks_run_elsewhere(self, tmp_path: Path) -> None:
-        """Tasks on a silent worker are started again on another one."""
+        """Tasks on a silent endpoint are started again on another one."""
 
         async def scenario(system: PlatformSystem) -> None:
             running = [
@@ -261,7 +261,7 @@
                 for number in range(4)
             ]
             await asyncio.sleep(0.1)
-            system.workers[0].is_silent = True
+            system.endpoints[0].is_silent = True
             answers = await asyncio.gather(*running)
             assert [answer.status for answer in answers] == [200] * 4
 
--- a/tests/test_unchanged_platform.py
+++ b/tests/test_unchanged_platform.py
@@ -17,10 +17,10 @@
 
 from clients import ClientRoutes
 from documents import read_queues
-from endpoint_calls import HttpWorkerCalls
+from endpoint_calls import HttpEndpointCalls
 from foldloom.controllers.state import Publication
 from foldloom.endpoints.calls import HoldOrder, StartOrder
-from foldloom.endpoints.records import WorkerRecord
+from foldloom.endpoints.records import EndpointRecord
 from foldloom.entry.job_runner import JobOutcome, JobResult
 from foldloom.jobs.spec import Demand, RunId, TaskId
 from foldloom.metrics import Metrics
@@ -130,11 +130,11 @@
         self.told: list[Any] = []
         self._is_leading = is_leading
 
-    async def note_worker(self, record: WorkerRecord) -> None:
+    async def note_endpoint(self, record: EndpointRecord) -> None:
         self.told.append(list(record))
 
-    async def note_gone(self, worker: str) -> None:
-        self.told.append(worker)
+    async def note_gone(self, endpoint: str) -> None:
+        self.told.append(endpoint)
 
     async def publish(self, version: int, document: bytes, timeout_ms: float) -> Any:
         self.told.append([version, document.decode(), timeout_ms])
@@ -237,12 +237,12 @@
             endpoint = _Endpoint()
             app = web.Application()
             app.router.add_route("*", "/{path:.*}", endpoint.handle)
-            calls = HttpWorkerCalls()
+            calls = HttpEndpointCalls()
             await calls.start()
             replies = []
             async with TestServer(app) as server:
                 address = f"{server.host}:{server.port}"
-                record = WorkerRecord("i-1", "s", address, "a", Demand())
+                record = EndpointRecord("i-1", "s", address, "a", Demand())
                 for answer in _REPLIES:
                     endpoint.answer = answer
                     start = await calls.start_run(record, StartOrder(_RUN, "t", 7, 900, "c"))
