--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -202,9 +202,9 @@
         "tests/test_wire.py::TestKeys",
     ),
     Break(
-        "turns between members",
+        "turns between customers",
         "placement/shares.py",
-        "self._deficits.move_to_end(member)",
+        "self._deficits.move_to_end(customer)",
         "pass",
         "tests/test_placement.py::TestShares::test_flood_takes_no_more_than_its_share",
     ),
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -24,8 +24,8 @@
 from foldloom.controllers.config import (
     ACTIVE,
     Config,
+    Customer,
     Endpoint,
-    Member,
     Service,
     empty_config,
     encode_config,
@@ -56,7 +56,7 @@
     )
 
 
-def make_config(endpoints: int, members: int) -> Config:
+def make_config(endpoints: int, customers: int) -> Config:
     """Return a configuration of that size."""
     config = empty_config({"a1": "a"}, {"a1": "?"})
     return config._replace(
@@ -68,7 +68,7 @@
             for n in range(endpoints)
         },
         customers={
-            f"team-{n:03d}": Member(quota=1 + n % 5, concurrency_max=0) for n in range(members)
+            f"team-{n:03d}": Customer(quota=1 + n % 5, concurrency_max=0) for n in range(customers)
         },
     )
 
@@ -119,11 +119,11 @@
     return rows
 
 
-def member_decisions() -> list[list[float]]:
-    """Return (members queued, microseconds a task) pairs: every member has work queued."""
+def customer_decisions() -> list[list[float]]:
+    """Return (customers queued, microseconds a task) pairs: every customer has work queued."""
     rows = []
-    for members in (60, 120, 240, 480):
-        config = make_config(64, members)
+    for customers in (60, 120, 240, 480):
+        config = make_config(64, customers)
         shard = Shard(_settings(), SlotLeases(), itertools.count(1))
         shard.set_endpoints(config, list(config.endpoints), set(config.endpoints))
         shard.tick(0)
@@ -137,15 +137,15 @@
             shard.give_back(
                 SlotReturn(message.lease_id, message.endpoint, "sleep", 100.0, SlotUse.DONE), 0
             )
-            name = f"team-{number % members:03d}"
+            name = f"team-{number % customers:03d}"
             shard.add("a1", SlotRequest(next(numbers), "fleet", "sleep", name, 1, 10**7, 1))
             held += [grant.message for grant in shard.match(0)]
-        rows.append([members, (time.process_time() - began) / _DECISIONS * 1e6])
+        rows.append([customers, (time.process_time() - began) / _DECISIONS * 1e6])
     return rows
 
 
 def config_bytes() -> dict[str, list[list[float]]]:
-    """Return bytes of an encoded configuration by endpoints and by members."""
+    """Return bytes of an encoded configuration by endpoints and by customers."""
     sizes = (200, 400, 800, 1_600)
     return {
         "config_bytes_by_workers": [[n, len(encode_config(make_config(n, 0)))] for n in sizes],
@@ -263,7 +263,7 @@
         "claim_bytes": claim_memory(),
         "claim_vote_cpu_s": claim_votes(),
         "decision_us_by_workers": placement_decisions(),
-        "decision_us_by_members": member_decisions(),
+        "decision_us_by_members": customer_decisions(),
     }
     for part in (config_bytes, changes, boxes_idle, task_costs, jobs_in_flight):
         figures.update(part())
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -13,7 +13,7 @@
 
 ENDPOINTS = 1_700
 TASKS_PER_S = 36_000
-MEMBERS = 480
+CUSTOMERS = 480
 CHANGES_PER_DAY = 2_400
 ENTRY_BOXES = 60
 RETENTION_S = 180
@@ -79,7 +79,7 @@
     change_rate = CHANGES_PER_DAY / DAY_S
     config_bytes = (
         slopes["config_bytes_by_workers"].at(ENDPOINTS)
-        + slopes["config_bytes_by_members"].slope * MEMBERS
+        + slopes["config_bytes_by_members"].slope * CUSTOMERS
     )
     extrapolated = "slope, extrapolated"
     return [
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -102,7 +102,7 @@
 
 def _figures(samples: list[Any]) -> dict[str, Any]:
     by_second: dict[int, list[float]] = {}
-    for due, taken, ideal, outcome, _member, _whole in samples:
+    for due, taken, ideal, outcome, _customer, _whole in samples:
         if outcome == "complete":
             by_second.setdefault(int(due), []).append(taken - ideal)
     p99 = {
--- a/src/foldloom/cli/load.py
+++ b/src/foldloom/cli/load.py
@@ -36,7 +36,7 @@
         tasks: Tasks a job.
         seed: Makes times and sizes the same in each run.
         service: The service.
-        members: ``name`` or ``name:weight`` of the arrivals, separated by commas.
+        members: Customers; ``name`` or ``name:weight`` of the arrivals, separated by commas.
         task_ms_min: The shortest task.
         task_ms_max: The longest task.
         deadline_ms: How long each answer is of use.
@@ -70,7 +70,7 @@
         taken_ms: From then to the response.
         ideal_ms: Its longest task's own time.
         outcome: ``complete``, or the problem's reason.
-        member: Whose it was.
+        customer: Whose it was.
         is_whole: Whether every answer is there and its own.
     """
 
@@ -78,7 +78,7 @@
     taken_ms: float
     ideal_ms: float
     outcome: str
-    member: str
+    customer: str
     is_whole: bool
 
 
@@ -109,7 +109,7 @@
     def fields(self) -> dict[str, Any]:
         """Return the figures as JSON-like fields."""
         outcomes = Counter(sample.outcome for sample in self.samples)
-        members = Counter(one.member for one in self.samples if one.outcome == "complete")
+        customers = Counter(one.customer for one in self.samples if one.outcome == "complete")
         return {
             "options": self._options._asdict(),
             "jobs": len(self.samples),
@@ -120,7 +120,7 @@
                 f"p{one:g}": self._refusal_ms.get_value_at_percentile(one) / _RATIO_SCALE
                 for one in _PERCENTILES
             },
-            "complete_by_member": dict(members),
+            "complete_by_member": dict(customers),
         }
 
     def text(self) -> str:
@@ -150,7 +150,7 @@
     """Send every job when it is due and gather the ends."""
     rng = random.Random(options.seed)
     urls = options.urls.split(",") if isinstance(options.urls, str) else list(options.urls)
-    members, weights = _members(options)
+    customers, weights = _customers(options)
     samples: list[Sample] = []
     jobs: list[asyncio.Task[None]] = []
     connector = aiohttp.TCPConnector(limit=0)
@@ -164,10 +164,10 @@
             sizes = [
                 rng.randint(options.task_ms_min, options.task_ms_max) for _ in range(options.tasks)
             ]
-            member = rng.choices(members, weights)[0]
+            customer = rng.choices(customers, weights)[0]
             url = f"{rng.choice(urls)}/v1/jobs/{run_id}-{number}"
             await asyncio.sleep(max(0.0, began + due - time.monotonic()))
-            sending = _send(session, url, options, member, sizes, began, due, samples)
+            sending = _send(session, url, options, customer, sizes, began, due, samples)
             jobs.append(asyncio.create_task(sending))
             number += 1
             due += rng.expovariate(options.jobs_per_second)
@@ -179,7 +179,7 @@
     session: aiohttp.ClientSession,
     url: str,
     options: LoadOptions,
-    member: str,
+    customer: str,
     sizes: list[int],
     began: float,
     due: float,
@@ -188,7 +188,7 @@
     """Send one job and note its end."""
     body = {
         "service": options.service,
-        "member": member,
+        "member": customer,
         "repeatable": options.repeatable,
         "deadline_ms": options.deadline_ms,
         "tasks": [{"payload": {"ms": size}} for size in sizes],
@@ -204,11 +204,11 @@
     except (aiohttp.ClientError, OSError, TimeoutError) as error:
         outcome = type(error).__name__
     taken_ms = (time.monotonic() - began - due) * 1_000
-    samples.append(Sample(due, taken_ms, float(max(sizes)), outcome, member, is_whole))
+    samples.append(Sample(due, taken_ms, float(max(sizes)), outcome, customer, is_whole))
 
 
-def _members(options: LoadOptions) -> tuple[list[str], list[float]]:
-    """Return the members and the weights of their arrivals."""
+def _customers(options: LoadOptions) -> tuple[list[str], list[float]]:
+    """Return the customers and the weights of their arrivals."""
     listed = options.members
     parts = listed.split(",") if isinstance(listed, str) else [str(one) for one in listed]
     names = [part.partition(":")[0] for part in parts]
--- a/src/foldloom/controllers/config.py
+++ b/src/foldloom/controllers/config.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The configuration: services, endpoints, members and the list of boxes."""
+"""The configuration: services, endpoints, customers and the list of boxes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 SERVICES = "services"
 ENDPOINTS = "workers"
-MEMBERS = "members"
+CUSTOMERS = "members"
 BOXES = "boxes"
 CONTROLLERS = "controllers"
 
@@ -24,7 +24,7 @@
 _FIELDS = {
     SERVICES: "services",
     ENDPOINTS: "endpoints",
-    MEMBERS: "customers",
+    CUSTOMERS: "customers",
     BOXES: "boxes",
     CONTROLLERS: "controllers",
 }
@@ -51,7 +51,7 @@
     state: str
 
 
-class Member(TypedDict):
+class Customer(TypedDict):
     """A customer: its ``quota`` is its weight, ``concurrency_max`` a bound (0: none)."""
 
     quota: int
@@ -86,7 +86,7 @@
     version: int
     services: dict[str, Service]
     endpoints: dict[str, Endpoint]
-    customers: dict[str, Member]
+    customers: dict[str, Customer]
     boxes: BoxList
     controllers: dict[str, str]
 
@@ -146,7 +146,7 @@
     sections: dict[str, Any] = {
         SERVICES: dict(config.services),
         ENDPOINTS: dict(config.endpoints),
-        MEMBERS: dict(config.customers),
+        CUSTOMERS: dict(config.customers),
         CONTROLLERS: dict(config.controllers),
     }
     boxes = config.boxes
--- a/src/foldloom/controllers/plans.py
+++ b/src/foldloom/controllers/plans.py
@@ -14,16 +14,16 @@
     ACTIVE,
     BOXES,
     CONTROLLERS,
+    CUSTOMERS,
     ENDPOINTS,
     LEAVING,
-    MEMBERS,
     RESTART_NEVER,
     SERVICES,
     BoxList,
     Change,
     Config,
+    Customer,
     Endpoint,
-    Member,
     Service,
     apply_changes,
     section_value,
@@ -59,8 +59,8 @@
     name: str
 
 
-class MemberIntent(msgspec.Struct, tag_field="kind", tag="member", forbid_unknown_fields=True):
-    """Create or change a member; a field left out keeps its value."""
+class CustomerIntent(msgspec.Struct, tag_field="kind", tag="member", forbid_unknown_fields=True):
+    """Create or change a customer; a field left out keeps its value."""
 
     name: str
     quota: int | UnsetType = UNSET
@@ -68,7 +68,7 @@
 
 
 class RemoveIntent(msgspec.Struct, tag_field="kind", tag="remove", forbid_unknown_fields=True):
-    """Remove a service, an endpoint or a member."""
+    """Remove a service, an endpoint or a customer."""
 
     section: Literal["services", "workers", "members"]
     name: str
@@ -110,7 +110,7 @@
     ServiceIntent
     | EndpointIntent
     | EndpointLeavingIntent
-    | MemberIntent
+    | CustomerIntent
     | RemoveIntent
     | BoxJoiningIntent
     | BoxLeavingIntent
@@ -213,12 +213,12 @@
 
 
 @_steps.register
-def _member(intent: MemberIntent, config: Config) -> Step:
-    base = config.customers.get(intent.name) or Member(quota=1, concurrency_max=0)
+def _customer(intent: CustomerIntent, config: Config) -> Step:
+    base = config.customers.get(intent.name) or Customer(quota=1, concurrency_max=0)
     after = _merged(base, intent, ("quota", "concurrency_max"))
     if after["quota"] < 1:
         return Error(f"member {intent.name}: quota must be at least 1")
-    return Ok([(MEMBERS, intent.name, after)])
+    return Ok([(CUSTOMERS, intent.name, after)])
 
 
 @_steps.register
--- a/src/foldloom/endpoints/adapter.py
+++ b/src/foldloom/endpoints/adapter.py
@@ -28,8 +28,9 @@
 class TaskCall(TypedDict):
     """One attempt at one task, as the endpoint gets it.
 
-    ``attempt`` is unique, and the reply must echo it; ``lease`` is the slot's; the answer is of
-    use for ``deadline_ms``; ``payload`` is the caller's JSON, passed on as it came.
+    ``attempt`` is unique, and the reply must echo it; ``lease`` is the slot's; ``member`` names
+    the customer; the answer is of use for ``deadline_ms``; ``payload`` is the caller's
+    JSON, passed on as it came.
     """
 
     attempt: str
--- a/src/foldloom/entry/requests.py
+++ b/src/foldloom/entry/requests.py
@@ -38,7 +38,7 @@
 
     Args:
         service: The service.
-        member: The member on whose account it runs.
+        customer: The customer on whose account it runs.
         repeatable: Whether its tasks may run again after an endpoint died.
         deadline_ms: How long the answer is of use, from its arrival.
         payloads: One JSON value a task.
@@ -46,7 +46,7 @@
     """
 
     service: str
-    member: str
+    customer: str
     repeatable: bool
     deadline_ms: int
     payloads: list[msgspec.Raw]
--- a/src/foldloom/entry/run.py
+++ b/src/foldloom/entry/run.py
@@ -102,7 +102,7 @@
             # It may have been confirmed a moment ago and not be in force here yet.
             return Error(not_run("unknown-service", detail, _RETRY_AFTER_MS, status=404))
         want = self._context.slots.want(
-            self._request.service, self._request.member, self._deadline_ms, self._left
+            self._request.service, self._request.customer, self._deadline_ms, self._left
         )
         try:
             self._context.slots.ask(want, self._left)
@@ -184,7 +184,7 @@
             attempt=attempt,
             lease=slot.lease_id,
             service=self._request.service,
-            member=self._request.member,
+            member=self._request.customer,
             deadline_ms=int(left_ms),
             payload=self._request.payloads[index],
         )
--- a/src/foldloom/placement/admission.py
+++ b/src/foldloom/placement/admission.py
@@ -19,16 +19,16 @@
 
     Args:
         queued: Tasks that wait.
-        queued_member: Those of the request's member.
+        queued_customer: Those of the request's customer.
         free_slots: Slots that no lease holds.
         rate: Tasks of the service that the shard can finish a millisecond.
-        share: The member's part of the quotas of the members active lately.
-        granted_rate: Slots a millisecond that the member was granted lately.
+        share: The customer's part of the quotas of the customers active lately.
+        granted_rate: Slots a millisecond that the customer was granted lately.
         mean_ms: The service's mean service time.
     """
 
     queued: int
-    queued_member: int
+    queued_customer: int
     free_slots: int
     rate: float
     share: float
@@ -40,7 +40,7 @@
     """Return a refusal if *request* overflows a queue or can't be served in time."""
     is_full = (
         seen.queued + request.tasks > limits.queued_tasks_max
-        or seen.queued_member + request.tasks > limits.queued_tasks_per_customer_max
+        or seen.queued_customer + request.tasks > limits.queued_tasks_per_customer_max
     )
     wait_ms = expected_wait_ms(request.tasks, seen)
     over_ms = wait_ms + _RUN_MEANS * seen.mean_ms - request.left_ms * _ADMIT_SHARE
@@ -53,7 +53,7 @@
 def expected_wait_ms(tasks: int, seen: LoadSeen) -> float:
     """Return how long the last of *tasks* is expected to wait.
 
-    A member gets its share of what is active, or more where others leave some: then its
+    A customer gets its share of what is active, or more where others leave some: then its
     measured rate of grants tells how much.
     """
     if seen.rate <= 0.0:
@@ -61,4 +61,4 @@
     if seen.queued + tasks <= seen.free_slots:
         return 0.0
     measured = min(seen.rate, seen.granted_rate)
-    return (seen.queued_member + tasks) / max(seen.rate * seen.share, measured)
+    return (seen.queued_customer + tasks) / max(seen.rate * seen.share, measured)
--- a/src/foldloom/placement/lease_manager.py
+++ b/src/foldloom/placement/lease_manager.py
@@ -148,7 +148,7 @@
                 "Refuse {} tasks of {} for {}: {}.",
                 message.tasks,
                 message.service,
-                message.member,
+                message.customer,
                 refusal.reason,
             )
             self._network.tell(sender, refusal)
--- a/src/foldloom/placement/messages.py
+++ b/src/foldloom/placement/messages.py
@@ -16,7 +16,7 @@
         request_id: The coordinator's number for it; sent again it counts once.
         shard: The shard whose slots are wanted.
         service: Whose endpoints may serve.
-        member: On whose account.
+        customer: On whose account.
         tasks: How many tasks wait.
         left_ms: How long until the job's deadline.
         job_tasks: How many tasks the whole job has.
@@ -25,7 +25,7 @@
     request_id: int
     shard: str
     service: str
-    member: str
+    customer: str
     tasks: int
     left_ms: int
     job_tasks: int
@@ -94,7 +94,7 @@
     lease_id: int
     endpoint: str
     service: str
-    member: str
+    customer: str
     age_ms: int
 
 
--- a/src/foldloom/placement/queue.py
+++ b/src/foldloom/placement/queue.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The requests that wait at a lease manager, by member and by service."""
+"""The requests that wait at a lease manager, by customer and by service."""
 
 from __future__ import annotations
 
@@ -34,17 +34,17 @@
 
 
 class RequestQueue:
-    """Requests in order of arrival, members in order of their turns.
+    """Requests in order of arrival, customers in order of their turns.
 
     Args:
-        quota_of: Returns a member's weight.
+        quota_of: Returns a customer's weight.
     """
 
     def __init__(self, quota_of: Callable[[str], int]) -> None:
         self._pending: dict[Key, Pending] = {}
-        self._by_member: dict[str, dict[Key, Pending]] = {}
+        self._by_customer: dict[str, dict[Key, Pending]] = {}
         self._by_service: dict[str, dict[Key, Pending]] = {}
-        self._tasks_of_member: dict[str, int] = {}
+        self._tasks_of_customer: dict[str, int] = {}
         self._tasks_of_service: dict[str, int] = {}
         self._turns = RoundRobin(quota_of)
 
@@ -62,9 +62,9 @@
         return sum(self._tasks_of_service.values())
 
     @property
-    def members(self) -> set[str]:
-        """The members with requests."""
-        return set(self._by_member)
+    def customers(self) -> set[str]:
+        """The customers with requests."""
+        return set(self._by_customer)
 
     @property
     def service_count(self) -> int:
@@ -76,18 +76,18 @@
         """The boxes with requests."""
         return {coordinator for coordinator, _ in self._pending}
 
-    def tasks_of_member(self, member: str) -> int:
-        """Return how many tasks of *member* wait."""
-        return self._tasks_of_member.get(member, 0)
+    def tasks_of_customer(self, customer: str) -> int:
+        """Return how many tasks of *customer* wait."""
+        return self._tasks_of_customer.get(customer, 0)
 
     def tasks_of_service(self, service: str) -> int:
         """Return how many tasks of *service* wait."""
         return self._tasks_of_service.get(service, 0)
 
     def in_turn(self) -> Iterator[Pending]:
-        """Yield every request: the member's whose turn it is first, its oldest first."""
-        for member in self._turns.order():
-            yield from self._by_member[member].values()
+        """Yield every request: the customer's whose turn it is first, its oldest first."""
+        for customer in self._turns.order():
+            yield from self._by_customer[customer].values()
 
     def of_service(self, service: str) -> Iterator[Pending]:
         """Yield the requests of *service*, the oldest first."""
@@ -99,16 +99,16 @@
 
     def add(self, pending: Pending) -> None:
         """Queue a request."""
-        member, service = pending.request.member, pending.request.service
+        customer, service = pending.request.customer, pending.request.service
         self._pending[pending.key] = pending
-        self._by_member.setdefault(member, {})[pending.key] = pending
+        self._by_customer.setdefault(customer, {})[pending.key] = pending
         self._by_service.setdefault(service, {})[pending.key] = pending
         self._count(pending, pending.left)
-        self._turns.add(member)
+        self._turns.add(customer)
 
     def take_one(self, pending: Pending) -> None:
-        """Note that one task of a request got its slot; charge it to the member."""
-        self._turns.charge(pending.request.member)
+        """Note that one task of a request got its slot; charge it to the customer."""
+        self._turns.charge(pending.request.customer)
         pending.left -= 1
         self._count(pending, -1)
         if pending.left == 0:
@@ -119,14 +119,14 @@
         pending = self._pending.pop(key, None)
         if pending is None:
             return
-        member, service = pending.request.member, pending.request.service
+        customer, service = pending.request.customer, pending.request.service
         self._count(pending, -pending.left)
-        del self._by_member[member][key], self._by_service[service][key]
+        del self._by_customer[customer][key], self._by_service[service][key]
         if not self._by_service[service]:
             del self._by_service[service], self._tasks_of_service[service]
-        if not self._by_member[member]:
-            del self._by_member[member], self._tasks_of_member[member]
-            self._turns.remove(member)
+        if not self._by_customer[customer]:
+            del self._by_customer[customer], self._tasks_of_customer[customer]
+            self._turns.remove(customer)
 
     def drop_all_of(self, coordinator: str) -> None:
         """Forget every request of a box that is gone."""
@@ -134,6 +134,6 @@
             self.drop(key)
 
     def _count(self, pending: Pending, by: int) -> None:
-        member, service = pending.request.member, pending.request.service
-        self._tasks_of_member[member] = self._tasks_of_member.get(member, 0) + by
+        customer, service = pending.request.customer, pending.request.service
+        self._tasks_of_customer[customer] = self._tasks_of_customer.get(customer, 0) + by
         self._tasks_of_service[service] = self._tasks_of_service.get(service, 0) + by
--- a/src/foldloom/placement/shard.py
+++ b/src/foldloom/placement/shard.py
@@ -43,7 +43,7 @@
     lease_id: int
     endpoint: str
     service: str
-    member: str
+    customer: str
     coordinator: str
     since_ms: float
     renewed_ms: float
@@ -110,9 +110,9 @@
         """Take the configuration: *names* are this shard's endpoints, *usable* get work."""
         self._config = config
         self._usable = usable.intersection(names)
-        members = set(names)
+        customers = set(names)
         self._endpoints_of = {
-            service: [name for name in endpoints_of(config, service) if name in members]
+            service: [name for name in endpoints_of(config, service) if name in customers]
             for service in config.services
         }
         self._free = {endpoint: self._free_of(endpoint, 0.0) for endpoint in self._usable}
@@ -149,7 +149,7 @@
                 held.lease_id,
                 held.endpoint,
                 held.service,
-                held.member,
+                held.customer,
                 coordinator,
                 since,
                 now_ms,
@@ -228,7 +228,7 @@
         """Hand out one slot; ``None`` if nobody gets one now."""
         choices: dict[str, Choice | None] = {}
         for pending in self._queue.in_turn():
-            if self._is_member_full(pending.request.member):
+            if self._is_customer_full(pending.request.customer):
                 continue
             service = pending.request.service
             if service not in choices:
@@ -279,7 +279,7 @@
             return first
         newest = first
         for pending in self._queue.of_service(service):
-            if self._is_member_full(pending.request.member):
+            if self._is_customer_full(pending.request.customer):
                 continue
             if pending.has_slow:
                 return pending
@@ -319,14 +319,14 @@
                 lease_id,
                 endpoint,
                 request.service,
-                request.member,
+                request.customer,
                 pending.coordinator,
                 now_ms,
                 now_ms,
             )
         )
         self._queue.take_one(pending)
-        self._granted.note(request.member)
+        self._granted.note(request.customer)
         ttl = self._settings.timings.lease_ttl_ms
         message = SlotGrant(request.request_id, endpoint, lease_id, ttl)
         return Grant(pending.coordinator, message)
@@ -336,14 +336,14 @@
         endpoints = self._endpoints_of.get(request.service, ())
         if not any(endpoint in self._usable for endpoint in endpoints):
             return SlotRefusal(request.request_id, "no-worker", _NO_ENDPOINT_RETRY_MS)
-        active = self._queue.members | self._granted.members | {request.member}
+        active = self._queue.customers | self._granted.customers | {request.customer}
         seen = LoadSeen(
             self.queued,
-            self._queue.tasks_of_member(request.member),
+            self._queue.tasks_of_customer(request.customer),
             self.free_slots,
             self._rates.get(request.service, 0.0),
-            self._quota_of(request.member) / sum(map(self._quota_of, active)),
-            self._granted.rate_of(request.member),
+            self._quota_of(request.customer) / sum(map(self._quota_of, active)),
+            self._granted.rate_of(request.customer),
             self._speeds.service_mean_ms(request.service),
         )
         return judge(request, seen, self._settings.limits)
@@ -357,16 +357,16 @@
             if not self._health.is_ejected(endpoint)
         )
 
-    def _quota_of(self, member: str) -> int:
-        if self._config is None or member not in self._config.customers:
+    def _quota_of(self, customer: str) -> int:
+        if self._config is None or customer not in self._config.customers:
             return 1
-        return self._config.customers[member]["quota"]
+        return self._config.customers[customer]["quota"]
 
-    def _is_member_full(self, member: str) -> bool:
-        if self._config is None or member not in self._config.customers:
+    def _is_customer_full(self, customer: str) -> bool:
+        if self._config is None or customer not in self._config.customers:
             return False
-        most = self._config.customers[member]["concurrency_max"]
-        return bool(most) and self._running.get(("member", member), 0) >= most
+        most = self._config.customers[customer]["concurrency_max"]
+        return bool(most) and self._running.get(("member", customer), 0) >= most
 
     def _is_service_full(self, service: str) -> bool:
         if self._config is None or service not in self._config.services:
@@ -384,7 +384,7 @@
 
     def _count(self, lease: Lease, by: int) -> None:
         self._busy[lease.endpoint] = self._busy.get(lease.endpoint, 0) + by
-        for key in (("member", lease.member), ("service", lease.service)):
+        for key in (("member", lease.customer), ("service", lease.service)):
             self._running[key] = self._running.get(key, 0) + by
         if lease.endpoint in self._free:
             self._free[lease.endpoint] = self._free_of(lease.endpoint, lease.renewed_ms)
--- a/src/foldloom/placement/shares.py
+++ b/src/foldloom/placement/shares.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Whose turn it is: deficit round robin between members, and what each has got lately."""
+"""Whose turn it is: deficit round robin between customers, and what each has got lately."""
 
 from __future__ import annotations
 
@@ -12,44 +12,44 @@
 
 
 class RoundRobin:
-    """Deficit round robin over members that have something queued.
+    """Deficit round robin over customers that have something queued.
 
     Args:
-        quota_of: Returns a member's weight.
+        quota_of: Returns a customer's weight.
     """
 
     def __init__(self, quota_of: Callable[[str], int]) -> None:
         self._quota_of = quota_of
         self._deficits: OrderedDict[str, float] = OrderedDict()
 
-    def add(self, member: str) -> None:
-        """Let *member* take part from now on."""
-        if member not in self._deficits:
-            self._deficits[member] = _QUANTUM * self._quota_of(member)
+    def add(self, customer: str) -> None:
+        """Let *customer* take part from now on."""
+        if customer not in self._deficits:
+            self._deficits[customer] = _QUANTUM * self._quota_of(customer)
 
-    def remove(self, member: str) -> None:
-        """Let *member* take part no more: it has nothing queued."""
-        self._deficits.pop(member, None)
+    def remove(self, customer: str) -> None:
+        """Let *customer* take part no more: it has nothing queued."""
+        self._deficits.pop(customer, None)
 
     def order(self) -> list[str]:
-        """Return the members, the one whose turn it is first."""
+        """Return the customers, the one whose turn it is first."""
         return list(self._deficits)
 
-    def charge(self, member: str) -> None:
-        """Count one task against *member*; when its turn is used up the next one's begins."""
-        deficit = self._deficits.get(member)
+    def charge(self, customer: str) -> None:
+        """Count one task against *customer*; when its turn is used up the next one's begins."""
+        deficit = self._deficits.get(customer)
         if deficit is None:
             return
         left = deficit - _QUANTUM
         if left >= _QUANTUM:
-            self._deficits[member] = left
+            self._deficits[customer] = left
             return
-        self._deficits[member] = left + _QUANTUM * self._quota_of(member)
-        self._deficits.move_to_end(member)
+        self._deficits[customer] = left + _QUANTUM * self._quota_of(customer)
+        self._deficits.move_to_end(customer)
 
 
 class GrantRates:
-    """Moving averages of the slots that each member was granted a millisecond."""
+    """Moving averages of the slots that each customer was granted a millisecond."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
@@ -57,17 +57,17 @@
         self._refreshed_ms = 0.0
 
     @property
-    def members(self) -> set[str]:
-        """The members that were granted slots lately."""
+    def customers(self) -> set[str]:
+        """The customers that were granted slots lately."""
         return set(self._rates)
 
-    def rate_of(self, member: str) -> float:
-        """Return the member's grants a millisecond, lately."""
-        return self._rates.get(member, 0.0)
+    def rate_of(self, customer: str) -> float:
+        """Return the customer's grants a millisecond, lately."""
+        return self._rates.get(customer, 0.0)
 
-    def note(self, member: str) -> None:
+    def note(self, customer: str) -> None:
         """Count one grant."""
-        self._counts[member] += 1
+        self._counts[customer] += 1
 
     def refresh(self, now_ms: float) -> None:
         """Take the grants since the last call into the averages."""
@@ -75,9 +75,9 @@
         if elapsed_ms <= 0:
             return
         self._refreshed_ms = now_ms
-        for member in {*self._counts, *self._rates}:
-            fresh = self._counts.pop(member, 0) / elapsed_ms
-            known = self._rates.get(member, fresh)
-            self._rates[member] = known + _RATE_ALPHA * (fresh - known)
-            if self._rates[member] < _RATE_MIN_PER_MS:
-                del self._rates[member]
+        for customer in {*self._counts, *self._rates}:
+            fresh = self._counts.pop(customer, 0) / elapsed_ms
+            known = self._rates.get(customer, fresh)
+            self._rates[customer] = known + _RATE_ALPHA * (fresh - known)
+            if self._rates[customer] < _RATE_MIN_PER_MS:
+                del self._rates[customer]
--- a/src/foldloom/placement/slots.py
+++ b/src/foldloom/placement/slots.py
@@ -44,7 +44,7 @@
         lease_id: The lease; 0 for a direct pick.
         endpoint: The endpoint's name.
         service: The service it was asked for.
-        member: On whose account.
+        customer: On whose account.
         granted_ms: Own monotonic clock at its arrival.
         expires_ms: After this no task may start on it.
     """
@@ -52,7 +52,7 @@
     lease_id: int
     endpoint: str
     service: str
-    member: str
+    customer: str
     granted_ms: float
     expires_ms: float
 
@@ -65,17 +65,17 @@
     Args:
         request_id: This box's number for it.
         service: Whose endpoints may serve.
-        member: On whose account.
+        customer: On whose account.
         deadline_ms: The job's deadline on the own monotonic clock.
         job_tasks: How many tasks the whole job has.
     """
 
     def __init__(
-        self, request_id: int, service: str, member: str, deadline_ms: float, job_tasks: int
+        self, request_id: int, service: str, customer: str, deadline_ms: float, job_tasks: int
     ) -> None:
         self.request_id = request_id
         self.service = service
-        self.member = member
+        self.customer = customer
         self.deadline_ms = deadline_ms
         self.job_tasks = job_tasks
         self.outstanding = 0
@@ -88,7 +88,7 @@
 class SlotSource(Protocol):
     """What a job needs of either source."""
 
-    def want(self, service: str, member: str, deadline_ms: float, job_tasks: int) -> Want:
+    def want(self, service: str, customer: str, deadline_ms: float, job_tasks: int) -> Want:
         """Open a wish; nothing is asked yet."""
 
     def ask(self, want: Want, count: int) -> None:
@@ -138,9 +138,9 @@
         network.on(SlotGrant, self._on_grant)
         network.on(SlotRefusal, self._on_refusal)
 
-    def want(self, service: str, member: str, deadline_ms: float, job_tasks: int) -> Want:
+    def want(self, service: str, customer: str, deadline_ms: float, job_tasks: int) -> Want:
         """Open a wish; nothing is asked yet."""
-        want = Want(next(self._ids), service, member, deadline_ms, job_tasks)
+        want = Want(next(self._ids), service, customer, deadline_ms, job_tasks)
         self._wants[want.request_id] = want
         return want
 
@@ -250,7 +250,7 @@
             want.request_id,
             want.shard,
             want.service,
-            want.member,
+            want.customer,
             want.outstanding,
             int(want.deadline_ms - now_ms),
             want.job_tasks,
@@ -272,7 +272,7 @@
         want.touched_ms = now_ms
         expires_ms = now_ms + message.ttl_ms - _SAFETY_MS
         slot = Slot(
-            message.lease_id, message.endpoint, want.service, want.member, now_ms, expires_ms
+            message.lease_id, message.endpoint, want.service, want.customer, now_ms, expires_ms
         )
         self._held[slot.lease_id] = slot
         want.arrivals.put_nowait(slot)
@@ -291,7 +291,7 @@
                 slot.lease_id,
                 slot.endpoint,
                 slot.service,
-                slot.member,
+                slot.customer,
                 int(now_ms - slot.granted_ms),
             )
             by_manager.setdefault(self._manager_of_endpoint(slot.endpoint), []).append(held)
@@ -320,9 +320,9 @@
         self._local: dict[str, int] = {}
         self._ids = itertools.count(1)
 
-    def want(self, service: str, member: str, deadline_ms: float, job_tasks: int) -> Want:
+    def want(self, service: str, customer: str, deadline_ms: float, job_tasks: int) -> Want:
         """Open a wish; nothing is asked yet."""
-        return Want(next(self._ids), service, member, deadline_ms, job_tasks)
+        return Want(next(self._ids), service, customer, deadline_ms, job_tasks)
 
     def ask(self, want: Want, count: int) -> None:
         """Pick *count* endpoints at once."""
@@ -338,7 +338,7 @@
             endpoint = choice.endpoint
             self._local[endpoint] = self._local.get(endpoint, 0) + 1
             now_ms = monotonic_ms()
-            slot = Slot(0, endpoint, want.service, want.member, now_ms, want.deadline_ms)
+            slot = Slot(0, endpoint, want.service, want.customer, now_ms, want.deadline_ms)
             want.arrivals.put_nowait(slot)
 
     def close(self, want: Want) -> None:
--- a/tests/test_controllers_faults.py
+++ b/tests/test_controllers_faults.py
@@ -189,13 +189,13 @@
 
 def _digest_of(rig: Rig, value: int, before: int) -> str:
     """Return the digest of the plan that changed the quota from *before* to *value*."""
-    from foldloom.controllers.config import MEMBERS, Change
+    from foldloom.controllers.config import CUSTOMERS, Change
     from foldloom.ids import content_digest
 
     def member(quota: int) -> dict[str, int]:
         return {"quota": quota, "concurrency_max": 0}
 
-    change = Change(section=MEMBERS, name="m1", before=member(before), after=member(value))
+    change = Change(section=CUSTOMERS, name="m1", before=member(before), after=member(value))
     return content_digest([change])
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -13,8 +13,8 @@
     ACTIVE,
     LEAVING,
     Config,
+    Customer,
     Endpoint,
-    Member,
     Service,
     empty_config,
 )
@@ -34,9 +34,9 @@
 
 
 def _config(
-    endpoint_count: int, members: dict[str, Member] | None = None, **service: Any
+    endpoint_count: int, customers: dict[str, Customer] | None = None, **service: Any
 ) -> Config:
-    known = members or {"m1": Member(quota=1, concurrency_max=0)}
+    known = customers or {"m1": Customer(quota=1, concurrency_max=0)}
     base = Service(workers=["*"], concurrency_max=0, restart="never")
     return empty_config({}, {})._replace(
         services={"s": Service(**{**base, **service})},
@@ -65,8 +65,10 @@
     return shard
 
 
-def _request(number: int, tasks: int = 1, member: str = "m1", left: int = _LONG_MS) -> SlotRequest:
-    return SlotRequest(number, FLEET, "s", member, tasks, left, tasks)
+def _request(
+    number: int, tasks: int = 1, customer: str = "m1", left: int = _LONG_MS
+) -> SlotRequest:
+    return SlotRequest(number, FLEET, "s", customer, tasks, left, tasks)
 
 
 def _give_back(shard: Shard, grant: Grant, ms: float, use: SlotUse = SlotUse.DONE) -> None:
@@ -115,16 +117,16 @@
 
 
 class TestShares:
-    """Deficit round robin between members."""
+    """Deficit round robin between customers."""
 
     @pytest.mark.parametrize(("quota", "expected"), [(1, 50), (3, 75)])
     def test_flood_takes_no_more_than_its_share(self, quota: int, expected: int) -> None:
-        """With a flood of one member queued first, another gets its share by quota."""
-        members = {
-            "flood": Member(quota=1, concurrency_max=0),
-            "calm": Member(quota=quota, concurrency_max=0),
+        """With a flood of one customer queued first, another gets its share by quota."""
+        customers = {
+            "flood": Customer(quota=1, concurrency_max=0),
+            "calm": Customer(quota=quota, concurrency_max=0),
         }
-        shard = _shard(_config(2, members))
+        shard = _shard(_config(2, customers))
         shard.add("a1", _request(1, 1_000, "flood"))
         held = shard.match(0.0)
         shard.add("a1", _request(2, 500, "calm"))
@@ -136,13 +138,13 @@
                 held.append(grant)
         assert abs(got[2] - expected) <= 1
 
-    def test_member_limit(self) -> None:
-        """A member at its concurrency bound waits; another one goes on."""
-        members = {
-            "m1": Member(quota=1, concurrency_max=1),
-            "m2": Member(quota=1, concurrency_max=0),
+    def test_customer_limit(self) -> None:
+        """A customer at its concurrency bound waits; another one goes on."""
+        customers = {
+            "m1": Customer(quota=1, concurrency_max=1),
+            "m2": Customer(quota=1, concurrency_max=0),
         }
-        shard = _shard(_config(2, members))
+        shard = _shard(_config(2, customers))
         shard.add("a1", _request(1, 4))
         shard.add("a1", _request(2, 2, "m2"))
         assert Counter(g.message.request_id for g in shard.match(0.0)) == {1: 1, 2: 2}
@@ -157,18 +159,18 @@
 class TestAdmission:
     """Requests that are refused at once."""
 
-    def test_flooding_member_is_judged_by_what_it_gets(self) -> None:
-        """A member whose slots others also use is refused as soon as its own queue is long."""
-        members = {
-            "calm": Member(quota=1, concurrency_max=0),
-            "flood": Member(quota=1, concurrency_max=0),
+    def test_flooding_customer_is_judged_by_what_it_gets(self) -> None:
+        """A customer whose slots others also use is refused as soon as its own queue is long."""
+        customers = {
+            "calm": Customer(quota=1, concurrency_max=0),
+            "flood": Customer(quota=1, concurrency_max=0),
         }
-        shard = _shard(_config(2, members))
+        shard = _shard(_config(2, customers))
         numbers = itertools.count(1)
         held: list[Grant] = []
         for step in range(1, 101):
-            for member in ("calm", *["flood"] * 5):
-                shard.add("a1", _request(next(numbers), 1, member))
+            for customer in ("calm", *["flood"] * 5):
+                shard.add("a1", _request(next(numbers), 1, customer))
             for grant in held[:4]:
                 _give_back(shard, grant, 100.0)
             held = [*held[4:], *shard.match(step * 100.0)]
@@ -202,7 +204,7 @@
         assert _shard(_config(1)).add("a1", _request(1, 1, left=50)) is None
 
     def test_queue_full(self) -> None:
-        """A request over a member's bound is refused; one of another member is not."""
+        """A request over a customer's bound is refused; one of another customer is not."""
         shard = _shard(_config(1), queued_tasks_per_member_max=10)
         shard.add("a1", _request(1, 10))
         refusal = shard.add("a1", _request(2, 1))
