--- a/src/foldloom/box.py
+++ b/src/foldloom/box.py
@@ -17,7 +17,7 @@
 from foldloom.controllers.config import Config, empty_config, endpoints_of
 from foldloom.controllers.holder import ConfigHolder
 from foldloom.controllers.leadership import ANY_STORAGE
-from foldloom.controllers.node import ControllerNode
+from foldloom.controllers.node import Controller
 from foldloom.endpoints.adapter import EndpointAdapter
 from foldloom.endpoints.platform import PlatformList
 from foldloom.endpoints.usage import UsageReports
@@ -69,9 +69,9 @@
         self._holder = ConfigHolder(self._network, initial, cache_folder)
         self._client = ControllerClient(self._network, settings.controller_names)
         self._membership = Membership(settings, self._network, self._describe)
-        self._node: ControllerNode | None = None
+        self._controller: Controller | None = None
         if CONTROLLER in settings.roles:
-            self._node = ControllerNode(
+            self._controller = Controller(
                 settings, self._network, self._metrics, initial, self._holder.adopt
             )
         self._adapter = EndpointAdapter(settings)
@@ -114,7 +114,7 @@
             "missing": sorted(behind),
             "boxes": boxes,
             "box_list": config.boxes,
-            "controller": None if self._node is None else self._node.summary,
+            "controller": None if self._controller is None else self._controller.summary,
             "metrics": self._metrics.counts,
             "gauges": self._metrics.gauges,
         }
@@ -129,9 +129,9 @@
         self._spawn(self._platform.run())
         self._spawn(self._follow_inputs())
         self._spawn(self._confirm_current())
-        if self._node is not None:
-            self._spawn(self._node.run())
-            self._spawn(BoxListKeeper(self._settings, self._node, self._membership).run())
+        if self._controller is not None:
+            self._spawn(self._controller.run())
+            self._spawn(BoxListKeeper(self._settings, self._controller, self._membership).run())
         ENTRY_LOG.info("Box {} is up, life {}.", self._settings.box, self._network.incarnation)
 
     async def stop(self) -> None:
@@ -146,8 +146,8 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        if self._node is not None:
-            await self._node.stop()
+        if self._controller is not None:
+            await self._controller.stop()
         await self._adapter.stop()
         await self._network.stop()
         ENTRY_LOG.info("The planned stop is done.")
--- a/src/foldloom/boxes/controller.py
+++ b/src/foldloom/boxes/controller.py
@@ -12,7 +12,7 @@
 
 from foldloom.controllers.config import empty_config
 from foldloom.controllers.leadership import ANY_STORAGE
-from foldloom.controllers.node import ControllerNode
+from foldloom.controllers.node import Controller
 from foldloom.controllers.state import Publication
 from foldloom.controllers.storage import format_folder
 from foldloom.endpoints.catalog import EndpointCatalog
@@ -55,7 +55,7 @@
         is_founder = is_first_start and settings.box in settings.seeds
         _format_if_new(settings.data_folder, is_founder)
         founders = dict.fromkeys(settings.seeds, ANY_STORAGE) if is_founder else {}
-        self._node = ControllerNode(
+        self._controller = Controller(
             settings,
             self._network,
             self._metrics,
@@ -64,7 +64,7 @@
             self._holder.adopt,
             lambda: self._view.controllers,
         )
-        self._publisher = Publisher(self._node, self._network)
+        self._publisher = Publisher(self._controller, self._network)
         self._joiner = Joiner(
             self._network, self._view, self._holder, EndpointCatalog(), settings.timings.join_ms
         )
@@ -78,12 +78,12 @@
     @property
     def is_leading(self) -> bool:
         """Whether this controller leads, as far as it knows."""
-        return self._node.is_leading
+        return self._controller.is_leading
 
     @property
     def members(self) -> list[str]:
         """The controllers that count, by the own log."""
-        return sorted(self._node.controllers)
+        return sorted(self._controller.controllers)
 
     @property
     def published_version(self) -> int:
@@ -94,7 +94,7 @@
         """Start every part."""
         await self._network.start()
         await self._metrics_server.start()
-        self._spawn(self._node.run())
+        self._spawn(self._controller.run())
         self._spawn(self._registry.run())
         self._spawn(self._joiner.run())
         CONTROLLER_LOG.event(
@@ -127,7 +127,7 @@
     async def stop(self) -> None:
         """Stop as planned: a leader has another one lead first."""
         self._view.set_leaving()
-        heir = await self._node.hand_over()
+        heir = await self._controller.hand_over()
         if heir:
             CONTROLLER_LOG.event("leader.handed_over", to=heir)
         await self.kill()
@@ -137,7 +137,7 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self._node.stop()
+        await self._controller.stop()
         await self._network.stop()
         await self._metrics_server.stop()
         CONTROLLER_LOG.event("process.stopped", role=CONTROLLER)
@@ -145,7 +145,7 @@
     def _controllers(self) -> list[str]:
         """Return all that take endpoints' and operators' calls, with a vote or without."""
         return sorted(
-            {self._settings.box, *self._node.controllers, *self._registry.live_controllers()}
+            {self._settings.box, *self._controller.controllers, *self._registry.live_controllers()}
         )
 
     def _on_publication(self, publication: Publication) -> None:
--- a/src/foldloom/controllers/boxes.py
+++ b/src/foldloom/controllers/boxes.py
@@ -5,7 +5,7 @@
 
 import asyncio
 
-from foldloom.controllers.node import ControllerNode
+from foldloom.controllers.node import Controller
 from foldloom.controllers.state import BoxesSettledCommand, encode_command
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.logs import CONTROLLER_LOG
@@ -21,13 +21,13 @@
 
     Args:
         settings: This box's settings.
-        node: The controller.
+        controller: The controller.
         membership: What the boxes' heartbeats say.
     """
 
-    def __init__(self, settings: Settings, node: ControllerNode, membership: Membership) -> None:
+    def __init__(self, settings: Settings, controller: Controller, membership: Membership) -> None:
         self._settings = settings
-        self._node = node
+        self._controller = controller
         self._membership = membership
         self._known_ms: tuple[int, float] | None = None
 
@@ -35,14 +35,14 @@
         """End joint lists until cancelled."""
         while True:
             await asyncio.sleep(_CHECK_S)
-            boxes = self._node.state.config.boxes
-            if not self._node.is_leading or boxes["next"] is None:
+            boxes = self._controller.state.config.boxes
+            if not self._controller.is_leading or boxes["next"] is None:
                 self._known_ms = None
                 continue
             if not self._is_due(boxes["epoch"]):
                 continue
             try:
-                await self._node.propose(encode_command(BoxesSettledCommand(boxes["epoch"])))
+                await self._controller.propose(encode_command(BoxesSettledCommand(boxes["epoch"])))
                 CONTROLLER_LOG.info("The box list of epoch {} is settled.", boxes["epoch"])
             except (NotLeaderError, PeerUnreachableError):
                 continue
@@ -52,7 +52,7 @@
 
         Counted anew by each leader: too late is safe, too early is not.
         """
-        boxes = self._node.state.config.boxes
+        boxes = self._controller.state.config.boxes
         others = set(boxes["current"]) - set(boxes["dead"]) - {self._settings.box}
         states = self._membership.states
         if any(box not in states or states[box].heartbeat.list_epoch < epoch for box in others):
--- a/src/foldloom/controllers/election.py
+++ b/src/foldloom/controllers/election.py
@@ -11,97 +11,108 @@
 from foldloom.logs import CONTROLLER_LOG
 
 if TYPE_CHECKING:
-    from foldloom.controllers.node import ControllerNode
+    from foldloom.controllers.node import Controller
 
 
 class Elections:
     """The elections of one controller.
 
     Args:
-        node: The controller.
+        controller: The controller.
     """
 
-    def __init__(self, node: ControllerNode) -> None:
-        self._node = node
-        node.network.on(RequestVote, self._on_request_vote)
-        node.network.on(StandNow, self._on_stand_now)
+    def __init__(self, controller: Controller) -> None:
+        self._controller = controller
+        controller.network.on(RequestVote, self._on_request_vote)
+        controller.network.on(StandNow, self._on_stand_now)
 
     async def stand(self, is_handover: bool = False) -> None:
         """Ask for trial votes, then for real ones; lead if a majority gives them."""
-        if not await self._gather_votes(self._node.log.term + 1, True, is_handover):
+        if not await self._gather_votes(self._controller.log.term + 1, True, is_handover):
             return
-        async with self._node.turn:
-            is_heard = self._node.leader_silent_ms < self._node.election_timeout_ms
+        async with self._controller.turn:
+            is_heard = self._controller.leader_silent_ms < self._controller.election_timeout_ms
             if is_heard and not is_handover:
                 return
-            term = self._node.log.term + 1
-            await self._node.log.save_term_vote(term, self._node.box)
-        self._node.forget_leader()
+            term = self._controller.log.term + 1
+            await self._controller.log.save_term_vote(term, self._controller.box)
+        self._controller.forget_leader()
         CONTROLLER_LOG.info("Stand for election in term {}.", term)
         is_won = await self._gather_votes(term, False, is_handover)
         # A leader of this very term may have been heard meanwhile: then this one must not lead.
-        if is_won and self._node.log.term == term and not self._node.leader:
+        if is_won and self._controller.log.term == term and not self._controller.leader:
             CONTROLLER_LOG.info("Lead in term {}.", term)
-            self._node.lead()
+            self._controller.lead()
 
     async def _gather_votes(self, term: int, is_trial: bool, is_handover: bool) -> bool:
-        log = self._node.log
+        log = self._controller.log
         request = RequestVote(term, log.last_index, log.last_term, is_trial, is_handover)
-        others = [box for box in self._node.controllers if box != self._node.box]
+        others = [box for box in self._controller.controllers if box != self._controller.box]
         votes = 1
-        if votes >= self._node.majority:
+        if votes >= self._controller.majority:
             return True
         asked = [
-            self._node.network.ask(box, request, self._node.election_timeout_ms / 2)
+            self._controller.network.ask(box, request, self._controller.election_timeout_ms / 2)
             for box in others
         ]
         for box, reply in zip(others, await _settled(asked), strict=True):
             if reply is None:
                 continue
             if reply.term > term:
-                self._node.notice_term(reply.term)
+                self._controller.notice_term(reply.term)
                 return False
-            if reply.is_granted and self._node.is_counted(box, reply.storage_id, reply.is_first):
+            if reply.is_granted and self._controller.is_counted(
+                box, reply.storage_id, reply.is_first
+            ):
                 votes += 1
-        return votes >= self._node.majority
+        return votes >= self._controller.majority
 
     async def _on_stand_now(self, sender: str, message: StandNow) -> None:
-        if sender != self._node.leader or message.term != self._node.log.term:
+        if sender != self._controller.leader or message.term != self._controller.log.term:
             return
-        if self._node.may_vote and not self._node.is_leading:
+        if self._controller.may_vote and not self._controller.is_leading:
             await self.stand(is_handover=True)
 
     async def _on_request_vote(self, sender: str, request: RequestVote) -> VoteReply | None:
-        async with self._node.turn:
-            if self._node.is_failed:
+        async with self._controller.turn:
+            if self._controller.is_failed:
                 return None
             try:
                 is_granted = await self._judge_vote(sender, request)
             except OSError as error:
-                self._node.fail(error)
+                self._controller.fail(error)
                 return None
             return VoteReply(
-                self._node.log.term, is_granted, self._node.storage_id, self._node.is_first
+                self._controller.log.term,
+                is_granted,
+                self._controller.storage_id,
+                self._controller.is_first,
             )
 
     async def _judge_vote(self, sender: str, request: RequestVote) -> bool:
         """Return whether *sender* gets the vote; a real vote is durable by then."""
-        is_heard = self._node.leader_silent_ms < self._node.election_timeout_ms
-        if self._node.is_leading or (is_heard and not request.is_handover):
+        is_heard = self._controller.leader_silent_ms < self._controller.election_timeout_ms
+        if self._controller.is_leading or (is_heard and not request.is_handover):
             return False
         is_recent = (request.last_term, request.last_index) >= (
-            self._node.log.last_term,
-            self._node.log.last_index,
+            self._controller.log.last_term,
+            self._controller.log.last_index,
         )
-        if not self._node.may_vote or request.term < self._node.log.term or not is_recent:
+        if (
+            not self._controller.may_vote
+            or request.term < self._controller.log.term
+            or not is_recent
+        ):
             return False
         if request.is_trial:
-            return request.term > self._node.log.term
-        voted_for = self._node.log.voted_for if request.term == self._node.log.term else ""
+            return request.term > self._controller.log.term
+        voted_for = (
+            self._controller.log.voted_for if request.term == self._controller.log.term else ""
+        )
         if voted_for not in ("", sender):
             return False
-        await self._node.log.save_term_vote(request.term, sender)
-        self._node.hear_leader()
+        await self._controller.log.save_term_vote(request.term, sender)
+        self._controller.hear_leader()
         return True
 
 
--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -14,7 +14,7 @@
 from foldloom.peers.wire import monotonic_ms
 
 if TYPE_CHECKING:
-    from foldloom.controllers.node import ControllerNode
+    from foldloom.controllers.node import Controller
 
 ANY_STORAGE = "?"
 _ENTRIES_PER_APPEND = 500
@@ -52,13 +52,13 @@
     """One term of leading.
 
     Args:
-        node: The controller that leads.
+        controller: The controller that leads.
     """
 
-    def __init__(self, node: ControllerNode) -> None:
-        self._node = node
-        self._term = node.log.term
-        self._first_index = node.log.last_index + 1
+    def __init__(self, controller: Controller) -> None:
+        self._controller = controller
+        self._term = controller.log.term
+        self._first_index = controller.log.last_index + 1
         self._followers: dict[str, Follower] = {}
         self._wakeups: dict[str, asyncio.Event] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
@@ -73,7 +73,7 @@
 
     def start(self) -> None:
         """Begin the term with an entry of its own and start the tasks."""
-        self._node.log.add(self._node.first_payload())
+        self._controller.log.add(self._controller.first_payload())
         self._tasks["flush"] = asyncio.create_task(self._flush())
         self._tasks["watch"] = asyncio.create_task(self._watch())
         self._dirty.set()
@@ -91,9 +91,9 @@
 
     def follow_members(self) -> None:
         """Replicate to each controller that counts and each standby, and to no other."""
-        members = {*self._node.controllers, *self._standbys} - {self._node.box}
+        members = {*self._controller.controllers, *self._standbys} - {self._controller.box}
         for box in members - set(self._followers):
-            self._followers[box] = Follower(self._node.log.last_index + 1)
+            self._followers[box] = Follower(self._controller.log.last_index + 1)
             self._wakeups[box] = asyncio.Event()
             self._tasks[box] = asyncio.create_task(self._replicate(box))
         for box in set(self._followers) - members:
@@ -104,10 +104,10 @@
         """Return the controller that could lead at once, or an empty string."""
         ready = [
             box
-            for box in self._node.controllers
+            for box in self._controller.controllers
             if self._counts(box)
-            and box != self._node.box
-            and self._followers[box].match_index >= self._node.log.last_index
+            and box != self._controller.box
+            and self._followers[box].match_index >= self._controller.log.last_index
         ]
         return max(ready, key=lambda box: self._followers[box].heard_ms, default="")
 
@@ -117,7 +117,7 @@
         Raises:
             NotLeaderError: Leadership was lost; the entry may still be committed.
         """
-        entry = self._node.log.add(payload)
+        entry = self._controller.log.add(payload)
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._proposals[entry.log_index] = future
         self._dirty.set()
@@ -139,7 +139,7 @@
         started = monotonic_ms()
         self._wake_all()
         try:
-            async with asyncio.timeout(self._node.election_timeout_ms / 1_000):
+            async with asyncio.timeout(self._controller.election_timeout_ms / 1_000):
                 async with self._heard:
                     await self._heard.wait_for(lambda: self._is_current_since(started))
         except TimeoutError:
@@ -152,7 +152,7 @@
         came: none of them can then win with a vote that *box* gave before it lost its
         memory. *box* must also hold everything that is committed.
         """
-        if box not in self._node.controllers:
+        if box not in self._controller.controllers:
             self._note_standby(box, storage_id)
             return
         known = self._candidacies.get(box)
@@ -162,9 +162,11 @@
         follower = self._followers.get(box)
         if follower is None or follower.storage_id != storage_id:
             return
-        if follower.match_index < self._node.commit_index or not self._has_committed_own():
+        if follower.match_index < self._controller.commit_index or not self._has_committed_own():
             return
-        others = [name for name in self._node.controllers if name not in (box, self._node.box)]
+        others = [
+            name for name in self._controller.controllers if name not in (box, self._controller.box)
+        ]
         if any(self._followers[name].heard_ms < known.since_ms for name in others):
             return
         self._take_in(box, storage_id)
@@ -178,7 +180,7 @@
 
     def _add(self, command: Command) -> None:
         """Append a command that nobody waits for."""
-        entry = self._node.log.add(encode_command(command))
+        entry = self._controller.log.add(encode_command(command))
         self._member_index = entry.log_index
         self.follow_members()
         self._dirty.set()
@@ -186,7 +188,7 @@
 
     def _note_standby(self, box: str, storage_id: str) -> None:
         """Replicate to a controller that does not count, so that it can come in at once."""
-        if box == self._node.box:
+        if box == self._controller.box:
             return
         if box not in self._standbys:
             CONTROLLER_LOG.info("Controller {} stands by with data folder {}.", box, storage_id)
@@ -196,12 +198,12 @@
     def _change_members(self) -> None:
         """Replace a controller that is gone by one that stands by, a step at a time."""
         now_ms = monotonic_ms()
-        timeout_ms = self._node.election_timeout_ms
+        timeout_ms = self._controller.election_timeout_ms
         for box, known in list(self._standbys.items()):
             if now_ms - known.since_ms > _STANDBY_KEPT_TIMEOUTS * timeout_ms:
                 del self._standbys[box]
                 self.follow_members()
-        if not self._has_committed_own() or self._node.commit_index < self._member_index:
+        if not self._has_committed_own() or self._controller.commit_index < self._member_index:
             return
         silent = [
             box
@@ -213,11 +215,11 @@
             for box, known in self._standbys.items()
         ]
         command = next_change(
-            self._node.controllers,
-            self._node.state.founder_count,
+            self._controller.controllers,
+            self._controller.state.founder_count,
             silent,
             standbys,
-            self._node.box,
+            self._controller.box,
         )
         if command is not None:
             CONTROLLER_LOG.info("Change of controllers: {}.", command)
@@ -227,7 +229,7 @@
         follower = self._followers.get(box)
         if follower is None or follower.storage_id != storage_id:
             return False
-        return follower.match_index >= self._node.commit_index
+        return follower.match_index >= self._controller.commit_index
 
     async def _flush(self) -> None:
         """Make added entries durable, as many as there are at a time."""
@@ -235,27 +237,27 @@
             await self._dirty.wait()
             self._dirty.clear()
             try:
-                await self._node.log.flush()
+                await self._controller.log.flush()
             except OSError as error:
-                self._node.fail(error)
+                self._controller.fail(error)
                 return
             self._advance()
 
     async def _watch(self) -> None:
         """Step down when no majority was heard for an election time-out."""
-        timeout = self._node.election_timeout_ms
+        timeout = self._controller.election_timeout_ms
         while True:
             await asyncio.sleep(timeout / 2_000)
             self._change_members()
             since = monotonic_ms() - timeout
             if since > self._started_ms and not self._is_heard_since(since):
                 CONTROLLER_LOG.warning("Step down: no majority answers.")
-                self._node.step_down()
+                self._controller.step_down()
                 return
 
     async def _replicate(self, box: str) -> None:
         """Send *box* what it misses, and heartbeats, one append at a time."""
-        interval = self._node.election_timeout_ms / _HEARTBEATS_PER_ELECTION_TIMEOUT / 1_000
+        interval = self._controller.election_timeout_ms / _HEARTBEATS_PER_ELECTION_TIMEOUT / 1_000
         while True:
             self._wakeups[box].clear()
             is_behind = await self._replicate_once(box)
@@ -272,27 +274,27 @@
         message = self._next_message(box)
         sent_ms = monotonic_ms()
         try:
-            reply: AppendReply = await self._node.network.ask(
-                box, message, self._node.election_timeout_ms / 2
+            reply: AppendReply = await self._controller.network.ask(
+                box, message, self._controller.election_timeout_ms / 2
             )
         except PeerUnreachableError:
             return False
         if reply.term > self._term:
-            self._node.notice_term(reply.term)
+            self._controller.notice_term(reply.term)
             return False
         self._note(box, reply, sent_ms)
         async with self._heard:
             self._heard.notify_all()
-        return self._followers[box].next_index <= self._node.log.last_index
+        return self._followers[box].next_index <= self._controller.log.last_index
 
     def _next_message(self, box: str) -> Append | InstallSnapshot:
-        log = self._node.log
+        log = self._controller.log
         next_index = min(self._followers[box].next_index, log.last_index + 1)
         prev_term = log.term_at(next_index - 1)
         if prev_term is None:
             return InstallSnapshot(self._term, log.snapshot)
         entries = log.entries_from(next_index, _ENTRIES_PER_APPEND)
-        return Append(self._term, next_index - 1, prev_term, entries, self._node.commit_index)
+        return Append(self._term, next_index - 1, prev_term, entries, self._controller.commit_index)
 
     def _note(self, box: str, reply: AppendReply, sent_ms: float) -> None:
         known = self._followers[box]
@@ -311,48 +313,48 @@
 
     def _pin(self, box: str, storage_id: str, is_first: bool) -> None:
         """Write down the data folder of a controller of a new system."""
-        if self._node.controllers.get(box) == ANY_STORAGE and is_first:
+        if self._controller.controllers.get(box) == ANY_STORAGE and is_first:
             self._take_in(box, storage_id)
 
     def _counts(self, box: str) -> bool:
         """Return whether *box*'s answers count toward a majority."""
-        if box == self._node.box:
-            return self._node.may_vote
+        if box == self._controller.box:
+            return self._controller.may_vote
         follower = self._followers.get(box)
         if follower is None:
             return False
-        return self._node.is_counted(box, follower.storage_id, follower.is_first)
+        return self._controller.is_counted(box, follower.storage_id, follower.is_first)
 
     def _is_heard_since(self, since_ms: float) -> bool:
         heard = [
             box
-            for box in self._node.controllers
+            for box in self._controller.controllers
             if self._counts(box)
-            and (box == self._node.box or self._followers[box].heard_ms >= since_ms)
+            and (box == self._controller.box or self._followers[box].heard_ms >= since_ms)
         ]
-        return len(heard) >= self._node.majority
+        return len(heard) >= self._controller.majority
 
     def _is_current_since(self, since_ms: float) -> bool:
         return self._has_committed_own() and self._is_heard_since(since_ms)
 
     def _has_committed_own(self) -> bool:
-        return self._node.commit_index >= self._first_index
+        return self._controller.commit_index >= self._first_index
 
     def _advance(self) -> None:
         """Commit what a majority holds, if it is of this term."""
-        log = self._node.log
+        log = self._controller.log
         matches = [
-            log.durable_index if box == self._node.box else self._followers[box].match_index
-            for box in self._node.controllers
+            log.durable_index if box == self._controller.box else self._followers[box].match_index
+            for box in self._controller.controllers
             if self._counts(box)
         ]
-        if len(matches) < self._node.majority:
+        if len(matches) < self._controller.majority:
             return
         matches.sort(reverse=True)
-        agreed = matches[self._node.majority - 1]
-        if agreed > self._node.commit_index and log.term_at(agreed) == self._term:
-            self._node.commit(agreed)
-            self._pin(self._node.box, self._node.storage_id, self._node.is_first)
+        agreed = matches[self._controller.majority - 1]
+        if agreed > self._controller.commit_index and log.term_at(agreed) == self._term:
+            self._controller.commit(agreed)
+            self._pin(self._controller.box, self._controller.storage_id, self._controller.is_first)
             self._wake_all()
 
     def _wake_all(self) -> None:
--- a/src/foldloom/controllers/node.py
+++ b/src/foldloom/controllers/node.py
@@ -65,7 +65,7 @@
     return storage, ReplicatedLog(storage, recovered)
 
 
-class ControllerNode:
+class Controller:
     """A controller.
 
     Args:
--- a/src/foldloom/fleet/publisher.py
+++ b/src/foldloom/fleet/publisher.py
@@ -8,7 +8,7 @@
 from expression import Error, Ok, Result
 
 from foldloom.controllers.messages import Propose, ProposeReply
-from foldloom.controllers.node import ControllerNode
+from foldloom.controllers.node import Controller
 from foldloom.controllers.state import Answer, Publication, PublishCommand, encode_command
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.fleet.messages import ReadPublished, ReadReply
@@ -24,12 +24,12 @@
     """Reach the leader from any controller.
 
     Args:
-        node: This controller.
+        controller: This controller.
         network: The peers.
     """
 
-    def __init__(self, node: ControllerNode, network: PeerNetwork) -> None:
-        self._node = node
+    def __init__(self, controller: Controller, network: PeerNetwork) -> None:
+        self._controller = controller
         self._network = network
         network.on(ReadPublished, self._on_read)
 
@@ -75,13 +75,13 @@
             NotLeaderError: No leader is known, or the one asked does not lead.
             PeerUnreachableError: It may be committed.
         """
-        if self._node.is_leading:
+        if self._controller.is_leading:
             try:
                 async with asyncio.timeout(left_ms / 1_000):
-                    return await self._node.propose(payload)
+                    return await self._controller.propose(payload)
             except TimeoutError:
                 raise PeerUnreachableError("not committed in time") from None
-        leader = self._node.leader
+        leader = self._controller.leader
         if not leader:
             raise NotLeaderError
         reply: ProposeReply = await self._network.ask(leader, Propose(payload), left_ms)
@@ -92,10 +92,10 @@
         raise NotLeaderError(reply.leader)
 
     async def _read(self, left_ms: float) -> ReadReply | None:
-        leader = self._node.leader
+        leader = self._controller.leader
         if not leader:
             return None
-        if self._node.is_leading:
+        if self._controller.is_leading:
             return await self._read_here()
         try:
             reply: ReadReply = await self._network.ask(leader, ReadPublished(), left_ms)
@@ -105,10 +105,10 @@
 
     async def _read_here(self) -> ReadReply:
         try:
-            await self._node.barrier()
+            await self._controller.barrier()
         except NotLeaderError:
             return ReadReply(False, Publication(0, b""))
-        return ReadReply(True, self._node.state.publication)
+        return ReadReply(True, self._controller.state.publication)
 
     async def _on_read(self, _sender: str, _message: ReadPublished) -> ReadReply:
         return await self._read_here()
--- a/src/foldloom/owners/election.py
+++ b/src/foldloom/owners/election.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 _TICK_MS = 100
-_NODE_BITS = 18
+_BOX_BITS = 18
 _RANK_STEP_MS = 80.0
 _FIRST_PATIENCE_MS = 120.0
 
@@ -66,8 +66,8 @@
     The upper part rises and begins at the time of day, so that a zone whose boxes have all
     forgotten their tokens still goes above them; the lower part is the box's own.
     """
-    rising = max((highest_known >> _NODE_BITS) + 1, int(time_of_day_s * 1_000) // _TICK_MS)
-    return (rising << _NODE_BITS) | box_bits
+    rising = max((highest_known >> _BOX_BITS) + 1, int(time_of_day_s * 1_000) // _TICK_MS)
+    return (rising << _BOX_BITS) | box_bits
 
 
 def token_above(refused: int, tries: int, box_bits: int) -> int:
@@ -75,9 +75,9 @@
 
     The step doubles with each of *tries*: after a clock that went back, few steps are enough.
     """
-    return (((refused >> _NODE_BITS) + (1 << min(tries + 3, 20))) << _NODE_BITS) | box_bits
+    return (((refused >> _BOX_BITS) + (1 << min(tries + 3, 20))) << _BOX_BITS) | box_bits
 
 
 def new_box_bits() -> int:
     """Return the lower part of this process's tokens."""
-    return random.getrandbits(_NODE_BITS)
+    return random.getrandbits(_BOX_BITS)
--- a/tests/test_owners_election.py
+++ b/tests/test_owners_election.py
@@ -66,7 +66,7 @@
         before = next_token(0, 1_700_000_000.0, 200_000)
         assert next_token(0, 1_700_000_001.0, 1) > before
 
-    def test_two_nodes_never_make_the_same(self) -> None:
+    def test_two_boxes_never_make_the_same(self) -> None:
         """At one moment two boxes make two tokens."""
         assert next_token(0, 1_700_000_000.0, 1) != next_token(0, 1_700_000_000.0, 2)
 
