--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -133,7 +133,7 @@
     ),
     Break(
         "a wiped controller does not vote",
-        "controllers/node.py",
+        "controllers/controller.py",
         'expected = self.controllers.get(box, "")',
         "return True",
         _CONTROL + "TestLostDisks::test_second_loss_before_recovery",
--- a/src/foldloom/box.py
+++ b/src/foldloom/box.py
@@ -15,9 +15,9 @@
 from foldloom.controllers.boxes import BoxListKeeper
 from foldloom.controllers.client import ControllerClient
 from foldloom.controllers.config import Config, empty_config, endpoints_of
+from foldloom.controllers.controller import Controller
 from foldloom.controllers.holder import ConfigHolder
 from foldloom.controllers.leadership import ANY_STORAGE
-from foldloom.controllers.node import Controller
 from foldloom.endpoints.adapter import EndpointAdapter
 from foldloom.endpoints.platform import PlatformList
 from foldloom.endpoints.usage import UsageReports
--- a/src/foldloom/boxes/controller.py
+++ b/src/foldloom/boxes/controller.py
@@ -11,8 +11,8 @@
 from expression import Result
 
 from foldloom.controllers.config import empty_config
+from foldloom.controllers.controller import Controller
 from foldloom.controllers.leadership import ANY_STORAGE
-from foldloom.controllers.node import Controller
 from foldloom.controllers.state import Publication
 from foldloom.controllers.storage import format_folder
 from foldloom.endpoints.catalog import EndpointCatalog
--- a/src/foldloom/controllers/boxes.py
+++ b/src/foldloom/controllers/boxes.py
@@ -5,7 +5,7 @@
 
 import asyncio
 
-from foldloom.controllers.node import Controller
+from foldloom.controllers.controller import Controller
 from foldloom.controllers.state import BoxesSettledCommand, encode_command
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.logs import CONTROLLER_LOG
--- a/src/foldloom/controllers/election.py
+++ b/src/foldloom/controllers/election.py
@@ -11,7 +11,7 @@
 from foldloom.logs import CONTROLLER_LOG
 
 if TYPE_CHECKING:
-    from foldloom.controllers.node import Controller
+    from foldloom.controllers.controller import Controller
 
 
 class Elections:
--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -14,7 +14,7 @@
 from foldloom.peers.wire import monotonic_ms
 
 if TYPE_CHECKING:
-    from foldloom.controllers.node import Controller
+    from foldloom.controllers.controller import Controller
 
 ANY_STORAGE = "?"
 _ENTRIES_PER_APPEND = 500
--- a/src/foldloom/fleet/publisher.py
+++ b/src/foldloom/fleet/publisher.py
@@ -7,8 +7,8 @@
 
 from expression import Error, Ok, Result
 
+from foldloom.controllers.controller import Controller
 from foldloom.controllers.messages import Propose, ProposeReply
-from foldloom.controllers.node import Controller
 from foldloom.controllers.state import Answer, Publication, PublishCommand, encode_command
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.fleet.messages import ReadPublished, ReadReply
