--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -49,6 +49,9 @@
 _READMIT_INTERVAL_S = 0.2
 _HANDOVER_CHECK_S = 0.01
 _REPLACED_AFTER_TIMEOUTS = 2
+# Seconds. Not measured: chosen because a full disk of the bench refuses writes for 6 s, and one
+# attempt costs a read and a write of the whole log.
+_REOPEN_INTERVAL_S = 1.0
 
 
 def open_storage(settings: Settings) -> tuple[LogStorage, ReplicatedLog]:
@@ -95,15 +98,10 @@
         self._on_config = on_config
         self._on_publication = on_publication
         self._contacts = contacts
-        self._storage, self.log = open_storage(settings)
+        self._settings = settings
         self._initial = initial
-        self._state = ReplicatedState(initial)
         self._table_key: tuple[int, int, int] | None = None
         self._table: dict[str, str] = {}
-        self._start_index = self.log.last_index
-        self._start_controllers = self._controllers_of_log()
-        self._commit_index = 0
-        self._applied_index = 0
         self._leader = ""
         self._leadership: Leadership | None = None
         self._is_failed = False
@@ -111,7 +109,7 @@
         self.turn = asyncio.Lock()
         self._tasks: set[asyncio.Task[None]] = set()
         self._is_compacting = False
-        self._load_snapshot(self.log.snapshot)
+        self._begin_with(*open_storage(settings))
         self._elections = Elections(self)
         network.on(Append, self._on_append)
         network.on(InstallSnapshot, self._on_install)
@@ -119,6 +117,17 @@
         network.on(ReadBarrier, self._on_barrier)
         network.on(Readmit, self._on_readmit)
 
+    def _begin_with(self, storage: LogStorage, log: ReplicatedLog) -> None:
+        """Take what the data folder holds; nothing is known to be committed but its snapshot."""
+        self._storage, self.log = storage, log
+        self._state = ReplicatedState(self._initial)
+        self._table_key = None
+        self._start_index = log.last_index
+        self._start_controllers = self._controllers_of_log()
+        self._commit_index = 0
+        self._applied_index = 0
+        self._load_snapshot(log.snapshot)
+
     @property
     def state(self) -> ReplicatedState:
         """The state after all applied entries."""
@@ -216,6 +225,10 @@
         """Hold elections when no leader is heard, and ask to be counted, until cancelled."""
         self._spawn(self._ask_readmission())
         while True:
+            if self._is_failed:
+                await asyncio.sleep(_REOPEN_INTERVAL_S)
+                await self._reopen()
+                continue
             timeout = self.election_timeout_ms * random.uniform(1.0, 2.0)
             await asyncio.sleep(timeout / 1_000)
             if self.is_leading or not self.may_vote:
@@ -251,11 +264,37 @@
         return heir
 
     def fail(self, error: OSError) -> None:
-        """Stop taking part: after a failed write nothing that is told can be relied on."""
-        CONTROLLER_LOG.error("The disk failed: {}. This controller takes no part any more.", error)
+        """Take no part until the data folder could be opened again.
+
+        After a failed write it is not known what is on disk, so nothing may be told that relies
+        on it: no vote, no acknowledgement of entries.
+        """
+        CONTROLLER_LOG.error("The disk failed: {}. No vote until it takes writes again.", error)
         self._is_failed = True
         self.step_down()
 
+    async def _reopen(self) -> None:
+        """Begin again with what is on disk, as after a restart, if the disk takes writes.
+
+        Nothing that the failed write was about has been told to anyone, so it does not matter
+        whether it is on disk. All that is read back is written and synced anew first: after a
+        failed sync, what can be read need not be on the disk.
+        """
+        async with self.turn:
+            try:
+                await asyncio.to_thread(self.log.close)
+                storage, log = await asyncio.to_thread(open_storage, self._settings)
+                await log.rewrite()
+            except OSError as error:
+                CONTROLLER_LOG.warning("The data folder can't be opened again yet: {}.", error)
+                return
+            self._begin_with(storage, log)
+            self._is_failed = False
+            self.hear_leader()
+            CONTROLLER_LOG.info(
+                "The disk takes writes again: entry {} is the last.", log.last_index
+            )
+
     def hear_leader(self) -> None:
         """Begin a new wait before an election."""
         self._heard_leader_ms = monotonic_ms()
@@ -394,12 +433,14 @@
     async def _compact(self) -> None:
         index = self._applied_index
         term = self.log.term_at(index)
-        snapshot = Snapshot(index, term or 0, self._state.dump())
+        log, snapshot = self.log, Snapshot(index, term or 0, self._state.dump())
         try:
-            await self.log.compact(snapshot)
+            await log.compact(snapshot)
             CONTROLLER_LOG.info("Snapshot up to entry {}.", index)
         except OSError as error:
-            self.fail(error)
+            # The log may have been opened again since; then this was about the one before.
+            if log is self.log:
+                self.fail(error)
         finally:
             self._is_compacting = False
 
--- a/src/foldloom/controllers/log.py
+++ b/src/foldloom/controllers/log.py
@@ -4,6 +4,9 @@
 from __future__ import annotations
 
 import asyncio
+import errno
+import threading
+from collections.abc import Callable
 
 from foldloom.controllers.storage import Entry, LogStorage, Recovered, Snapshot, TermVote
 
@@ -27,6 +30,8 @@
         self._written_index = self.last_index
         self._durable_index = self.last_index
         self._lock = asyncio.Lock()
+        self._disk = threading.Lock()
+        self._is_closed = False
 
     @property
     def term(self) -> int:
@@ -102,7 +107,7 @@
                 return
             last = fresh[-1].log_index
             self._written_index = last
-            await asyncio.to_thread(self._write, fresh)
+            await self._on_disk(lambda: self._write(fresh))
             self._durable_index = min(last, self.last_index)
 
     async def save_term_vote(self, term: int, voted_for: str) -> None:
@@ -113,7 +118,7 @@
         """
         self._term_vote = TermVote(term, voted_for)
         async with self._lock:
-            await asyncio.to_thread(self._write_term_vote, self._term_vote)
+            await self._on_disk(lambda: self._write_term_vote(self._term_vote))
 
     async def accept(self, entries: list[Entry]) -> None:
         """Take a leader's *entries*; those that differ from ours replace ours, durably.
@@ -131,7 +136,7 @@
                 del self._entries[first - self._snapshot.last_index - 1 :]
             self._entries.extend(fresh)
             self._written_index = self.last_index
-            await asyncio.to_thread(self._write, fresh, cut_from)
+            await self._on_disk(lambda: self._write(fresh, cut_from))
             self._durable_index = self.last_index
 
     async def compact(self, snapshot: Snapshot) -> None:
@@ -153,9 +158,52 @@
             self._snapshot = snapshot
             self._entries = rest
             self._written_index = snapshot.last_index + len(written)
-            await asyncio.to_thread(self._storage.save_snapshot, snapshot, self._term_vote, written)
+            await self._on_disk(
+                lambda: self._storage.save_snapshot(snapshot, self._term_vote, written)
+            )
             self._durable_index = self._written_index
 
+    async def rewrite(self) -> None:
+        """Write and sync the snapshot, the term, the vote and all entries anew.
+
+        Raises:
+            OSError: The disk failed.
+        """
+        async with self._lock:
+            entries = list(self._entries)
+            await self._on_disk(
+                lambda: self._storage.save_snapshot(self._snapshot, self._term_vote, entries)
+            )
+
+    def close(self) -> None:
+        """Wait for the write in hand, then close the storage; later writes fail."""
+        with self._disk:
+            self._is_closed = True
+            self._storage.close()
+
+    async def _on_disk(self, operation: Callable[[], None]) -> None:
+        """Run *operation* in a thread.
+
+        The thread goes on if the caller is cancelled; one operation at a time touches the file.
+        After a failed one none does: a record behind one that is cut short would be taken for
+        damage when the log is read back.
+
+        Raises:
+            OSError: The disk failed, now or in an earlier operation.
+        """
+
+        def run() -> None:
+            with self._disk:
+                if self._is_closed:
+                    raise OSError(errno.EIO, "an earlier write failed, or the log is closed")
+                try:
+                    operation()
+                except OSError:
+                    self._is_closed = True
+                    raise
+
+        await asyncio.to_thread(run)
+
     def _write(self, entries: list[Entry], cut_from: int = 0) -> None:
         """Write and sync *entries*, in place of those from *cut_from* on if it is not 0.
 
--- a/tests/test_boxes_controllers.py
+++ b/tests/test_boxes_controllers.py
@@ -4,6 +4,8 @@
 from __future__ import annotations
 
 import asyncio
+import errno
+import os
 import shutil
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -13,6 +15,7 @@
 
 from cluster import free_port
 from foldloom.boxes.controller import ControllerHost
+from foldloom.controllers.storage import LogStorage
 from foldloom.settings import Settings, settings_from
 
 _WAIT_S = 15.0
@@ -63,6 +66,10 @@
         """Lose the disk of a controller that does not run."""
         shutil.rmtree(self._folder / str(port))
 
+    def folder_of(self, port: int) -> Path:
+        """Return the data folder of the controller at *port*."""
+        return self._folder / str(port)
+
     async def publish(self, version: int) -> None:
         """Publish through any controller until one acknowledges."""
 
@@ -242,6 +249,80 @@
         play(tmp_path, scenario)
 
 
+class FullDisks:
+    """Data folders whose writes are refused for want of space.
+
+    Args:
+        monkeypatch: Puts the refusal in.
+    """
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.folders: set[Path] = set()
+        self.refused = 0
+        write = LogStorage._write
+
+        def write_or_refuse(storage: LogStorage, data: bytes) -> None:
+            if storage._folder in self.folders:
+                self.refused += 1
+                # What a full disk leaves: the first part of a record.
+                write(storage, data[: len(data) // 2])
+                raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
+            write(storage, data)
+
+        monkeypatch.setattr(LogStorage, "_write", write_or_refuse)
+
+    async def fill(self, core: Core, port: int) -> None:
+        """Let the disk of the controller at *port* be full until a write was refused."""
+        folder = core.folder_of(port)
+        self.folders.add(folder)
+        version = 20
+        async with asyncio.timeout(_WAIT_S):
+            while not self.refused:
+                version += 1
+                await core.publish(version)
+        await asyncio.sleep(0.5)
+        self.folders.discard(folder)
+
+
+class TestFullDisk:
+    """A disk that takes no writes for a while."""
+
+    @pytest.mark.parametrize("is_leader", [True, False])
+    def test_takes_part_again(
+        self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, is_leader: bool
+    ) -> None:
+        """Once its disk takes writes again, the controller counts: another one may be lost."""
+        disks = FullDisks(monkeypatch)
+
+        async def scenario(core: Core) -> None:
+            leader = core.leader()
+            full = leader if is_leader else next(p for p in core.ports if p != leader)
+            await disks.fill(core, full)
+            await core.kill(next(port for port in core.ports if port != full))
+            await core.publish(90)
+            assert await core.read() == b"90"
+
+        play(tmp_path, scenario)
+
+    def test_another_replaced_afterwards(
+        self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
+        """A second controller is replaced by an empty one; changes are acknowledged still."""
+        disks = FullDisks(monkeypatch)
+
+        async def scenario(core: Core) -> None:
+            full, gone = [port for port in core.ports if port != core.leader()]
+            await disks.fill(core, full)
+            await core.kill(gone)
+            fresh = free_port()
+            await core.start(fresh)
+            await core.publish(90)
+            await members_are(core, {*core.ports, fresh} - {gone})
+            assert await core.read() == b"90"
+
+        play(tmp_path, scenario)
+
+
 class TestHandover:
     """A planned stop of the leader."""
 
