--- a/src/foldloom/owners/client.py
+++ b/src/foldloom/owners/client.py
@@ -74,7 +74,9 @@
         while True:
             await asyncio.sleep(_LOST_CHECK_S)
             for tie in self._ties.values():
-                for batch, order in tie.take_lost():
+                lost = tie.pop_lost()
+                self._maybe_started |= lost.started_jobs & self._jobs
+                for batch, order in lost.runs:
                     # Its owner can't be asked any more, and may have started it.
                     self._maybe_started.add(batch.template.job_id)
                     PLACE_LOG.event(
--- a/src/foldloom/owners/tie.py
+++ b/src/foldloom/owners/tie.py
@@ -5,7 +5,7 @@
 
 import asyncio
 from collections.abc import Coroutine, Iterator
-from typing import Any
+from typing import Any, NamedTuple
 
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.fleet.messages import Echo, OwnerBeat, OwnerRecord, ZoneLoad
@@ -28,6 +28,28 @@
 _CANCEL_TRIES = 2
 
 
+class LostRun(NamedTuple):
+    """A run whose end its owner will never tell."""
+
+    batch: Batch
+    order: RunOrder
+
+
+class LostWork(NamedTuple):
+    """What a silent owner held.
+
+    Args:
+        runs: The runs whose end was still to come.
+        started_jobs: Jobs of which a run has started, or may have under an earlier owner.
+    """
+
+    runs: list[LostRun]
+    started_jobs: set[str]
+
+
+NOTHING_LOST = LostWork([], set())
+
+
 class OwnerTie:
     """The tie to one zone's owner, whoever that is at the time.
 
@@ -91,16 +113,19 @@
         """Return what is open of a job in this zone."""
         return self._batches.get(job_id, [])
 
-    def take_lost(self) -> list[tuple[Batch, RunOrder]]:
-        """Return and drop the runs that have ended for certain since their owner fell silent."""
-        lost: list[tuple[Batch, RunOrder]] = []
+    def pop_lost(self) -> LostWork:
+        """Return and drop what was handed to an owner that fell silent, once all of it has ended.
+
+        By then the owner's right is over and every lease that it gave has lapsed.
+        """
         if monotonic_ms() < self._echoed_ms + self._session_ms + self._gone_after_ms:
-            return lost
-        for batches in list(self._batches.values()):
-            for batch in batches:
-                lost.extend((batch, order) for order in batch.orders)
+            return NOTHING_LOST
+        batches = [batch for of_job in self._batches.values() for batch in of_job]
         self._batches.clear()
-        return lost
+        runs = [LostRun(batch, order) for batch in batches for order in batch.orders]
+        # Also of batches that have no run open any more: one that has ended may have run.
+        started = {batch.template.job_id for batch in batches if batch.has_started}
+        return LostWork(runs, started)
 
     async def submit(self, batch: Batch, orders: list[RunOrder]) -> SubmitReply:
         """Hand *orders* in; return once the owner has taken or refused them."""
--- a/tests/test_owners_client.py
+++ b/tests/test_owners_client.py
@@ -277,3 +277,32 @@
             assert await rig.client.give_up(_JOB)
 
         _run(play())
+
+    def test_done_at_an_owner_that_fell_silent_afterwards(self) -> None:
+        """One task is done, the other moved on, the first owner falls silent: a task has run."""
+
+        async def play() -> None:
+            rig = Rig(TimingSettings(session_ms=1, endpoint_lease_ms=1))
+            rig.beat(1)
+            rig.beat(2, _OTHER)
+            template: SubmitRuns = submission(2, job_id=_JOB)
+            orders = [RunOrder(0, 0, 1), RunOrder(0, 1, 1)]
+            await rig.client.submit(template, 0.0, rig.ends, orders)
+            done = RunEnd(RunId(TaskId(_JOB, 0, 0, 0), 1), EndCause.DONE)
+            moved = RunEnd(
+                RunId(TaskId(_JOB, 0, 0, 1), 1),
+                EndCause.MOVED,
+                moved_to=_OTHER,
+                has_started=False,
+            )
+            rig.network.handlers[RunsEnded]("10.0.0.1:1", RunsEnded(_HOME, [done, moved]))
+            await asyncio.sleep(0.01)
+            watching = asyncio.create_task(rig.client.run())
+            for _ in range(100):
+                # The other zone's owner is heard all the time.
+                rig.beat(2, _OTHER)
+                await asyncio.sleep(0.005)
+            watching.cancel()
+            assert await rig.client.give_up(_JOB)
+
+        _run(play())
