--- a/src/foldloom/endpoints/calls.py
+++ b/src/foldloom/endpoints/calls.py
@@ -49,9 +49,9 @@
 
 
 class EndedRun(NamedTuple):
-    """An end that an endpoint lists; ``number`` rises within one life of the endpoint."""
+    """An end that an endpoint lists; ``sequence`` rises within one life of the endpoint."""
 
-    number: int
+    sequence: int
     run_id: RunId
     how: EndKind
     checkpoint: str = ""
--- a/src/foldloom/entry/job_runner.py
+++ b/src/foldloom/entry/job_runner.py
@@ -153,7 +153,7 @@
             attempts.failures += 1
         if attempts.failures >= self._queue.attempts_max:
             return JobResult(JobOutcome.FAILED, f"a task failed {attempts.failures} times")
-        attempts.run = max(attempts.run, end.run_id.run) + 1
+        attempts.run = max(attempts.run, end.run_id.attempt) + 1
         ENTRY_LOG.event(
             "run.retried",
             job=self._job.job_id,
@@ -164,7 +164,7 @@
             failures_max=self._queue.attempts_max,
             next_run=attempts.run,
         )
-        return await self._submit(task.step, [RunOrder(task.step, task.number, attempts.run)])
+        return await self._submit(task.step, [RunOrder(task.step, task.position, attempts.run)])
 
     async def _submit(self, step: int, orders: list[RunOrder]) -> JobResult | None:
         reply = await self._client.submit(self._templates[step], self._began_ms, self._ends, orders)
--- a/src/foldloom/jobs/spec.py
+++ b/src/foldloom/jobs/spec.py
@@ -73,23 +73,23 @@
         job_id: The job.
         repeat: Which time of a job that runs several times, from 0.
         step: The step's number, from 0.
-        number: The task's number in its step, from 0.
+        position: The task's place in its step, from 0.
     """
 
     job_id: str
     repeat: int
     step: int
-    number: int
+    position: int
 
 
 class RunId(NamedTuple):
-    """One start of a task; ``run`` rises from 1."""
+    """One start of a task; ``attempt`` rises from 1."""
 
     task: TaskId
-    run: int
+    attempt: int
 
     @property
     def text(self) -> str:
-        """The run as logs name it: job, repeat, step, task, run."""
-        job_id, repeat, step, number = self.task
-        return f"{job_id}.{repeat}.{step}.{number}#{self.run}"
+        """The run as logs name it: job, repeat, step, position, attempt."""
+        job_id, repeat, step, position = self.task
+        return f"{job_id}.{repeat}.{step}.{position}#{self.attempt}"
--- a/src/foldloom/owners/batches.py
+++ b/src/foldloom/owners/batches.py
@@ -42,9 +42,9 @@
     def close(self, end: RunEnd) -> RunOrder | None:
         """Note an end; return the open run that it ends, if any."""
         order = self._open.get(end.run_id.task)
-        if order is None or end.run_id.run < order.run:
+        if order is None or end.run_id.attempt < order.attempt:
             return None
-        if end.hand_over and end.hand_over != order.hand_over:
+        if end.delivery and end.delivery != order.delivery:
             # It tells of an earlier handing over; the run came back since.
             return None
         self.has_started = self.has_started or end.has_started
@@ -60,7 +60,7 @@
 
     def task(self, order: RunOrder) -> TaskId:
         """Return the task that *order* is about."""
-        return TaskId(self.template.job_id, self.template.repeat, order.step, order.number)
+        return TaskId(self.template.job_id, self.template.repeat, order.step, order.position)
 
     def message(self, token: int, orders: list[RunOrder], old_right_ms: float) -> SubmitRuns:
         """Return the message that hands *orders* to the owner with *token*."""
--- a/src/foldloom/owners/client.py
+++ b/src/foldloom/owners/client.py
@@ -45,8 +45,8 @@
         self._view = view
         self._network = network
         self._timings = timings
-        self._hand_overs = itertools.count(1)
-        self._home = OwnerTie(view.own.zone, view, network, timings, self._hand_overs)
+        self._deliveries = itertools.count(1)
+        self._home = OwnerTie(view.own.zone, view, network, timings, self._deliveries)
         self._jobs: set[str] = set()
         self._maybe_started: set[str] = set()
         self._ties: dict[str, OwnerTie] = {view.own.zone: self._home}
@@ -64,7 +64,7 @@
         tie = self._ties.get(beat.owner.zone)
         if tie is None:
             tie = OwnerTie(
-                beat.owner.zone, self._view, self._network, self._timings, self._hand_overs
+                beat.owner.zone, self._view, self._network, self._timings, self._deliveries
             )
             self._ties[beat.owner.zone] = tie
         tie.hear_beat(beat, published_version)
@@ -82,13 +82,13 @@
                     PLACE_LOG.event(
                         "run.lost",
                         job=batch.template.job_id,
-                        task=order.number,
-                        run=order.run,
+                        task=order.position,
+                        run=order.attempt,
                         zone=tie.zone,
                         owner=tie.owner.box,
                         silent_ms=int(tie.silent_ms),
                     )
-                    end = RunEnd(RunId(batch.task(order), order.run), EndCause.LOST)
+                    end = RunEnd(RunId(batch.task(order), order.attempt), EndCause.LOST)
                     batch.ends.put_nowait(end)
 
     async def submit(
@@ -183,7 +183,11 @@
         if tie is None or batch.template.job_id not in self._jobs:
             return
         PLACE_LOG.event(
-            "run.moved", job=batch.template.job_id, task=order.number, run=order.run, zone=tie.zone
+            "run.moved",
+            job=batch.template.job_id,
+            task=order.position,
+            run=order.attempt,
+            zone=tie.zone,
         )
         target = self._batch(tie, batch.template, batch.began_ms, batch.ends)
         await tie.submit(target, [moved])
--- a/src/foldloom/owners/endpoint_link.py
+++ b/src/foldloom/owners/endpoint_link.py
@@ -111,9 +111,9 @@
             ENDPOINT_LOG.event("endpoint.answers", endpoint=self.record.endpoint)
         self._is_silent = False
         self._has_lapsed = False
-        fresh = tuple(end for end in reply.ended if end.number > self._seen)
+        fresh = tuple(end for end in reply.ended if end.sequence > self._seen)
         if fresh:
-            self._seen = max(end.number for end in fresh)
+            self._seen = max(end.sequence for end in fresh)
         self._owner.take_report(self.record.endpoint, reply.active, fresh, sent_ms, now_ms)
 
     def _fall_silent(self, reply: HoldReply) -> None:
--- a/src/foldloom/owners/messages.py
+++ b/src/foldloom/owners/messages.py
@@ -17,20 +17,21 @@
 
     Args:
         step: The step's number.
-        number: The task's number in its step.
-        run: Counts the task's starts.
+        position: The task's place in its step.
+        attempt: Counts the task's starts, from 1.
         is_resumed: Whether it may have been handed to an earlier owner.
         is_moved: Whether another zone's owner gave it up for room here.
-        hand_over: Counts what its box hands over; the same in each copy of one message, 0 if it
-            is not counted.
+        delivery: Counts the box's deliveries of runs to owners: the same in each retransmission
+            of a message, another one when the run is sent again for another reason; 0 if it is
+            not counted.
     """
 
     step: int
-    number: int
-    run: int
+    position: int
+    attempt: int
     is_resumed: bool = False
     is_moved: bool = False
-    hand_over: int = 0
+    delivery: int = 0
 
 
 class Objective(NamedTuple):
@@ -143,7 +144,7 @@
         checkpoint: Where it could go on from.
         moved_to: With ``MOVED``, the zone.
         has_started: Whether a run of the task may ever have started here.
-        hand_over: The number under which its box has handed it over, 0 if it is not counted.
+        delivery: The delivery of the run that this is about, 0 if it is not counted.
     """
 
     run_id: RunId
@@ -153,7 +154,7 @@
     checkpoint: str = ""
     moved_to: str = ""
     has_started: bool = True
-    hand_over: int = 0
+    delivery: int = 0
 
 
 class RunsEnded(NamedTuple):
--- a/src/foldloom/owners/state.py
+++ b/src/foldloom/owners/state.py
@@ -101,18 +101,18 @@
     """A task that is not known any more.
 
     Args:
-        number: Its last run.
+        attempt: Its last start.
         ended_ms: When that ended or was let go of.
         end: How it ended, if a later owner should tell.
         has_started: Whether a run of it may ever have started.
-        hand_overs: Under which number each box has handed it over last.
+        deliveries: Each box's newest delivery of it.
     """
 
-    number: int
+    attempt: int
     ended_ms: float
     end: RunEnd | None
     has_started: bool
-    hand_overs: dict[HolderId, int]
+    deliveries: dict[HolderId, int]
 
 
 def _spec_of(message: SubmitRuns, now_ms: float) -> RunSpec:
@@ -213,7 +213,7 @@
         if self._is_late_submit(holder, message.job_id, now_ms):
             return SubmitReply(SubmitStatus.REFUSED, "cancelled")
         for order in message.orders:
-            task = TaskId(message.job_id, message.repeat, order.step, order.number)
+            task = TaskId(message.job_id, message.repeat, order.step, order.position)
             self._use_reservation(group_of(task))
             self._take(holder, task, spec, order, bound, now_ms)
         return self._admit(holder, message, now_ms)
@@ -344,7 +344,7 @@
     def note_start(self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float) -> None:
         """Take the answer to an order to start."""
         run = self._runs.get(run_id.task)
-        if run is None or run.number != run_id.run or run.endpoint != endpoint:
+        if run is None or run.attempt != run_id.attempt or run.endpoint != endpoint:
             return
         if outcome is CallOutcome.DONE:
             if run.state is RunState.STARTING:
@@ -364,7 +364,7 @@
     def note_stop(self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float) -> None:
         """Take the answer to an order to stop."""
         run = self._runs.get(run_id.task)
-        if run is None or run.number != run_id.run or run.endpoint != endpoint:
+        if run is None or run.attempt != run_id.attempt or run.endpoint != endpoint:
             return
         if run.state is not RunState.STOPPING:
             return
@@ -415,7 +415,7 @@
     def _admit(self, holder: HolderId, message: SubmitRuns, now_ms: float) -> SubmitReply:
         """Refuse a job at once that would have to wait for too long, else take it."""
         taken = SubmitReply(SubmitStatus.TAKEN)
-        if any(order.is_resumed or order.is_moved or order.run > 1 for order in message.orders):
+        if any(order.is_resumed or order.is_moved or order.attempt > 1 for order in message.orders):
             return taken
         if self._is_warming_up(now_ms):
             return taken
@@ -506,23 +506,23 @@
     ) -> None:
         known = self._runs.get(task)
         if known is not None:
-            known.holders[holder] = max(order.hand_over, known.holders.get(holder, 0))
+            known.holders[holder] = max(order.delivery, known.holders.get(holder, 0))
             return
         past = self._past.get(task)
-        if past is not None and 0 < order.hand_over <= past.hand_overs.get(holder, 0):
+        if past is not None and 0 < order.delivery <= past.deliveries.get(holder, 0):
             # A late copy of a message whose runs are over here, and may be elsewhere by now.
             return
         told = None if past is None else past.end
         # An earlier run's end says nothing of a later one, unless the task is done.
         if told is not None and order.is_resumed and told.cause is EndCause.DONE:
-            self._ends.append(EndAction(holder, told._replace(hand_over=order.hand_over)))
+            self._ends.append(EndAction(holder, told._replace(delivery=order.delivery)))
             return
-        number = order.run
+        attempt = order.attempt
         if past is not None:
-            number = max(number, past.number + 1)
+            attempt = max(attempt, past.attempt + 1)
         state = RunState.TRACED if order.is_resumed else RunState.QUEUED
-        run = Run(task, number, spec, state, now_ms)
-        run.holders[holder] = order.hand_over
+        run = Run(task, attempt, spec, state, now_ms)
+        run.holders[holder] = order.delivery
         run.traced_until = bound
         self._runs[task] = run
         self._tasks_of_job.setdefault(task.job_id, set()).add(task)
@@ -536,7 +536,7 @@
             foreign = candidate.foreign.get(run.task)
             if foreign is None:
                 continue
-            run.number = foreign.number
+            run.attempt = foreign.attempt
             del candidate.foreign[run.task]
             candidate.room.release(run.task)
             candidate.room.charge(run.task, run.spec.demand)
@@ -565,7 +565,7 @@
         """Queue a run that certainly did not start."""
         candidate = self._candidates.get(endpoint)
         if outcome is CallOutcome.OLD_RUN:
-            run.number += 1
+            run.attempt += 1
         elif outcome is CallOutcome.INVALID:
             self._finish(run, EndCause.REFUSED, "", now_ms)
             return
@@ -585,24 +585,24 @@
         if run is None:
             self._remember(task, end, endpoint, now_ms)
             return
-        if run.number > end.run_id.run:
+        if run.attempt > end.run_id.attempt:
             return
         if run.state is RunState.TRACED and end.how is not EndKind.DONE:
             # Its box may not know of a later run that an earlier owner started elsewhere.
-            run.number = end.run_id.run
+            run.attempt = end.run_id.attempt
         elif run.state is RunState.TRACED or run.endpoint == endpoint:
-            run.number = end.run_id.run
+            run.attempt = end.run_id.attempt
             run.endpoint = endpoint
             self._finish(run, _CAUSES[end.how], end.checkpoint, now_ms)
 
     def _remember(self, task: TaskId, end: EndedRun, endpoint: str, now_ms: float) -> None:
         """Keep an end that nobody waits for now; an earlier owner's box may ask for it."""
         known = self._past.get(task)
-        if known is not None and known.number >= end.run_id.run:
+        if known is not None and known.attempt >= end.run_id.attempt:
             return
         told = RunEnd(end.run_id, _CAUSES[end.how], endpoint, 0, end.checkpoint)
         self._past.pop(task, None)
-        self._past[task] = _Past(end.run_id.run, now_ms, told, True, {})
+        self._past[task] = _Past(end.run_id.attempt, now_ms, told, True, {})
 
     def _compare(
         self, candidate: Candidate, present: set[RunId], looked_ms: float, now_ms: float
@@ -613,11 +613,11 @@
             run = self._runs.get(run_id.task)
             if run is not None and run.state in (RunState.TRACED, RunState.QUEUED):
                 self._waiting.remove(run.task)
-                run.number = run_id.run
+                run.attempt = run_id.attempt
                 candidate.room.charge(run.task, run.spec.demand)
                 run.enter(RunState.RUNNING, now_ms, endpoint)
-            elif run is None or run.endpoint != endpoint or run.number != run_id.run:
-                candidate.foreign.setdefault(run_id.task, ForeignRun(run_id.run, now_ms))
+            elif run is None or run.endpoint != endpoint or run.attempt != run_id.attempt:
+                candidate.foreign.setdefault(run_id.task, ForeignRun(run_id.attempt, now_ms))
         listed = {run_id.task for run_id in present}
         for task in list(candidate.foreign):
             if task not in listed:
@@ -659,7 +659,7 @@
             for task, known in candidate.foreign.items():
                 if now_ms - known.noted_ms > _FOREIGN_GRACE_MS:
                     candidate.foreign[task] = known._replace(noted_ms=now_ms)
-                    self._stops.append(StopAction(RunId(task, known.number), endpoint))
+                    self._stops.append(StopAction(RunId(task, known.attempt), endpoint))
 
     def _finish(self, run: Run, cause: EndCause, checkpoint: str, now_ms: float) -> None:
         """Tell the holders of a run's end, or start it anew if the stop was not theirs."""
@@ -670,7 +670,7 @@
             self._learn(run, ran_ms)
         self._release(run)
         if was_stopping and run.holders and cause is not EndCause.DONE:
-            run.number += 1
+            run.attempt += 1
             run.enter(RunState.QUEUED, now_ms)
             self._waiting.add(run)
             return
@@ -681,17 +681,17 @@
     def _tell_holders(self, run: Run, end: RunEnd) -> None:
         """Tell everyone who wants *run* of its end, under the number that each knows."""
         self._ends.extend(
-            EndAction(holder, end._replace(hand_over=hand_over))
-            for holder, hand_over in run.holders.items()
+            EndAction(holder, end._replace(delivery=delivery))
+            for holder, delivery in run.holders.items()
         )
 
     def _keep_past(self, run: Run, now_ms: float) -> None:
         """Remember a run that is known no more, so that no late message revives it."""
         before = self._past.pop(run.task, None)
-        hand_overs = {} if before is None else before.hand_overs
+        deliveries = {} if before is None else before.deliveries
         has_started = run.was_ordered or (before is not None and before.has_started)
         self._past[run.task] = _Past(
-            run.number, now_ms, None, has_started, hand_overs | run.holders
+            run.attempt, now_ms, None, has_started, deliveries | run.holders
         )
 
     def _learn(self, run: Run, ran_ms: float) -> None:
--- a/src/foldloom/owners/tie.py
+++ b/src/foldloom/owners/tie.py
@@ -58,7 +58,7 @@
         view: The other boxes.
         network: The peers.
         timings: Intervals and bounds.
-        hand_overs: Numbers for what is handed over; they rise.
+        deliveries: Numbers for what is handed over; they rise.
     """
 
     def __init__(
@@ -67,13 +67,13 @@
         view: FleetView,
         network: PeerNetwork,
         timings: TimingSettings,
-        hand_overs: Iterator[int],
+        deliveries: Iterator[int],
     ) -> None:
         self.zone = zone
         self.load = ZoneLoad()
         self._view = view
         self._network = network
-        self._hand_overs = hand_overs
+        self._deliveries = deliveries
         self._session_ms = float(timings.session_ms)
         self._gone_after_ms = gone_after_ms(timings.endpoint_lease_ms)
         self._owner = OwnerRecord(zone)
@@ -168,8 +168,8 @@
                 self._spawn(self._send_again(batch, orders, 0.0))
 
     def _numbered(self, orders: list[RunOrder]) -> list[RunOrder]:
-        hand_over = next(self._hand_overs)
-        return [order._replace(hand_over=hand_over) for order in orders]
+        delivery = next(self._deliveries)
+        return [order._replace(delivery=delivery) for order in orders]
 
     def _resume(self, old_right_ms: float) -> None:
         """Hand everything open to a new owner, which looks whether it runs already."""
--- a/src/foldloom/scheduling/endpoints.py
+++ b/src/foldloom/scheduling/endpoints.py
@@ -14,11 +14,11 @@
     """A run that an endpoint lists and that nobody has claimed yet.
 
     Args:
-        number: The run's number.
+        attempt: Which start of its task.
         noted_ms: When it was first seen, or when it was last ordered to stop.
     """
 
-    number: int
+    attempt: int
     noted_ms: float
 
 
--- a/src/foldloom/scheduling/runs.py
+++ b/src/foldloom/scheduling/runs.py
@@ -70,12 +70,12 @@
 
     ``began_ms`` is when this owner ordered the start (0: an earlier owner did);
     ``stop_known_ms`` when the endpoint confirmed an order to stop (0: not yet); ``was_ordered``
-    whether a start of the task was ever ordered here; ``holders`` who wants it, each with the
-    number under which it handed the run over last.
+    whether a start of the task was ever ordered here; ``holders`` who wants it, each with
+    its newest delivery of the run.
 
     Args:
         task: The task.
-        number: Counts the task's starts.
+        attempt: Counts the task's starts, from 1.
         spec: What it shares with the other tasks of its step.
         state: Where it is.
         since_ms: Since when it is in that state.
@@ -84,7 +84,7 @@
     __slots__ = (
         "began_ms",
         "holders",
-        "number",
+        "attempt",
         "since_ms",
         "spec",
         "state",
@@ -97,10 +97,10 @@
     )
 
     def __init__(
-        self, task: TaskId, number: int, spec: RunSpec, state: RunState, since_ms: float
+        self, task: TaskId, attempt: int, spec: RunSpec, state: RunState, since_ms: float
     ) -> None:
         self.task = task
-        self.number = number
+        self.attempt = attempt
         self.spec = spec
         self.state = state
         self.since_ms = since_ms
@@ -115,7 +115,7 @@
     @property
     def run_id(self) -> RunId:
         """The run's id on endpoints."""
-        return RunId(self.task, self.number)
+        return RunId(self.task, self.attempt)
 
     def enter(self, state: RunState, now_ms: float, endpoint: str = "") -> None:
         """Go to *state*; *endpoint* is where it is from then on."""
--- a/tests/models/endpoint_world.py
+++ b/tests/models/endpoint_world.py
@@ -56,12 +56,12 @@
         self.token = token
         if until <= self.clock(now_ms):
             return CallOutcome.LATE
-        if self.active.get(run_id.task) == run_id.run:
+        if self.active.get(run_id.task) == run_id.attempt:
             return CallOutcome.DONE
-        if run_id.run <= self._closed.get(run_id.task, 0) or run_id.task in self.active:
+        if run_id.attempt <= self._closed.get(run_id.task, 0) or run_id.task in self.active:
             return CallOutcome.OLD_RUN
         self._until = max(self._until, until)
-        self.active[run_id.task] = run_id.run
+        self.active[run_id.task] = run_id.attempt
         return CallOutcome.DONE
 
     def stop(self, run_id: RunId, token: int, now_ms: float) -> CallOutcome:
@@ -70,9 +70,9 @@
         if token < self.token:
             return CallOutcome.FENCED
         self.token = token
-        if self.active.get(run_id.task) == run_id.run:
+        if self.active.get(run_id.task) == run_id.attempt:
             self._end(run_id.task, EndKind.STOPPED)
-        self._close(run_id.task, run_id.run)
+        self._close(run_id.task, run_id.attempt)
         return CallOutcome.DONE
 
     def look(self, token: int, seen: int, until: float, now_ms: float) -> Look:
@@ -83,7 +83,7 @@
             return Look(CallOutcome.FENCED, clock_ms, (), ())
         self.token = token
         self._until = max(self._until, until)
-        self._ended = [end for end in self._ended if end.number > seen]
+        self._ended = [end for end in self._ended if end.sequence > seen]
         active = tuple(ActiveRun(RunId(task, run)) for task, run in self.active.items())
         return Look(CallOutcome.DONE, clock_ms, active, tuple(self._ended))
 
--- a/tests/standins/run_endpoint.py
+++ b/tests/standins/run_endpoint.py
@@ -158,7 +158,7 @@
         return self._answer(200)
 
     def _finish(self, run_id: RunId, how: EndKind) -> None:
-        if self.simulated.active.get(run_id.task) == run_id.run:
+        if self.simulated.active.get(run_id.task) == run_id.attempt:
             self.simulated.finish(run_id.task, how, _now_ms())
         self._has_end.set()
 
@@ -180,9 +180,9 @@
             look = self.simulated.look(token, seen, 0, _now_ms())
         if look.outcome is not CallOutcome.DONE:
             return self._answer(409, reason=_REASONS[look.outcome])
-        active = [[task_text(one.run_id.task), one.run_id.run, "", 100] for one in look.active]
+        active = [[task_text(one.run_id.task), one.run_id.attempt, "", 100] for one in look.active]
         ended = [
-            [end.number, task_text(end.run_id.task), end.run_id.run, end.how.value, ""]
+            [end.sequence, task_text(end.run_id.task), end.run_id.attempt, end.how.value, ""]
             for end in look.ended
         ]
         return self._answer(200, active=active, finished=ended)
--- a/tests/test_owners_client.py
+++ b/tests/test_owners_client.py
@@ -83,7 +83,7 @@
     def handed_over(self) -> int:
         """Return the number of the newest handing over."""
         message = [one for one in self.network.asked if isinstance(one, SubmitRuns)][-1]
-        return int(message.orders[0].hand_over)
+        return int(message.orders[0].delivery)
 
     def end(self, cause: EndCause, zone: str = _HOME, **fields: Any) -> None:
         """Hear of the run's end."""
@@ -107,17 +107,17 @@
             rig.beat(2, _OTHER)
             await rig.submit()
             first = rig.handed_over()
-            rig.end(EndCause.MOVED, moved_to=_OTHER, has_started=False, hand_over=first)
+            rig.end(EndCause.MOVED, moved_to=_OTHER, has_started=False, delivery=first)
             await asyncio.sleep(0.01)
             second = rig.handed_over()
-            rig.end(EndCause.MOVED, _OTHER, moved_to=_HOME, has_started=False, hand_over=second)
+            rig.end(EndCause.MOVED, _OTHER, moved_to=_HOME, has_started=False, delivery=second)
             await asyncio.sleep(0.01)
             third = rig.handed_over()
             assert first < second < third
-            rig.end(EndCause.MOVED, moved_to=_OTHER, has_started=False, hand_over=first)
+            rig.end(EndCause.MOVED, moved_to=_OTHER, has_started=False, delivery=first)
             await asyncio.sleep(0.01)
             assert rig.handed_over() == third
-            rig.end(EndCause.DONE, hand_over=third)
+            rig.end(EndCause.DONE, delivery=third)
             assert rig.ends.get_nowait().cause is EndCause.DONE
 
         _run(play())
--- a/tests/test_owners_machine.py
+++ b/tests/test_owners_machine.py
@@ -210,8 +210,8 @@
                 del self.open[end.run_id.task]
                 del self.holder_of[job]
                 continue
-            self.open[end.run_id.task] = end.run_id.run + 1
-            again = submission(job_id=job, run=end.run_id.run + 1)
+            self.open[end.run_id.task] = end.run_id.attempt + 1
+            again = submission(job_id=job, run=end.run_id.attempt + 1)
             self.term.state.submit(holder, again, self.now)
 
     def _look(self, term: Term, name: str) -> None:
@@ -232,8 +232,8 @@
         term.heard_ms[name] = self.now
         term.silent.discard(name)
         term.lapsed.discard(name)
-        fresh = tuple(end for end in answer.ended if end.number > term.seen[name])
-        term.seen[name] = max([term.seen[name], *(end.number for end in fresh)])
+        fresh = tuple(end for end in answer.ended if end.sequence > term.seen[name])
+        term.seen[name] = max([term.seen[name], *(end.sequence for end in fresh)])
         term.state.report(name, answer.active, fresh, sent, self.now)
 
     def _may_renew(self, term: Term, name: str) -> bool:
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -176,8 +176,8 @@
         assert state.take_starts()[0].run_id == first.run_id
 
 
-def _handed_over(hand_over: int) -> SubmitRuns:
-    return submission(orders=[RunOrder(0, 0, 1, hand_over=hand_over)])
+def _handed_over(delivery: int) -> SubmitRuns:
+    return submission(orders=[RunOrder(0, 0, 1, delivery=delivery)])
 
 
 class TestHandOvers:
@@ -205,7 +205,7 @@
         run_id = state.take_starts()[0].run_id
         state.note_start(run_id, "w1", CallOutcome.DONE, 2.0)
         state.report("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 3.0, 3.0)
-        assert [end.hand_over for _, end in ends_of(state)] == [1]
+        assert [end.delivery for _, end in ends_of(state)] == [1]
         state.submit(_E1, _handed_over(1), 150.0)
         state.place(150.0)
         assert state.take_starts() == []
@@ -235,7 +235,7 @@
         run_id = state.take_starts()[0].run_id
         state.note_start(run_id, "w1", CallOutcome.DONE, 2.0)
         state.report("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 3.0, 3.0)
-        assert {holder: end.hand_over for holder, end in ends_of(state)} == {_E1: 7, _E2: 3}
+        assert {holder: end.delivery for holder, end in ends_of(state)} == {_E1: 7, _E2: 3}
 
 
 class TestGivingUp:
@@ -356,7 +356,9 @@
         assert state.take_starts() == []
         state.report("w1", (ActiveRun(RunId(_TASK, 3)),), (), 5.0, 6.0)
         state.report("w1", (), (EndedRun(1, RunId(_TASK, 3), EndKind.DONE),), 7.0, 8.0)
-        assert [(end.run_id.run, end.cause) for _, end in ends_of(state)] == [(3, EndCause.DONE)]
+        assert [(end.run_id.attempt, end.cause) for _, end in ends_of(state)] == [
+            (3, EndCause.DONE)
+        ]
 
     def test_end_that_came_before_the_box(self) -> None:
         """An end that an endpoint still lists is told when the box asks for it."""
--- a/tests/test_platform_bodies.py
+++ b/tests/test_platform_bodies.py
@@ -149,4 +149,4 @@
         active = active_of([[f"{_ID}.0.1.9", 2, "", 100, 12.5]])
         assert active[0].run_id == run_id
         ended = ended_of([[58, f"{_ID}.0.1.9", 2, "done", ""]])
-        assert (ended[0].number, ended[0].run_id, ended[0].how) == (58, run_id, EndKind.DONE)
+        assert (ended[0].sequence, ended[0].run_id, ended[0].how) == (58, run_id, EndKind.DONE)
