--- /dev/null
+++ b/src/foldloom/owners/admission.py
@@ -0,0 +1,98 @@
+# SPDX-License-Identifier: MIT
+"""Whether an owner takes a job or refuses it at once.
+
+Owns the time of the term's first job. Relies on the queue, the endpoints' rooms and the loads of
+other zones, which it is given; how long a job is expected to wait and when that is too long is
+decided in :mod:`foldloom.scheduling.admission`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from foldloom.owners.messages import SubmitReply, SubmitRuns, SubmitStatus
+from foldloom.owners.stealing import WorkStealing
+from foldloom.scheduling.admission import (
+    ZoneRoom,
+    expected_wait_ms,
+    is_too_late,
+    retry_after_ms,
+)
+from foldloom.scheduling.endpoints import Candidate
+from foldloom.scheduling.groups import Group
+from foldloom.scheduling.sharing import GroupId
+from foldloom.scheduling.waiting import WaitingRuns
+
+# Milliseconds after a term's first job in which none is refused: endpoints answer the first look
+# within their call's 250 ms, or twice that if the first look is lost.
+WARM_UP_MS = 500.0
+
+_TAKEN = SubmitReply(SubmitStatus.TAKEN)
+
+
+class Admission:
+    """Admission of one owner's term.
+
+    Args:
+        waiting: The runs that wait here.
+        stealing: What waits elsewhere, and how loaded other zones are.
+        candidates: The endpoints by id.
+    """
+
+    def __init__(
+        self, waiting: WaitingRuns, stealing: WorkStealing, candidates: Mapping[str, Candidate]
+    ) -> None:
+        self._waiting = waiting
+        self._stealing = stealing
+        self._candidates = candidates
+        self._first_ms = 0.0
+
+    def judge(self, message: SubmitRuns, now_ms: float) -> SubmitReply:
+        """Refuse a job that would have to wait for too long; its runs are queued already.
+
+        Only what begins is refused: not what was taken once, no later step, and nothing while
+        endpoints may not have reported yet.
+        """
+        if not _is_first_delivery(message) or self._is_warming_up(now_ms):
+            return _TAKEN
+        order = message.orders[0]
+        if order.step:
+            return _TAKEN
+        group = self._waiting.get(GroupId(message.job_id, message.repeat, order.step))
+        if group is None or len(group.waiting) < len(message.orders):
+            return _TAKEN
+        wait_ms = self._expected_wait_ms(group, now_ms)
+        if not is_too_late(group, wait_ms, now_ms):
+            return _TAKEN
+        return SubmitReply(SubmitStatus.REFUSED, "overload", retry_after_ms(wait_ms))
+
+    def _expected_wait_ms(self, group: Group, now_ms: float) -> float:
+        return expected_wait_ms(
+            group,
+            self._waiting.groups,
+            self._stealing.remote.claimable(now_ms),
+            self._room(now_ms),
+            now_ms,
+        )
+
+    def _is_warming_up(self, now_ms: float) -> bool:
+        if not self._first_ms:
+            self._first_ms = now_ms
+        return now_ms - self._first_ms < WARM_UP_MS
+
+    def _room(self, now_ms: float) -> ZoneRoom:
+        """Return the room of this zone and of those that were heard of lately."""
+        in_use = [one.room for one in self._candidates.values() if one.is_open(now_ms)]
+        loads = self._stealing.loads(now_ms)
+        total = sum(room.capacity.cpu_milli for room in in_use)
+        free = sum(max(0, room.free.cpu_milli) for room in in_use)
+        return ZoneRoom(
+            total + sum(load.total_milli for load in loads),
+            free + sum(load.free_milli for load in loads),
+        )
+
+
+def _is_first_delivery(message: SubmitRuns) -> bool:
+    return not any(
+        order.is_resumed or order.is_moved or order.attempt > 1 for order in message.orders
+    )
--- /dev/null
+++ b/src/foldloom/owners/deliveries.py
@@ -0,0 +1,134 @@
+# SPDX-License-Identifier: MIT
+"""Runs as entry boxes deliver them to an owner, and take them back.
+
+Owns the cancels that were received lately. Relies on the lifecycle of runs, the reservations of
+work stealing and the endpoints' orphaned runs, which it is given. Messages may come late, twice
+and in another order: a delivery is counted by its box, and a copy of one that is over is ignored.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from foldloom.jobs.spec import TaskId
+from foldloom.owners.lifecycle import RunLifecycle
+from foldloom.owners.messages import EndCause, RunOrder, SubmitRuns
+from foldloom.owners.recovery import recovery_bound
+from foldloom.owners.reports import adopt_orphan
+from foldloom.owners.stealing import WorkStealing
+from foldloom.scheduling.endpoints import Candidate
+from foldloom.scheduling.runs import HolderId, RecoveryBound, Run, RunSpec, RunState
+from foldloom.scheduling.sharing import group_of
+
+# Milliseconds. Not measured: chosen because a message between boxes expires after 150 ms, and a
+# retransmission under way when a job is cancelled must not bring it back.
+CANCEL_KEPT_MS = 500.0
+
+
+class Deliveries:
+    """Deliveries of one owner's term.
+
+    Args:
+        lifecycle: The runs.
+        stealing: Knows the room that is kept for runs from other zones.
+        candidates: The endpoints by id.
+        gone_after_ms: How long after an owner lost the right to a run it may still be there.
+    """
+
+    def __init__(
+        self,
+        lifecycle: RunLifecycle,
+        stealing: WorkStealing,
+        candidates: Mapping[str, Candidate],
+        gone_after_ms: float,
+    ) -> None:
+        self._lifecycle = lifecycle
+        self._stealing = stealing
+        self._candidates = candidates
+        self._gone_after_ms = gone_after_ms
+        self._cancelled_ms: dict[tuple[HolderId, str], float] = {}
+
+    def deliver(self, holder: HolderId, message: SubmitRuns, now_ms: float) -> None:
+        """Let *holder* want the runs of *message*."""
+        spec = _spec_of(message, now_ms)
+        bound = recovery_bound(now_ms, message.old_right_ms, self._gone_after_ms)
+        for order in message.orders:
+            task = TaskId(message.job_id, message.repeat, order.step, order.position)
+            self._stealing.note_arrived(group_of(task))
+            self._deliver_one(holder, task, order, spec, bound, now_ms)
+
+    def cancel(self, holder: HolderId, job_id: str, now_ms: float) -> bool:
+        """Drop what *holder* wants of a job; return whether any run of it may have started."""
+        self._cancelled_ms[holder, job_id] = now_ms
+        has_started = self._lifecycle.tombstones.has_started(job_id)
+        for run in self._lifecycle.of_job(job_id):
+            has_started = has_started or run.was_ordered or run.state is not RunState.QUEUED
+            self._lifecycle.release_holder(holder, run, now_ms)
+        return has_started
+
+    def was_cancelled(self, holder: HolderId, job_id: str, now_ms: float) -> bool:
+        """Return whether the box has cancelled this job since it sent a message about it."""
+        cancelled_ms = self._cancelled_ms.get((holder, job_id))
+        return cancelled_ms is not None and now_ms - cancelled_ms < CANCEL_KEPT_MS
+
+    def expire_cancels(self, now_ms: float) -> None:
+        """Forget cancels that no late message can contradict any more."""
+        for key, cancelled_ms in list(self._cancelled_ms.items()):
+            if now_ms - cancelled_ms >= CANCEL_KEPT_MS:
+                del self._cancelled_ms[key]
+
+    def _deliver_one(
+        self,
+        holder: HolderId,
+        task: TaskId,
+        order: RunOrder,
+        spec: RunSpec,
+        bound: RecoveryBound,
+        now_ms: float,
+    ) -> None:
+        """Let *holder* want a run of *task*; a run that is known already is attached to."""
+        known = self._lifecycle.get(task)
+        if known is not None:
+            known.holders[holder] = max(order.delivery, known.holders.get(holder, 0))
+            return
+        tombstone = self._lifecycle.tombstones.get(task)
+        if tombstone is not None and tombstone.covers(holder, order.delivery):
+            # A late copy of a message whose runs are over here, and may be elsewhere by now.
+            return
+        end = None if tombstone is None else tombstone.end
+        # An earlier run's end says nothing of a later one, unless the task is done.
+        if end is not None and order.is_resumed and end.cause is EndCause.DONE:
+            self._lifecycle.notify(holder, end._replace(delivery=order.delivery))
+            return
+        attempt = order.attempt
+        if tombstone is not None:
+            attempt = max(attempt, tombstone.attempt + 1)
+        state = RunState.RECOVERING if order.is_resumed else RunState.QUEUED
+        run = Run(task, attempt, spec, state, now_ms)
+        run.holders[holder] = order.delivery
+        run.recovery_bound = bound
+        self._lifecycle.add(run)
+        # Also a run that no earlier owner is said to know may be there: its box has died.
+        is_adopted = adopt_orphan(self._lifecycle, self._candidates, run, now_ms)
+        if not is_adopted and state is RunState.QUEUED:
+            self._lifecycle.queue(run, now_ms)
+
+
+def _spec_of(message: SubmitRuns, now_ms: float) -> RunSpec:
+    objective = message.objective
+    return RunSpec(
+        job_id=message.job_id,
+        queue=message.queue,
+        service=message.service,
+        text=message.spec,
+        demand=message.demand,
+        placement=message.placement,
+        priority=message.priority,
+        estimate_ms=message.estimate_ms,
+        began_ms=now_ms - objective.elapsed_ms,
+        stretch=objective.stretch,
+        slack_ms=objective.slack_ms,
+        other_ms=objective.other_ms,
+        tasks=message.tasks,
+        deadline_ms=now_ms + message.deadline_ms,
+    )
--- /dev/null
+++ b/src/foldloom/owners/stealing.py
@@ -0,0 +1,71 @@
+# SPDX-License-Identifier: MIT
+"""Work stealing between zones: what waits elsewhere, and room that is kept for it here.
+
+Owns what other zones' owners have said of their queues and load, and the reservations of runs that
+were asked for. Relies on the endpoints' rooms, which it is given. An owner with free room asks the
+owner of another zone for runs that are next in order; their entry box then delivers them here.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import NamedTuple
+
+from foldloom.fleet.messages import ZoneLoad
+from foldloom.owners.actions import StealAction
+from foldloom.scheduling.endpoints import Candidate
+from foldloom.scheduling.placing import Reservation
+from foldloom.scheduling.sharing import VIEW_KEPT_MS, GroupId, RemoteGroups
+
+
+class _ReceivedLoad(NamedTuple):
+    """How loaded another zone is, and when its owner said so."""
+
+    load: ZoneLoad
+    received_ms: float
+
+
+class WorkStealing:
+    """The thief's side of work stealing.
+
+    Args:
+        candidates: The endpoints by id.
+    """
+
+    def __init__(self, candidates: Mapping[str, Candidate]) -> None:
+        self._candidates = candidates
+        self._loads: dict[str, _ReceivedLoad] = {}
+        self._reservations: dict[GroupId, list[Reservation]] = {}
+        self.remote = RemoteGroups()
+
+    def note_load(self, zone: str, load: ZoneLoad, now_ms: float) -> None:
+        """Note how loaded another zone is: runs may be moved to its room."""
+        self._loads[zone] = _ReceivedLoad(load, now_ms)
+
+    def loads(self, now_ms: float) -> list[ZoneLoad]:
+        """Return the loads of other zones that were received lately."""
+        return [
+            known.load
+            for known in self._loads.values()
+            if now_ms - known.received_ms < VIEW_KEPT_MS
+        ]
+
+    def note_granted(self, action: StealAction, granted: int) -> None:
+        """Keep room for as many runs as their owner gives, and free the rest."""
+        self._reservations.setdefault(action.group, []).extend(action.reservations[:granted])
+        for reservation in action.reservations[granted:]:
+            self._free(reservation)
+
+    def note_arrived(self, group: GroupId) -> None:
+        """Free the room that was kept for a run of *group*, which has been delivered."""
+        reservations = self._reservations.get(group)
+        if not reservations:
+            return
+        self._free(reservations.pop())
+        if not reservations:
+            del self._reservations[group]
+
+    def _free(self, reservation: Reservation) -> None:
+        candidate = self._candidates.get(reservation.endpoint)
+        if candidate is not None:
+            candidate.room.unreserve(reservation.number)
--- /dev/null
+++ b/src/foldloom/owners/stragglers.py
@@ -0,0 +1,33 @@
+# SPDX-License-Identifier: MIT
+"""When a running task takes too long, and when it is worth starting it elsewhere.
+
+Owns nothing; decisions only. A run that is overdue tells that its endpoint is slow. One that is
+stuck is stopped and starts elsewhere, as long as the job can still earn something.
+"""
+
+from __future__ import annotations
+
+# Times the expected duration. Not measured: chosen because callers' guesses were off by 40% on the
+# users' bench, so that a run of twice the expected time is not usual.
+OVERDUE_FACTOR = 2.0
+# Times the longest duration expected of the step. Not measured: chosen above OVERDUE_FACTOR, so
+# that a slow endpoint is learned of before work on it is thrown away.
+STUCK_FACTOR = 3.0
+# Milliseconds on top. Not measured: chosen because an order and a report take some milliseconds
+# each on a busy machine, which would count for much against tasks of a few milliseconds.
+STUCK_MARGIN_MS = 40.0
+
+
+def is_overdue(ran_ms: float, expected_ms: float) -> bool:
+    """Return whether a run that goes on after *ran_ms* is slower than expected."""
+    return ran_ms > OVERDUE_FACTOR * expected_ms
+
+
+def is_stuck(ran_ms: float, longest_ms: float) -> bool:
+    """Return whether a run should be stopped and started elsewhere.
+
+    Args:
+        ran_ms: How long it has run, in milliseconds.
+        longest_ms: How long the longest task of its step is expected to take.
+    """
+    return ran_ms > STUCK_FACTOR * longest_ms + STUCK_MARGIN_MS
--- a/src/foldloom/owners/zone_owner.py
+++ b/src/foldloom/owners/zone_owner.py
@@ -21,6 +21,7 @@
 from foldloom.fleet.view import FleetView
 from foldloom.logs import ENDPOINT_LOG, PLACE_LOG
 from foldloom.metrics import Metrics
+from foldloom.owners.actions import NotifyAction, StartAction, StealAction, StopAction
 from foldloom.owners.endpoint_link import SUSPECT_AFTER_MS, EndpointLink
 from foldloom.owners.lease import STOP_OVERDUE_MS, gone_after_ms, longest_real_ms
 from foldloom.owners.messages import (
@@ -34,7 +35,7 @@
     WaitingGroups,
 )
 from foldloom.owners.sessions import Sessions
-from foldloom.owners.state import ClaimAction, EndAction, OwnerState, StartAction, StopAction
+from foldloom.owners.state import OwnerState
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
 from foldloom.scheduling.runs import HolderId
 from foldloom.settings import TimingSettings
@@ -169,18 +170,18 @@
         """Take what waits in another zone; there may be room for it here."""
         if self._is_closed or message.owner.zone == self._record.zone:
             return
-        self._state.hear_waiting(message.owner.zone, message.groups, monotonic_ms())
+        self._state.note_offer(message.owner.zone, message.groups, monotonic_ms())
         self._act()
 
     def hear_load(self, beat: OwnerBeat) -> None:
         """Take how loaded another zone is."""
-        self._state.hear_load(beat.owner.zone, beat.load, monotonic_ms())
+        self._state.note_load(beat.owner.zone, beat.load, monotonic_ms())
 
     def release(self, message: ClaimRuns) -> ClaimReply:
         """Give waiting runs to another zone's owner."""
         if self._is_closed:
             return ClaimReply(0)
-        released = self._state.release(message.group, message.runs, message.zone, monotonic_ms())
+        released = self._state.give_away(message.group, message.runs, message.zone, monotonic_ms())
         self._act()
         return ClaimReply(released)
 
@@ -269,7 +270,7 @@
         while True:
             await self._has_waiting.wait()
             self._has_waiting.clear()
-            groups = self._state.tell_waiting(monotonic_ms())
+            groups = self._state.offer(monotonic_ms())
             if groups or has_told:
                 message = WaitingGroups(self._record, groups)
                 for box in self._other_owners():
@@ -358,18 +359,18 @@
         if self._is_closed:
             return
         self._state.place(monotonic_ms())
-        for stop in self._state.take_stops():
+        for stop in self._state.actions.pop_stops():
             self._spawn(self._stop(stop))
-        for start in self._state.take_starts():
+        for start in self._state.actions.pop_starts():
             self._spawn(self._start(start))
-        for claim in self._state.take_claims():
+        for claim in self._state.actions.pop_steals():
             self._spawn(self._claim(claim))
-        for action in self._state.take_ends():
+        for action in self._state.actions.pop_notifications():
             self._tell_end(action)
             self._sessions.tell(action.holder, action.end)
         self._has_waiting.set()
 
-    def _tell_end(self, action: EndAction) -> None:
+    def _tell_end(self, action: NotifyAction) -> None:
         end = action.end
         self._metrics.count(f"runs.{end.cause.name.lower()}")
         if end.ran_ms:
@@ -386,7 +387,7 @@
             holder=action.holder.box,
         )
 
-    async def _claim(self, claim: ClaimAction) -> None:
+    async def _claim(self, claim: StealAction) -> None:
         """Ask another zone's owner for runs that wait there."""
         owner = self._view.owner_of(claim.zone)
         message = ClaimRuns(self._record.zone, claim.group, len(claim.reservations))
@@ -397,7 +398,7 @@
         except PeerUnreachableError:
             self._metrics.count("claims.unanswered")
         self._metrics.count("runs.claimed", granted)
-        self._state.note_claimed(claim, granted)
+        self._state.note_stolen(claim, granted)
 
     async def _start(self, action: StartAction) -> None:
         link = self._links.get(action.endpoint)
--- a/src/foldloom/scheduling/admission.py
+++ b/src/foldloom/scheduling/admission.py
@@ -16,7 +16,7 @@
 _RETRY_MAX_MS = 2_000
 
 
-class Room(NamedTuple):
+class ZoneRoom(NamedTuple):
     """What could run a group, in thousandths of cores.
 
     Args:
@@ -32,7 +32,7 @@
     group: Group,
     own: Iterable[Group],
     others: Iterable[RemoteGroup],
-    room: Room,
+    room: ZoneRoom,
     now_ms: float,
 ) -> float:
     """Return how long the last task of *group* is expected to wait for room."""
--- a/src/foldloom/scheduling/endpoints.py
+++ b/src/foldloom/scheduling/endpoints.py
@@ -10,7 +10,7 @@
 from foldloom.scheduling.rooms import Room, fits
 
 
-class ForeignRun(NamedTuple):
+class OrphanedRun(NamedTuple):
     """A run that an endpoint lists and that nobody has claimed yet.
 
     Args:
@@ -34,7 +34,7 @@
         self.room = Room(record.capacity)
         self.is_trusted = False
         self.blocked_until_ms = 0.0
-        self.foreign: dict[TaskId, ForeignRun] = {}
+        self.orphans: dict[TaskId, OrphanedRun] = {}
 
     def follow(self, record: EndpointRecord) -> None:
         """Take a newer record of the same life."""
@@ -49,7 +49,7 @@
         return (
             self.is_trusted
             and self.record.state is EndpointState.READY
-            and not self.foreign
+            and not self.orphans
             and now_ms >= self.blocked_until_ms
         )
 
--- a/src/foldloom/scheduling/placing.py
+++ b/src/foldloom/scheduling/placing.py
@@ -33,8 +33,8 @@
     number: int
 
 
-class Claimed(NamedTuple):
-    """A decision: runs of a group that waits in another zone are claimed for room here."""
+class Stolen(NamedTuple):
+    """A decision: runs of a group that waits in another zone are asked for, for room here."""
 
     zone: str
     group: GroupId
@@ -45,7 +45,7 @@
     """What one round decided."""
 
     placed: list[Placed]
-    claimed: list[Claimed]
+    stolen: list[Stolen]
 
 
 class _Kind(NamedTuple):
@@ -86,7 +86,7 @@
     full: set[_Kind] = set()
     for _, is_remote, number in sorted(order):
         if is_remote:
-            _claim(others[number], open_endpoints, speeds, full, now_ms, result.claimed)
+            _steal(others[number], open_endpoints, speeds, full, now_ms, result.stolen)
         else:
             _place_own(own[number], waiting, open_endpoints, speeds, full, now_ms, result.placed)
     return result
@@ -116,13 +116,13 @@
         placed.append(Placed(run, chosen.record.endpoint))
 
 
-def _claim(
+def _steal(
     group: RemoteGroup,
     open_endpoints: list[Candidate],
     speeds: EndpointSpeeds,
     full: set[_Kind],
     now_ms: float,
-    claimed: list[Claimed],
+    stolen: list[Stolen],
 ) -> None:
     summary = group.summary
     kind = _Kind(summary.service, summary.demand, summary.placement, summary.speed_min)
@@ -140,7 +140,7 @@
         reservations.append(Reservation(chosen.record.endpoint, number))
         group.left -= 1
     if reservations:
-        claimed.append(Claimed(group.zone, summary.group, reservations))
+        stolen.append(Stolen(group.zone, summary.group, reservations))
 
 
 def choose_endpoint(
--- a/src/foldloom/scheduling/runs.py
+++ b/src/foldloom/scheduling/runs.py
@@ -19,7 +19,7 @@
 class RunState(Enum):
     """Where a run is."""
 
-    TRACED = "traced"
+    RECOVERING = "recovering"
     QUEUED = "queued"
     STARTING = "starting"
     RUNNING = "running"
@@ -91,7 +91,7 @@
         "stop_known_ms",
         "stop_sent_ms",
         "task",
-        "traced_until",
+        "recovery_bound",
         "was_ordered",
         "endpoint",
     )
@@ -110,7 +110,7 @@
         self.stop_sent_ms = 0.0
         self.was_ordered = False
         self.holders: dict[HolderId, int] = {}
-        self.traced_until = TraceBound(0.0, 0.0)
+        self.recovery_bound = RecoveryBound(0.0, 0.0)
 
     @property
     def run_id(self) -> RunId:
@@ -130,7 +130,7 @@
         self.endpoint = endpoint
 
 
-class TraceBound(NamedTuple):
+class RecoveryBound(NamedTuple):
     """Until when a run that an earlier owner may have started must be looked for.
 
     Args:
--- a/src/foldloom/scheduling/sharing.py
+++ b/src/foldloom/scheduling/sharing.py
@@ -63,14 +63,14 @@
 
     Args:
         zone: Where it waits.
-        summary: What its owner told.
-        heard_ms: When.
+        summary: What its owner offered.
+        received_ms: When it was offered; own monotonic clock.
     """
 
-    def __init__(self, zone: str, summary: GroupSummary, heard_ms: float) -> None:
+    def __init__(self, zone: str, summary: GroupSummary, received_ms: float) -> None:
         self.zone = zone
         self.summary = summary
-        self.rank = Rank(summary.tier, summary.level, heard_ms + summary.by_in_ms)
+        self.rank = Rank(summary.tier, summary.level, received_ms + summary.by_in_ms)
         self.left = summary.waiting
 
 
@@ -79,19 +79,19 @@
 
     def __init__(self) -> None:
         self._by_zone: dict[str, list[RemoteGroup]] = {}
-        self._heard_ms: dict[str, float] = {}
+        self._received_ms: dict[str, float] = {}
 
-    def hear(self, zone: str, summaries: list[GroupSummary], now_ms: float) -> None:
-        """Take what an owner tells of its queue."""
+    def note_offer(self, zone: str, summaries: list[GroupSummary], now_ms: float) -> None:
+        """Note what waits in a zone, in place of what its owner offered before."""
         self._by_zone[zone] = [RemoteGroup(zone, one, now_ms) for one in summaries]
-        self._heard_ms[zone] = now_ms
+        self._received_ms[zone] = now_ms
 
     def claimable(self, now_ms: float) -> list[RemoteGroup]:
         """Return the groups that were told of lately and have runs left to claim."""
         return [
             group
             for zone, groups in self._by_zone.items()
-            if now_ms - self._heard_ms[zone] < VIEW_KEPT_MS
+            if now_ms - self._received_ms[zone] < VIEW_KEPT_MS
             for group in groups
             if group.left > 0
         ]
--- a/tests/test_owners_machine.py
+++ b/tests/test_owners_machine.py
@@ -13,9 +13,10 @@
 
 from foldloom.endpoints.calls import CallOutcome, EndKind
 from foldloom.jobs.spec import RunId, TaskId
+from foldloom.owners.actions import StartAction, StopAction
 from foldloom.owners.lease import LAPSE_MARGIN_MS, STOP_OVERDUE_MS, EndpointClock, gone_after_ms
 from foldloom.owners.messages import EndCause, RunOrder
-from foldloom.owners.state import OwnerState, StartAction, StopAction
+from foldloom.owners.state import OwnerState
 from foldloom.scheduling.runs import HolderId
 from models.endpoint_world import SimulatedEndpoint
 from test_owners_state import endpoint, submission
@@ -141,9 +142,9 @@
             self._look(self.term, name)
         self.term.state.tick(self.now)
         self.term.state.place(self.now)
-        for stop in self.term.state.take_stops():
+        for stop in self.term.state.actions.pop_stops():
             self._order_stop(self.term, stop, fate)
-        for start in self.term.state.take_starts():
+        for start in self.term.state.actions.pop_starts():
             self._order_start(self.term, start, fate)
         self._take_ends()
 
@@ -173,13 +174,13 @@
                 self.old.state.end_session(holder, self.old_right_ms)
         self._look(self.old, name)
         self.old.state.place(self.now)
-        for start in self.old.state.take_starts():
+        for start in self.old.state.actions.pop_starts():
             if self._may_renew(self.old, start.endpoint):
                 self._order_start(self.old, start, "done")
         if hears_stops:
-            for stop in self.old.state.take_stops():
+            for stop in self.old.state.actions.pop_stops():
                 self._order_stop(self.old, stop, "done")
-        self.old.state.take_ends()
+        self.old.state.actions.pop_notifications()
 
     @invariant()
     def runs_once(self) -> None:
@@ -202,7 +203,7 @@
         assert not self.open, self.open
 
     def _take_ends(self) -> None:
-        for holder, end in self.term.state.take_ends():
+        for holder, end in self.term.state.actions.pop_notifications():
             job = end.run_id.task.job_id
             if self.holder_of.get(job) != holder or end.run_id.task not in self.open:
                 continue
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -61,14 +61,14 @@
 
 def ends_of(state: OwnerState) -> list[tuple[HolderId, RunEnd]]:
     """Return who was told of which end."""
-    return [(action.holder, action.end) for action in state.take_ends()]
+    return [(action.holder, action.end) for action in state.actions.pop_notifications()]
 
 
 def start_one(state: OwnerState, now_ms: float = 10.0) -> RunId:
     """Hand one task in and have it started; return its run."""
     state.submit(_E1, submission(), now_ms)
     state.place(now_ms)
-    action = state.take_starts()[0]
+    action = state.actions.pop_starts()[0]
     state.note_start(action.run_id, action.endpoint, CallOutcome.DONE, now_ms + 1)
     return action.run_id
 
@@ -81,7 +81,7 @@
         state = owner_with(endpoint("w1"), endpoint("w2", 24_000))
         assert state.submit(_E1, submission(7), 1.0).status is SubmitStatus.TAKEN
         state.place(1.0)
-        placed = [action.endpoint for action in state.take_starts()]
+        placed = [action.endpoint for action in state.actions.pop_starts()]
         assert sorted(placed) == ["w1", "w1", "w2", "w2", "w2"]
         assert len(state.waiting) == 2
 
@@ -91,17 +91,17 @@
         state.distrust("w1")
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
-        assert state.take_starts() == []
+        assert state.actions.pop_starts() == []
         state.report("w1", (), (), 2.0, 3.0)
         state.place(3.0)
-        assert len(state.take_starts()) == 1
+        assert len(state.actions.pop_starts()) == 1
 
     def test_label_and_bound_on_one_endpoint(self) -> None:
         """A label must be there, and no more of a step than allowed sits on one endpoint."""
         state = owner_with(endpoint("w1", labels=("x",)), endpoint("w2"))
         state.submit(_E1, submission(3, placement=Placement("x", "", 1)), 1.0)
         state.place(1.0)
-        assert [action.endpoint for action in state.take_starts()] == ["w1"]
+        assert [action.endpoint for action in state.actions.pop_starts()] == ["w1"]
 
     def test_room_comes_back_with_the_end(self) -> None:
         """The next run starts when the end of one is listed."""
@@ -109,10 +109,10 @@
         run_id = start_one(state)
         state.submit(_E1, submission(job_id="1" * 16), 20.0)
         state.place(20.0)
-        assert state.take_starts() == []
+        assert state.actions.pop_starts() == []
         state.report("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 30.0, 31.0)
         state.place(31.0)
-        assert len(state.take_starts()) == 1
+        assert len(state.actions.pop_starts()) == 1
 
 
 class TestEnds:
@@ -140,40 +140,40 @@
         state = owner_with(endpoint("w1"), endpoint("w2"))
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
-        first = state.take_starts()[0]
+        first = state.actions.pop_starts()[0]
         state.note_start(first.run_id, first.endpoint, CallOutcome.UNKNOWN, 200.0)
         state.place(200.0)
-        assert [action.run_id for action in state.take_stops()] == [first.run_id]
-        assert state.take_starts() == []
+        assert [action.run_id for action in state.actions.pop_stops()] == [first.run_id]
+        assert state.actions.pop_starts() == []
         state.note_stop(first.run_id, first.endpoint, CallOutcome.DONE, 210.0)
         state.report(first.endpoint, (), (), 205.0, 212.0)
         state.place(212.0)
-        assert state.take_starts() == []
+        assert state.actions.pop_starts() == []
         state.report(first.endpoint, (), (), 215.0, 216.0)
         state.place(216.0)
-        assert state.take_starts()[0].run_id == RunId(_TASK, 2)
+        assert state.actions.pop_starts()[0].run_id == RunId(_TASK, 2)
 
     def test_old_run_gets_a_higher_number(self) -> None:
         """An endpoint that has ended this run before is given the next one."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
-        first = state.take_starts()[0]
+        first = state.actions.pop_starts()[0]
         state.note_start(first.run_id, "w1", CallOutcome.OLD_RUN, 2.0)
         state.place(50.0)
-        assert state.take_starts()[0].run_id == RunId(_TASK, 2)
+        assert state.actions.pop_starts()[0].run_id == RunId(_TASK, 2)
 
     def test_no_room_waits_and_keeps_its_number(self) -> None:
         """An endpoint without room is left alone for a while."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
-        first = state.take_starts()[0]
+        first = state.actions.pop_starts()[0]
         state.note_start(first.run_id, "w1", CallOutcome.NO_ROOM, 2.0)
         state.place(3.0)
-        assert state.take_starts() == []
+        assert state.actions.pop_starts() == []
         state.place(50.0)
-        assert state.take_starts()[0].run_id == first.run_id
+        assert state.actions.pop_starts()[0].run_id == first.run_id
 
 
 def _handed_over(delivery: int) -> SubmitRuns:
@@ -192,38 +192,38 @@
         """
         state = owner_with(endpoint("w1"))
         state.submit(_E1, _handed_over(1), 1.0)
-        assert state.release(self._GROUP, 1, "other", 2.0) == 1
+        assert state.give_away(self._GROUP, 1, "other", 2.0) == 1
         state.submit(_E1, _handed_over(1), 150.0)
         state.place(150.0)
-        assert state.take_starts() == []
+        assert state.actions.pop_starts() == []
 
     def test_a_late_copy_after_its_end(self) -> None:
         """A run that has ended is not started again by a copy of the order for it."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, _handed_over(1), 1.0)
         state.place(1.0)
-        run_id = state.take_starts()[0].run_id
+        run_id = state.actions.pop_starts()[0].run_id
         state.note_start(run_id, "w1", CallOutcome.DONE, 2.0)
         state.report("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 3.0, 3.0)
         assert [end.delivery for _, end in ends_of(state)] == [1]
         state.submit(_E1, _handed_over(1), 150.0)
         state.place(150.0)
-        assert state.take_starts() == []
+        assert state.actions.pop_starts() == []
 
     def test_a_run_that_comes_back(self) -> None:
         """A run that another zone gave back is handed over anew, and starts."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, _handed_over(1), 1.0)
-        state.release(self._GROUP, 1, "other", 2.0)
+        state.give_away(self._GROUP, 1, "other", 2.0)
         state.submit(_E1, _handed_over(3), 10.0)
         state.place(10.0)
-        assert len(state.take_starts()) == 1
+        assert len(state.actions.pop_starts()) == 1
 
     def test_a_run_that_moved_has_not_started(self) -> None:
         """A cancel after it tells the truth."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, _handed_over(1), 1.0)
-        state.release(self._GROUP, 1, "other", 2.0)
+        state.give_away(self._GROUP, 1, "other", 2.0)
         assert not state.cancel(_E1, _JOB, 3.0)
 
     def test_each_holder_has_its_own_number(self) -> None:
@@ -232,7 +232,7 @@
         state.submit(_E1, _handed_over(7), 1.0)
         state.submit(_E2, _handed_over(3), 1.0)
         state.place(1.0)
-        run_id = state.take_starts()[0].run_id
+        run_id = state.actions.pop_starts()[0].run_id
         state.note_start(run_id, "w1", CallOutcome.DONE, 2.0)
         state.report("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 3.0, 3.0)
         assert {holder: end.delivery for holder, end in ends_of(state)} == {_E1: 7, _E2: 3}
@@ -255,7 +255,7 @@
         state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(objective=Objective(0, 1.6, 60, 0)), 1.0)
         state.place(1.0)
-        first = state.take_starts()[0]
+        first = state.actions.pop_starts()[0]
         state.note_start(first.run_id, "w1", CallOutcome.UNKNOWN, 251.0)
         state.note_lapsed("w1", 900.0)
         state.tick(2_000.0)
@@ -267,7 +267,7 @@
         state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
-        first = state.take_starts()[0]
+        first = state.actions.pop_starts()[0]
         state.note_start(first.run_id, "w1", CallOutcome.NO_ROOM, 2.0)
         assert state.cancel(_E1, _JOB, 3.0)
 
@@ -280,10 +280,10 @@
         state = owner_with(endpoint("w1", 7_000))
         run_id = start_one(state)
         state.cancel(_E1, _JOB, 20.0)
-        assert [action.run_id for action in state.take_stops()] == [run_id]
+        assert [action.run_id for action in state.actions.pop_stops()] == [run_id]
         state.submit(_E2, submission(job_id="1" * 16), 21.0)
         state.place(21.0)
-        assert state.take_starts() == []
+        assert state.actions.pop_starts() == []
 
     def test_same_job_through_another_box(self) -> None:
         """A job that is sent again attaches to its run; it goes on while one wants it."""
@@ -291,9 +291,9 @@
         run_id = start_one(state)
         state.submit(_E2, submission(), 30.0)
         state.place(30.0)
-        assert state.take_starts() == []
+        assert state.actions.pop_starts() == []
         state.end_session(_E1, 40.0)
-        assert state.take_stops() == []
+        assert state.actions.pop_stops() == []
         state.report("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 50.0, 51.0)
         state.report("w2", (), (EndedRun(1, run_id, EndKind.DONE),), 50.0, 51.0)
         assert [holder for holder, _ in ends_of(state)] == [_E2]
@@ -303,14 +303,14 @@
         state = owner_with(endpoint("w1"), endpoint("w2"))
         run_id = start_one(state)
         state.end_session(_E1, 20.0)
-        stopped = state.take_stops()[0]
+        stopped = state.actions.pop_stops()[0]
         state.submit(_E2, submission(), 25.0)
         state.place(25.0)
-        assert state.take_starts() == []
+        assert state.actions.pop_starts() == []
         ended = EndedRun(1, run_id, EndKind.STOPPED)
         state.report(stopped.endpoint, (), (ended,), 26.0, 27.0)
         state.place(27.0)
-        assert state.take_starts()[0].run_id == RunId(_TASK, 2)
+        assert state.actions.pop_starts()[0].run_id == RunId(_TASK, 2)
         assert ends_of(state) == []
 
     def test_sent_again_after_the_end(self) -> None:
@@ -320,7 +320,7 @@
         state.report("w1", (), (EndedRun(1, run_id, EndKind.FAILED),), 50.0, 51.0)
         state.submit(_E2, submission(), 60.0)
         state.place(60.0)
-        assert state.take_starts()[0].run_id == RunId(_TASK, 2)
+        assert state.actions.pop_starts()[0].run_id == RunId(_TASK, 2)
 
 
 class TestTakeOver:
@@ -338,7 +338,7 @@
             if not looks_first:
                 state.report("w1", (ActiveRun(run_id),), (), 3.0, 4.0)
             state.tick(600.0)
-            assert state.take_stops() == []
+            assert state.actions.pop_stops() == []
             state.report("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 700.0, 701.0)
             assert [end.cause for _, end in ends_of(state)] == [EndCause.DONE]
 
@@ -353,7 +353,7 @@
         state.tick(4.0)
         state.place(4.0)
         assert ends_of(state) == []
-        assert state.take_starts() == []
+        assert state.actions.pop_starts() == []
         state.report("w1", (ActiveRun(RunId(_TASK, 3)),), (), 5.0, 6.0)
         state.report("w1", (), (EndedRun(1, RunId(_TASK, 3), EndKind.DONE),), 7.0, 8.0)
         assert [(end.run_id.attempt, end.cause) for _, end in ends_of(state)] == [
@@ -399,11 +399,11 @@
         state.report("w1", (ActiveRun(stranger),), (), 0.0, 1.0)
         state.submit(_E1, submission(), 10.0)
         state.place(10.0)
-        assert state.take_starts() == []
+        assert state.actions.pop_starts() == []
         state.tick(100.0)
-        assert state.take_stops() == []
+        assert state.actions.pop_stops() == []
         state.tick(400.0)
-        assert [action.run_id for action in state.take_stops()] == [stranger]
+        assert [action.run_id for action in state.actions.pop_stops()] == [stranger]
         state.report("w1", (), (EndedRun(1, stranger, EndKind.STOPPED),), 410.0, 411.0)
         state.place(411.0)
-        assert len(state.take_starts()) == 1
+        assert len(state.actions.pop_starts()) == 1
