--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -127,7 +127,7 @@
     Break(
         "answers are handed over",
         "box.py",
-        "taken = await self._follower.hand_over(heirs[0])",
+        "taken = await self._follower.hand_over(successors[0])",
         "taken = 0",
         _CLAIMS + "TestLostMemory::test_planned_stop_hands_answers_over",
     ),
--- a/src/foldloom/box.py
+++ b/src/foldloom/box.py
@@ -43,8 +43,8 @@
 _FOLLOW_S = 0.1
 _MANAGERS_KEPT_MS = 50.0
 _EXPIRE_S = 5.0
-_FAREWELL_BEATS = 4
-_FAREWELL_STEP_S = 0.05
+_LAST_HEARTBEATS = 4
+_LAST_HEARTBEATS_STEP_S = 0.05
 _BARRIER_TIMEOUT_MS = 1_500
 
 
@@ -59,7 +59,7 @@
         self._settings = settings
         self._is_stopping = False
         self._is_confirmed_current = False
-        self._heir = ""
+        self._successor = ""
         self._managers = Managers(self._serving_zones, _MANAGERS_KEPT_MS)
         self._tasks: list[asyncio.Task[Any]] = []
         self._metrics = Metrics(settings.statsd)
@@ -138,7 +138,7 @@
         """Stop as planned: no job in flight is cut, kept answers go to a peer."""
         self._is_stopping = True
         ENTRY_LOG.info("A planned stop begins.")
-        self._membership.beat()
+        self._membership.send_heartbeat()
         if self._coordinator is not None:
             await self._drain(self._coordinator)
         await self._http.stop()
@@ -160,22 +160,22 @@
                 await self._hand_over()
         except TimeoutError:
             ENTRY_LOG.warning("The planned stop took too long: jobs in flight are cut.")
-        for _ in range(_FAREWELL_BEATS):
-            self._membership.beat()
-            await asyncio.sleep(_FAREWELL_STEP_S)
+        for _ in range(_LAST_HEARTBEATS):
+            self._membership.send_heartbeat()
+            await asyncio.sleep(_LAST_HEARTBEATS_STEP_S)
 
     async def _hand_over(self) -> None:
-        heirs = [
+        successors = [
             box
             for box in self._settings.entry_names
             if box != self._settings.box and self._membership.is_serving(box)
         ]
-        heirs.sort(key=lambda box: self._network.zone_of(box) != self._settings.zone)
-        if not heirs:
+        successors.sort(key=lambda box: self._network.zone_of(box) != self._settings.zone)
+        if not successors:
             return
-        taken = await self._follower.hand_over(heirs[0])
-        self._heir = heirs[0]
-        ENTRY_LOG.info("Handed {} answers over to {}.", taken, heirs[0])
+        taken = await self._follower.hand_over(successors[0])
+        self._successor = successors[0]
+        ENTRY_LOG.info("Handed {} answers over to {}.", taken, successors[0])
 
     def _build_entry(self) -> None:
         """Make the parts of the entry role."""
@@ -257,7 +257,7 @@
             self._is_stopping,
             self._claims is not None and self._claims.can_vote,
             [] if self._leases is None else self._leases.loads,
-            self._heir,
+            self._successor,
             self._is_confirmed_current,
             config.boxes["epoch"],
         )
@@ -312,7 +312,7 @@
         before: Any = None
         while True:
             for box, state in self._membership.states.items():
-                self._holder.hear_version(box, state.heartbeat.config_version)
+                self._holder.note_version(box, state.heartbeat.config_version)
             if self._leases is not None:
                 config, leaving = self._holder.config, set(self._platform.leaving)
                 zones = self._reachable_zones()
--- a/src/foldloom/boxes/controller.py
+++ b/src/foldloom/boxes/controller.py
@@ -127,9 +127,9 @@
     async def stop(self) -> None:
         """Stop as planned: a leader has another one lead first."""
         self._view.set_leaving()
-        heir = await self._controller.hand_over()
-        if heir:
-            CONTROLLER_LOG.event("leader.handed_over", to=heir)
+        successor = await self._controller.hand_over()
+        if successor:
+            CONTROLLER_LOG.event("leader.handed_over", to=successor)
         await self.kill()
 
     async def kill(self) -> None:
--- a/src/foldloom/boxes/entry.py
+++ b/src/foldloom/boxes/entry.py
@@ -10,9 +10,9 @@
 from foldloom.controllers.state import Publication
 from foldloom.endpoints.calls import EndpointCalls
 from foldloom.endpoints.catalog import EndpointCatalog
-from foldloom.entry.job_runner import JobDesk, JobResult
+from foldloom.entry.job_runner import JobRegistry, JobResult
 from foldloom.fleet.joiner import Joiner
-from foldloom.fleet.messages import BoxRecord, OwnerBeat, OwnerRecord
+from foldloom.fleet.messages import BoxRecord, OwnerHeartbeat, OwnerRecord
 from foldloom.fleet.published import PublishedHolder
 from foldloom.fleet.view import FleetView
 from foldloom.ids import new_incarnation
@@ -63,9 +63,9 @@
             self._network, self._view, self._holder, self._catalog, settings.timings.join_ms
         )
         self._client = OwnerClient(self._view, self._network, settings.timings)
-        self._desk = JobDesk(self._client, self._metrics)
+        self._jobs = JobRegistry(self._client, self._metrics)
         self._elector = Elector(
-            self._view, self._network, settings.timings, self._make_owner, self._on_beat
+            self._view, self._network, settings.timings, self._make_owner, self._on_heartbeat
         )
         self._is_configured = asyncio.Event()
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -98,7 +98,7 @@
 
     async def run_job(self, job: Job, queue: Queue, timeout_ms: float) -> JobResult:
         """Run *job* and return its result, at the latest after *timeout_ms*."""
-        return await self._desk.run(job, queue, monotonic_ms() + timeout_ms)
+        return await self._jobs.run(job, queue, monotonic_ms() + timeout_ms)
 
     async def wait_configured(self, timeout_ms: float) -> QueueTable | None:
         """Return the queues as soon as there are some, or ``None`` after *timeout_ms*."""
@@ -122,17 +122,17 @@
     async def begin_stop(self) -> None:
         """Begin a planned stop: hand ownership over, return when no caller comes any more."""
         self._view.set_leaving()
-        heir = self._elector.hand_over()
-        ENTRY_LOG.event("process.stopping", zone_handed_to=heir, jobs=self._desk.running_count)
-        await self._joiner.tell_all()
+        successor = self._elector.hand_over()
+        ENTRY_LOG.event("process.stopping", zone_handed_to=successor, jobs=self._jobs.running_count)
+        await self._joiner.announce()
         await asyncio.sleep(self._settings.timings.drain_ms / 1_000)
 
     async def give_up_jobs(self) -> None:
         """Answer what is still in flight when the bound of a planned stop is reached."""
         timings = self._settings.timings
         await asyncio.sleep((timings.stop_timeout_ms - timings.drain_ms) / 1_000)
-        ENTRY_LOG.event("process.gives_up", jobs=self._desk.running_count)
-        self._desk.give_up_all()
+        ENTRY_LOG.event("process.gives_up", jobs=self._jobs.running_count)
+        self._jobs.give_up_all()
 
     async def stop(self) -> None:
         """End every part."""
@@ -148,10 +148,10 @@
         self._queues = self._read_queues(publication)
         self._is_configured.set()
 
-    def _on_beat(self, beat: OwnerBeat) -> None:
-        self._client.hear_beat(beat, self._holder.version)
-        if beat.published_version > self._holder.version:
-            self._spawn(self._holder.catch_up(beat.owner.box, beat.published_version))
+    def _on_heartbeat(self, heartbeat: OwnerHeartbeat) -> None:
+        self._client.handle_heartbeat(heartbeat, self._holder.version)
+        if heartbeat.published_version > self._holder.version:
+            self._spawn(self._holder.catch_up(heartbeat.owner.box, heartbeat.published_version))
 
     def _make_owner(self, record: OwnerRecord) -> ZoneOwner:
         return ZoneOwner(
--- a/src/foldloom/claims/acquire.py
+++ b/src/foldloom/claims/acquire.py
@@ -65,7 +65,7 @@
         replies: dict[str, ClaimReply] = {}
         waiting = self._by_nearness(replicas)
         first_count = self._first_count(replicas)
-        asking = {self._ask(box, request) for box in waiting[:first_count]}
+        asking = {self._request(box, request) for box in waiting[:first_count]}
         waiting = waiting[first_count:]
         timeouts = self._settings.timings
         while asking:
@@ -83,7 +83,7 @@
             missed = any(task.result()[1] is None for task in done)
             refused = any(reply.vote is not Vote.GRANTED for reply in replies.values())
             if waiting and (not done or missed or refused):
-                asking |= {self._ask(box, request) for box in waiting}
+                asking |= {self._request(box, request) for box in waiting}
                 waiting = []
             if self._is_lost(replicas, replies, len(asking)):
                 break
@@ -97,15 +97,17 @@
             if box == self._settings.box:
                 self._service.withdraw(box, message)
             else:
-                self._network.tell(box, message)
+                self._network.send(box, message)
 
     def release_held(self, submission: str, claim: Claim) -> None:
         """Tell the replicas that *claim*'s own coordinator said it is withdrawn."""
         message = ReleaseHeld(submission, claim.coordinator, claim.incarnation, claim.attempt)
         for box in self._service.replicas_of(submission).boxes:
-            self._network.tell(box, message)
+            self._network.send(box, message)
 
-    def _ask(self, box: str, request: ClaimRequest) -> asyncio.Task[tuple[str, ClaimReply | None]]:
+    def _request(
+        self, box: str, request: ClaimRequest
+    ) -> asyncio.Task[tuple[str, ClaimReply | None]]:
         return asyncio.ensure_future(self._ask_one(box, request))
 
     async def _ask_one(self, box: str, request: ClaimRequest) -> tuple[str, ClaimReply | None]:
@@ -113,7 +115,7 @@
             return box, self._service.vote(box, request)
         try:
             timeout_ms = self._settings.timings.claim_timeout_ms
-            return box, await self._network.ask(box, request, timeout_ms)
+            return box, await self._network.request(box, request, timeout_ms)
         except PeerUnreachableError:
             return box, None
 
--- a/src/foldloom/claims/recovery.py
+++ b/src/foldloom/claims/recovery.py
@@ -119,7 +119,7 @@
         copied = 0
         while True:
             try:
-                reply: CopyReply = await self._network.ask(
+                reply: CopyReply = await self._network.request(
                     box, CopyRequest(position), _COPY_TIMEOUT_MS
                 )
             except PeerUnreachableError:
--- a/src/foldloom/controllers/client.py
+++ b/src/foldloom/controllers/client.py
@@ -42,7 +42,7 @@
         while monotonic_ms() < deadline:
             for box in self._order():
                 try:
-                    reply: ProposeReply = await self._ask(box, message, deadline)
+                    reply: ProposeReply = await self._request(box, message, deadline)
                 except PeerUnreachableError:
                     is_unknown = True
                     continue
@@ -62,7 +62,7 @@
         while monotonic_ms() < deadline:
             for box in self._order():
                 try:
-                    reply: BarrierReply = await self._ask(box, ReadBarrier(), deadline)
+                    reply: BarrierReply = await self._request(box, ReadBarrier(), deadline)
                 except PeerUnreachableError:
                     continue
                 self._leader = reply.leader
@@ -78,6 +78,6 @@
         others = [box for box in self._controllers if box != self._leader]
         return [self._leader, *others]
 
-    async def _ask(self, box: str, message: object, deadline: float) -> Any:
+    async def _request(self, box: str, message: object, deadline: float) -> Any:
         left = max(1.0, deadline - monotonic_ms())
-        return await self._network.ask(box, message, min(_TRY_TIMEOUT_MS, left))
+        return await self._network.request(box, message, min(_TRY_TIMEOUT_MS, left))
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -105,7 +105,7 @@
         self._leader = ""
         self._leadership: Leadership | None = None
         self._is_failed = False
-        self._heard_leader_ms = monotonic_ms()
+        self._leader_contact_ms = monotonic_ms()
         self.turn = asyncio.Lock()
         self._tasks: set[asyncio.Task[None]] = set()
         self._is_compacting = False
@@ -156,7 +156,7 @@
     @property
     def leader_silent_ms(self) -> float:
         """How long no leader was heard."""
-        return monotonic_ms() - self._heard_leader_ms
+        return monotonic_ms() - self._leader_contact_ms
 
     @property
     def leadership(self) -> Leadership | None:
@@ -252,16 +252,16 @@
         """Before a planned stop, have another controller lead; return which, or ''."""
         if self._leadership is None:
             return ""
-        heir = self._leadership.heir()
-        if not heir:
+        successor = self._leadership.successor()
+        if not successor:
             return ""
         term = self.log.term
         self.step_down()
-        self.network.tell(heir, StandNow(term))
+        self.network.send(successor, StandNow(term))
         deadline_ms = monotonic_ms() + self.election_timeout_ms
         while self.log.term == term and monotonic_ms() < deadline_ms:
             await asyncio.sleep(_HANDOVER_CHECK_S)
-        return heir
+        return successor
 
     def fail(self, error: OSError) -> None:
         """Take no part until the data folder could be opened again.
@@ -290,14 +290,14 @@
                 return
             self._begin_with(storage, log)
             self._is_failed = False
-            self.hear_leader()
+            self.note_leader_contact()
             CONTROLLER_LOG.info(
                 "The disk takes writes again: entry {} is the last.", log.last_index
             )
 
-    def hear_leader(self) -> None:
+    def note_leader_contact(self) -> None:
         """Begin a new wait before an election."""
-        self._heard_leader_ms = monotonic_ms()
+        self._leader_contact_ms = monotonic_ms()
 
     def forget_leader(self) -> None:
         """Know of no leader, as a new term began."""
@@ -468,7 +468,7 @@
             self._start_index = self.log.last_index
             self._start_controllers = self._controllers_of_log()
             self._table_key = None
-        self._heard_leader_ms = monotonic_ms()
+        self._leader_contact_ms = monotonic_ms()
         match_index = message.prev_index + len(message.entries)
         self.commit(min(message.commit_index, match_index))
         return self._append_reply(True, match_index)
@@ -494,7 +494,7 @@
         if self._leader != sender:
             CONTROLLER_LOG.info("Follow {} in term {}.", sender, term)
         self._leader = sender
-        self._heard_leader_ms = monotonic_ms()
+        self._leader_contact_ms = monotonic_ms()
         return True
 
     def _append_reply(self, is_ok: bool, match_index: int) -> AppendReply:
@@ -531,7 +531,7 @@
                 continue
             asked = [self._leader] if self._leader and is_heard else self._contacts()
             for box in asked:
-                self.network.tell(box, Readmit(self.storage_id))
+                self.network.send(box, Readmit(self.storage_id))
 
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
--- a/src/foldloom/controllers/election.py
+++ b/src/foldloom/controllers/election.py
@@ -52,7 +52,7 @@
         if votes >= self._controller.majority:
             return True
         asked = [
-            self._controller.network.ask(box, request, self._controller.election_timeout_ms / 2)
+            self._controller.network.request(box, request, self._controller.election_timeout_ms / 2)
             for box in others
         ]
         for box, reply in zip(others, await _settled(asked), strict=True):
@@ -112,7 +112,7 @@
         if voted_for not in ("", sender):
             return False
         await self._controller.log.save_term_vote(request.term, sender)
-        self._controller.hear_leader()
+        self._controller.note_leader_contact()
         return True
 
 
--- a/src/foldloom/controllers/holder.py
+++ b/src/foldloom/controllers/holder.py
@@ -57,7 +57,7 @@
         CONFIG_LOG.info("Version {} is in force.", config.version)
         self._write_cache()
 
-    def hear_version(self, box: str, version: int) -> None:
+    def note_version(self, box: str, version: int) -> None:
         """Pull from *box* if it has a newer version in force."""
         if version <= self._config.version or self._is_pulling:
             return
@@ -69,7 +69,9 @@
     async def _pull(self, box: str) -> None:
         have = self._config.version
         try:
-            reply: ConfigReply = await self._network.ask(box, ConfigPull(have), _PULL_TIMEOUT_MS)
+            reply: ConfigReply = await self._network.request(
+                box, ConfigPull(have), _PULL_TIMEOUT_MS
+            )
         except PeerUnreachableError:
             return
         finally:
--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -100,7 +100,7 @@
             self._tasks.pop(box).cancel()
             del self._followers[box], self._wakeups[box]
 
-    def heir(self) -> str:
+    def successor(self) -> str:
         """Return the controller that could lead at once, or an empty string."""
         ready = [
             box
@@ -250,7 +250,7 @@
             await asyncio.sleep(timeout / 2_000)
             self._change_members()
             since = monotonic_ms() - timeout
-            if since > self._started_ms and not self._is_heard_since(since):
+            if since > self._started_ms and not self._is_acknowledged_since(since):
                 CONTROLLER_LOG.warning("Step down: no majority answers.")
                 self._controller.step_down()
                 return
@@ -274,7 +274,7 @@
         message = self._next_message(box)
         sent_ms = monotonic_ms()
         try:
-            reply: AppendReply = await self._controller.network.ask(
+            reply: AppendReply = await self._controller.network.request(
                 box, message, self._controller.election_timeout_ms / 2
             )
         except PeerUnreachableError:
@@ -325,7 +325,7 @@
             return False
         return self._controller.is_counted(box, follower.storage_id, follower.is_first)
 
-    def _is_heard_since(self, since_ms: float) -> bool:
+    def _is_acknowledged_since(self, since_ms: float) -> bool:
         heard = [
             box
             for box in self._controller.controllers
@@ -335,7 +335,7 @@
         return len(heard) >= self._controller.majority
 
     def _is_current_since(self, since_ms: float) -> bool:
-        return self._has_committed_own() and self._is_heard_since(since_ms)
+        return self._has_committed_own() and self._is_acknowledged_since(since_ms)
 
     def _has_committed_own(self) -> bool:
         return self._controller.commit_index >= self._first_index
--- a/src/foldloom/entry/coordinator.py
+++ b/src/foldloom/entry/coordinator.py
@@ -128,7 +128,7 @@
     async def _look_up_at(self, box: str, submission: str) -> LookupReply | None:
         try:
             timeout_ms = self._settings.timings.claim_timeout_ms
-            return await self._network.ask(box, Lookup(submission), timeout_ms)
+            return await self._network.request(box, Lookup(submission), timeout_ms)
         except PeerUnreachableError:
             return None
 
--- a/src/foldloom/entry/follow.py
+++ b/src/foldloom/entry/follow.py
@@ -99,7 +99,7 @@
                 submission, digest, claim.coordinator, claim.incarnation, claim.attempt, wait_ms
             )
             try:
-                reply: AttachReply = await self._network.ask(target, attach, _ASK_TIMEOUT_MS)
+                reply: AttachReply = await self._network.request(target, attach, _ASK_TIMEOUT_MS)
             except PeerUnreachableError:
                 failed_asks += 1
                 if failed_asks >= _FAILED_ASKS_MAX:
@@ -112,8 +112,8 @@
             return self._judge(submission, reply)
         return self._ended(submission, DEADLINE)
 
-    async def hand_over(self, heir: str) -> int:
-        """Give every kept answer to *heir*; return how many it took."""
+    async def hand_over(self, successor: str) -> int:
+        """Give every kept answer to *successor*; return how many it took."""
         kept = self._jobs.done_responses()
         taken = 0
         for start in range(0, len(kept), _HANDOVER_CHUNK):
@@ -123,7 +123,9 @@
             ]
             message = Handover(self._network.incarnation, jobs)
             try:
-                reply: HandoverReply = await self._network.ask(heir, message, _HANDOVER_TIMEOUT_MS)
+                reply: HandoverReply = await self._network.request(
+                    successor, message, _HANDOVER_TIMEOUT_MS
+                )
             except PeerUnreachableError:
                 break
             taken += reply.taken
@@ -132,11 +134,11 @@
     def _target(self, claim: Claim) -> str | Problem:
         """Return the box to ask, or why there is none."""
         box = claim.coordinator
-        heir = self._membership.heir_of(box, claim.incarnation)
+        successor = self._membership.successor_of(box, claim.incarnation)
         if self._network.known_incarnation(box) > claim.incarnation:
-            return heir or COORDINATOR_LOST
+            return successor or COORDINATOR_LOST
         if not self._membership.is_live(box):
-            return heir or COORDINATOR_SILENT
+            return successor or COORDINATOR_SILENT
         return box
 
     def _judge(self, submission: str, reply: AttachReply) -> Followed:
--- a/src/foldloom/entry/job_runner.py
+++ b/src/foldloom/entry/job_runner.py
@@ -210,7 +210,7 @@
         return max(ends, default=0.0)
 
 
-class JobDesk:
+class JobRegistry:
     """The jobs that this box runs now; the same id joins the one that runs.
 
     Args:
--- a/src/foldloom/entry/run.py
+++ b/src/foldloom/entry/run.py
@@ -105,7 +105,7 @@
             self._request.service, self._request.customer, self._deadline_ms, self._left
         )
         try:
-            self._context.slots.ask(want, self._left)
+            self._context.slots.request(want, self._left)
             problem = await self._serve(want)
         finally:
             self._context.slots.close(want)
@@ -154,7 +154,7 @@
         url = self._url_of(arrived)
         if not url:
             self._return_unused(arrived)
-            self._context.slots.ask(want, 1)
+            self._context.slots.request(want, 1)
             return None
         index = self._waiting.popleft()
         task = asyncio.create_task(self._attempt(index, arrived, url))
@@ -234,7 +234,7 @@
         self._context.metrics.count("tasks.retried")
         await asyncio.sleep(_RETRY_PAUSE_S)
         self._waiting.appendleft(end.task_index)
-        self._context.slots.ask(want, 1)
+        self._context.slots.request(want, 1)
         return None
 
     def _stop_attempts(self) -> None:
--- a/src/foldloom/fleet/joiner.py
+++ b/src/foldloom/fleet/joiner.py
@@ -55,7 +55,7 @@
             for task in self._tasks.values():
                 task.cancel()
 
-    async def tell_all(self) -> None:
+    async def announce(self) -> None:
         """Tell every controller now, once; used when a planned stop begins."""
         await asyncio.gather(*(self._join(box, 0, 0) for box in self._view.controllers))
 
@@ -89,11 +89,11 @@
     async def _join(self, box: str, life: int, revision: int) -> JoinReply | None:
         message = Join(self._view.own, self._holder.version, life, revision)
         try:
-            reply: JoinReply = await self._network.ask(box, message, self._interval_ms)
+            reply: JoinReply = await self._network.request(box, message, self._interval_ms)
         except PeerUnreachableError:
             return None
         now_ms = monotonic_ms()
-        for lost in self._view.hear_controller(box, reply, now_ms):
+        for lost in self._view.note_controller(box, reply, now_ms):
             PEER_LOG.event("box.gone", gone=lost)
             self._network.drop_peer(lost)
         self._merge(reply.endpoints)
--- a/src/foldloom/fleet/messages.py
+++ b/src/foldloom/fleet/messages.py
@@ -131,13 +131,13 @@
     queued_milli: int = 0
 
 
-class OwnerBeat(NamedTuple):
-    """An owner says that it lives.
+class OwnerHeartbeat(NamedTuple):
+    """A heartbeat of a zone's owner.
 
     Args:
         owner: The owner.
         record: The owner as a box.
-        sent_ms: Its steady clock at sending; sent back in an echo.
+        sent_ms: Its steady clock at sending; sent back in the acknowledgement.
         published_version: The published version in force there.
         load: How loaded its zone is.
     """
@@ -149,20 +149,20 @@
     load: ZoneLoad = ZoneLoad()
 
 
-class Echo(NamedTuple):
+class HeartbeatAck(NamedTuple):
     """A box grants an owner the right to run its tasks for a while.
 
-    The right lasts for the session time from ``beat_ms`` on, by the owner's clock.
+    The right lasts for the session time from ``heartbeat_sent_ms`` on, by the owner's clock.
 
     Args:
         token: The owner's token that the box knows as the highest.
-        beat_ms: The sending time in the beat that this answers.
+        heartbeat_sent_ms: When the heartbeat that this answers was sent, by the owner's clock.
         record: The box.
         published_version: The published version in force there.
     """
 
     token: int
-    beat_ms: int
+    heartbeat_sent_ms: int
     record: BoxRecord
     published_version: int = 0
 
@@ -193,7 +193,11 @@
 
 
 # Counters keep the names that these messages had before.
-_COUNTED_AS: dict[type, str] = {EndpointsSeen: "WorkersSeen"}
+_COUNTED_AS: dict[type, str] = {
+    EndpointsSeen: "WorkersSeen",
+    OwnerHeartbeat: "OwnerBeat",
+    HeartbeatAck: "Echo",
+}
 
 for _kind, _type in enumerate(
     (
@@ -205,8 +209,8 @@
         PullPublished,
         ReadPublished,
         ReadReply,
-        OwnerBeat,
-        Echo,
+        OwnerHeartbeat,
+        HeartbeatAck,
         HigherToken,
         OwnerQuery,
         OwnerAnswer,
--- a/src/foldloom/fleet/published.py
+++ b/src/foldloom/fleet/published.py
@@ -65,7 +65,7 @@
         self._pulling_from.add(box)
         try:
             pull = PullPublished(self.version)
-            reply: Published = await self._network.ask(box, pull, _PULL_TIMEOUT_MS)
+            reply: Published = await self._network.request(box, pull, _PULL_TIMEOUT_MS)
             self.adopt(reply.publication)
         except PeerUnreachableError:
             return
--- a/src/foldloom/fleet/publisher.py
+++ b/src/foldloom/fleet/publisher.py
@@ -84,7 +84,7 @@
         leader = self._controller.leader
         if not leader:
             raise NotLeaderError
-        reply: ProposeReply = await self._network.ask(leader, Propose(payload), left_ms)
+        reply: ProposeReply = await self._network.request(leader, Propose(payload), left_ms)
         if reply.answer is not None:
             return reply.answer
         if reply.is_unknown:
@@ -98,7 +98,7 @@
         if self._controller.is_leading:
             return await self._read_here()
         try:
-            reply: ReadReply = await self._network.ask(leader, ReadPublished(), left_ms)
+            reply: ReadReply = await self._network.request(leader, ReadPublished(), left_ms)
         except PeerUnreachableError:
             return None
         return reply
--- a/src/foldloom/fleet/registry.py
+++ b/src/foldloom/fleet/registry.py
@@ -21,7 +21,7 @@
     Join,
     JoinReply,
     OwnerAnswer,
-    OwnerBeat,
+    OwnerHeartbeat,
     OwnerQuery,
     OwnerRecord,
     Published,
@@ -45,8 +45,8 @@
     heard_ms: float
 
 
-class _Heard(NamedTuple):
-    """An owner, and when its beat was heard."""
+class _KnownOwner(NamedTuple):
+    """An owner, and when its newest heartbeat arrived."""
 
     owner: OwnerRecord
     heard_ms: float
@@ -72,10 +72,10 @@
         self._controllers = controllers
         self._catalog = EndpointCatalog()
         self._joined: dict[str, _Joined] = {}
-        self._owners: dict[str, _Heard] = {}
+        self._owners: dict[str, _KnownOwner] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         network.on(Join, self._on_join)
-        network.on(OwnerBeat, self._on_owner_beat)
+        network.on(OwnerHeartbeat, self._on_owner_heartbeat)
         network.on(OwnerQuery, self._on_owner_query)
 
     @property
@@ -100,7 +100,7 @@
     def push(self, publication: Publication) -> None:
         """Send a newer publication to every live entry box at once."""
         for record in self._live_entries():
-            self._spawn(self._tell(record.box, Published(publication)))
+            self._spawn(self._notify(record.box, Published(publication)))
 
     async def note_endpoint(self, record: EndpointRecord) -> None:
         """Take an endpoint's heartbeat; what it changes is known in its zone when this returns.
@@ -121,7 +121,7 @@
         )
         newest = self._catalog.get(record.endpoint)
         if newest is not None:
-            await self._tell_zone(newest)
+            await self._notify_zone(newest)
 
     async def note_gone(self, endpoint: str) -> None:
         """Take an endpoint's farewell."""
@@ -130,11 +130,11 @@
         ENDPOINT_LOG.event("endpoint.left", endpoint=endpoint)
         newest = self._catalog.get(endpoint)
         if newest is not None:
-            await self._tell_zone(newest)
+            await self._notify_zone(newest)
 
-    async def _tell_zone(self, record: EndpointRecord) -> None:
+    async def _notify_zone(self, record: EndpointRecord) -> None:
         told = [
-            self._tell(entry.box, EndpointsSeen([record]))
+            self._notify(entry.box, EndpointsSeen([record]))
             for entry in self._live_entries()
             if entry.zone == record.zone
         ]
@@ -145,9 +145,9 @@
             return
         await asyncio.gather(*told)
 
-    async def _tell(self, box: str, message: object) -> None:
+    async def _notify(self, box: str, message: object) -> None:
         try:
-            await self._network.ask(box, message, _TELL_TIMEOUT_MS)
+            await self._network.request(box, message, _TELL_TIMEOUT_MS)
         except PeerUnreachableError:
             return
 
@@ -185,10 +185,10 @@
             endpoints=endpoints,
         )
 
-    def _on_owner_beat(self, _sender: str, beat: OwnerBeat) -> None:
-        known = self._owners.get(beat.owner.zone)
-        if known is None or beat.owner.token >= known.owner.token:
-            self._owners[beat.owner.zone] = _Heard(beat.owner, monotonic_ms())
+    def _on_owner_heartbeat(self, _sender: str, heartbeat: OwnerHeartbeat) -> None:
+        known = self._owners.get(heartbeat.owner.zone)
+        if known is None or heartbeat.owner.token >= known.owner.token:
+            self._owners[heartbeat.owner.zone] = _KnownOwner(heartbeat.owner, monotonic_ms())
 
     def _on_owner_query(self, _sender: str, query: OwnerQuery) -> OwnerAnswer:
         known = self._owners.get(query.zone)
--- a/src/foldloom/fleet/view.py
+++ b/src/foldloom/fleet/view.py
@@ -16,7 +16,7 @@
     """Which controllers one of them named, and when."""
 
     controllers: tuple[str, ...]
-    told_ms: float
+    received_ms: float
 
 
 class FleetView:
@@ -34,7 +34,7 @@
         self._seeds = list(seeds)
         self._lists: dict[str, _ControllerList] = {}
         self._boxes: dict[str, BoxRecord] = {}
-        self._told_ms: dict[str, float] = {}
+        self._received_ms: dict[str, float] = {}
         self._owners: dict[str, OwnerRecord] = {}
 
     @property
@@ -93,12 +93,12 @@
         """The zones whose owner is known."""
         return sorted(self._owners)
 
-    def hear_owner(self, owner: OwnerRecord) -> None:
+    def note_owner(self, owner: OwnerRecord) -> None:
         """Note an owner, unless a higher token is known."""
         if owner.token > self.owner_of(owner.zone).token:
             self._owners[owner.zone] = owner
 
-    def hear_box(self, record: BoxRecord, now_ms: float) -> None:
+    def note_box(self, record: BoxRecord, now_ms: float) -> None:
         """Note a box that spoke for itself or that a controller told of."""
         if record.box == self._own.box:
             return
@@ -106,19 +106,19 @@
         if known is not None and known.life == record.life and known.is_leaving:
             record = record._replace(is_leaving=True)
         self._boxes[record.box] = record
-        self._told_ms[record.box] = now_ms
+        self._received_ms[record.box] = now_ms
 
-    def hear_controller(self, sender: str, reply: JoinReply, now_ms: float) -> list[str]:
+    def note_controller(self, sender: str, reply: JoinReply, now_ms: float) -> list[str]:
         """Take what *sender* knows; return the boxes that are known no longer."""
         self._lists[sender] = _ControllerList(tuple(reply.controllers), now_ms)
         for box, known in list(self._lists.items()):
-            if now_ms - known.told_ms > _LIST_KEPT_MS:
+            if now_ms - known.received_ms > _LIST_KEPT_MS:
                 del self._lists[box]
         for record in reply.boxes:
-            self.hear_box(record, now_ms)
+            self.note_box(record, now_ms)
         for owner in reply.owners:
-            self.hear_owner(owner)
-        lost = [box for box, told in self._told_ms.items() if now_ms - told > _FORGET_MS]
+            self.note_owner(owner)
+        lost = [box for box, told in self._received_ms.items() if now_ms - told > _FORGET_MS]
         for box in lost:
-            del self._told_ms[box], self._boxes[box]
+            del self._received_ms[box], self._boxes[box]
         return lost
--- a/src/foldloom/owners/client.py
+++ b/src/foldloom/owners/client.py
@@ -8,11 +8,12 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from foldloom.fleet.messages import OwnerBeat
+from foldloom.fleet.messages import OwnerHeartbeat
 from foldloom.fleet.view import FleetView
 from foldloom.jobs.spec import RunId
 from foldloom.logs import PLACE_LOG
 from foldloom.owners.batches import Batch
+from foldloom.owners.connection import OwnerConnection
 from foldloom.owners.messages import (
     EndCause,
     EndsNoted,
@@ -24,7 +25,6 @@
     SubmitReply,
     SubmitRuns,
 )
-from foldloom.owners.tie import OwnerTie
 from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import TimingSettings
 
@@ -46,10 +46,10 @@
         self._network = network
         self._timings = timings
         self._deliveries = itertools.count(1)
-        self._home = OwnerTie(view.own.zone, view, network, timings, self._deliveries)
+        self._home = OwnerConnection(view.own.zone, view, network, timings, self._deliveries)
         self._jobs: set[str] = set()
         self._maybe_started: set[str] = set()
-        self._ties: dict[str, OwnerTie] = {view.own.zone: self._home}
+        self._connections: dict[str, OwnerConnection] = {view.own.zone: self._home}
         self._tasks: set[asyncio.Task[Any]] = set()
         network.on(RunsEnded, self._on_ends)
         network.on(SessionBegan, self._on_session)
@@ -57,24 +57,24 @@
     @property
     def silent_ms(self) -> float:
         """How long ago any owner was heard that could take a job."""
-        return min(tie.silent_ms for tie in self._ties.values())
-
-    def hear_beat(self, beat: OwnerBeat, published_version: int) -> None:
-        """Take a beat of any zone's owner."""
-        tie = self._ties.get(beat.owner.zone)
-        if tie is None:
-            tie = OwnerTie(
-                beat.owner.zone, self._view, self._network, self._timings, self._deliveries
+        return min(connection.silent_ms for connection in self._connections.values())
+
+    def handle_heartbeat(self, heartbeat: OwnerHeartbeat, published_version: int) -> None:
+        """Handle a heartbeat of any zone's owner."""
+        connection = self._connections.get(heartbeat.owner.zone)
+        if connection is None:
+            connection = OwnerConnection(
+                heartbeat.owner.zone, self._view, self._network, self._timings, self._deliveries
             )
-            self._ties[beat.owner.zone] = tie
-        tie.hear_beat(beat, published_version)
+            self._connections[heartbeat.owner.zone] = connection
+        connection.handle_heartbeat(heartbeat, published_version)
 
     async def run(self) -> None:
         """Tell of runs whose owner fell silent, once they have ended, until cancelled."""
         while True:
             await asyncio.sleep(_LOST_CHECK_S)
-            for tie in self._ties.values():
-                lost = tie.pop_lost()
+            for connection in self._connections.values():
+                lost = connection.pop_lost()
                 self._maybe_started |= lost.started_jobs & self._jobs
                 for batch, order in lost.runs:
                     # Its owner can't be asked any more, and may have started it.
@@ -84,9 +84,9 @@
                         job=batch.template.job_id,
                         task=order.position,
                         run=order.attempt,
-                        zone=tie.zone,
-                        owner=tie.owner.box,
-                        silent_ms=int(tie.silent_ms),
+                        zone=connection.zone,
+                        owner=connection.owner.box,
+                        silent_ms=int(connection.silent_ms),
                     )
                     end = RunEnd(RunId(batch.task(order), order.attempt), EndCause.LOST)
                     batch.ends.put_nowait(end)
@@ -100,14 +100,18 @@
     ) -> SubmitReply:
         """Hand runs in where they can run, once an owner is heard; return what it replied."""
         self._jobs.add(template.job_id)
-        while (tie := self._choose()) is None:
+        while (connection := self._choose()) is None:
             await asyncio.sleep(_OWNER_CHECK_S)
-        return await tie.submit(self._batch(tie, template, began_ms, ends), orders)
+        return await connection.submit(self._batch(connection, template, began_ms, ends), orders)
 
     async def give_up(self, job_id: str) -> bool:
         """Want nothing more of a job; return whether any run of it may have started."""
         self._jobs.discard(job_id)
-        told = [tie.cancel(job_id) for tie in self._ties.values() if tie.batches_of(job_id)]
+        told = [
+            connection.cancel(job_id)
+            for connection in self._connections.values()
+            if connection.batches_of(job_id)
+        ]
         was_known = job_id in self._maybe_started
         # Until the owners have answered: the wait for them may be cut short by a deadline.
         self._maybe_started.add(job_id)
@@ -119,7 +123,7 @@
     def forget(self, job_id: str) -> None:
         """Want nothing more of a job, and wait for nobody."""
         self._jobs.discard(job_id)
-        is_open = any(tie.batches_of(job_id) for tie in self._ties.values())
+        is_open = any(connection.batches_of(job_id) for connection in self._connections.values())
         if is_open or job_id in self._maybe_started:
             self._spawn(self._forget(job_id))
 
@@ -127,41 +131,49 @@
         await self.give_up(job_id)
         self._maybe_started.discard(job_id)
 
-    def _choose(self) -> OwnerTie | None:
+    def _choose(self) -> OwnerConnection | None:
         """Return the own zone's owner while it is heard, else the one with the most room."""
         lost_ms = self._timings.owner_silent_ms
         if self._home.silent_ms < lost_ms and self._home.load.total_milli:
             return self._home
-        heard = [tie for tie in self._ties.values() if tie.silent_ms < lost_ms]
-        return max(heard, key=lambda tie: (tie.load.free_milli, tie.load.total_milli), default=None)
+        heard = [
+            connection
+            for connection in self._connections.values()
+            if connection.silent_ms < lost_ms
+        ]
+        return max(
+            heard,
+            key=lambda connection: (connection.load.free_milli, connection.load.total_milli),
+            default=None,
+        )
 
     def _batch(
         self,
-        tie: OwnerTie,
+        connection: OwnerConnection,
         template: SubmitRuns,
         began_ms: float,
         ends: asyncio.Queue[RunEnd],
     ) -> Batch:
-        for batch in tie.batches_of(template.job_id):
+        for batch in connection.batches_of(template.job_id):
             if batch.template == template:
                 return batch
         return Batch(template, ends, began_ms)
 
     def _on_session(self, _sender: str, message: SessionBegan) -> SessionNoted:
-        tie = self._ties.get(message.zone)
-        if tie is not None and tie.owner.token == message.token:
-            tie.reopen()
+        connection = self._connections.get(message.zone)
+        if connection is not None and connection.owner.token == message.token:
+            connection.reopen()
         return SessionNoted()
 
     def _on_ends(self, _sender: str, message: RunsEnded) -> EndsNoted:
-        tie = self._ties.get(message.zone)
+        connection = self._connections.get(message.zone)
         for end in message.ends:
-            if tie is not None:
-                self._take_end(tie, end)
+            if connection is not None:
+                self._take_end(connection, end)
         return EndsNoted()
 
-    def _take_end(self, tie: OwnerTie, end: RunEnd) -> None:
-        for batch in tie.batches_of(end.run_id.task.job_id):
+    def _take_end(self, connection: OwnerConnection, end: RunEnd) -> None:
+        for batch in connection.batches_of(end.run_id.task.job_id):
             order = batch.close(end)
             if order is None:
                 continue
@@ -174,23 +186,23 @@
     async def _move(self, batch: Batch, order: RunOrder, zone: str) -> None:
         """Hand a run that its owner gave up to another zone's owner."""
         moved = order._replace(is_moved=True, is_resumed=False)
-        tie = self._ties.get(zone)
-        if tie is None or tie.silent_ms >= self._timings.owner_silent_ms:
-            tie = None
-        while tie is None and batch.template.job_id in self._jobs:
-            tie = self._choose()
+        connection = self._connections.get(zone)
+        if connection is None or connection.silent_ms >= self._timings.owner_silent_ms:
+            connection = None
+        while connection is None and batch.template.job_id in self._jobs:
+            connection = self._choose()
             await asyncio.sleep(_OWNER_CHECK_S)
-        if tie is None or batch.template.job_id not in self._jobs:
+        if connection is None or batch.template.job_id not in self._jobs:
             return
         PLACE_LOG.event(
             "run.moved",
             job=batch.template.job_id,
             task=order.position,
             run=order.attempt,
-            zone=tie.zone,
+            zone=connection.zone,
         )
-        target = self._batch(tie, batch.template, batch.began_ms, batch.ends)
-        await tie.submit(target, [moved])
+        target = self._batch(connection, batch.template, batch.began_ms, batch.ends)
+        await connection.submit(target, [moved])
 
     def _spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
--- a/src/foldloom/owners/tie.py
+++ b/src/foldloom/owners/connection.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""An entry box's tie to the owner of one zone: grants, runs handed in, a new owner."""
+"""An entry box's connection to the owner of one zone: grants, runs delivered, a new owner."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.fleet.messages import Echo, OwnerBeat, OwnerRecord, ZoneLoad
+from foldloom.fleet.messages import HeartbeatAck, OwnerHeartbeat, OwnerRecord, ZoneLoad
 from foldloom.fleet.view import FleetView
 from foldloom.logs import PLACE_LOG
 from foldloom.owners.batches import Batch
@@ -50,8 +50,8 @@
 NOTHING_LOST = LostWork([], set())
 
 
-class OwnerTie:
-    """The tie to one zone's owner, whoever that is at the time.
+class OwnerConnection:
+    """The connection to one zone's owner, whoever that is at the time.
 
     Args:
         zone: The zone.
@@ -77,8 +77,8 @@
         self._session_ms = float(timings.session_ms)
         self._gone_after_ms = gone_after_ms(timings.endpoint_lease_ms)
         self._owner = OwnerRecord(zone)
-        self._echoed_ms = -1e12
-        self._beaten_ms = -1e12
+        self._acknowledged_ms = -1e12
+        self._heartbeat_ms = -1e12
         self._batches: dict[str, list[Batch]] = {}
         self._has_owner = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -91,20 +91,22 @@
     @property
     def silent_ms(self) -> float:
         """How long ago the owner was heard."""
-        return monotonic_ms() - self._beaten_ms
+        return monotonic_ms() - self._heartbeat_ms
 
-    def hear_beat(self, beat: OwnerBeat, published_version: int) -> None:
+    def handle_heartbeat(self, heartbeat: OwnerHeartbeat, published_version: int) -> None:
         """Grant the owner its right; hand everything open to a new one."""
-        if beat.owner.token < self._owner.token:
+        if heartbeat.owner.token < self._owner.token:
             return
-        is_new = beat.owner.token != self._owner.token
-        old_right_ms = max(0.0, self._echoed_ms + self._session_ms - monotonic_ms())
-        self._owner = beat.owner
-        self._beaten_ms = monotonic_ms()
-        self.load = beat.load
-        echo = Echo(beat.owner.token, beat.sent_ms, self._view.own, published_version)
-        self._network.tell(beat.owner.box, echo)
-        self._echoed_ms = monotonic_ms()
+        is_new = heartbeat.owner.token != self._owner.token
+        old_right_ms = max(0.0, self._acknowledged_ms + self._session_ms - monotonic_ms())
+        self._owner = heartbeat.owner
+        self._heartbeat_ms = monotonic_ms()
+        self.load = heartbeat.load
+        ack = HeartbeatAck(
+            heartbeat.owner.token, heartbeat.sent_ms, self._view.own, published_version
+        )
+        self._network.send(heartbeat.owner.box, ack)
+        self._acknowledged_ms = monotonic_ms()
         self._has_owner.set()
         if is_new:
             self._resume(old_right_ms)
@@ -118,7 +120,7 @@
 
         By then the owner's right is over and every lease that it gave has lapsed.
         """
-        if monotonic_ms() < self._echoed_ms + self._session_ms + self._gone_after_ms:
+        if monotonic_ms() < self._acknowledged_ms + self._session_ms + self._gone_after_ms:
             return NOTHING_LOST
         batches = [batch for of_job in self._batches.values() for batch in of_job]
         self._batches.clear()
@@ -147,7 +149,7 @@
             return has_started
         for _ in range(_CANCEL_TRIES):
             try:
-                reply: Cancelled = await self._network.ask(
+                reply: Cancelled = await self._network.request(
                     self._owner.box, CancelJob(job_id), _ASK_TIMEOUT_MS
                 )
                 return has_started or reply.has_started
@@ -212,7 +214,9 @@
             left_ms = max(0.0, right_end_ms - monotonic_ms())
             message = batch.message(owner.token, still_open, left_ms)
             try:
-                reply: SubmitReply = await self._network.ask(owner.box, message, _ASK_TIMEOUT_MS)
+                reply: SubmitReply = await self._network.request(
+                    owner.box, message, _ASK_TIMEOUT_MS
+                )
             except PeerUnreachableError:
                 continue
             if reply.status is not SubmitStatus.NOT_OWNER:
--- a/src/foldloom/owners/election.py
+++ b/src/foldloom/owners/election.py
@@ -40,12 +40,12 @@
     return sorted(candidates).index(box) if box in candidates else len(candidates)
 
 
-def patience_ms(silent_ms: float, rank: int, has_heard: bool) -> float:
+def patience_ms(silent_ms: float, rank: int, has_known_owner: bool) -> float:
     """Return for how long an owner must be silent before the candidate at *rank* acts.
 
     One that never heard an owner has nothing to wait for: those whom it asks would tell it.
     """
-    return (silent_ms if has_heard else _FIRST_PATIENCE_MS) + rank * _RANK_STEP_MS
+    return (silent_ms if has_known_owner else _FIRST_PATIENCE_MS) + rank * _RANK_STEP_MS
 
 
 def may_claim(witnesses: Witnesses, silent_ms: float) -> bool:
--- a/src/foldloom/owners/elector.py
+++ b/src/foldloom/owners/elector.py
@@ -9,10 +9,10 @@
 
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.fleet.messages import (
-    Echo,
+    HeartbeatAck,
     HigherToken,
     OwnerAnswer,
-    OwnerBeat,
+    OwnerHeartbeat,
     OwnerQuery,
     OwnerRecord,
     TakeOver,
@@ -57,7 +57,7 @@
         network: The peers.
         timings: Intervals and bounds.
         make_owner: Makes the owner of a new term.
-        on_beat: Called with each beat of the present owner.
+        on_heartbeat: Called with each heartbeat of an owner.
     """
 
     def __init__(
@@ -66,13 +66,13 @@
         network: PeerNetwork,
         timings: TimingSettings,
         make_owner: Callable[[OwnerRecord], ZoneOwner],
-        on_beat: Callable[[OwnerBeat], None],
+        on_heartbeat: Callable[[OwnerHeartbeat], None],
     ) -> None:
         self._view = view
         self._network = network
         self._timings = timings
         self._make_owner = make_owner
-        self._on_beat = on_beat
+        self._on_heartbeat = on_heartbeat
         self._zone = view.own.zone
         self._box_bits = new_box_bits()
         self._owner: ZoneOwner | None = None
@@ -80,11 +80,11 @@
         self._heard_ms = monotonic_ms()
         self._fenced_count = 0
         self._fenced_ms = 0.0
-        network.on(OwnerBeat, self.hear_beat)
+        network.on(OwnerHeartbeat, self.handle_heartbeat)
         network.on(OwnerQuery, self._on_query)
         network.on(HigherToken, self._on_higher_token)
         network.on(TakeOver, self._on_take_over)
-        network.on(Echo, self._on_echo)
+        network.on(HeartbeatAck, self._on_heartbeat_ack)
         network.on(SubmitRuns, self._on_submit)
         network.on(CancelJob, self._on_cancel)
         network.on(WaitingGroups, self._on_waiting)
@@ -97,7 +97,7 @@
 
     @property
     def heard(self) -> OwnerRecord:
-        """The owner whose beats are heard; a token of 0 for none yet."""
+        """The owner whose heartbeats arrive; a token of 0 for none yet."""
         return self._heard
 
     @property
@@ -133,17 +133,17 @@
         owner = self._owner
         if owner is None:
             return ""
-        heirs = [
+        successors = [
             box
             for box in self._view.entries_of(self._zone)
             if box != self._view.own.box and not self._view.is_leaving(box)
         ]
-        heirs.sort(key=lambda box: self._network.known_incarnation(box) == 0)
-        if not heirs:
+        successors.sort(key=lambda box: self._network.known_incarnation(box) == 0)
+        if not successors:
             return ""
         self._step_down()
-        self._network.tell(heirs[0], TakeOver(owner.record))
-        return heirs[0]
+        self._network.send(successors[0], TakeOver(owner.record))
+        return successors[0]
 
     def close(self) -> None:
         """Stop owning."""
@@ -162,7 +162,7 @@
         PLACE_LOG.event("owner.fenced", endpoint=endpoint, token=owner.token)
         token = token_above(owner.token, self._fenced_count, self._box_bits)
         self._step_down()
-        # Somebody else may own the zone. The beats tell; if there are none, claim above it.
+        # Another box may own the zone: its heartbeats will show. Else claim above its token.
         self._heard = OwnerRecord(self._zone, token)
         self._heard_ms = now_ms
         if self._fenced_count <= _FENCED_MAX:
@@ -177,7 +177,7 @@
         own = self._view.own.box
         others = [box for box in self._view.entries_of(self._zone) if box != own]
         asked = [*others, *self._view.controllers]
-        answers = await asyncio.gather(*(self._ask(box) for box in asked))
+        answers = await asyncio.gather(*(self._request(box) for box in asked))
         given = [answer for answer in answers if answer is not None]
         heard = [float(answer.silent_ms) for answer in given if answer.silent_ms >= 0]
         tokens = [answer.owner.token for answer in given]
@@ -185,12 +185,14 @@
             len(asked), len(given), min(heard, default=None), max([self._heard.token, *tokens])
         )
 
-    async def _ask(self, box: str) -> OwnerAnswer | None:
+    async def _request(self, box: str) -> OwnerAnswer | None:
         # The owner is silent already; most often it is dead, and waiting for it costs starts.
         is_owner = box == self._heard.box
         timeout_ms = _OWNER_QUERY_TIMEOUT_MS if is_owner else _QUERY_TIMEOUT_MS
         try:
-            reply: OwnerAnswer = await self._network.ask(box, OwnerQuery(self._zone), timeout_ms)
+            reply: OwnerAnswer = await self._network.request(
+                box, OwnerQuery(self._zone), timeout_ms
+            )
         except PeerUnreachableError:
             return None
         return reply
@@ -210,7 +212,7 @@
         )
         self._heard = record
         self._heard_ms = monotonic_ms()
-        self._view.hear_owner(record)
+        self._view.note_owner(record)
         self._owner = self._make_owner(record)
         self._owner.start()
 
@@ -221,33 +223,36 @@
         self._owner.close()
         self._owner = None
 
-    def hear_beat(self, sender: str, beat: OwnerBeat) -> None:
-        """Take a beat of any zone's owner; an outdated one is told of the higher token."""
-        self._view.hear_box(beat.record, monotonic_ms())
-        if beat.owner.zone != self._zone:
-            self._hear_other_zone(beat)
+    def handle_heartbeat(self, sender: str, heartbeat: OwnerHeartbeat) -> None:
+        """Handle a heartbeat of any zone's owner; notify an outdated one of the higher token."""
+        self._view.note_box(heartbeat.record, monotonic_ms())
+        if heartbeat.owner.zone != self._zone:
+            self._handle_other_zone(heartbeat)
             return
-        if beat.owner.token < self._heard.token and self._heard.box:
-            self._network.tell(sender, HigherToken(self._heard))
+        if heartbeat.owner.token < self._heard.token and self._heard.box:
+            self._network.send(sender, HigherToken(self._heard))
             return
-        if self._owner is not None and beat.owner.token > self._owner.token:
+        if self._owner is not None and heartbeat.owner.token > self._owner.token:
             self._step_down()
-        if beat.owner.token > self._heard.token:
+        if heartbeat.owner.token > self._heard.token:
             PLACE_LOG.event(
-                "owner.heard", zone=self._zone, owner=beat.owner.box, token=beat.owner.token
+                "owner.heard",
+                zone=self._zone,
+                owner=heartbeat.owner.box,
+                token=heartbeat.owner.token,
             )
-        self._heard = beat.owner
+        self._heard = heartbeat.owner
         self._heard_ms = monotonic_ms()
-        self._view.hear_owner(beat.owner)
-        self._on_beat(beat)
+        self._view.note_owner(heartbeat.owner)
+        self._on_heartbeat(heartbeat)
 
-    def _hear_other_zone(self, beat: OwnerBeat) -> None:
-        if beat.owner.token < self._view.owner_of(beat.owner.zone).token:
+    def _handle_other_zone(self, heartbeat: OwnerHeartbeat) -> None:
+        if heartbeat.owner.token < self._view.owner_of(heartbeat.owner.zone).token:
             return
-        self._view.hear_owner(beat.owner)
+        self._view.note_owner(heartbeat.owner)
         if self._owner is not None:
-            self._owner.hear_load(beat)
-        self._on_beat(beat)
+            self._owner.note_load(heartbeat)
+        self._on_heartbeat(heartbeat)
 
     def _on_query(self, _sender: str, query: OwnerQuery) -> OwnerAnswer:
         if query.zone != self._zone or not self._heard.token:
@@ -282,16 +287,16 @@
         return self._owner.cancel(sender, message)
 
     def _on_waiting(self, _sender: str, message: WaitingGroups) -> None:
-        self._view.hear_owner(message.owner)
+        self._view.note_owner(message.owner)
         if self._owner is not None:
-            self._owner.hear_waiting(message)
+            self._owner.handle_offer(message)
 
     def _on_claim(self, _sender: str, message: ClaimRuns) -> ClaimReply:
         if self._owner is None:
             return ClaimReply(0)
         return self._owner.release(message)
 
-    def _on_echo(self, sender: str, echo: Echo) -> None:
+    def _on_heartbeat_ack(self, sender: str, ack: HeartbeatAck) -> None:
         if self._owner is not None:
-            self._view.hear_box(echo.record, monotonic_ms())
-            self._owner.hear_echo(sender, echo)
+            self._view.note_box(ack.record, monotonic_ms())
+            self._owner.handle_heartbeat_ack(sender, ack)
--- a/src/foldloom/owners/endpoint_link.py
+++ b/src/foldloom/owners/endpoint_link.py
@@ -22,7 +22,7 @@
 
 
 class EndpointLink:
-    """The owner's tie to one life of an endpoint.
+    """The owner's connection to one life of an endpoint.
 
     Args:
         owner: The owner.
--- a/src/foldloom/owners/sessions.py
+++ b/src/foldloom/owners/sessions.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
 """The rights that boxes grant an owner, and what each of them is still to be told.
 
-A box answers each beat of its owner with an echo of the beat's sending time. The owner may
+A box acknowledges each heartbeat of its owner with the heartbeat's sending time. The owner may
 run that box's tasks for the session time from then on, by its own clock. The box, counting
-from when it sent the echo, knows a later time at which that right has ended for certain.
+from when it sent the acknowledgement, knows a later time at which that right has ended for certain.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
         self._untold: list[RunEnd] = []
         self._has_untold = asyncio.Event()
 
-    def tell(self, end: RunEnd) -> None:
+    def queue_end(self, end: RunEnd) -> None:
         """Queue an end for the box."""
         self._untold.append(end)
         self._has_untold.set()
@@ -54,7 +54,7 @@
         while self._is_renewed:
             try:
                 message = SessionBegan(self._zone, self._token)
-                await self._network.ask(self.holder.box, message, _ACK_TIMEOUT_MS)
+                await self._network.request(self.holder.box, message, _ACK_TIMEOUT_MS)
                 self._is_renewed = False
             except PeerUnreachableError:
                 continue
@@ -63,7 +63,7 @@
             ends = self._untold[:_ENDS_AT_ONCE]
             try:
                 told = RunsEnded(self._zone, ends)
-                await self._network.ask(self.holder.box, told, _ACK_TIMEOUT_MS)
+                await self._network.request(self.holder.box, told, _ACK_TIMEOUT_MS)
             except PeerUnreachableError:
                 continue
             del self._untold[: len(ends)]
@@ -85,7 +85,7 @@
         zone: The owner's zone.
         token: The owner's token.
         network: The peers.
-        session_ms: How long an echo grants the right.
+        session_ms: How long an acknowledgement grants the right.
     """
 
     def __init__(self, zone: str, token: int, network: PeerNetwork, session_ms: float) -> None:
@@ -109,21 +109,21 @@
             for holder, session in self._sessions.items()
         )
 
-    def grant(self, holder: HolderId, beat_ms: float) -> None:
-        """Take an echo of the beat sent at *beat_ms*, own clock."""
+    def grant(self, holder: HolderId, heartbeat_sent_ms: float) -> None:
+        """Renew the grant of a box that acknowledged the heartbeat sent at *heartbeat_sent_ms*."""
         session = self._sessions.get(holder)
         if session is None:
             is_renewed = holder in self._lapsed
             session = Session(holder, self._zone, self._token, self._network, is_renewed)
             self._sessions[holder] = session
             self._tasks[holder] = asyncio.create_task(session.run())
-        session.right_until_ms = max(session.right_until_ms, beat_ms + self._session_ms)
+        session.right_until_ms = max(session.right_until_ms, heartbeat_sent_ms + self._session_ms)
 
-    def tell(self, holder: HolderId, end: RunEnd) -> None:
+    def queue_end(self, holder: HolderId, end: RunEnd) -> None:
         """Queue an end for *holder*; one without a session is gone and hears nothing."""
         session = self._sessions.get(holder)
         if session is not None:
-            session.tell(end)
+            session.queue_end(end)
 
     def end_lapsed(self, now_ms: float) -> list[EndedRight]:
         """End the sessions whose right is over and return whose, and when it was over."""
--- a/src/foldloom/owners/zone_owner.py
+++ b/src/foldloom/owners/zone_owner.py
@@ -17,7 +17,7 @@
 from foldloom.endpoints.catalog import EndpointCatalog
 from foldloom.endpoints.records import EndpointRecord
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.fleet.messages import Echo, OwnerBeat, OwnerRecord, ZoneLoad
+from foldloom.fleet.messages import HeartbeatAck, OwnerHeartbeat, OwnerRecord, ZoneLoad
 from foldloom.fleet.view import FleetView
 from foldloom.logs import ENDPOINT_LOG, PLACE_LOG
 from foldloom.metrics import Metrics
@@ -46,7 +46,7 @@
 _CATALOG_TRUSTED_MS = 3_000.0
 _CLAIM_TIMEOUT_MS = 30
 _SHARE_TTL_MS = 100
-_BEAT_ALL_MAX = 64
+_HEARTBEAT_ALL_MAX = 64
 _SHARE_PAUSE_S = 0.003
 
 
@@ -134,8 +134,8 @@
         return not self._sessions.has_other(own, monotonic_ms())
 
     def start(self) -> None:
-        """Look at every endpoint and begin to beat."""
-        self._spawn(self._beat())
+        """Poll every endpoint and begin to send heartbeats."""
+        self._spawn(self._send_heartbeats())
         self._spawn(self._tick())
         self._spawn(self._share())
 
@@ -155,7 +155,7 @@
         if not self._sessions.has_right(holder, now_ms):
             return SubmitReply(SubmitStatus.NOT_OWNER, "no session")
         reply = self._state.submit(holder, message, now_ms)
-        self._tell_submit(sender, message, reply)
+        self._log_submit(sender, message, reply)
         self._act()
         return reply
 
@@ -166,16 +166,16 @@
         self._act()
         return Cancelled(has_started)
 
-    def hear_waiting(self, message: WaitingGroups) -> None:
+    def handle_offer(self, message: WaitingGroups) -> None:
         """Take what waits in another zone; there may be room for it here."""
         if self._is_closed or message.owner.zone == self._record.zone:
             return
         self._state.note_offer(message.owner.zone, message.groups, monotonic_ms())
         self._act()
 
-    def hear_load(self, beat: OwnerBeat) -> None:
+    def note_load(self, heartbeat: OwnerHeartbeat) -> None:
         """Take how loaded another zone is."""
-        self._state.note_load(beat.owner.zone, beat.load, monotonic_ms())
+        self._state.note_load(heartbeat.owner.zone, heartbeat.load, monotonic_ms())
 
     def release(self, message: ClaimRuns) -> ClaimReply:
         """Give waiting runs to another zone's owner."""
@@ -185,15 +185,15 @@
         self._act()
         return ClaimReply(released)
 
-    def hear_echo(self, sender: str, echo: Echo) -> None:
+    def handle_heartbeat_ack(self, sender: str, ack: HeartbeatAck) -> None:
         """Take a box's grant."""
-        if echo.token != self.token or self._is_closed:
+        if ack.token != self.token or self._is_closed:
             return
         holder = HolderId(sender, self._network.known_incarnation(sender))
         now_ms = monotonic_ms()
         for earlier in self._sessions.end_other_lives(holder):
             self._state.end_session(earlier, now_ms)
-        self._sessions.grant(holder, echo.beat_ms)
+        self._sessions.grant(holder, ack.heartbeat_sent_ms)
 
     def may_renew(self, endpoint: str, now_ms: float) -> bool:
         """Return whether the lease of *endpoint* may be renewed.
@@ -232,7 +232,7 @@
         """Note that *endpoint* has seen a higher token."""
         self._on_fenced(endpoint)
 
-    def _tell_submit(self, sender: str, message: SubmitRuns, reply: SubmitReply) -> None:
+    def _log_submit(self, sender: str, message: SubmitRuns, reply: SubmitReply) -> None:
         load = self.load
         PLACE_LOG.event(
             "runs.queued" if reply.status is SubmitStatus.TAKEN else "runs.refused",
@@ -251,9 +251,9 @@
             retry_after_ms=reply.retry_after_ms,
         )
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            beat = OwnerBeat(
+            heartbeat = OwnerHeartbeat(
                 self._record,
                 self._view.own,
                 int(monotonic_ms()),
@@ -261,21 +261,21 @@
                 self.load,
             )
             for box in self._audience():
-                self._network.tell(box, beat, self._timings.owner_silent_ms)
-            await asyncio.sleep(self._timings.owner_beat_ms / 1_000)
+                self._network.send(box, heartbeat, self._timings.owner_silent_ms)
+            await asyncio.sleep(self._timings.owner_heartbeat_ms / 1_000)
 
     async def _share(self) -> None:
         """Tell the owners of other zones what waits here, soon after it changes."""
-        has_told = False
+        has_offered = False
         while True:
             await self._has_waiting.wait()
             self._has_waiting.clear()
             groups = self._state.offer(monotonic_ms())
-            if groups or has_told:
+            if groups or has_offered:
                 message = WaitingGroups(self._record, groups)
                 for box in self._other_owners():
-                    self._network.tell(box, message, _SHARE_TTL_MS)
-            has_told = bool(groups)
+                    self._network.send(box, message, _SHARE_TTL_MS)
+            has_offered = bool(groups)
             await asyncio.sleep(_SHARE_PAUSE_S)
 
     def _other_owners(self) -> list[str]:
@@ -283,9 +283,9 @@
         return [owner.box for owner in owners if owner.zone != self._record.zone]
 
     def _audience(self) -> list[str]:
-        """Return who hears the beats: all entry boxes, while they are not too many."""
+        """Return who gets the heartbeats: all entry boxes, while they are not too many."""
         entries = self._view.entries
-        if len(entries) > _BEAT_ALL_MAX:
+        if len(entries) > _HEARTBEAT_ALL_MAX:
             entries = self._view.entries_of(self._record.zone)
         return list(dict.fromkeys([*entries, *self._other_owners(), *self._view.controllers]))
 
@@ -366,11 +366,11 @@
         for claim in self._state.actions.pop_steals():
             self._spawn(self._claim(claim))
         for action in self._state.actions.pop_notifications():
-            self._tell_end(action)
-            self._sessions.tell(action.holder, action.end)
+            self._log_end(action)
+            self._sessions.queue_end(action.holder, action.end)
         self._has_waiting.set()
 
-    def _tell_end(self, action: NotifyAction) -> None:
+    def _log_end(self, action: NotifyAction) -> None:
         end = action.end
         self._metrics.count(f"runs.{end.cause.name.lower()}")
         if end.ran_ms:
@@ -393,7 +393,7 @@
         message = ClaimRuns(self._record.zone, claim.group, len(claim.reservations))
         granted = 0
         try:
-            reply: ClaimReply = await self._network.ask(owner.box, message, _CLAIM_TIMEOUT_MS)
+            reply: ClaimReply = await self._network.request(owner.box, message, _CLAIM_TIMEOUT_MS)
             granted = reply.runs
         except PeerUnreachableError:
             self._metrics.count("claims.unanswered")
@@ -414,7 +414,7 @@
         if link is None or until_ms == 0 or self._is_closed:
             self._state.note_start(action.run_id, action.endpoint, CallOutcome.LATE, now_ms)
             return
-        self._tell_start(action, until_ms, now_ms)
+        self._log_start(action, until_ms, now_ms)
         self._metrics.count("runs.started")
         order = StartOrder(action.run_id, action.text, self.token, until_ms)
         doubt = asyncio.get_running_loop().call_later(
@@ -441,7 +441,7 @@
         self._state.note_start(action.run_id, action.endpoint, reply.outcome, now_ms)
         self._act()
 
-    def _tell_start(self, action: StartAction, until_ms: int, now_ms: float) -> None:
+    def _log_start(self, action: StartAction, until_ms: int, now_ms: float) -> None:
         run = self._state.run_of(action.run_id.task)
         candidate = self._state.candidates.get(action.endpoint)
         if run is None or candidate is None:
--- a/src/foldloom/peers/membership.py
+++ b/src/foldloom/peers/membership.py
@@ -11,7 +11,7 @@
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
 from foldloom.settings import Settings
 
-_HEIRS_KEPT = 1_000
+_SUCCESSORS_KEPT = 1_000
 
 
 class ZoneLoad(NamedTuple):
@@ -38,7 +38,7 @@
         is_stopping: Whether a planned stop began.
         can_vote: Whether its claim replica has recovered.
         loads: The shards whose lease manager it is.
-        heir: At a planned stop, the box that holds its answers.
+        successor: At a planned stop, the box that holds its answers.
         is_confirmed_current: Whether it passed a read barrier since it started.
         list_epoch: The newest epoch of the box list that it acknowledges.
     """
@@ -47,27 +47,27 @@
     is_stopping: bool
     can_vote: bool
     loads: list[ZoneLoad]
-    heir: str = ""
+    successor: str = ""
     is_confirmed_current: bool = False
     list_epoch: int = 0
 
 
-class Heir(NamedTuple):
+class Successor(NamedTuple):
     """A stopped life of a box, and the box that holds its answers."""
 
     box: str
     incarnation: int
-    heir: str
+    successor: str
 
 
-class KnownHeirs(NamedTuple):
+class KnownSuccessors(NamedTuple):
     """What a box that just started is told: it may be one of the stopped lives' boxes."""
 
-    heirs: list[Heir]
+    successors: list[Successor]
 
 
 register(1, Heartbeat)
-register(2, KnownHeirs)
+register(2, KnownSuccessors, counted_as="KnownHeirs")
 
 
 class PeerState(NamedTuple):
@@ -100,9 +100,9 @@
         self._network = network
         self._describe = describe
         self._states: dict[str, PeerState] = {}
-        self._heirs: dict[tuple[str, int], str] = {}
-        network.on(Heartbeat, self._hear)
-        network.on(KnownHeirs, self._learn_heirs)
+        self._successors: dict[tuple[str, int], str] = {}
+        network.on(Heartbeat, self._on_heartbeat)
+        network.on(KnownSuccessors, self._on_successors)
 
     @property
     def states(self) -> dict[str, PeerState]:
@@ -126,39 +126,42 @@
             return not self._describe().is_stopping
         return not self._states[box].heartbeat.is_stopping
 
-    def heir_of(self, box: str, incarnation: int) -> str:
+    def successor_of(self, box: str, incarnation: int) -> str:
         """Return who holds the answers of a stopped incarnation of *box*, or ''."""
-        return self._heirs.get((box, incarnation), "")
+        return self._successors.get((box, incarnation), "")
 
     async def run(self) -> None:
         """Send heartbeats until cancelled."""
         interval = self._settings.timings.heartbeat_ms / 1_000
         while True:
-            self.beat()
+            self.send_heartbeat()
             await asyncio.sleep(interval)
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send one heartbeat to every peer now."""
         heartbeat = self._describe()
         ttl = self._settings.timings.peer_silent_ms
         for box in self._network.peer_names:
-            self._network.tell(box, heartbeat, ttl)
+            self._network.send(box, heartbeat, ttl)
 
-    def _hear(self, sender: str, heartbeat: Heartbeat) -> None:
+    def _on_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
         incarnation = self._network.known_incarnation(sender)
         before = self._states.get(sender)
-        if self._heirs and (before is None or before.incarnation < incarnation):
-            known = [Heir(box, life, heir) for (box, life), heir in self._heirs.items()]
-            self._network.tell(sender, KnownHeirs(known))
+        if self._successors and (before is None or before.incarnation < incarnation):
+            known = [
+                Successor(box, life, successor)
+                for (box, life), successor in self._successors.items()
+            ]
+            self._network.send(sender, KnownSuccessors(known))
         self._states[sender] = PeerState(monotonic_ms(), incarnation, heartbeat)
-        if heartbeat.heir:
-            self._note_heir(Heir(sender, incarnation, heartbeat.heir))
+        if heartbeat.successor:
+            self._note_successor(Successor(sender, incarnation, heartbeat.successor))
 
-    def _learn_heirs(self, _sender: str, message: KnownHeirs) -> None:
-        for heir in message.heirs:
-            self._note_heir(heir)
+    def _on_successors(self, _sender: str, message: KnownSuccessors) -> None:
+        for successor in message.successors:
+            self._note_successor(successor)
 
-    def _note_heir(self, heir: Heir) -> None:
-        self._heirs[heir.box, heir.incarnation] = heir.heir
-        while len(self._heirs) > _HEIRS_KEPT:
-            del self._heirs[next(iter(self._heirs))]
+    def _note_successor(self, successor: Successor) -> None:
+        self._successors[successor.box, successor.incarnation] = successor.successor
+        while len(self._successors) > _SUCCESSORS_KEPT:
+            del self._successors[next(iter(self._successors))]
--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -179,14 +179,14 @@
             self._authenticator.stop()
         self._context.destroy(linger=0)
 
-    def tell(self, box: str, message: object, ttl_ms: int = DEFAULT_TTL_MS) -> None:
+    def send(self, box: str, message: object, ttl_ms: int = DEFAULT_TTL_MS) -> None:
         """Send *message* to *box* without waiting for anything; it may be lost."""
         if box == self._settings.box:
             asyncio.get_running_loop().call_soon(self._dispatch_own, message)
             return
         self._enqueue(box, message, 0, 0, ttl_ms)
 
-    async def ask(self, box: str, message: object, timeout_ms: float) -> Any:
+    async def request(self, box: str, message: object, timeout_ms: float) -> Any:
         """Send *message* to *box* and return its reply.
 
         Raises:
--- a/src/foldloom/placement/lease_manager.py
+++ b/src/foldloom/placement/lease_manager.py
@@ -151,7 +151,7 @@
                 message.customer,
                 refusal.reason,
             )
-            self._network.tell(sender, refusal)
+            self._network.send(sender, refusal)
             return
         self._hand_out(message.shard, shard)
 
@@ -179,7 +179,7 @@
         if monotonic_ms() < self._settled_ms.get(name, 0.0):
             return
         for grant in shard.match(monotonic_ms()):
-            self._network.tell(grant.coordinator, grant.message, _GRANT_TTL_MS)
+            self._network.send(grant.coordinator, grant.message, _GRANT_TTL_MS)
         for event in shard.take_events():
             PLACE_LOG.info("{}", event)
 
--- a/src/foldloom/placement/slots.py
+++ b/src/foldloom/placement/slots.py
@@ -91,7 +91,7 @@
     def want(self, service: str, customer: str, deadline_ms: float, job_tasks: int) -> Want:
         """Open a wish; nothing is asked yet."""
 
-    def ask(self, want: Want, count: int) -> None:
+    def request(self, want: Want, count: int) -> None:
         """Ask for *count* more slots."""
 
     def close(self, want: Want) -> None:
@@ -144,7 +144,7 @@
         self._wants[want.request_id] = want
         return want
 
-    def ask(self, want: Want, count: int) -> None:
+    def request(self, want: Want, count: int) -> None:
         """Ask for *count* more slots."""
         if want.outstanding:
             # One request at a time: a number that is sent again counts once.
@@ -259,7 +259,7 @@
 
     def _send(self, message: object, box: str) -> None:
         if box:
-            self._network.tell(box, message)
+            self._network.send(box, message)
 
     def _on_grant(self, _sender: str, message: SlotGrant) -> None:
         now_ms = monotonic_ms()
@@ -324,7 +324,7 @@
         """Open a wish; nothing is asked yet."""
         return Want(next(self._ids), service, customer, deadline_ms, job_tasks)
 
-    def ask(self, want: Want, count: int) -> None:
+    def request(self, want: Want, count: int) -> None:
         """Pick *count* endpoints at once."""
         reported = self._reported()
         for _ in range(count):
--- a/src/foldloom/settings.py
+++ b/src/foldloom/settings.py
@@ -95,7 +95,7 @@
     platform_poll_ms: PositiveInt = 500
     ejection_ms: PositiveInt = 2_000
     join_ms: PositiveInt = 250
-    owner_beat_ms: PositiveInt = 100
+    owner_heartbeat_ms: PositiveInt = msgspec.field(default=100, name="owner_beat_ms")
     owner_silent_ms: PositiveInt = 400
     session_ms: PositiveInt = 400
     endpoint_lease_ms: PositiveInt = msgspec.field(default=600, name="worker_lease_ms")
--- a/tests/test_owners_client.py
+++ b/tests/test_owners_client.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.fleet.messages import BoxRecord, OwnerBeat, OwnerRecord, ZoneLoad
+from foldloom.fleet.messages import BoxRecord, OwnerHeartbeat, OwnerRecord, ZoneLoad
 from foldloom.fleet.view import FleetView
 from foldloom.jobs.spec import RunId, TaskId
 from foldloom.owners.client import OwnerClient
@@ -45,10 +45,10 @@
         """Keep who takes messages of a kind."""
         self.handlers[kind] = handler
 
-    def tell(self, _box: str, _message: Any, _ttl_ms: float = 0) -> None:
+    def send(self, _box: str, _message: Any, _ttl_ms: float = 0) -> None:
         """Lose a message that needs no answer."""
 
-    async def ask(self, _box: str, message: Any, _timeout_ms: float) -> Any:
+    async def request(self, _box: str, message: Any, _timeout_ms: float) -> Any:
         """Answer as an owner that takes all runs."""
         self.asked.append(message)
         await asyncio.sleep(self.answers_after_s)
@@ -73,7 +73,9 @@
         """Hear an owner."""
         record = BoxRecord(f"10.0.0.{token}:1", 1, zone, ENTRY, "o")
         owner = OwnerRecord(zone, token, record.box, 1)
-        self.client.hear_beat(OwnerBeat(owner, record, 0, 0, ZoneLoad(10**6, 10**6, 0)), 0)
+        self.client.handle_heartbeat(
+            OwnerHeartbeat(owner, record, 0, 0, ZoneLoad(10**6, 10**6, 0)), 0
+        )
 
     async def submit(self, run: int = 1) -> SubmitReply:
         """Hand one run in."""
--- a/tests/test_owners_elector.py
+++ b/tests/test_owners_elector.py
@@ -12,7 +12,7 @@
     BoxRecord,
     JoinReply,
     OwnerAnswer,
-    OwnerBeat,
+    OwnerHeartbeat,
     OwnerQuery,
     OwnerRecord,
     ZoneLoad,
@@ -24,7 +24,7 @@
 
 _ZONE = "z"
 _CONTROLLER = "10.0.9.1:1"
-_TIMINGS = TimingSettings(owner_silent_ms=60, owner_beat_ms=20)
+_TIMINGS = TimingSettings(owner_silent_ms=60, owner_heartbeat_ms=20)
 
 
 def _record(number: int) -> BoxRecord:
@@ -56,10 +56,10 @@
     def on(self, _kind: type, _handler: Callable[..., Any]) -> None:
         """Take no messages."""
 
-    def tell(self, _box: str, _message: Any, _ttl_ms: float = 0) -> None:
+    def send(self, _box: str, _message: Any, _ttl_ms: float = 0) -> None:
         """Lose it."""
 
-    async def ask(self, box: str, message: OwnerQuery, timeout_ms: float) -> OwnerAnswer:
+    async def request(self, box: str, message: OwnerQuery, timeout_ms: float) -> OwnerAnswer:
         """Answer how long ago the owner was heard."""
         self.asked[box] = timeout_ms
         if box in self._silent:
@@ -75,12 +75,14 @@
         self.network = _Network(silent, heard_ms)
         self.view = FleetView(_record(2), [])
         reply = JoinReply([_CONTROLLER], [_record(1), _record(2), _record(3)], [], 0, 1, 0, [])
-        self.view.hear_controller(_CONTROLLER, reply, monotonic_ms())
+        self.view.note_controller(_CONTROLLER, reply, monotonic_ms())
         network: Any = self.network
         make_owner: Any = _Owner
         self.elector = Elector(self.view, network, _TIMINGS, make_owner, lambda _beat: None)
         owner = OwnerRecord(_ZONE, 5, _record(1).box, 1)
-        self.elector.hear_beat(_record(1).box, OwnerBeat(owner, _record(1), 0, 0, ZoneLoad()))
+        self.elector.handle_heartbeat(
+            _record(1).box, OwnerHeartbeat(owner, _record(1), 0, 0, ZoneLoad())
+        )
 
     async def run(self, for_s: float) -> None:
         """Let the elector run."""
--- a/tests/test_owners_sessions.py
+++ b/tests/test_owners_sessions.py
@@ -25,7 +25,7 @@
         self.heard: list[Any] = []
         self._lost = lost
 
-    async def ask(self, _box: str, message: Any, _timeout_ms: float) -> Any:
+    async def request(self, _box: str, message: Any, _timeout_ms: float) -> Any:
         """Answer, unless this message is to be lost."""
         if self._lost:
             self._lost -= 1
@@ -68,7 +68,7 @@
             assert [right.holder for right in sessions.end_lapsed(_SESSION_MS)] == [_HOLDER]
             sessions.grant(_HOLDER, 1_000.0)
             end = RunEnd(RunId(TaskId("a" * 16, 0, 0, 0), 1), EndCause.DONE)
-            sessions.tell(_HOLDER, end)
+            sessions.queue_end(_HOLDER, end)
             await asyncio.sleep(0.01)
             sessions.close()
             assert network.heard == [SessionBegan("z", _TOKEN), RunsEnded("z", [end])]
--- a/tests/test_owners_zone_owner.py
+++ b/tests/test_owners_zone_owner.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from foldloom.endpoints.catalog import EndpointCatalog
-from foldloom.fleet.messages import BoxRecord, Echo, OwnerRecord
+from foldloom.fleet.messages import BoxRecord, HeartbeatAck, OwnerRecord
 from foldloom.fleet.view import FleetView
 from foldloom.metrics import Metrics
 from foldloom.owners.zone_owner import ZoneOwner
@@ -36,7 +36,7 @@
     own = _record(1)
     view = FleetView(own, [])
     for number in others:
-        view.hear_box(_record(number), monotonic_ms())
+        view.note_box(_record(number), monotonic_ms())
     network: Any = _Network()
     calls: Any = None
     return ZoneOwner(
@@ -53,8 +53,10 @@
     )
 
 
-def _echo(owner: ZoneOwner, number: int, beat_ms: float) -> None:
-    owner.hear_echo(_record(number).box, Echo(_TOKEN, int(beat_ms), _record(number), 0))
+def _echo(owner: ZoneOwner, number: int, heartbeat_sent_ms: float) -> None:
+    owner.handle_heartbeat_ack(
+        _record(number).box, HeartbeatAck(_TOKEN, int(heartbeat_sent_ms), _record(number), 0)
+    )
 
 
 def _run(test: Coroutine[Any, Any, None]) -> None:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -384,7 +384,7 @@
     def on(self, _message_type: type, _handler: object) -> None:
         """Take no handler."""
 
-    def tell(self, box: str, message: object, _ttl_ms: int = 0) -> None:
+    def send(self, box: str, message: object, _ttl_ms: int = 0) -> None:
         """Keep a message."""
         self.messages.append((box, message))
 
@@ -400,7 +400,7 @@
             _shard(config)._settings, network, Metrics(), lambda: config, lambda _shard: "b1", dict
         )
         want = slots.want("s", "m1", 1e12, 1)
-        slots.ask(want, 1)
+        slots.request(want, 1)
         slots._note_managers()
         began = want.touched_ms
         slots.ask_again(began, has_changed=True)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -110,7 +110,7 @@
         """Remember a handler."""
         self.handlers[message_type] = handler
 
-    async def ask(self, _box: str, message: ConfigPull, _timeout_ms: float) -> ConfigReply:
+    async def request(self, _box: str, message: ConfigPull, _timeout_ms: float) -> ConfigReply:
         """Ask the other box."""
         assert self.other is not None
         self.replies.append(self.other.handlers[ConfigPull]("me", message))
@@ -132,7 +132,7 @@
             source.adopt(state.config, state.changes_since(state.config.version - 1))
 
         async def pull() -> None:
-            puller.hear_version("a1", source.config.version)
+            puller.note_version("a1", source.config.version)
             while puller.config.version < source.config.version:
                 await asyncio.sleep(0)
 
--- a/tests/unchanged/describe_messages.py
+++ b/tests/unchanged/describe_messages.py
@@ -80,7 +80,7 @@
     )
     network = PeerNetwork(settings, 1, metrics)
     network.add_peer(_PEER)
-    network.tell(_PEER, message)
+    network.send(_PEER, message)
     body = bytes(messages.encode_body(message))
     frame = messages.Frame(number, 0, 0, 0, msgspec.Raw(body))
     decoded = messages.decode_body(frame)
