--- a/src/foldloom/boxes/entry.py
+++ b/src/foldloom/boxes/entry.py
@@ -22,6 +22,7 @@
 from foldloom.metrics import Metrics
 from foldloom.metrics_server import MetricsServer
 from foldloom.owners.client import OwnerClient
+from foldloom.owners.context import OwnerContext
 from foldloom.owners.elector import Elector
 from foldloom.owners.zone_owner import ZoneOwner
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
@@ -154,18 +155,17 @@
             self._spawn(self._holder.catch_up(heartbeat.owner.box, heartbeat.published_version))
 
     def _make_owner(self, record: OwnerRecord) -> ZoneOwner:
-        return ZoneOwner(
-            record,
-            self._view,
-            self._network,
-            self._calls,
-            self._catalog,
-            self._settings.timings,
-            self._metrics,
-            lambda: self._holder.version,
-            self._elector.note_fenced,
-            lambda: monotonic_ms() - self._started_ms,
+        context = OwnerContext(
+            view=self._view,
+            network=self._network,
+            calls=self._calls,
+            catalog=self._catalog,
+            timings=self._settings.timings,
+            metrics=self._metrics,
+            published_version=lambda: self._holder.version,
+            catalog_age_ms=lambda: monotonic_ms() - self._started_ms,
         )
+        return ZoneOwner(record, context, self._elector.note_fenced)
 
     def _spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
--- a/src/foldloom/owners/admission.py
+++ b/src/foldloom/owners/admission.py
@@ -10,6 +10,7 @@
 
 from collections.abc import Mapping
 
+from foldloom.owners.loads import zone_load
 from foldloom.owners.messages import SubmitReply, SubmitRuns, SubmitStatus
 from foldloom.owners.stealing import WorkStealing
 from foldloom.scheduling.admission import (
@@ -82,13 +83,11 @@
 
     def _room(self, now_ms: float) -> ZoneRoom:
         """Return the room of this zone and of those that were heard of lately."""
-        in_use = [one.room for one in self._candidates.values() if one.is_open(now_ms)]
-        loads = self._stealing.loads(now_ms)
-        total = sum(room.capacity.cpu_milli for room in in_use)
-        free = sum(max(0, room.free.cpu_milli) for room in in_use)
+        own = zone_load(self._candidates.values(), self._waiting, now_ms)
+        loads = [own, *self._stealing.loads(now_ms)]
         return ZoneRoom(
-            total + sum(load.total_milli for load in loads),
-            free + sum(load.free_milli for load in loads),
+            total_milli=sum(load.total_milli for load in loads),
+            free_milli=sum(load.free_milli for load in loads),
         )
 
 
--- a/src/foldloom/owners/elector.py
+++ b/src/foldloom/owners/elector.py
@@ -294,7 +294,7 @@
     def _on_claim(self, _sender: str, message: ClaimRuns) -> ClaimReply:
         if self._owner is None:
             return ClaimReply(0)
-        return self._owner.release(message)
+        return self._owner.give_away(message)
 
     def _on_heartbeat_ack(self, sender: str, ack: HeartbeatAck) -> None:
         if self._owner is not None:
--- a/src/foldloom/owners/endpoint_link.py
+++ b/src/foldloom/owners/endpoint_link.py
@@ -1,53 +1,114 @@
 # SPDX-License-Identifier: MIT
-"""An owner's one task for each endpoint: it looks, renews the lease and hears of ends."""
+"""An owner's one task for each endpoint: it polls, renews the lease and receives ends.
+
+Owns what is known of one life of an endpoint: its clock, when it last answered, which of its ends
+were received. Relies on the calls to endpoints and on its owner, which decides whether the lease
+may be renewed and takes the reports.
+"""
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING
-
-from foldloom.endpoints.calls import CallOutcome, HoldOrder, HoldReply
+from typing import NamedTuple, Protocol
+
+from foldloom.endpoints.calls import (
+    ActiveRun,
+    CallOutcome,
+    EndedRun,
+    EndpointCalls,
+    HoldOrder,
+    HoldReply,
+)
 from foldloom.endpoints.records import EndpointRecord
 from foldloom.logs import ENDPOINT_LOG
 from foldloom.owners.lease import LAPSE_MARGIN_MS, EndpointClock
 from foldloom.peers.wire import monotonic_ms
 
-if TYPE_CHECKING:
-    from foldloom.owners.zone_owner import ZoneOwner
-
-_LOOK_MS = 200
+# Milliseconds that a poll waits at the endpoint for an end. Not measured: chosen as a third of the
+# 600 ms of a lease, so that two polls may be lost before it lapses.
+_POLL_WAIT_MS = 200
+# Seconds to the next poll after one without an answer, doubled up to the maximum. Not measured:
+# chosen because an endpoint that restarts is back within a second, and should be found soon.
 _RETRY_S = 0.05
 _RETRY_MAX_S = 0.4
+# Milliseconds beyond the wait after which an unanswered call costs the endpoint new work. Not
+# measured: chosen well above a round trip in the zone (0.7 ms in a trial on the users' bench).
 SUSPECT_AFTER_MS = 80
 
 
+class LeaseTerms(NamedTuple):
+    """What the leases of one owner's term are.
+
+    Args:
+        token: The owner's fencing token.
+        lease_ms: How long a lease lasts, by the endpoint's clock.
+        lease_real_ms: How long it lasts at most while that clock is slow.
+    """
+
+    token: int
+    lease_ms: float
+    lease_real_ms: float
+
+
+class LinkOwner(Protocol):
+    """What a link reports to, and asks."""
+
+    def may_renew(self, endpoint: str, now_ms: float) -> bool:
+        """Return whether the lease of *endpoint* may be renewed."""
+
+    def handle_report(
+        self,
+        endpoint: str,
+        active: tuple[ActiveRun, ...],
+        ended: tuple[EndedRun, ...],
+        sent_ms: float,
+        now_ms: float,
+    ) -> None:
+        """Handle an endpoint's report, which was asked for at *sent_ms*."""
+
+    def note_silent(self, endpoint: str) -> None:
+        """Note that *endpoint* does not answer."""
+
+    def note_life_over(self, endpoint: str) -> None:
+        """Note that *endpoint*'s life is over for certain."""
+
+    def note_fenced(self, endpoint: str) -> None:
+        """Note that *endpoint* has seen a higher token."""
+
+
 class EndpointLink:
     """The owner's connection to one life of an endpoint.
 
     Args:
-        owner: The owner.
         record: The endpoint.
+        terms: The leases that the owner gives.
+        calls: How endpoints are called.
+        owner: Takes what the endpoint reports.
     """
 
-    def __init__(self, owner: ZoneOwner, record: EndpointRecord) -> None:
-        self._owner = owner
+    def __init__(
+        self, record: EndpointRecord, terms: LeaseTerms, calls: EndpointCalls, owner: LinkOwner
+    ) -> None:
         self.record = record
         self.clock = EndpointClock()
-        self.heard_ms = monotonic_ms()
-        self._seen = 0
+        self.answered_ms = monotonic_ms()
+        self._terms = terms
+        self._calls = calls
+        self._owner = owner
+        self._last_sequence = 0
         self._is_silent = False
         self._has_lapsed = False
 
     @property
     def is_silent(self) -> bool:
-        """Whether the newest look got no answer."""
+        """Whether the newest poll got no answer."""
         return self._is_silent
 
     def order_until(self, now_ms: float) -> int:
         """Return the end of a new lease, by the endpoint's clock; 0 while that is not known."""
         if not self.clock.is_known:
             return 0
-        return self.clock.order_until(now_ms, self._owner.lease_ms)
+        return self.clock.order_until(now_ms, self._terms.lease_ms)
 
     def has_lapsed(self, now_ms: float) -> bool:
         """Return, once for each silence, whether everything there has ended for certain."""
@@ -56,74 +117,74 @@
         if now_ms < self.clock.lapses_by() + LAPSE_MARGIN_MS:
             return False
         # What an earlier owner ordered is not known to this clock.
-        if now_ms < self.heard_ms + self._owner.lease_real_ms + LAPSE_MARGIN_MS:
+        if now_ms < self.answered_ms + self._terms.lease_real_ms + LAPSE_MARGIN_MS:
             return False
         self._has_lapsed = True
         return True
 
     async def run(self) -> None:
-        """Look again and again until the endpoint's life is over or the owner ends."""
+        """Poll again and again until the endpoint's life is over or the owner's term ends."""
         pause_s = _RETRY_S
         while True:
             sent_ms = monotonic_ms()
             order = self._next_order(sent_ms)
             is_first = not self.clock.is_known
-            reply = await self._look(order)
+            reply = await self._poll(order)
             if reply.outcome is CallOutcome.DONE:
                 pause_s = _RETRY_S
-                self._take(reply, sent_ms)
+                self._handle_reply(reply, sent_ms)
                 if not order.wait_ms and not is_first:
                     await asyncio.sleep(_RETRY_S)
                 continue
             if reply.outcome is CallOutcome.FENCED:
-                await self._owner.note_fenced(self.record.endpoint)
+                self._owner.note_fenced(self.record.endpoint)
             elif reply.outcome is CallOutcome.OTHER_LIFE:
                 self._owner.note_life_over(self.record.endpoint)
                 return
             else:
-                self._fall_silent(reply)
+                self._note_silent(reply)
             await asyncio.sleep(pause_s)
             pause_s = min(pause_s * 2, _RETRY_MAX_S)
 
-    async def _look(self, order: HoldOrder) -> HoldReply:
-        """Look once; an answer that is late already costs the endpoint its trust."""
-        doubt = asyncio.get_running_loop().call_later(
+    async def _poll(self, order: HoldOrder) -> HoldReply:
+        """Poll once; while an answer is overdue the endpoint gets no new work."""
+        suspicion = asyncio.get_running_loop().call_later(
             (order.wait_ms + SUSPECT_AFTER_MS) / 1_000,
             self._owner.note_silent,
             self.record.endpoint,
         )
         try:
-            return await self._owner.calls.hold(self.record, order)
+            return await self._calls.hold(self.record, order)
         finally:
-            doubt.cancel()
+            suspicion.cancel()
 
     def _next_order(self, now_ms: float) -> HoldOrder:
         renews = self.clock.is_known and self._owner.may_renew(self.record.endpoint, now_ms)
         until_ms = self.order_until(now_ms) if renews else 0
-        wait_ms = _LOOK_MS if renews and not self._is_silent else 0
-        return HoldOrder(self._owner.token, self._seen, until_ms, wait_ms)
+        wait_ms = _POLL_WAIT_MS if renews and not self._is_silent else 0
+        return HoldOrder(self._terms.token, self._last_sequence, until_ms, wait_ms)
 
-    def _take(self, reply: HoldReply, sent_ms: float) -> None:
+    def _handle_reply(self, reply: HoldReply, sent_ms: float) -> None:
         now_ms = monotonic_ms()
         self.clock.note(reply.clock_ms, now_ms)
-        self.heard_ms = now_ms
+        self.answered_ms = now_ms
         if self._is_silent:
             ENDPOINT_LOG.event("endpoint.answers", endpoint=self.record.endpoint)
         self._is_silent = False
         self._has_lapsed = False
-        fresh = tuple(end for end in reply.ended if end.sequence > self._seen)
+        fresh = tuple(end for end in reply.ended if end.sequence > self._last_sequence)
         if fresh:
-            self._seen = max(end.sequence for end in fresh)
-        self._owner.take_report(self.record.endpoint, reply.active, fresh, sent_ms, now_ms)
+            self._last_sequence = max(end.sequence for end in fresh)
+        self._owner.handle_report(self.record.endpoint, reply.active, fresh, sent_ms, now_ms)
 
-    def _fall_silent(self, reply: HoldReply) -> None:
+    def _note_silent(self, reply: HoldReply) -> None:
         if not self._is_silent:
             ENDPOINT_LOG.event(
                 "endpoint.silent",
                 endpoint=self.record.endpoint,
                 address=self.record.address,
                 detail=reply.detail,
-                heard_ms_ago=int(monotonic_ms() - self.heard_ms),
+                heard_ms_ago=int(monotonic_ms() - self.answered_ms),
             )
         self._is_silent = True
         self._owner.note_silent(self.record.endpoint)
--- /dev/null
+++ b/src/foldloom/owners/endpoint_links.py
@@ -0,0 +1,97 @@
+# SPDX-License-Identifier: MIT
+"""The links to all endpoints of a zone, kept in step with the catalog.
+
+Owns the links and their tasks. Relies on the catalog of endpoints and on the owner's state, which
+learns of endpoints that come, go, or have lapsed.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+from foldloom.endpoints.calls import EndpointCalls
+from foldloom.endpoints.catalog import EndpointCatalog
+from foldloom.endpoints.records import EndpointRecord
+from foldloom.logs import ENDPOINT_LOG
+from foldloom.owners.endpoint_link import EndpointLink, LeaseTerms, LinkOwner
+from foldloom.owners.state import OwnerState
+
+# Milliseconds without an answer after which an endpoint is dropped from the catalog; it reports
+# itself if it lives. Not measured: chosen as ten of the users' heartbeats (1,500 ms).
+_FORGET_SILENT_MS = 15_000.0
+
+
+class EndpointLinks:
+    """The links of one owner's term.
+
+    Args:
+        zone: The owner's zone.
+        state: The owner's state.
+        catalog: The endpoints of all zones.
+        terms: The leases that the owner gives.
+        calls: How endpoints are called.
+        owner: Takes what endpoints report.
+    """
+
+    def __init__(
+        self,
+        zone: str,
+        state: OwnerState,
+        catalog: EndpointCatalog,
+        terms: LeaseTerms,
+        calls: EndpointCalls,
+        owner: LinkOwner,
+    ) -> None:
+        self._zone = zone
+        self._state = state
+        self._catalog = catalog
+        self._terms = terms
+        self._calls = calls
+        self._owner = owner
+        self._links: dict[str, EndpointLink] = {}
+        self._tasks: dict[str, asyncio.Task[None]] = {}
+
+    def get(self, endpoint: str) -> EndpointLink | None:
+        """Return the link to *endpoint*, if it is known."""
+        return self._links.get(endpoint)
+
+    def close(self) -> None:
+        """End all tasks."""
+        for task in self._tasks.values():
+            task.cancel()
+
+    def follow_catalog(self, now_ms: float) -> None:
+        """Open links to endpoints that came, and close those to endpoints that are gone."""
+        records = {
+            record.endpoint: record for record in self._catalog.records if record.zone == self._zone
+        }
+        for endpoint, record in records.items():
+            self._state.follow_endpoint(record)
+            link = self._links.get(endpoint)
+            if link is None:
+                self._open(record)
+            else:
+                link.record = record
+        for endpoint in set(self._links) - set(records):
+            self._close(endpoint, now_ms)
+
+    def judge_silent(self, now_ms: float) -> None:
+        """Note lapsed endpoints, and forget those that have been silent for long."""
+        for endpoint, link in self._links.items():
+            if link.has_lapsed(now_ms):
+                silent_ms = int(now_ms - link.answered_ms)
+                ENDPOINT_LOG.event("endpoint.lapsed", endpoint=endpoint, silent_ms=silent_ms)
+                self._state.note_lapsed(endpoint, now_ms)
+            if link.is_silent and now_ms - link.answered_ms > _FORGET_SILENT_MS:
+                self._catalog.forget(endpoint)
+
+    def _open(self, record: EndpointRecord) -> None:
+        link = EndpointLink(record, self._terms, self._calls, self._owner)
+        self._links[record.endpoint] = link
+        self._tasks[record.endpoint] = asyncio.create_task(link.run())
+
+    def _close(self, endpoint: str, now_ms: float) -> None:
+        """Drop an endpoint that is gone; what it ran ends with it."""
+        del self._links[endpoint]
+        self._tasks.pop(endpoint).cancel()
+        self._state.drop_endpoint(endpoint, now_ms)
--- /dev/null
+++ b/src/foldloom/owners/loads.py
@@ -0,0 +1,26 @@
+# SPDX-License-Identifier: MIT
+"""How loaded the endpoints of a zone are. Owns nothing."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from foldloom.fleet.messages import ZoneLoad
+from foldloom.scheduling.endpoints import Candidate
+from foldloom.scheduling.waiting import WaitingRuns
+
+
+def zone_load(candidates: Iterable[Candidate], waiting: WaitingRuns, now_ms: float) -> ZoneLoad:
+    """Return the load of the endpoints that may be given work now.
+
+    Args:
+        candidates: All endpoints of the zone.
+        waiting: The runs that wait for room there.
+        now_ms: Own monotonic clock.
+    """
+    in_use = [one.room for one in candidates if one.is_open(now_ms)]
+    return ZoneLoad(
+        free_milli=sum(max(0, room.free.cpu_milli) for room in in_use),
+        total_milli=sum(room.capacity.cpu_milli for room in in_use),
+        queued_milli=waiting.cpu_milli,
+    )
--- /dev/null
+++ b/src/foldloom/owners/order_sender.py
@@ -0,0 +1,143 @@
+# SPDX-License-Identifier: MIT
+"""Orders to start and stop runs, sent to endpoints and logged.
+
+Owns nothing but calls in flight. Relies on the owner's state, sessions and links: whether a run is
+still wanted, and whether its endpoint's lease may be renewed, is looked at right before the call.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from foldloom.endpoints.calls import CallOutcome, CallReply, StartOrder
+from foldloom.logs import PLACE_LOG
+from foldloom.owners.actions import StartAction, StopAction
+from foldloom.owners.context import OwnerContext
+from foldloom.owners.endpoint_link import SUSPECT_AFTER_MS, LinkOwner
+from foldloom.owners.endpoint_links import EndpointLinks
+from foldloom.owners.sessions import Sessions
+from foldloom.owners.state import OwnerState
+from foldloom.peers.wire import monotonic_ms
+
+
+class OrderSender:
+    """Send the orders of one owner's term.
+
+    Args:
+        token: The owner's fencing token.
+        state: The owner's state.
+        sessions: The grants of boxes.
+        links: The links to endpoints.
+        context: The calls to endpoints, and counters.
+        owner: Says whether a lease may be renewed; is notified of a higher token.
+    """
+
+    def __init__(
+        self,
+        token: int,
+        state: OwnerState,
+        sessions: Sessions,
+        links: EndpointLinks,
+        context: OwnerContext,
+        owner: LinkOwner,
+    ) -> None:
+        self._token = token
+        self._state = state
+        self._sessions = sessions
+        self._links = links
+        self._calls = context.calls
+        self._metrics = context.metrics
+        self._owner = owner
+        self._is_closed = False
+
+    def close(self) -> None:
+        """Send nothing any more: the term is over."""
+        self._is_closed = True
+
+    async def start(self, action: StartAction, on_answer: Callable[[], None]) -> None:
+        """Send an order to start and note its answer; call *on_answer* after that."""
+        link = self._links.get(action.endpoint)
+        now_ms = monotonic_ms()
+        may_start = self._may_start(action, now_ms)
+        until_ms = 0 if link is None or not may_start else link.order_until(now_ms)
+        if link is None or until_ms == 0 or self._is_closed:
+            self._state.note_start(action.run_id, action.endpoint, CallOutcome.LATE, now_ms)
+            return
+        self._log_start(action, until_ms, now_ms)
+        self._metrics.count("runs.started")
+        order = StartOrder(action.run_id, action.text, self._token, until_ms)
+        suspicion = asyncio.get_running_loop().call_later(
+            SUSPECT_AFTER_MS / 1_000, self._state.distrust, action.endpoint
+        )
+        reply = await self._calls.start_run(link.record, order)
+        suspicion.cancel()
+        self._metrics.timing("start_call_ms", monotonic_ms() - now_ms)
+        now_ms = monotonic_ms()
+        if reply.clock_ms:
+            link.clock.note(reply.clock_ms, now_ms)
+        if reply.outcome is not CallOutcome.DONE:
+            self._log_refusal(action, reply)
+        if reply.outcome is CallOutcome.FENCED:
+            self._owner.note_fenced(action.endpoint)
+        self._state.note_start(action.run_id, action.endpoint, reply.outcome, now_ms)
+        on_answer()
+
+    async def stop(self, action: StopAction) -> None:
+        """Send an order to stop and note its answer."""
+        link = self._links.get(action.endpoint)
+        if link is None or self._is_closed:
+            return
+        PLACE_LOG.event(
+            "run.stopped",
+            job=action.run_id.task.job_id,
+            run=action.run_id.text,
+            endpoint=action.endpoint,
+            token=self._token,
+        )
+        self._metrics.count("runs.stopped")
+        reply = await self._calls.stop_run(link.record, action.run_id, self._token)
+        if reply.outcome is CallOutcome.FENCED:
+            self._owner.note_fenced(action.endpoint)
+        self._state.note_stop(action.run_id, action.endpoint, reply.outcome, monotonic_ms())
+
+    def _may_start(self, action: StartAction, now_ms: float) -> bool:
+        """Return whether a box wants the run now, and its endpoint's lease may be renewed.
+
+        Decided right before the call: after a freeze nobody may want the run any more. A start
+        renews the lease of everything on its endpoint.
+        """
+        run = self._state.run_of(action.run_id.task)
+        is_wanted = run is not None and any(
+            self._sessions.has_right(holder, now_ms) for holder in run.holders
+        )
+        return is_wanted and self._owner.may_renew(action.endpoint, now_ms)
+
+    def _log_start(self, action: StartAction, until_ms: int, now_ms: float) -> None:
+        run = self._state.run_of(action.run_id.task)
+        candidate = self._state.candidates.get(action.endpoint)
+        if run is None or candidate is None:
+            return
+        self._metrics.timing("job_age_at_start_ms", now_ms - run.spec.began_ms)
+        PLACE_LOG.event(
+            "run.placed",
+            job=action.run_id.task.job_id,
+            run=action.run_id.text,
+            endpoint=action.endpoint,
+            token=self._token,
+            until_ms=until_ms,
+            job_age_ms=int(now_ms - run.spec.began_ms),
+            speed=round(self._state.speed_of(action.endpoint), 2),
+            free_milli=candidate.room.free.cpu_milli,
+        )
+
+    def _log_refusal(self, action: StartAction, reply: CallReply) -> None:
+        PLACE_LOG.event(
+            "run.not_started",
+            job=action.run_id.task.job_id,
+            run=action.run_id.text,
+            endpoint=action.endpoint,
+            outcome=reply.outcome.value,
+            detail=reply.detail,
+        )
+        self._metrics.count(f"starts.{reply.outcome.value}")
--- a/src/foldloom/owners/state.py
+++ b/src/foldloom/owners/state.py
@@ -17,6 +17,7 @@
 from foldloom.owners.admission import Admission
 from foldloom.owners.deliveries import Deliveries
 from foldloom.owners.lifecycle import RunLifecycle
+from foldloom.owners.loads import zone_load
 from foldloom.owners.messages import EndCause, RunEnd, SubmitReply, SubmitRuns, SubmitStatus
 from foldloom.owners.orders import note_start, note_stop
 from foldloom.owners.recovery import is_lost
@@ -64,6 +65,10 @@
         """The runs that wait for room."""
         return self._lifecycle.waiting
 
+    def load(self, now_ms: float) -> ZoneLoad:
+        """Return how loaded the endpoints in use are."""
+        return zone_load(self._candidates.values(), self.waiting, now_ms)
+
     def speed_of(self, endpoint: str) -> float:
         """Return how fast *endpoint* is thought to be, relative to the middle one."""
         return self._lifecycle.speeds.speed_of(endpoint)
--- a/tests/test_owners_zone_owner.py
+++ b/tests/test_owners_zone_owner.py
@@ -11,6 +11,7 @@
 from foldloom.fleet.messages import BoxRecord, HeartbeatAck, OwnerRecord
 from foldloom.fleet.view import FleetView
 from foldloom.metrics import Metrics
+from foldloom.owners.context import OwnerContext
 from foldloom.owners.zone_owner import ZoneOwner
 from foldloom.peers.wire import monotonic_ms
 from foldloom.settings import ENTRY, TimingSettings
@@ -39,21 +40,21 @@
         view.note_box(_record(number), monotonic_ms())
     network: Any = _Network()
     calls: Any = None
-    return ZoneOwner(
-        OwnerRecord(_ZONE, _TOKEN, own.box, own.life),
-        view,
-        network,
-        calls,
-        EndpointCatalog(),
-        TimingSettings(session_ms=50),
-        Metrics(),
-        lambda: 0,
-        lambda _endpoint: None,
-        lambda: 0.0,
+    context = OwnerContext(
+        view=view,
+        network=network,
+        calls=calls,
+        catalog=EndpointCatalog(),
+        timings=TimingSettings(session_ms=50),
+        metrics=Metrics(),
+        published_version=lambda: 0,
+        catalog_age_ms=lambda: 0.0,
     )
+    record = OwnerRecord(_ZONE, _TOKEN, own.box, own.life)
+    return ZoneOwner(record, context, lambda _endpoint: None)
 
 
-def _echo(owner: ZoneOwner, number: int, heartbeat_sent_ms: float) -> None:
+def _acknowledge(owner: ZoneOwner, number: int, heartbeat_sent_ms: float) -> None:
     owner.handle_heartbeat_ack(
         _record(number).box, HeartbeatAck(_TOKEN, int(heartbeat_sent_ms), _record(number), 0)
     )
@@ -79,7 +80,7 @@
 
         async def play() -> None:
             owner = _owner(2)
-            _echo(owner, 1, monotonic_ms())
+            _acknowledge(owner, 1, monotonic_ms())
             assert owner.is_isolated
             owner.close()
 
@@ -90,9 +91,9 @@
 
         async def play() -> None:
             owner = _owner(2, 3)
-            _echo(owner, 3, monotonic_ms())
+            _acknowledge(owner, 3, monotonic_ms())
             assert not owner.is_isolated
-            _echo(owner, 2, monotonic_ms() - 100)
+            _acknowledge(owner, 2, monotonic_ms() - 100)
             await asyncio.sleep(0.06)
             assert owner.is_isolated
             owner.close()
