--- a/tests/test_scheduling_groups.py
+++ b/tests/test_scheduling_groups.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 from foldloom.jobs.spec import Demand, Placement
-from foldloom.scheduling.groups import Group
+from foldloom.scheduling.groups import LATE_FACTOR, Group
 from foldloom.scheduling.ranking import Tier, tier_of
 from foldloom.scheduling.runs import RunSpec
 
