--- a/src/foldloom/entry/job_runner.py
+++ b/src/foldloom/entry/job_runner.py
@@ -7,6 +7,8 @@
 from enum import Enum
 from typing import NamedTuple
 
+from expression import Error, Ok, Result
+
 from foldloom.jobs.queues import Queue
 from foldloom.jobs.spec import Job, Step, TaskId
 from foldloom.logs import ENTRY_LOG
@@ -21,40 +23,50 @@
     SubmitStatus,
 )
 from foldloom.peers.wire import monotonic_ms
+from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
+# Milliseconds after which a caller whose job was given up should come back. Not measured: chosen as
+# the time in which a zone without an owner gets a new one.
 _RETRY_AFTER_MS = 500
 
 
-class JobOutcome(Enum):
-    """How a job was answered."""
+class JobState(Enum):
+    """How a job ended that was carried out."""
 
     COMPLETED = "completed"
     FAILED = "failed"
-    REFUSED = "refused"
-    EXPIRED = "expired"
 
 
-class JobResult(NamedTuple):
-    """The answer to a job.
+class JobEnd(NamedTuple):
+    """The end of a job that was carried out; ``reason`` says why it failed."""
 
-    Args:
-        outcome: How it ended. ``REFUSED``: nothing of it ran anywhere.
-        reason: For the log and the caller.
-        retry_after_ms: With ``REFUSED``, when to come back.
-    """
-
-    outcome: JobOutcome
+    state: JobState
     reason: str = ""
-    retry_after_ms: int = 0
+
+
+JobResult = Result[JobEnd, Problem]
+"""How a job ended, or why it did not; the problem says whether any of it may have run."""
+
+
+def outcome_of(result: JobResult) -> str:
+    """Return the word for *result* in logs and in names of counters."""
+    if result.is_ok():
+        return result.ok.state.value
+    return "refused" if result.error.run is Run.NOT_RUN else "expired"
+
+
+def reason_of(result: JobResult) -> str:
+    """Return why a job ended so; empty if there is nothing to say."""
+    return result.ok.reason if result.is_ok() else result.error.reason
 
 
 class _Attempts:
     """One task's starts and failures."""
 
-    __slots__ = ("failures", "run")
+    __slots__ = ("attempt", "failures")
 
     def __init__(self) -> None:
-        self.run = 1
+        self.attempt = 1
         self.failures = 0
 
 
@@ -96,9 +108,9 @@
         ENTRY_LOG.event(
             "job.ended",
             job=self._job.job_id,
-            outcome=result.outcome.value,
-            reason=result.reason,
-            retry_after_ms=result.retry_after_ms,
+            outcome=outcome_of(result),
+            reason=reason_of(result),
+            retry_after_ms=0 if result.is_ok() else result.error.retry_after_ms,
             took_ms=int(monotonic_ms() - self._began_ms),
             tasks_left=sum(self._left),
         )
@@ -111,7 +123,8 @@
         except TimeoutError:
             return await self._give_up("deadline", _RETRY_AFTER_MS)
         except asyncio.CancelledError:
-            return JobResult(JobOutcome.EXPIRED, "given up")
+            # Nobody waits for the answer any more, or a planned stop has reached its bound.
+            return Error(may_have_run("given up"))
         finally:
             self._client.forget(self._job.job_id)
 
@@ -125,7 +138,7 @@
                 refusal = await self._give_up("too late", _RETRY_AFTER_MS)
             else:
                 refusal = await self._note_failed(end)
-        return refusal or JobResult(JobOutcome.COMPLETED)
+        return Ok(JobEnd(JobState.COMPLETED)) if refusal is None else refusal
 
     async def _start_ready_steps(self) -> JobResult | None:
         for number, step in enumerate(self._job.steps):
@@ -152,8 +165,8 @@
         if end.cause in (EndCause.FAILED, EndCause.REFUSED):
             attempts.failures += 1
         if attempts.failures >= self._queue.attempts_max:
-            return JobResult(JobOutcome.FAILED, f"a task failed {attempts.failures} times")
-        attempts.run = max(attempts.run, end.run_id.attempt) + 1
+            return Ok(JobEnd(JobState.FAILED, f"a task failed {attempts.failures} times"))
+        attempts.attempt = max(attempts.attempt, end.run_id.attempt) + 1
         ENTRY_LOG.event(
             "run.retried",
             job=self._job.job_id,
@@ -162,9 +175,9 @@
             cause=end.cause.label,
             failures=attempts.failures,
             failures_max=self._queue.attempts_max,
-            next_run=attempts.run,
+            next_run=attempts.attempt,
         )
-        return await self._submit(task.step, [RunOrder(task.step, task.position, attempts.run)])
+        return await self._submit(task.step, [RunOrder(task.step, task.position, attempts.attempt)])
 
     async def _submit(self, step: int, orders: list[RunOrder]) -> JobResult | None:
         reply = await self._client.submit(self._templates[step], self._began_ms, self._ends, orders)
@@ -175,8 +188,8 @@
     async def _give_up(self, reason: str, retry_after_ms: int) -> JobResult:
         """End the job; say that nothing ran only if every owner that was asked says so."""
         if await self._client.give_up(self._job.job_id):
-            return JobResult(JobOutcome.EXPIRED, reason)
-        return JobResult(JobOutcome.REFUSED, reason, retry_after_ms)
+            return Error(may_have_run(reason))
+        return Error(not_run(reason, retry_after_ms=retry_after_ms))
 
     def _template(self, step: Step) -> SubmitRuns:
         return SubmitRuns(
@@ -246,10 +259,11 @@
             result = await asyncio.shield(task)
         finally:
             self._leave(job.job_id, task)
-        self._metrics.count(f"jobs.{result.outcome.value}")
-        self._metrics.timing(f"job_ms.{result.outcome.value}", monotonic_ms() - began_ms)
-        if result.reason:
-            self._metrics.count(f"jobs.{result.outcome.value}.{result.reason.replace(' ', '_')}")
+        outcome, reason = outcome_of(result), reason_of(result)
+        self._metrics.count(f"jobs.{outcome}")
+        self._metrics.timing(f"job_ms.{outcome}", monotonic_ms() - began_ms)
+        if reason:
+            self._metrics.count(f"jobs.{outcome}.{reason.replace(' ', '_')}")
         return result
 
     def give_up_all(self) -> None:
--- a/tests/test_unchanged.py
+++ b/tests/test_unchanged.py
@@ -22,6 +22,7 @@
 
 import msgspec
 import pytest
+from expression import Error, Ok
 
 from foldloom.claims.messages import Vote
 from foldloom.cli import client as cli_client
@@ -31,12 +32,13 @@
 from foldloom.controllers.config import encode_config
 from foldloom.controllers.state import ReplicatedState
 from foldloom.endpoints.calls import CallOutcome
-from foldloom.entry.job_runner import JobOutcome
+from foldloom.entry.job_runner import JobEnd, JobState, outcome_of
 from foldloom.exposition import metrics_text
 from foldloom.fleet.cache import PublicationCache
 from foldloom.metrics import Metrics
 from foldloom.owners.messages import EndCause
 from foldloom.settings import Settings, settings_from
+from foldloom.verdicts import may_have_run, not_run
 from unchanged.describe_messages import sample
 from unchanged.recorded import check
 from unchanged.samples import INTENTS, SETTINGS
@@ -260,7 +262,11 @@
             "runs": [cause.label for cause in EndCause],
             "starts": [outcome.value for outcome in CallOutcome],
             "claims": [vote.name.lower() for vote in Vote],
-            "jobs": [outcome.value for outcome in JobOutcome],
+            "jobs": [
+                *(outcome_of(Ok(JobEnd(state))) for state in JobState),
+                outcome_of(Error(not_run("any"))),
+                outcome_of(Error(may_have_run("any"))),
+            ],
         }
         check("metric_parts", present)
 
--- a/tests/test_unchanged_platform.py
+++ b/tests/test_unchanged_platform.py
@@ -21,10 +21,10 @@
 from foldloom.controllers.state import Publication
 from foldloom.endpoints.calls import HoldOrder, StartOrder
 from foldloom.endpoints.records import EndpointRecord
-from foldloom.entry.job_runner import JobOutcome, JobResult
+from foldloom.entry.job_runner import JobEnd, JobResult, JobState
 from foldloom.jobs.spec import Demand, RunId, TaskId
 from foldloom.metrics import Metrics
-from foldloom.verdicts import not_run
+from foldloom.verdicts import may_have_run, not_run
 from local_settings import read_settings
 from operators import OperatorRoutes
 from unchanged.http_answers import answers_of
@@ -52,11 +52,11 @@
     "refused": "000000000000000c",
     "expired": "000000000000000d",
 }
-_RESULTS = {
-    _IDS["completed"]: JobResult(JobOutcome.COMPLETED),
-    _IDS["failed"]: JobResult(JobOutcome.FAILED, "a task failed"),
-    _IDS["refused"]: JobResult(JobOutcome.REFUSED, "overload", 1_200),
-    _IDS["expired"]: JobResult(JobOutcome.EXPIRED, "deadline"),
+_RESULTS: dict[str, JobResult] = {
+    _IDS["completed"]: Ok(JobEnd(JobState.COMPLETED)),
+    _IDS["failed"]: Ok(JobEnd(JobState.FAILED, "a task failed")),
+    _IDS["refused"]: Error(not_run("overload", retry_after_ms=1_200)),
+    _IDS["expired"]: Error(may_have_run("deadline")),
 }
 
 
