--- a/src/foldloom/endpoints/calls.py
+++ b/src/foldloom/endpoints/calls.py
@@ -75,18 +75,18 @@
     checkpoint: str = ""
 
 
-class HoldOrder(NamedTuple):
-    """A look at an endpoint, which may renew its lease and wait for an end.
+class PollOrder(NamedTuple):
+    """A poll of an endpoint, which may renew its lease and wait for an end.
 
     Args:
         token: The owner's fencing token.
-        seen: The number up to which ends were taken note of.
+        last_sequence: The sequence up to which ends were received.
         until_ms: The new end of the lease, by the endpoint's clock; 0 to renew nothing.
         wait_ms: How long the answer may wait for an end.
     """
 
     token: int
-    seen: int
+    last_sequence: int
     until_ms: int
     wait_ms: int
 
@@ -105,8 +105,8 @@
     detail: str = ""
 
 
-class HoldReply(NamedTuple):
-    """The answer to a look; lists are only told if ``outcome`` is ``DONE``."""
+class PollReply(NamedTuple):
+    """The answer to a poll; it lists runs and ends only if ``outcome`` is ``DONE``."""
 
     outcome: CallOutcome
     clock_ms: int = 0
@@ -124,5 +124,5 @@
     async def stop_run(self, endpoint: EndpointRecord, run_id: RunId, token: int) -> CallReply:
         """Stop a run; one that is not there yet will never start."""
 
-    async def hold(self, endpoint: EndpointRecord, order: HoldOrder) -> HoldReply:
-        """Look at what runs and what has ended, and renew the lease."""
+    async def poll(self, endpoint: EndpointRecord, order: PollOrder) -> PollReply:
+        """Return what runs and what has ended, and renew the lease."""
--- a/src/foldloom/owners/endpoint_link.py
+++ b/src/foldloom/owners/endpoint_link.py
@@ -16,8 +16,8 @@
     CallOutcome,
     EndedRun,
     EndpointCalls,
-    HoldOrder,
-    HoldReply,
+    PollOrder,
+    PollReply,
 )
 from foldloom.endpoints.records import EndpointRecord
 from foldloom.logs import ENDPOINT_LOG
@@ -147,7 +147,7 @@
             await asyncio.sleep(pause_s)
             pause_s = min(pause_s * 2, _RETRY_MAX_S)
 
-    async def _poll(self, order: HoldOrder) -> HoldReply:
+    async def _poll(self, order: PollOrder) -> PollReply:
         """Poll once; while an answer is overdue the endpoint gets no new work."""
         suspicion = asyncio.get_running_loop().call_later(
             (order.wait_ms + SUSPECT_AFTER_MS) / 1_000,
@@ -155,17 +155,17 @@
             self.record.endpoint,
         )
         try:
-            return await self._calls.hold(self.record, order)
+            return await self._calls.poll(self.record, order)
         finally:
             suspicion.cancel()
 
-    def _next_order(self, now_ms: float) -> HoldOrder:
+    def _next_order(self, now_ms: float) -> PollOrder:
         renews = self.clock.is_known and self._owner.may_renew(self.record.endpoint, now_ms)
         until_ms = self.order_until(now_ms) if renews else 0
         wait_ms = _POLL_WAIT_MS if renews and not self._is_silent else 0
-        return HoldOrder(self._terms.token, self._last_sequence, until_ms, wait_ms)
+        return PollOrder(self._terms.token, self._last_sequence, until_ms, wait_ms)
 
-    def _handle_reply(self, reply: HoldReply, sent_ms: float) -> None:
+    def _handle_reply(self, reply: PollReply, sent_ms: float) -> None:
         now_ms = monotonic_ms()
         self.clock.note(reply.clock_ms, now_ms)
         self.answered_ms = now_ms
@@ -178,7 +178,7 @@
             self._last_sequence = max(end.sequence for end in fresh)
         self._owner.handle_report(self.record.endpoint, reply.active, fresh, sent_ms, now_ms)
 
-    def _note_silent(self, reply: HoldReply) -> None:
+    def _note_silent(self, reply: PollReply) -> None:
         if not self._is_silent:
             ENDPOINT_LOG.event(
                 "endpoint.silent",
--- a/tests/test_unchanged_platform.py
+++ b/tests/test_unchanged_platform.py
@@ -19,7 +19,7 @@
 from documents import read_queues
 from endpoint_calls import HttpEndpointCalls
 from foldloom.controllers.state import Publication
-from foldloom.endpoints.calls import HoldOrder, StartOrder
+from foldloom.endpoints.calls import PollOrder, StartOrder
 from foldloom.endpoints.records import EndpointRecord
 from foldloom.entry.job_runner import JobEnd, JobResult, JobState
 from foldloom.jobs.spec import Demand, RunId, TaskId
@@ -247,7 +247,7 @@
                     endpoint.answer = answer
                     start = await calls.start_run(record, StartOrder(_RUN, "t", 7, 900, "c"))
                     stop = await calls.stop_run(record, _RUN, 7)
-                    look = await calls.hold(record, HoldOrder(7, 57, 900, 200))
+                    look = await calls.poll(record, PollOrder(7, 57, 900, 200))
                     replies.append(
                         [
                             [start.outcome.value, start.clock_ms],
@@ -256,7 +256,7 @@
                         ]
                     )
                 await calls.start_run(record, StartOrder(_RUN, "t", 7, 900))
-                await calls.hold(record, HoldOrder(7, 57, 0, 0))
+                await calls.poll(record, PollOrder(7, 57, 0, 0))
             gone = await calls.stop_run(record, _RUN, 7)
             await calls.stop()
             replies.append([gone.outcome.value])
