--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -44,6 +44,9 @@
 _CLAIMS = "tests/test_claims_faults.py::"
 _CONTROL = "tests/test_controllers_faults.py::"
 _PLACE = "tests/test_placement_faults.py::"
+_OWNER = "tests/test_owners_state.py::"
+_CLIENT = "tests/test_owners_client.py::"
+_DECISIONS = "tests/test_owners_decisions.py::"
 
 BREAKS = [
     Break(
@@ -236,6 +239,132 @@
         "        }",
         _PLACE + "TestLostManager::test_another_takes_over",
     ),
+    Break(
+        "a delivered run is looked for after a new owner",
+        "owners/deliveries.py",
+        "RunState.RECOVERING if order.is_resumed else RunState.QUEUED",
+        "RunState.QUEUED",
+        _OWNER + "TestTakeOver::test_nowhere_found_is_lost_only_after_the_lease",
+    ),
+    Break(
+        "an earlier owner's lease is waited for",
+        "owners/recovery.py",
+        "if now_ms >= bound.lost_at_ms:",
+        "if True:",
+        _DECISIONS + "TestRecovery::test_until_the_lease_has_lapsed",
+    ),
+    Break(
+        "tombstones keep late copies out",
+        "owners/tombstones.py",
+        "return 0 < delivery <= self.deliveries.get(holder, 0)",
+        "return False",
+        _OWNER + "TestHandOvers::test_a_late_copy_after_the_run_moved",
+    ),
+    Break(
+        "tombstones know of a start",
+        "owners/tombstones.py",
+        "task.job_id == job_id and known.has_started for",
+        "False for",
+        _DECISIONS + "TestTombstones::test_a_start_is_never_forgotten_early",
+    ),
+    Break(
+        "a start without an answer is stopped",
+        "owners/orders.py",
+        "lifecycle.stop(run, now_ms)",
+        "lifecycle.queue(run, now_ms)",
+        _OWNER + "TestEnds::test_unanswered_start",
+    ),
+    Break(
+        "a report from before an order says nothing of it",
+        "owners/reports.py",
+        "if max(run.since_ms, run.stop_known_ms) >= sent_ms:",
+        "if False:",
+        _DECISIONS + "TestJudgeAbsence::test_running_is_lost",
+    ),
+    Break(
+        "a stop is confirmed before the next start",
+        "owners/reports.py",
+        "if run.state is RunState.STOPPING and run.stop_known_ms:",
+        "if run.state is RunState.STOPPING:",
+        _DECISIONS + "TestJudgeAbsence::test_stopping_waits_for_the_stop",
+    ),
+    Break(
+        "no work beside orphaned runs",
+        "scheduling/endpoints.py",
+        "            and not self.orphans\n",
+        "",
+        _OWNER + "TestTakeOver::test_unclaimed_run_is_stopped",
+    ),
+    Break(
+        "an isolated owner waits",
+        "owners/zone_owner.py",
+        "return not self._sessions.has_other(own, monotonic_ms())",
+        "return False",
+        "tests/test_owners_zone_owner.py::TestIsolation::test_own_grant_does_not_count",
+    ),
+    Break(
+        "a lapsed session is announced",
+        "owners/sessions.py",
+        "is_renewed = holder in self._lapsed",
+        "is_renewed = False",
+        "tests/test_owners_sessions.py::TestLapsedRights::test_told_before_any_end",
+    ),
+    Break(
+        "a box that reaches nobody does not claim",
+        "owners/election.py",
+        "if witnesses.asked and not witnesses.answered:",
+        "if False:",
+        "tests/test_owners_election.py::TestMayClaim::test_isolated",
+    ),
+    Break(
+        "a claim waits for who still knows the owner",
+        "owners/election.py",
+        "return least_silent_ms is None or least_silent_ms >= silent_ms",
+        "return True",
+        "tests/test_owners_election.py::TestMayClaim::test_somebody_hears_the_owner",
+    ),
+    Break(
+        "tokens rise",
+        "owners/election.py",
+        "max((highest_known >> _BOX_BITS) + 1,",
+        "max(0,",
+        "tests/test_owners_election.py::TestTokens::test_above_what_is_known",
+    ),
+    Break(
+        "the longest lease ordered counts",
+        "owners/lease.py",
+        "self._until_ms = max(self._until_ms, until_ms)",
+        "self._until_ms = until_ms",
+        "tests/test_owners_lease.py::TestEndpointClock::test_remembers_the_longest_lease",
+    ),
+    Break(
+        "a job that ran at a silent owner is remembered",
+        "owners/client.py",
+        "self._maybe_started |= lost.started_jobs & self._jobs",
+        "pass",
+        _CLIENT + "TestGivingUp::test_done_at_an_owner_that_fell_silent_afterwards",
+    ),
+    Break(
+        "a new owner's word covers its own term only",
+        "owners/connection.py",
+        "batch.has_started = True",
+        "pass",
+        _CLIENT + "TestGivingUp::test_a_new_owner_knows_nothing_of_the_one_before",
+    ),
+    Break(
+        "a cancel without a reply is no proof",
+        "owners/connection.py",
+        "                continue\n        return True",
+        "                continue\n        return has_started",
+        _CLIENT + "TestGivingUp::test_no_answer",
+    ),
+    Break(
+        "a full disk is opened again",
+        "controllers/controller.py",
+        "await self._reopen()",
+        "pass",
+        "tests/test_boxes_controllers.py::TestFullDisk",
+    ),
 ]
 
 
@@ -252,7 +381,9 @@
             return {**broken._asdict(), "result": "text not found"}
         path.write_text(text.replace(broken.old, broken.new), encoding="utf-8")
         environment = {**os.environ, "PYTHONPATH": str(copy / "src")}
-        command = [sys.executable, "-m", "pytest", "-x", "-p", "no:cacheprovider", broken.test]
+        # In one process: with several, a run that -x cuts short exits with 2, like a usage error.
+        options = ["-x", "-n", "0", "-p", "no:cacheprovider"]
+        command = [sys.executable, "-m", "pytest", *options, broken.test]
         done = subprocess.run(
             command, cwd=copy, env=environment, capture_output=True, timeout=_TIMEOUT_S, check=False
         )
