--- a/src/foldloom/box.py
+++ b/src/foldloom/box.py
@@ -5,7 +5,6 @@
 
 import asyncio
 import itertools
-from collections.abc import Coroutine
 from typing import Any
 
 from foldloom.claims.acquire import ClaimAcquirer
@@ -39,6 +38,7 @@
 from foldloom.placement.shards import Managers
 from foldloom.placement.slots import DirectSlots, LeasedSlots, SlotSource
 from foldloom.settings import CONTROLLER, ENTRY, Settings
+from foldloom.tasks import TaskSet
 
 _FOLLOW_S = 0.1
 _MANAGERS_KEPT_MS = 50.0
@@ -61,7 +61,7 @@
         self._is_confirmed_current = False
         self._successor = ""
         self._managers = Managers(self._serving_zones, _MANAGERS_KEPT_MS)
-        self._tasks: list[asyncio.Task[Any]] = []
+        self._tasks = TaskSet()
         self._metrics = Metrics(settings.statsd)
         self._network = PeerNetwork(settings, new_incarnation(), self._metrics)
         initial = _initial_config(settings)
@@ -125,13 +125,15 @@
         await self._adapter.start()
         await self._http.start()
         await self._metrics_server.start()
-        self._spawn(self._membership.run())
-        self._spawn(self._platform.run())
-        self._spawn(self._follow_inputs())
-        self._spawn(self._confirm_current())
+        self._tasks.spawn(self._membership.run())
+        self._tasks.spawn(self._platform.run())
+        self._tasks.spawn(self._follow_inputs())
+        self._tasks.spawn(self._confirm_current())
         if self._controller is not None:
-            self._spawn(self._controller.run())
-            self._spawn(BoxListKeeper(self._settings, self._controller, self._membership).run())
+            self._tasks.spawn(self._controller.run())
+            self._tasks.spawn(
+                BoxListKeeper(self._settings, self._controller, self._membership).run()
+            )
         ENTRY_LOG.info("Box {} is up, life {}.", self._settings.box, self._network.incarnation)
 
     async def stop(self) -> None:
@@ -143,9 +145,7 @@
             await self._drain(self._coordinator)
         await self._http.stop()
         await self._metrics_server.stop()
-        for task in self._tasks:
-            task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
+        await self._tasks.stop()
         if self._controller is not None:
             await self._controller.stop()
         await self._adapter.stop()
@@ -188,15 +188,15 @@
         self._claims = ClaimService(
             settings.box, network, table, self._recovery, self._box_list, self._metrics
         )
-        self._spawn(self._recovery.run())
-        self._spawn(self._claims.run())
+        self._tasks.spawn(self._recovery.run())
+        self._tasks.spawn(self._claims.run())
         self._jobs = JobTable(
             settings.retention_ms,
             limits.retained_jobs_max,
             limits.retained_bytes_max,
             self._metrics,
         )
-        self._spawn(self._expire_jobs())
+        self._tasks.spawn(self._expire_jobs())
         self._follower = Follower(settings, network, self._membership, self._jobs)
         context = RunContext(
             f"{settings.box}-{network.incarnation:x}",
@@ -226,7 +226,7 @@
         policy = POLICIES[self._settings.policy]
         if not isinstance(policy, SlotLeases):
             reports = UsageReports(self._adapter, lambda: self._holder.config)
-            self._spawn(reports.run())
+            self._tasks.spawn(reports.run())
             return DirectSlots(policy, self._usable_endpoints, lambda: reports.running)
         self._leases = LeaseManager(
             self._settings,
@@ -237,7 +237,7 @@
             self._proves_life,
             self._membership.is_live,
         )
-        self._spawn(self._leases.run())
+        self._tasks.spawn(self._leases.run())
         self._leased_slots = LeasedSlots(
             self._settings,
             self._network,
@@ -246,7 +246,7 @@
             self._manager_of,
             self._shard_loads,
         )
-        self._spawn(self._leased_slots.run())
+        self._tasks.spawn(self._leased_slots.run())
         return self._leased_slots
 
     def _describe(self) -> Heartbeat:
@@ -347,9 +347,6 @@
             await asyncio.sleep(_EXPIRE_S)
             self._jobs.expire()
 
-    def _spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
-        self._tasks.append(asyncio.ensure_future(coroutine))
-
 
 def _initial_config(settings: Settings) -> Config:
     """Return version 0 as every box works it out from its settings."""
--- a/src/foldloom/boxes/controller.py
+++ b/src/foldloom/boxes/controller.py
@@ -3,10 +3,7 @@
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Coroutine
 from pathlib import Path
-from typing import Any
 
 from expression import Result
 
@@ -30,6 +27,7 @@
 from foldloom.metrics_server import MetricsServer
 from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import CONTROLLER, Settings
+from foldloom.tasks import TaskSet
 from foldloom.verdicts import Problem
 
 
@@ -68,7 +66,7 @@
         self._joiner = Joiner(
             self._network, self._view, self._holder, EndpointCatalog(), settings.timings.join_ms
         )
-        self._tasks: set[asyncio.Task[Any]] = set()
+        self._tasks = TaskSet()
 
     @property
     def metrics(self) -> Metrics:
@@ -94,9 +92,9 @@
         """Start every part."""
         await self._network.start()
         await self._metrics_server.start()
-        self._spawn(self._controller.run())
-        self._spawn(self._registry.run())
-        self._spawn(self._joiner.run())
+        self._tasks.spawn(self._controller.run())
+        self._tasks.spawn(self._registry.run())
+        self._tasks.spawn(self._joiner.run())
         CONTROLLER_LOG.event(
             "process.up", role=CONTROLLER, zone=self._view.own.zone, at=self._settings.box
         )
@@ -134,9 +132,7 @@
 
     async def kill(self) -> None:
         """End every part without a word to the others."""
-        for task in self._tasks:
-            task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
+        await self._tasks.stop()
         await self._controller.stop()
         await self._network.stop()
         await self._metrics_server.stop()
@@ -151,11 +147,6 @@
     def _on_publication(self, publication: Publication) -> None:
         self._registry.push(publication)
 
-    def _spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
-        task = asyncio.get_running_loop().create_task(coroutine)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
-
 
 def _format_if_new(folder: str, is_founder: bool) -> None:
     """Make a data folder at a first start; later an empty one is lost memory."""
--- a/src/foldloom/boxes/entry.py
+++ b/src/foldloom/boxes/entry.py
@@ -4,8 +4,7 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Coroutine
-from typing import Any
+from collections.abc import Callable
 
 from foldloom.controllers.state import Publication
 from foldloom.endpoints.calls import EndpointCalls
@@ -28,6 +27,7 @@
 from foldloom.owners.zone_owner import ZoneOwner
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
 from foldloom.settings import ENTRY, Settings
+from foldloom.tasks import TaskSet
 
 # Milliseconds without any owner's heartbeat after which the box is not ready. Not measured: chosen
 # as three times what a zone without an owner took to get one on loopback (444 to 527 ms).
@@ -73,7 +73,7 @@
         )
         OwnerDispatch(self._network, self._view, lambda: self._elector.owner)
         self._is_configured = asyncio.Event()
-        self._tasks: set[asyncio.Task[Any]] = set()
+        self._tasks = TaskSet()
 
     @property
     def queues(self) -> QueueTable | None:
@@ -96,9 +96,9 @@
         """Start every part."""
         await self._network.start()
         await self._metrics_server.start()
-        self._spawn(self._joiner.run())
-        self._spawn(self._elector.run())
-        self._spawn(self._client.run())
+        self._tasks.spawn(self._joiner.run())
+        self._tasks.spawn(self._elector.run())
+        self._tasks.spawn(self._client.run())
         ENTRY_LOG.event("process.up", role=ENTRY, zone=self._view.own.zone, at=self._settings.box)
 
     async def run_job(self, job: Job, queue: Queue, timeout_ms: float) -> JobResult:
@@ -143,9 +143,7 @@
     async def stop(self) -> None:
         """End every part."""
         self._elector.close()
-        for task in self._tasks:
-            task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
+        await self._tasks.stop()
         await self._network.stop()
         await self._metrics_server.stop()
         ENTRY_LOG.event("process.stopped", role=ENTRY)
@@ -157,7 +155,9 @@
     def _on_heartbeat(self, heartbeat: OwnerHeartbeat) -> None:
         self._client.handle_heartbeat(heartbeat, self._holder.version)
         if heartbeat.published_version > self._holder.version:
-            self._spawn(self._holder.catch_up(heartbeat.owner.box, heartbeat.published_version))
+            self._tasks.spawn(
+                self._holder.catch_up(heartbeat.owner.box, heartbeat.published_version)
+            )
 
     def _make_owner(self, record: OwnerRecord) -> ZoneOwner:
         context = OwnerContext(
@@ -171,8 +171,3 @@
             catalog_age_ms=lambda: monotonic_ms() - self._started_ms,
         )
         return ZoneOwner(record, context, self._elector.note_fenced)
-
-    def _spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
-        task = asyncio.get_running_loop().create_task(coroutine)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -9,8 +9,7 @@
 
 import asyncio
 import random
-from collections.abc import Callable, Coroutine
-from typing import Any
+from collections.abc import Callable
 
 from foldloom.controllers.config import Config
 from foldloom.controllers.election import Elections
@@ -42,6 +41,7 @@
 from foldloom.metrics import Metrics
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
 from foldloom.settings import Settings
+from foldloom.tasks import TaskSet
 
 _SNAPSHOT_ENTRIES = 200
 _SNAPSHOT_LOG_BYTES = 8 * 1024 * 1024
@@ -107,7 +107,7 @@
         self._is_failed = False
         self._leader_contact_ms = monotonic_ms()
         self.turn = asyncio.Lock()
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._tasks = TaskSet()
         self._is_compacting = False
         self._begin_with(*open_storage(settings))
         self._elections = Elections(self)
@@ -223,7 +223,7 @@
 
     async def run(self) -> None:
         """Hold elections when no leader is heard, and ask to be counted, until cancelled."""
-        self._spawn(self._ask_readmission())
+        self._tasks.spawn(self._ask_readmission())
         while True:
             if self._is_failed:
                 await asyncio.sleep(_REOPEN_INTERVAL_S)
@@ -243,9 +243,7 @@
     async def stop(self) -> None:
         """End all tasks and close the storage."""
         self.step_down()
-        for task in list(self._tasks):
-            task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
+        await self._tasks.stop()
         self._storage.close()
 
     async def hand_over(self) -> str:
@@ -321,7 +319,7 @@
     def notice_term(self, term: int) -> None:
         """Take over a newer *term* that a peer told of, in a task of its own."""
         if term > self.log.term:
-            self._spawn(self._meet_term_in_turn(term))
+            self._tasks.spawn(self._meet_term_in_turn(term))
 
     async def _meet_term_in_turn(self, term: int) -> None:
         async with self.turn:
@@ -355,7 +353,7 @@
             self._on_publication(self._state.publication)
         if self._is_snapshot_due and not self._is_compacting:
             self._is_compacting = True
-            self._spawn(self._compact())
+            self._tasks.spawn(self._compact())
 
     def first_payload(self) -> bytes:
         """Return what a leader begins its term with: nothing, unless the system is new."""
@@ -532,8 +530,3 @@
             asked = [self._leader] if self._leader and is_heard else self._contacts()
             for box in asked:
                 self.network.send(box, Readmit(self.storage_id))
-
-    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(coroutine)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
--- a/src/foldloom/controllers/holder.py
+++ b/src/foldloom/controllers/holder.py
@@ -3,7 +3,6 @@
 
 from __future__ import annotations
 
-import asyncio
 from collections.abc import Sequence
 from pathlib import Path
 
@@ -16,6 +15,7 @@
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.logs import CONFIG_LOG
 from foldloom.peers.wire import PeerNetwork
+from foldloom.tasks import TaskSet
 
 _CACHE_NAME = "config-in-force"
 _PULL_TIMEOUT_MS = 1_000
@@ -36,7 +36,7 @@
         self._cache = Path(cache_folder) / _CACHE_NAME if cache_folder else None
         self._change_sets: list[ChangeSet] = []
         self._is_pulling = False
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._tasks = TaskSet()
         self._read_cache()
         network.on(ConfigPull, self._on_pull)
 
@@ -62,9 +62,7 @@
         if version <= self._config.version or self._is_pulling:
             return
         self._is_pulling = True
-        task = asyncio.get_running_loop().create_task(self._pull(box))
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
+        self._tasks.spawn(self._pull(box))
 
     async def _pull(self, box: str) -> None:
         have = self._config.version
--- a/src/foldloom/entry/coordinator.py
+++ b/src/foldloom/entry/coordinator.py
@@ -27,6 +27,7 @@
 from foldloom.metrics import Metrics
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
 from foldloom.settings import Settings
+from foldloom.tasks import TaskSet
 from foldloom.verdicts import Problem, Verdict, may_have_run, not_run
 
 _CLAIM_TRIES = 4
@@ -72,7 +73,7 @@
         self._context = context
         self._metrics = metrics
         self._is_stopping = is_stopping
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._tasks = TaskSet()
 
     async def submit(self, submission: str, request: JobRequest) -> Response:
         """Return the one response of *submission*; the same call again gets the same one."""
@@ -84,9 +85,7 @@
             ENTRY_LOG.info("Job {} is known here: attach.", submission)
         else:
             job = self._jobs.start(submission, request.digest)
-            task = asyncio.create_task(self._serve(job, request))
-            self._tasks.add(task)
-            task.add_done_callback(self._tasks.discard)
+            self._tasks.spawn(self._serve(job, request))
         await job.wait_finished()
         assert job.response is not None
         return job.response
@@ -113,8 +112,7 @@
 
     async def finish_all(self) -> None:
         """Return when no job of this box is open."""
-        while self._tasks:
-            await asyncio.wait(list(self._tasks))
+        await self._tasks.wait()
 
     async def _look_up(self, submission: str) -> tuple[list[Claim], bool]:
         """Return the claims that the replicas hold, and whether a majority was asked."""
--- a/src/foldloom/fleet/registry.py
+++ b/src/foldloom/fleet/registry.py
@@ -9,8 +9,8 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Coroutine
-from typing import Any, NamedTuple
+from collections.abc import Callable
+from typing import NamedTuple
 
 from foldloom.controllers.state import Publication
 from foldloom.endpoints.catalog import EndpointCatalog
@@ -31,6 +31,7 @@
 from foldloom.logs import ENDPOINT_LOG, PEER_LOG
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
 from foldloom.settings import CONTROLLER, ENTRY
+from foldloom.tasks import TaskSet
 
 # Milliseconds since its last join after which a box gets no news. Not measured: chosen as six joins
 # (250 ms), so that a lost one does not matter.
@@ -82,7 +83,7 @@
         self._catalog = EndpointCatalog()
         self._joined: dict[str, _Joined] = {}
         self._owners: dict[str, _KnownOwner] = {}
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._tasks = TaskSet()
         network.on(Join, self._on_join)
         network.on(OwnerHeartbeat, self._on_owner_heartbeat)
         network.on(OwnerQuery, self._on_owner_query)
@@ -111,7 +112,7 @@
     def push(self, publication: Publication) -> None:
         """Send a newer publication to every live entry box at once."""
         for record in self._live_entries():
-            self._spawn(self._notify(record.box, Published(publication)))
+            self._tasks.spawn(self._notify(record.box, Published(publication)))
 
     async def note_endpoint(self, record: EndpointRecord) -> None:
         """Take an endpoint's heartbeat; what it changes is known in its zone when this returns.
@@ -152,7 +153,7 @@
         # A ready endpoint may wait for the next join; a leaving one must not be given work.
         if record.state is EndpointState.READY:
             for notification in notifications:
-                self._spawn(notification)
+                self._tasks.spawn(notification)
             return
         await asyncio.gather(*notifications)
 
@@ -207,8 +208,3 @@
         if known is None:
             return OwnerAnswer(OwnerRecord(query.zone), -1)
         return OwnerAnswer(known.owner, int(monotonic_ms() - known.received_ms))
-
-    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(coroutine)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
--- a/src/foldloom/owners/client.py
+++ b/src/foldloom/owners/client.py
@@ -9,8 +9,6 @@
 
 import asyncio
 import itertools
-from collections.abc import Coroutine
-from typing import Any
 
 from foldloom.fleet.messages import OwnerHeartbeat
 from foldloom.fleet.view import FleetView
@@ -31,6 +29,7 @@
 )
 from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import TimingSettings
+from foldloom.tasks import TaskSet
 
 # Seconds between two looks for owners that fell silent. Not measured: chosen small against the
 # 1.2 s of silence after which their work has ended.
@@ -58,7 +57,7 @@
         self._jobs: set[str] = set()
         self._maybe_started: set[str] = set()
         self._connections: dict[str, OwnerConnection] = {view.own.zone: self._home}
-        self._tasks: set[asyncio.Task[Any]] = set()
+        self._tasks = TaskSet()
         network.on(RunsEnded, self._on_ends)
         network.on(SessionBegan, self._on_session)
 
@@ -133,7 +132,7 @@
         self._jobs.discard(job_id)
         is_open = any(connection.batches_of(job_id) for connection in self._connections.values())
         if is_open or job_id in self._maybe_started:
-            self._spawn(self._forget(job_id))
+            self._tasks.spawn(self._forget(job_id))
 
     async def _forget(self, job_id: str) -> None:
         await self.give_up(job_id)
@@ -186,7 +185,7 @@
             if order is None:
                 continue
             if end.cause is EndCause.MOVED:
-                self._spawn(self._move(batch, order, end.moved_to))
+                self._tasks.spawn(self._move(batch, order, end.moved_to))
             else:
                 batch.ends.put_nowait(end)
             return
@@ -211,8 +210,3 @@
         )
         target = self._batch(connection, batch.template, batch.began_ms, batch.ends)
         await connection.submit(target, [moved])
-
-    def _spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
-        task = asyncio.get_running_loop().create_task(coroutine)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
--- a/src/foldloom/owners/connection.py
+++ b/src/foldloom/owners/connection.py
@@ -4,8 +4,8 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Coroutine, Iterator
-from typing import Any, NamedTuple
+from collections.abc import Iterator
+from typing import NamedTuple
 
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.fleet.messages import HeartbeatAck, OwnerHeartbeat, OwnerRecord, ZoneLoad
@@ -22,6 +22,7 @@
 )
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
 from foldloom.settings import TimingSettings
+from foldloom.tasks import TaskSet
 
 # Milliseconds until a message without a reply is sent again. Not measured: chosen far above a round
 # trip between zones (1.4 ms in a trial on the users' bench).
@@ -87,7 +88,7 @@
         self._heartbeat_ms = -1e12
         self._batches: dict[str, list[Batch]] = {}
         self._has_owner = asyncio.Event()
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._tasks = TaskSet()
 
     @property
     def owner(self) -> OwnerRecord:
@@ -174,7 +175,7 @@
                     continue
                 orders = self._numbered(orders)
                 batch.add(orders)
-                self._spawn(self._send_again(batch, orders, 0.0))
+                self._tasks.spawn(self._send_again(batch, orders, 0.0))
 
     def _numbered(self, orders: list[RunOrder]) -> list[RunOrder]:
         delivery = next(self._deliveries)
@@ -190,7 +191,7 @@
                 batch.add(orders)
                 # The new owner does not know what the one before has started.
                 batch.has_started = True
-                self._spawn(self._send_again(batch, orders, old_right_ms))
+                self._tasks.spawn(self._send_again(batch, orders, old_right_ms))
 
     async def _send_again(self, batch: Batch, orders: list[RunOrder], right_ms: float) -> None:
         reply = await self._send(batch, orders, right_ms)
@@ -230,8 +231,3 @@
             if reply.status is not SubmitStatus.NOT_OWNER:
                 return reply
             await asyncio.sleep(_NOT_OWNER_PAUSE_S)
-
-    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(coroutine)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
--- a/src/foldloom/owners/zone_owner.py
+++ b/src/foldloom/owners/zone_owner.py
@@ -9,8 +9,7 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Coroutine
-from typing import Any
+from collections.abc import Callable
 
 from foldloom.endpoints.calls import ActiveRun, EndedRun
 from foldloom.fleet.messages import HeartbeatAck, OwnerHeartbeat, OwnerRecord, ZoneLoad
@@ -37,6 +36,7 @@
 from foldloom.owners.state import OwnerState
 from foldloom.peers.wire import monotonic_ms
 from foldloom.scheduling.runs import HolderId
+from foldloom.tasks import TaskSet
 
 # Seconds between two ticks. Not measured: chosen as a fifth of the 100 ms after which the
 # shortest of the bounds that a tick watches (STOP_OVERDUE_MS) has passed.
@@ -82,7 +82,7 @@
         self._heartbeats = HeartbeatSender(
             record, context, lambda: self.load, lambda: self._offers.other_owners
         )
-        self._tasks: set[asyncio.Task[Any]] = set()
+        self._tasks = TaskSet()
         self._is_closed = False
 
     @property
@@ -115,9 +115,9 @@
 
     def start(self) -> None:
         """Poll every endpoint and begin to send heartbeats."""
-        self._spawn(self._heartbeats.run())
-        self._spawn(self._tick())
-        self._spawn(self._offers.run())
+        self._tasks.spawn(self._heartbeats.run())
+        self._tasks.spawn(self._tick())
+        self._tasks.spawn(self._offers.run())
 
     def close(self) -> None:
         """End all tasks; whoever owns the zone next adopts what runs."""
@@ -125,8 +125,7 @@
         self._sessions.close()
         self._orders.close()
         self._links.close()
-        for task in list(self._tasks):
-            task.cancel()
+        self._tasks.cancel()
 
     def submit(self, sender: str, message: SubmitRuns) -> SubmitReply:
         """Handle a delivery of runs by *sender*."""
@@ -246,7 +245,7 @@
                 self._links.judge_silent(now_ms)
             self._state.tick(now_ms)
             for stop in self._state.stops_to_repeat(now_ms - _STOP_REPEAT_MS, now_ms):
-                self._spawn(self._orders.stop(stop))
+                self._tasks.spawn(self._orders.stop(stop))
             self._act()
             await asyncio.sleep(_TICK_S)
 
@@ -266,11 +265,11 @@
             return
         self._state.place(monotonic_ms())
         for stop in self._state.actions.pop_stops():
-            self._spawn(self._orders.stop(stop))
+            self._tasks.spawn(self._orders.stop(stop))
         for start in self._state.actions.pop_starts():
-            self._spawn(self._orders.start(start, self._act))
+            self._tasks.spawn(self._orders.start(start, self._act))
         for steal in self._state.actions.pop_steals():
-            self._spawn(self._offers.steal(steal))
+            self._tasks.spawn(self._offers.steal(steal))
         for action in self._state.actions.pop_notifications():
             self._log_end(action)
             self._sessions.queue_end(action.holder, action.end)
@@ -292,8 +291,3 @@
             token=self.token,
             holder=action.holder.box,
         )
-
-    def _spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
-        task = asyncio.get_running_loop().create_task(coroutine)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -36,6 +36,7 @@
     kind_of,
 )
 from foldloom.settings import PeerSettings, Settings, is_address
+from foldloom.tasks import TaskSet
 
 _HIGH_WATER_MARK = 1_000
 _OUTBOX_MAX = 20_000
@@ -85,7 +86,7 @@
         self._lives: Lives = FreshLives() if self._is_open else OrderedLives()
         self._senders: dict[str, asyncio.Task[None]] = {}
         self._next_id = 0
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._tasks = TaskSet()
         self._authenticator: AsyncioAuthenticator | None = None
         self._secret_key = b""
 
@@ -145,10 +146,10 @@
         router.setsockopt(zmq.ROUTER_HANDOVER, 1)
         self._secure_server(router)
         router.bind(f"tcp://{self._settings.listen}")
-        self._spawn(self._receive(router))
+        self._tasks.spawn(self._receive(router))
         self._is_started = True
         for peer in self._peers.values():
-            self._senders[peer.box] = self._spawn(self._send_to(peer))
+            self._senders[peer.box] = self._tasks.spawn(self._send_to(peer))
 
     def add_peer(self, box: str) -> None:
         """Connect to a box of an open network, whose name is its address (``IP:port``)."""
@@ -159,7 +160,7 @@
         self._outboxes[box] = []
         self._wakeups[box] = asyncio.Event()
         if self._is_started:
-            self._senders[box] = self._spawn(self._send_to(peer))
+            self._senders[box] = self._tasks.spawn(self._send_to(peer))
 
     def drop_peer(self, box: str) -> None:
         """Close the connection to a box of an open network that is gone."""
@@ -172,9 +173,7 @@
 
     async def stop(self) -> None:
         """End the tasks and close the sockets."""
-        for task in list(self._tasks):
-            task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
+        await self._tasks.stop()
         if self._authenticator is not None:
             self._authenticator.stop()
         self._context.destroy(linger=0)
@@ -213,7 +212,7 @@
     def _dispatch_own(self, message: object) -> None:
         reply = self._handlers[type(message)](self._settings.box, message)
         if inspect.isawaitable(reply):
-            self._spawn(_wait(reply))
+            self._tasks.spawn(_wait(reply))
 
     def _enqueue(
         self, box: str, message: object, request_id: int, reply_to: int, ttl_ms: int
@@ -351,7 +350,7 @@
             return
         reply = handler(sender, message)
         if inspect.isawaitable(reply):
-            self._spawn(self._reply_later(sender, frame, reply))
+            self._tasks.spawn(self._reply_later(sender, frame, reply))
             return
         self._reply(sender, frame, reply)
 
@@ -366,12 +365,6 @@
             return
         self._enqueue(sender, reply, 0, frame.id, frame.ttl_ms)
 
-    def _spawn(self, coroutine: Any) -> asyncio.Task[None]:
-        task: asyncio.Task[None] = asyncio.get_running_loop().create_task(coroutine)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
-        return task
-
     def _start_authenticator(self) -> None:
         self._secret_key = read_secret_key(self._settings.secret_key_file)
         allowed = set(self._key_owner)
--- a/src/foldloom/placement/lease_manager.py
+++ b/src/foldloom/placement/lease_manager.py
@@ -6,8 +6,7 @@
 import asyncio
 import itertools
 import random
-from collections.abc import Awaitable, Callable, Coroutine
-from typing import Any
+from collections.abc import Awaitable, Callable
 
 from foldloom.controllers.config import Config
 from foldloom.logs import PLACE_LOG
@@ -24,6 +23,7 @@
 from foldloom.placement.shard import Shard
 from foldloom.placement.shards import may_take, shard_names
 from foldloom.settings import Settings
+from foldloom.tasks import TaskSet
 
 _TICK_S = 0.1
 _SETTLE_MS = 300
@@ -64,7 +64,7 @@
         self._shards: dict[str, Shard] = {}
         self._settled_ms: dict[str, float] = {}
         self._shard_of_endpoint: dict[str, str] = {}
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._tasks = TaskSet()
         # A random start keeps ids of different lease managers apart.
         self._lease_ids = itertools.count(random.getrandbits(_LEASE_ID_BITS))
         network.on(SlotRequest, self._on_request)
@@ -115,7 +115,7 @@
                 shard.drop_lost(self._is_live)
                 for endpoint in shard.to_prove(now_ms):
                     shard.note_dead(endpoint, now_ms)
-                    self._spawn(self._prove(shard, endpoint))
+                    self._tasks.spawn(self._prove(shard, endpoint))
                 self._hand_out(name, shard)
                 self._metrics.gauge(f"leases.{name}", shard.lease_count)
                 self._metrics.gauge(f"queue.{name}", shard.queued)
@@ -182,8 +182,3 @@
             self._network.send(grant.coordinator, grant.message, _GRANT_TTL_MS)
         for event in shard.take_events():
             PLACE_LOG.info("{}", event)
-
-    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(coroutine)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
