--- a/src/foldloom/owners/deliveries.py
+++ b/src/foldloom/owners/deliveries.py
@@ -62,7 +62,7 @@
         self._cancelled_ms[holder, job_id] = now_ms
         has_started = self._lifecycle.tombstones.has_started(job_id)
         for run in self._lifecycle.of_job(job_id):
-            has_started = has_started or run.was_ordered or run.state is not RunState.QUEUED
+            has_started = has_started or run.may_have_started or run.state is not RunState.QUEUED
             self._lifecycle.release_holder(holder, run, now_ms)
         return has_started
 
@@ -107,6 +107,8 @@
         run = Run(task, attempt, spec, state, now_ms)
         run.holders[holder] = order.delivery
         run.recovery_bound = bound
+        # An earlier run of the task that its box was not notified of counts as well.
+        run.may_have_started = tombstone is not None and tombstone.has_started
         self._lifecycle.add(run)
         # Also a run that no earlier owner is said to know may be there: its box has died.
         is_adopted = adopt_orphan(self._lifecycle, self._candidates, run, now_ms)
--- a/src/foldloom/owners/lifecycle.py
+++ b/src/foldloom/owners/lifecycle.py
@@ -122,6 +122,9 @@
             return
         if run.state in (RunState.QUEUED, RunState.RECOVERING):
             self._drop(run)
+            if run.may_have_started:
+                # Its box may deliver it again, and must be able to learn of the start.
+                self.tombstones.add(run, now_ms)
             return
         if run.state is not RunState.STOPPING:
             self.stop(run, now_ms)
--- a/src/foldloom/owners/state.py
+++ b/src/foldloom/owners/state.py
@@ -121,7 +121,9 @@
         # The last ones first: the first ones are the next to start here.
         leaving = list(group.waiting.values())[-runs:]
         for run in leaving:
-            end = RunEnd(run.run_id, EndCause.MOVED, moved_to=zone, has_started=run.was_ordered)
+            end = RunEnd(
+                run.run_id, EndCause.MOVED, moved_to=zone, has_started=run.may_have_started
+            )
             self._lifecycle.retire(run, end, now_ms)
         return len(leaving)
 
@@ -239,7 +241,7 @@
             if tier_of(group, now_ms) is not Tier.UNATTAINABLE:
                 continue
             for run in list(group.waiting.values()):
-                end = RunEnd(run.run_id, EndCause.UNATTAINABLE, has_started=run.was_ordered)
+                end = RunEnd(run.run_id, EndCause.UNATTAINABLE, has_started=run.may_have_started)
                 self._lifecycle.retire(run, end, now_ms)
 
     def _judge_stragglers(self, now_ms: float) -> None:
--- a/src/foldloom/owners/tombstones.py
+++ b/src/foldloom/owners/tombstones.py
@@ -71,7 +71,7 @@
         """Remember a run that is known no more."""
         before = self._by_task.pop(run.task, None)
         deliveries = {} if before is None else before.deliveries
-        has_started = run.was_ordered or (before is not None and before.has_started)
+        has_started = run.may_have_started or (before is not None and before.has_started)
         self._by_task[run.task] = Tombstone(
             run.attempt, now_ms, None, has_started, deliveries | run.holders
         )
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -271,6 +271,54 @@
         state.note_start(first.run_id, "w1", CallOutcome.NO_ROOM, 2.0)
         assert state.cancel(_E1, _JOB, 3.0)
 
+    def _delivered_again_after_a_run(self) -> OwnerState:
+        """Return an owner at which a run is done whose box had lost its session meanwhile."""
+        state = owner_with(endpoint("w1", 7_000))
+        spec = submission(objective=Objective(0, 1.6, 60, 0), deadline_ms=1_500)
+        state.submit(_E1, spec, 10.0)
+        state.place(10.0)
+        action = state.actions.pop_starts()[0]
+        state.note_start(action.run_id, action.endpoint, CallOutcome.DONE, 11.0)
+        state.end_session(_E1, 50.0)
+        state.report("w1", (), (EndedRun(1, action.run_id, EndKind.DONE),), 60.0, 61.0)
+        order = RunOrder(0, 0, 1, is_moved=True, delivery=2)
+        state.submit(_E1, spec._replace(orders=[order]), 70.0)
+        return state
+
+    def test_unattainable_after_a_run_that_was_not_told(self) -> None:
+        """What is delivered again after a lapsed session may have run before.
+
+        Seen on the bench: scale-1 --seed 183801466777 of Sahulat, REFUSED at 7.363 s.
+        """
+        state = self._delivered_again_after_a_run()
+        state.tick(2_000.0)
+        assert [(end.cause, end.has_started) for _, end in ends_of(state)] == [
+            (EndCause.UNATTAINABLE, True)
+        ]
+
+    def test_moved_after_a_run_that_was_not_told(self) -> None:
+        """The same, given away to another zone's owner."""
+        state = self._delivered_again_after_a_run()
+        assert state.give_away(GroupId(_JOB, 0, 0), 1, "b", 80.0) == 1
+        assert [end.has_started for _, end in ends_of(state)] == [True]
+
+    def test_dropped_while_it_waits_after_a_start(self) -> None:
+        """A run that waits again after a start is dropped with its session: the start counts."""
+        state = owner_with(endpoint("w1"))
+        spec = submission(objective=Objective(0, 1.6, 60, 0), deadline_ms=1_500)
+        state.submit(_E1, spec, 1.0)
+        state.place(1.0)
+        first = state.actions.pop_starts()[0]
+        state.note_start(first.run_id, "w1", CallOutcome.UNKNOWN, 251.0)
+        state.note_lapsed("w1", 900.0)
+        state.end_session(_E1, 950.0)
+        order = RunOrder(0, 0, 1, is_moved=True, delivery=2)
+        state.submit(_E1, spec._replace(orders=[order]), 960.0)
+        state.tick(2_500.0)
+        assert [(end.cause, end.has_started) for _, end in ends_of(state)] == [
+            (EndCause.UNATTAINABLE, True)
+        ]
+
 
 class TestHolders:
     """Who wants a run, and what happens when nobody does."""
