--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -157,9 +157,9 @@
         ),
         Row(
             "entry: lease manager",
-            "workers of a shard",
+            "endpoints of a shard",
             SHARD_ENDPOINTS,
-            "workers",
+            "endpoints",
             math.inf,
             "setting",
             "shards of a zone by hash",
@@ -242,7 +242,7 @@
             slopes["change_snapshot_bytes"].at(800) / 1e6,
             "MB",
             MEMORY_BOUND_MB,
-            "measured at 1,700 workers and 480 teams",
+            "measured at 1,700 endpoints and 480 teams",
             "whole state in one record",
         ),
         Row(
