--- a/src/foldloom/settings.py
+++ b/src/foldloom/settings.py
@@ -34,13 +34,22 @@
 class HttpSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Where callers and operators reach this box, and the bounds on what they send."""
 
+    # IP address to listen on.
     host: str
+    # Port to listen on.
     port: Port
+    # Certificate chain in PEM; with the key, HTTP is served over TLS.
     tls_certificate_file: str = ""
+    # Its private key in PEM.
     tls_key_file: str = ""
+    # Bytes of a request's body; larger ones get 413. Not measured.
     body_max_bytes: PositiveInt = 8 * 1024 * 1024
+    # Milliseconds for the first request head of a connection. Not measured.
     header_timeout_ms: PositiveInt = 10_000
+    # Milliseconds for a body; slower ones get 408. Not measured.
     body_timeout_ms: PositiveInt = 30_000
+    # Connections at a time; more are closed at once. Not measured: chosen below the 4,096
+    # descriptors of the users' boxes.
     connections_max: PositiveInt = 2_000
 
 
@@ -51,70 +60,122 @@
     and ignored: nothing reads it any more, but files that hold it must still load.
     """
 
+    # The box's name.
     box: Name
+    # Its availability zone.
     zone: Name
+    # `entry`, `controller` or both.
     roles: list[str]
+    # `IP:port` of its peer socket, as seen from this box.
     address: str
+    # Accepted and ignored.
     http_url: str = ""
+    # Its CURVE key, Z85; required off loopback.
     public_key: str = ""
 
 
 class LimitSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Bounds on jobs, queues, retries and what is kept in memory."""
 
+    # Tasks of a job; more get 413. Not measured: chosen above the 1,700 of the size to design for.
     tasks_per_job_max: PositiveInt = 2_000
+    # Jobs that run on a box at a time. Not measured.
     jobs_in_flight_max: PositiveInt = 4_000
+    # Tasks that wait at one lease manager. Not measured.
     queued_tasks_max: PositiveInt = 4_000
+    # The same of one customer. Not measured.
     queued_tasks_per_customer_max: PositiveInt = msgspec.field(
         default=4_000, name="queued_tasks_per_member_max"
     )
+    # Connections to one endpoint: what the users' endpoints take.
     connections_per_endpoint: PositiveInt = msgspec.field(default=64, name="connections_per_worker")
+    # Bytes of a task's answer. Not measured.
     answer_max_bytes: PositiveInt = 1024 * 1024
+    # Answers that are kept for resubmissions. Not measured.
     retained_jobs_max: PositiveInt = 200_000
+    # Bytes of these answers. Not measured.
     retained_bytes_max: PositiveInt = 256 * 1024 * 1024
+    # Claims that a replica holds; at some 280 bytes each (docs/CAPACITY.md).
     claims_max: PositiveInt = 1_000_000
+    # Share of recent starts that may be retries, so that a failing zone makes no storm. Not
+    # measured.
     retry_share: Share = 0.1
+    # Share of a shard's endpoints that may be left out as sick at a time. Not measured: chosen as
+    # one of three.
     ejected_share_max: Share = 0.34
+    # Endpoints above which a zone's slots are shared between lease managers. Not measured.
     lease_shard_endpoints: PositiveInt = msgspec.field(default=64, name="lease_shard_workers")
 
 
 class TimingSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Intervals and time-outs, all in milliseconds."""
 
+    # Between two heartbeats to each box. Not measured: chosen so that several may be lost before a
+    # box counts as silent.
     heartbeat_ms: PositiveInt = 250
+    # Silence after which a box counts as gone. Derived: four heartbeats.
     peer_silent_ms: PositiveInt = 1_000
+    # A job's deadline if it names none.
     deadline_default_ms: PositiveInt = 30_000
+    # The longest deadline; longer ones are cut to it.
     deadline_max_ms: PositiveInt = 60_000
+    # For how long after its deadline a submission is remembered.
     resubmission_window_ms: PositiveInt = 120_000
+    # For all votes of a claim. Not measured: chosen far above a round trip between zones.
     claim_timeout_ms: PositiveInt = 300
+    # Until the third replica is asked as well. Not measured: chosen above the usual vote, which
+    # takes some milliseconds under load.
     claim_hedge_ms: PositiveInt = 15
+    # A slot's lease without a renewal. Not measured.
     lease_ttl_ms: PositiveInt = 2_000
+    # Silence of the leader after which a controller stands; drawn up to twice that. Not measured:
+    # chosen far above a sync of the users' disks (9 ms) and a round trip.
     election_timeout_ms: PositiveInt = 600
+    # Added to each sync, to stand for a slower disk in benchmarks.
     sync_delay_ms: NonNegativeInt = 0
+    # Bound of a planned stop. Derived: above the longest deadline.
     stop_timeout_ms: PositiveInt = 70_000
+    # Between two polls of the platform's list of boxes.
     platform_poll_ms: PositiveInt = 500
+    # For how long a sick endpoint is left out before it is probed. Not measured.
     ejection_ms: PositiveInt = 2_000
+    # Between two joins of each controller (seed discovery). Not measured.
     join_ms: PositiveInt = 250
+    # Between two heartbeats of a zone's owner. Not measured.
     owner_heartbeat_ms: PositiveInt = msgspec.field(default=100, name="owner_beat_ms")
+    # Silence after which an owner is replaced. Derived: four of its heartbeats; on loopback a zone
+    # was without an owner for 444 to 527 ms.
     owner_silent_ms: PositiveInt = 400
+    # For how long an acknowledged heartbeat lets an owner run a box's tasks. Derived: as an owner's
+    # silence, so that a new owner need not wait for the old one's right.
     session_ms: PositiveInt = 400
+    # Lease of what runs on an endpoint. Not measured: chosen so that two polls (200 ms) may be
+    # lost.
     endpoint_lease_ms: PositiveInt = msgspec.field(default=600, name="worker_lease_ms")
+    # From a planned stop to the end of new connections. Derived: above the two seconds after which
+    # the users' balancer leaves a box that is not ready.
     drain_ms: PositiveInt = 2_500
 
 
 class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Where log lines go: a file, or standard output if ``file`` is empty."""
 
+    # The least level that is written.
     level: str = "INFO"
+    # `text` or `json`.
     format: str = "text"
+    # A file; standard output if empty.
     file: str = ""
 
 
 class StatsdSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The statsd server; no metrics are sent while ``host`` is empty."""
 
+    # The statsd server; empty sends nothing.
     host: str = ""
+    # Its port.
     port: Port = 8125
+    # In front of every name.
     prefix: str = "foldloom"
 
 
@@ -127,24 +188,43 @@
     .. versionadded:: 0.1.0
     """
 
+    # This box's name; with seeds its listen address.
     box: Name
+    # Its availability zone.
     zone: Name
+    # `entry`, `controller` or both.
     roles: list[str]
+    # Where callers and operators reach this box.
     http: HttpSettings
+    # `IP:port` of the peer socket.
     listen: str
+    # All boxes, this one included; or none, with seeds.
     peers: list[PeerSettings] = []
+    # `IP:port` of some controllers, through which the others are found.
     seeds: list[str] = []
+    # Must be true to run with seeds, which know no keys, off the loopback address.
     plaintext_peers: bool = False
+    # A controller's data folder; on other boxes where the configuration is cached.
     data_folder: str = ""
+    # This box's CURVE key; required off loopback with peers.
     secret_key_file: str = ""
+    # Bearer tokens of operators, one a line; without it no operator is let in.
     operator_tokens_file: str = ""
+    # Certificates that endpoints over HTTPS are checked against.
     endpoint_ca_file: str = msgspec.field(default="", name="worker_ca_file")
+    # Where the platform lists boxes that are leaving; empty for none.
     platform_url: str = ""
+    # `IP:port` where metrics are served as text; empty serves none.
     metrics_address: str = ""
+    # How slots are chosen; all but `slot-leases` are baselines to measure against.
     policy: str = "slot-leases"
+    # Bounds on jobs, queues, retries and memory.
     limits: LimitSettings = LimitSettings()
+    # Intervals and time-outs.
     timings: TimingSettings = TimingSettings()
+    # Where log lines go.
     logs: LogSettings = LogSettings()
+    # Where metrics are sent.
     statsd: StatsdSettings = StatsdSettings()
 
     @property
