--- a/benchmarks/bare.py
+++ b/benchmarks/bare.py
@@ -8,20 +8,17 @@
 
 import asyncio
 import json
-import tempfile
 import time
-from pathlib import Path
 from typing import Any
 
 import aiohttp
 import uvloop
-from rig import Cluster, cpu_seconds, start_load
+from rig import cpu_seconds, running_cluster, save_figures, start_load
 
 _IN_FLIGHT = 256
 _POSTS = 12_000
 _SECONDS = 6
 _TASKS = 64
-_OUT = Path(__file__).parent / "bare.json"
 
 
 async def _bare(urls: list[str]) -> dict[str, float]:
@@ -45,9 +42,8 @@
 
 def main() -> None:
     """Measure both, twice, interleaved."""
-    folder = Path(tempfile.mkdtemp(prefix="foldloom-bare-"))
     rows: list[dict[str, Any]] = []
-    with Cluster(folder, zones="a", controllers=1, endpoints_per_zone=8) as cluster:
+    with running_cluster(zones="a", controllers=1, endpoints_per_zone=8) as cluster:
         urls = [f"http://127.0.0.1:{spec.port}" for spec in cluster.endpoints]
         pid = cluster.processes["a1"].pid
         for round_number in range(2):
@@ -80,7 +76,7 @@
                     }
                 )
                 print(json.dumps(rows[-1]), flush=True)
-    _OUT.write_text(json.dumps(rows, indent=1) + "\n", encoding="utf-8")
+    save_figures(__file__, rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -10,14 +10,13 @@
 import argparse
 import itertools
 import json
-import tempfile
 import time
 import tracemalloc
 from pathlib import Path
 from typing import Any
 
 from capacity_tables import write_tables
-from rig import Cluster, cpu_seconds, resident_bytes, start_load
+from rig import Cluster, cpu_seconds, resident_bytes, running_cluster, start_load
 
 from foldloom.claims.messages import Claim
 from foldloom.claims.table import ClaimTable
@@ -184,8 +183,7 @@
         "idle_rss_mb_by_boxes": [],
     }
     for per_zone in (1, 2, 4, 6):
-        folder = Path(tempfile.mkdtemp(prefix="foldloom-capacity-"))
-        with Cluster(folder, boxes_per_zone=per_zone) as cluster:
+        with running_cluster(boxes_per_zone=per_zone) as cluster:
             time.sleep(1.5)
             box = cluster.boxes[-1]
             pid = cluster.processes[box].pid
@@ -209,8 +207,7 @@
     """Return processor seconds a second of all boxes by task rate, for single-task jobs."""
     rows: dict[str, list[list[float]]] = {"cpu_by_single_task_jobs": [], "cpu_by_batched_tasks": []}
     for key, tasks in (("cpu_by_single_task_jobs", 1), ("cpu_by_batched_tasks", 64)):
-        folder = Path(tempfile.mkdtemp(prefix="foldloom-capacity-"))
-        with Cluster(folder, boxes_per_zone=1, endpoints_per_zone=8) as cluster:
+        with running_cluster(boxes_per_zone=1, endpoints_per_zone=8) as cluster:
             for rate in (100, 200, 300, 400):
                 rows[key].append([rate, _cpu_at(cluster, rate, tasks)])
     return rows
@@ -232,8 +229,7 @@
 def jobs_in_flight() -> dict[str, list[list[float]]]:
     """Return memory of a coordinator by tasks in flight, and the time of one large job."""
     memory, large = [], []
-    folder = Path(tempfile.mkdtemp(prefix="foldloom-capacity-"))
-    with Cluster(folder, zones="a", controllers=1, endpoints_per_zone=8) as cluster:
+    with running_cluster(zones="a", controllers=1, endpoints_per_zone=8) as cluster:
         pid = cluster.processes["a1"].pid
         for tasks in (64, 256, 1_024, 1_700):
             cpu = cpu_seconds(pid)
--- a/benchmarks/claim_delay.py
+++ b/benchmarks/claim_delay.py
@@ -9,13 +9,10 @@
 
 import json
 import socket
-import tempfile
 import threading
-from pathlib import Path
 
-from rig import SCENARIOS, make_cluster, start_load
+from rig import SCENARIOS, running_scenario, save_figures, start_load
 
-_OUT = Path(__file__).parent / "claim_delay.json"
 _TIMER = "foldloom.claim_ms:"
 _SECONDS = 8
 
@@ -39,9 +36,8 @@
     overrides = {"statsd": {"host": "127.0.0.1", "port": listener.getsockname()[1]}}
     times: list[float] = []
     threading.Thread(target=_collect, args=(listener, times), daemon=True).start()
-    folder = Path(tempfile.mkdtemp(prefix="foldloom-claim-"))
     rows = []
-    with make_cluster(folder, SCENARIOS["sahulat"], overrides) as cluster:
+    with running_scenario(SCENARIOS["sahulat"], overrides=overrides) as cluster:
         for rate in (10, 100, 350):
             times.clear()
             load = start_load(cluster, jobs_per_second=rate, seconds=_SECONDS)
@@ -57,7 +53,7 @@
             )
             print(json.dumps(rows[-1]), flush=True)
     listener.close()
-    _OUT.write_text(json.dumps(rows, indent=1) + "\n", encoding="utf-8")
+    save_figures(__file__, rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/confirm.py
+++ b/benchmarks/confirm.py
@@ -7,15 +7,13 @@
 
 from __future__ import annotations
 
-import json
 import statistics
 import sys
-import tempfile
 import time
 from pathlib import Path
 from typing import Any
 
-from rig import Cluster, cpu_seconds
+from rig import Cluster, cpu_seconds, running_cluster, save_figures
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
@@ -23,7 +21,6 @@
 from proxy import FaultProxy  # noqa: E402
 
 _CHANGES = 500
-_OUT = Path(__file__).parent / "confirm.json"
 
 
 def _confirm(cluster: Cluster, box: str, number: int) -> tuple[float, int]:
@@ -45,11 +42,10 @@
 def main() -> None:
     """Measure."""
     proxy = FaultProxy()
-    folder = Path(tempfile.mkdtemp(prefix="foldloom-confirm-"))
     overrides = {"timings": {"sync_delay_ms": 5}}
     figures: dict[str, Any] = {}
-    with Cluster(
-        folder, boxes_per_zone=3, overrides=overrides, address_of=proxy.address_of
+    with running_cluster(
+        boxes_per_zone=3, overrides=overrides, address_of=proxy.address_of
     ) as cluster:
         leader = next(
             b for b in cluster.controllers if cluster.status(b)["controller"]["leader"] == b
@@ -84,8 +80,7 @@
         cluster.wait_version(version)
         figures["restart_of_all_s"] = time.monotonic() - began
     proxy.close()
-    _OUT.write_text(json.dumps(figures, indent=1) + "\n", encoding="utf-8")
-    print(json.dumps(figures, indent=1))
+    save_figures(__file__, figures)
 
 
 if __name__ == "__main__":
--- a/benchmarks/drain.py
+++ b/benchmarks/drain.py
@@ -8,26 +8,21 @@
 
 from __future__ import annotations
 
-import json
-import tempfile
 import time
-from pathlib import Path
 
-from rig import SCENARIOS, make_cluster, start_load
+from rig import SCENARIOS, running_scenario, save_figures, start_load
 
 from cluster import http
 
-_OUT = Path(__file__).parent / "drain.json"
 _SECONDS = 18
 
 
 def main() -> None:
     """Measure."""
     scenario = SCENARIOS["sahulat"]
-    folder = Path(tempfile.mkdtemp(prefix="foldloom-drain-"))
     sent = {}
     rows = []
-    with make_cluster(folder, scenario, {}) as cluster:
+    with running_scenario(scenario) as cluster:
         rate = scenario.tasks_per_second * 0.6
         load = start_load(cluster, jobs_per_second=rate, seconds=_SECONDS)
         time.sleep(6)
@@ -44,8 +39,7 @@
                 rows.append(
                     {"worker": spec.name, "last_start_after_s": round(last, 3), "starts": starts}
                 )
-    _OUT.write_text(json.dumps(rows, indent=1) + "\n", encoding="utf-8")
-    print(json.dumps(rows))
+    save_figures(__file__, rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -10,14 +10,13 @@
 import json
 import signal
 import sys
-import tempfile
 import time
 from collections import Counter
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
-from rig import SCENARIOS, Cluster, start_load
+from rig import SCENARIOS, Cluster, running_cluster, save_figures, start_load
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 
@@ -26,7 +25,6 @@
 _FAULT_S = 4.0
 _HEAL_S = 8.0
 _SECONDS = 13
-_OUT = Path(__file__).parent / "faults.json"
 
 Act = Callable[[Cluster, FaultProxy], None]
 
@@ -64,11 +62,9 @@
     """Run one fault and return its figures."""
     act, heal = FAULTS[name]
     proxy = FaultProxy()
-    folder = Path(tempfile.mkdtemp(prefix="foldloom-faults-"))
     scenario = SCENARIOS["sahulat"]
     try:
-        with Cluster(
-            folder,
+        with running_cluster(
             boxes_per_zone=3,
             endpoints_per_zone=8,
             slow_every=3,
@@ -76,7 +72,7 @@
         ) as cluster:
             rate = scenario.tasks_per_second * 0.6
             start_load(cluster, jobs_per_second=rate, seconds=5).communicate(timeout=60)
-            file = folder / "samples"
+            file = cluster.folder / "samples"
             load = start_load(
                 cluster,
                 jobs_per_second=rate,
@@ -126,7 +122,7 @@
     for name in sys.argv[1:] or FAULTS:
         rows.append(run(name))
         print(json.dumps(rows[-1]), flush=True)
-    _OUT.write_text(json.dumps(rows, indent=1) + "\n", encoding="utf-8")
+    save_figures(__file__, rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -8,24 +8,20 @@
 from __future__ import annotations
 
 import json
-import tempfile
 import time
 from collections import Counter
-from pathlib import Path
 
-from rig import SCENARIOS, make_cluster, start_load
+from rig import SCENARIOS, running_scenario, save_figures, start_load
 
 _SECONDS = 12
-_OUT = Path(__file__).parent / "flood.json"
 _OFFERS = {"calm": 0.4, "flood": 1.6}
 
 
 def main() -> None:
     """Measure."""
     scenario = SCENARIOS["kestrelwood"]
-    folder = Path(tempfile.mkdtemp(prefix="foldloom-flood-"))
     figures = {}
-    with make_cluster(folder, scenario, {}) as cluster:
+    with running_scenario(scenario) as cluster:
         members = [{"kind": "member", "name": name, "quota": 1} for name in _OFFERS]
         cluster.wait_version(cluster.confirm(members))
         loads = {}
@@ -38,13 +34,15 @@
                 deadline_ms=5_000,
                 members=name,
                 seed=seed,
-                samples=folder / name,
+                samples=cluster.folder / name,
                 prefix=name,
             )
         time.sleep(_SECONDS)
         for name, load in loads.items():
             load.communicate(timeout=120)
-            samples = [json.loads(line) for line in (folder / name).read_text().splitlines()]
+            samples = [
+                json.loads(line) for line in (cluster.folder / name).read_text().splitlines()
+            ]
             ratios = sorted(one[1] / one[2] for one in samples if one[3] == "complete")
             figures[name] = {
                 "offered_share_of_slots": _OFFERS[name],
@@ -53,8 +51,7 @@
                 "response_over_ideal_p50": round(ratios[len(ratios) // 2], 2),
                 "response_over_ideal_p99": round(ratios[int(len(ratios) * 0.99)], 2),
             }
-    _OUT.write_text(json.dumps(figures, indent=1) + "\n", encoding="utf-8")
-    print(json.dumps(figures, indent=1))
+    save_figures(__file__, figures)
 
 
 if __name__ == "__main__":
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -10,11 +10,10 @@
 
 import argparse
 import json
-import tempfile
 from pathlib import Path
 from typing import Any
 
-from rig import SCENARIOS, BoxCost, Scenario, box_cost, make_cluster, start_load
+from rig import SCENARIOS, BoxCost, Scenario, box_cost, running_scenario, start_load
 
 from foldloom.cli.load import LoadOptions, LoadReport, Sample
 
@@ -33,9 +32,8 @@
     """Return one row for each policy and point (tasks a job, share of all slots)."""
     rows = []
     for policy in policies:
-        folder = Path(tempfile.mkdtemp(prefix="foldloom-bench-"))
-        with make_cluster(
-            folder, scenario, {"policy": policy, "logs": {"level": "INFO"}}
+        with running_scenario(
+            scenario, overrides={"policy": policy, "logs": {"level": "INFO"}}
         ) as cluster:
             _run(cluster, scenario, 1, 0.5, seed, 6)
             for tasks, share in points:
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -3,9 +3,13 @@
 
 from __future__ import annotations
 
+import json
 import os
 import subprocess
 import sys
+import tempfile
+from collections.abc import Iterator
+from contextlib import contextmanager
 from pathlib import Path
 from typing import Any, NamedTuple
 
@@ -58,15 +62,33 @@
     counts: dict[str, int]
 
 
-def make_cluster(folder: Path, scenario: Scenario, overrides: dict[str, Any]) -> Cluster:
-    """Return the scenario's cluster, not started."""
-    return Cluster(
-        folder,
+@contextmanager
+def running_cluster(**options: Any) -> Iterator[Cluster]:
+    """Run a cluster in a folder that is removed afterwards; *options* are those of Cluster."""
+    with (
+        tempfile.TemporaryDirectory(prefix="foldloom-bench-") as folder,
+        Cluster(Path(folder), **options) as cluster,
+    ):
+        yield cluster
+
+
+@contextmanager
+def running_scenario(scenario: Scenario, **options: Any) -> Iterator[Cluster]:
+    """Run the scenario's cluster; *options* are further ones of Cluster."""
+    with running_cluster(
         boxes_per_zone=scenario.boxes_per_zone,
         endpoints_per_zone=scenario.endpoints_per_zone,
         slow_every=3,
-        overrides=overrides,
-    )
+        **options,
+    ) as cluster:
+        yield cluster
+
+
+def save_figures(script: str, figures: Any) -> None:
+    """Write *figures* beside *script*, with the ending ``.json``, and print them."""
+    text = json.dumps(figures, indent=1)
+    Path(script).with_suffix(".json").write_text(text + "\n", encoding="utf-8")
+    print(text)
 
 
 def box_cost(cluster: Cluster, boxes: list[str] | None = None) -> BoxCost:
