--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -80,7 +80,7 @@
     Break(
         "a vote dies with its voter's memory",
         "claims/votes.py",
-        "return max(known_life(box), *told, 0)",
+        "return max(known_life(box), *known_by_voters, 0)",
         "return 0",
         "tests/test_claims.py::TestVotes::test_vote_dies_with_its_voters_memory",
     ),
--- a/src/foldloom/box.py
+++ b/src/foldloom/box.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""One box: its parts put together, started, stopped as planned."""
+"""One box of the own interface: its parts are made, started, and stopped as planned.
+
+Owns the parts and their tasks. Boxes with seed discovery are in :mod:`foldloom.boxes`.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/boxes/__init__.py
+++ b/src/foldloom/boxes/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""The boxes of an open network, put together."""
+"""The boxes of the path with seed discovery: an entry box, a controller."""
--- a/src/foldloom/boxes/controller.py
+++ b/src/foldloom/boxes/controller.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A controller of an open network: it keeps what is published and hears the endpoints."""
+"""A controller with seed discovery: it keeps what is published and collects endpoints' reports."""
 
 from __future__ import annotations
 
@@ -110,15 +110,15 @@
         return await self._publisher.newest(timeout_ms)
 
     async def note_endpoint(self, record: EndpointRecord) -> None:
-        """Take an endpoint's heartbeat."""
+        """Note an endpoint's report."""
         await self._registry.note_endpoint(record)
 
     async def note_gone(self, endpoint: str) -> None:
-        """Take an endpoint's farewell."""
+        """Note that an endpoint has left."""
         await self._registry.note_gone(endpoint)
 
     def follow_seeds(self, seeds: list[str]) -> None:
-        """Take new seeds from reloaded settings."""
+        """Use new seeds from reloaded settings."""
         self._view.set_seeds(seeds)
         CONFIG_LOG.event("seeds.followed", seeds=", ".join(seeds))
 
--- a/src/foldloom/boxes/entry.py
+++ b/src/foldloom/boxes/entry.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""An entry box of an open network: it takes jobs, and may own its zone's endpoints."""
+"""An entry box with seed discovery: it takes jobs, and may own its zone's endpoints."""
 
 from __future__ import annotations
 
@@ -116,7 +116,7 @@
         return self._queues
 
     def follow_seeds(self, seeds: list[str]) -> None:
-        """Take new seeds from reloaded settings."""
+        """Use new seeds from reloaded settings."""
         self._view.set_seeds(seeds)
         CONFIG_LOG.event("seeds.followed", seeds=", ".join(seeds))
 
--- a/src/foldloom/claims/acquire.py
+++ b/src/foldloom/claims/acquire.py
@@ -100,7 +100,7 @@
                 self._network.send(box, message)
 
     def release_held(self, submission: str, claim: Claim) -> None:
-        """Tell the replicas that *claim*'s own coordinator said it is withdrawn."""
+        """Notify the replicas that *claim*'s own coordinator said it is withdrawn."""
         message = ReleaseHeld(submission, claim.coordinator, claim.incarnation, claim.attempt)
         for box in self._service.replicas_of(submission).boxes:
             self._network.send(box, message)
--- a/src/foldloom/claims/votes.py
+++ b/src/foldloom/claims/votes.py
@@ -33,5 +33,5 @@
 
 
 def _newest_life(box: str, granted: dict[str, ClaimReply], known_life: Callable[[str], int]) -> int:
-    told = [reply.known.get(box, 0) for other, reply in granted.items() if other != box]
-    return max(known_life(box), *told, 0)
+    known_by_voters = [reply.known.get(box, 0) for other, reply in granted.items() if other != box]
+    return max(known_life(box), *known_by_voters, 0)
--- a/src/foldloom/cli/explain.py
+++ b/src/foldloom/cli/explain.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The life of one request, put together from the logs of several boxes."""
+"""The life of one request, collected from the logs of several boxes."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
     @property
     def text(self) -> str:
         """The event on one line."""
-        told = " ".join(f"{key}={value}" for key, value in self.fields.items() if value != "")
-        return f"{self.time}  {self.box:24s} {self.event:18s} {told}"
+        shown = " ".join(f"{key}={value}" for key, value in self.fields.items() if value != "")
+        return f"{self.time}  {self.box:24s} {self.event:18s} {shown}"
 
 
 class Life(NamedTuple):
@@ -93,7 +93,7 @@
         return Life(job, [], "", "no log tells of it")
     first, last = own[0].time, own[-1].time
     boxes = {line.box for line in own}
-    told = [
+    shown = [
         line
         for line in every
         if line in own or (line.event in _BELIEFS and line.box in boxes)
@@ -101,12 +101,12 @@
     ]
     ended = [line for line in own if line.event == _ENDED]
     outcome = "" if not ended else str(ended[-1].fields.get("outcome", ""))
-    return Life(str(own[0].fields["job"]), told, outcome, _cause(own, ended))
+    return Life(str(own[0].fields["job"]), shown, outcome, _cause(own, ended))
 
 
 def life_text(life: Life) -> str:
     """Return a life as a person reads it."""
-    told = [
+    shown = [
         Line(
             line.time,
             line.box,
@@ -115,7 +115,7 @@
         ).text
         for line in life.lines
     ]
-    return "\n".join([*told, f"outcome: {life.outcome or 'unknown'}", f"cause: {life.cause}"])
+    return "\n".join([*shown, f"outcome: {life.outcome or 'unknown'}", f"cause: {life.cause}"])
 
 
 def _cause(own: list[Line], ended: list[Line]) -> str:
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -126,7 +126,7 @@
         network.on(Readmit, self._on_readmit)
 
     def _begin_with(self, storage: LogStorage, log: ReplicatedLog) -> None:
-        """Take what the data folder holds; nothing is known to be committed but its snapshot."""
+        """Begin with what the data folder holds; only its snapshot is known to be committed."""
         self._storage, self.log = storage, log
         self._state = ReplicatedState(self._initial)
         self._table_key = None
@@ -163,7 +163,7 @@
 
     @property
     def leader_silent_ms(self) -> float:
-        """How long no leader was heard."""
+        """Milliseconds since a leader was last in contact."""
         return monotonic_ms() - self._leader_contact_ms
 
     @property
@@ -230,7 +230,7 @@
         return bool(storage_id) and expected == storage_id
 
     async def run(self) -> None:
-        """Hold elections when no leader is heard, and ask to be counted, until cancelled."""
+        """Stand for election when the leader is silent, and ask to be counted, until cancelled."""
         self._tasks.spawn(self._ask_readmission())
         while True:
             if self._is_failed:
@@ -270,10 +270,10 @@
         return successor
 
     def fail(self, error: OSError) -> None:
-        """Take no part until the data folder could be opened again.
+        """Take no part until the data folder can be opened again.
 
-        After a failed write it is not known what is on disk, so nothing may be told that relies
-        on it: no vote, no acknowledgement of entries.
+        After a failed write it is not known what is on disk, so nothing may be answered that
+        relies on it: no vote, no acknowledgement of entries.
         """
         CONTROLLER_LOG.error("The disk failed: {}. No vote until it takes writes again.", error)
         self._is_failed = True
@@ -282,7 +282,7 @@
     async def _reopen(self) -> None:
         """Begin again with what is on disk, as after a restart, if the disk takes writes.
 
-        Nothing that the failed write was about has been told to anyone, so it does not matter
+        Nothing that the failed write was about has been answered to anyone, so it does not matter
         whether it is on disk. All that is read back is written and synced anew first: after a
         failed sync, what can be read need not be on the disk.
         """
@@ -325,7 +325,7 @@
         leadership.stop()
 
     def notice_term(self, term: int) -> None:
-        """Take over a newer *term* that a peer told of, in a task of its own."""
+        """Adopt a newer *term* that a peer is in, in a task of its own."""
         if term > self.log.term:
             self._tasks.spawn(self._meet_term_in_turn(term))
 
@@ -492,7 +492,7 @@
             return self._append_reply(True, message.snapshot.last_index)
 
     async def _accept_leader(self, sender: str, term: int) -> bool:
-        """Return whether *sender* leads in *term*; note that it was heard."""
+        """Return whether *sender* leads in *term*; note the contact."""
         if self._is_failed or term < self.log.term:
             return False
         if term > self.log.term:
@@ -527,15 +527,15 @@
             self._leadership.admit(sender, message.storage_id)
 
     async def _ask_readmission(self) -> None:
-        """While this controller is not counted, or hears no leader, ask to be taken in.
+        """While this controller is not counted, or its leader is silent, ask to be counted.
 
         One that was replaced while it was away counts itself still; only its silence tells.
         """
         while True:
             await asyncio.sleep(_READMIT_INTERVAL_S)
-            is_heard = self.leader_silent_ms < _REPLACED_AFTER_TIMEOUTS * self.election_timeout_ms
-            if self._is_failed or self.is_leading or (self.may_vote and is_heard):
+            has_leader = self.leader_silent_ms < _REPLACED_AFTER_TIMEOUTS * self.election_timeout_ms
+            if self._is_failed or self.is_leading or (self.may_vote and has_leader):
                 continue
-            asked = [self._leader] if self._leader and is_heard else self._contacts()
+            asked = [self._leader] if self._leader and has_leader else self._contacts()
             for box in asked:
                 self.network.send(box, Readmit(self.storage_id))
--- a/src/foldloom/controllers/election.py
+++ b/src/foldloom/controllers/election.py
@@ -31,15 +31,15 @@
         if not await self._gather_votes(self._controller.log.term + 1, True, is_handover):
             return
         async with self._controller.turn:
-            is_heard = self._controller.leader_silent_ms < self._controller.election_timeout_ms
-            if is_heard and not is_handover:
+            has_leader = self._controller.leader_silent_ms < self._controller.election_timeout_ms
+            if has_leader and not is_handover:
                 return
             term = self._controller.log.term + 1
             await self._controller.log.save_term_vote(term, self._controller.box)
         self._controller.forget_leader()
         CONTROLLER_LOG.info("Stand for election in term {}.", term)
         is_won = await self._gather_votes(term, False, is_handover)
-        # A leader of this very term may have been heard meanwhile: then this one must not lead.
+        # A leader of this very term may have made contact meanwhile: then this one must not lead.
         if is_won and self._controller.log.term == term and not self._controller.leader:
             CONTROLLER_LOG.info("Lead in term {}.", term)
             self._controller.lead()
@@ -91,8 +91,8 @@
 
     async def _judge_vote(self, sender: str, request: RequestVote) -> bool:
         """Return whether *sender* gets the vote; a real vote is durable by then."""
-        is_heard = self._controller.leader_silent_ms < self._controller.election_timeout_ms
-        if self._controller.is_leading or (is_heard and not request.is_handover):
+        has_leader = self._controller.leader_silent_ms < self._controller.election_timeout_ms
+        if self._controller.is_leading or (has_leader and not request.is_handover):
             return False
         is_recent = (request.last_term, request.last_index) >= (
             self._controller.log.last_term,
--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -34,14 +34,14 @@
     Args:
         next_index: The next entry to send.
         match_index: The durable index on which both agree.
-        heard_ms: When the newest append that it answered was sent; own monotonic clock.
+        answered_ms: When the newest append that it answered was sent; own monotonic clock.
         storage_id: The data folder that it answered from.
         is_first: Whether an operator formatted that folder.
     """
 
     next_index: int
     match_index: int = 0
-    heard_ms: float = 0.0
+    answered_ms: float = 0.0
     storage_id: str = ""
     is_first: bool = False
 
@@ -69,7 +69,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._proposals: dict[int, asyncio.Future[Answer]] = {}
         self._dirty = asyncio.Event()
-        self._heard = asyncio.Condition()
+        self._answered = asyncio.Condition()
         self._candidacies: dict[str, _Candidacy] = {}
         self._standbys: dict[str, _Candidacy] = {}
         self._member_index = 0
@@ -114,7 +114,7 @@
             and box != self._controller.box
             and self._followers[box].match_index >= self._controller.log.last_index
         ]
-        return max(ready, key=lambda box: self._followers[box].heard_ms, default="")
+        return max(ready, key=lambda box: self._followers[box].answered_ms, default="")
 
     async def propose(self, payload: bytes) -> Answer:
         """Append *payload* and return its answer once it is committed and applied.
@@ -130,7 +130,7 @@
         return await future
 
     def resolve(self, index: int, answer: Answer) -> None:
-        """Hand the applied entry's answer to whoever proposed it."""
+        """Give the applied entry's answer to whoever proposed it."""
         future = self._proposals.pop(index, None)
         if future is not None and not future.done():
             future.set_result(answer)
@@ -145,8 +145,8 @@
         self._wake_all()
         try:
             async with asyncio.timeout(self._controller.election_timeout_ms / 1_000):
-                async with self._heard:
-                    await self._heard.wait_for(lambda: self._is_current_since(started))
+                async with self._answered:
+                    await self._answered.wait_for(lambda: self._is_current_since(started))
         except TimeoutError:
             raise NotLeaderError() from None
 
@@ -172,7 +172,7 @@
         others = [
             name for name in self._controller.controllers if name not in (box, self._controller.box)
         ]
-        if any(self._followers[name].heard_ms < known.since_ms for name in others):
+        if any(self._followers[name].answered_ms < known.since_ms for name in others):
             return
         self._take_in(box, storage_id)
 
@@ -213,7 +213,8 @@
         silent = [
             box
             for box, follower in self._followers.items()
-            if now_ms - max(follower.heard_ms, self._started_ms) > _GONE_AFTER_TIMEOUTS * timeout_ms
+            if now_ms - max(follower.answered_ms, self._started_ms)
+            > _GONE_AFTER_TIMEOUTS * timeout_ms
         ]
         standbys = [
             Standby(box, known.storage_id, self._is_current(box, known.storage_id))
@@ -249,7 +250,7 @@
             self._advance()
 
     async def _watch(self) -> None:
-        """Step down when no majority was heard for an election time-out."""
+        """Step down when no majority has answered for an election time-out."""
         timeout = self._controller.election_timeout_ms
         while True:
             await asyncio.sleep(timeout / 2_000)
@@ -290,8 +291,8 @@
             self._controller.notice_term(reply.term)
             return False
         self._note(box, reply, sent_ms)
-        async with self._heard:
-            self._heard.notify_all()
+        async with self._answered:
+            self._answered.notify_all()
         return self._followers[box].next_index <= self._controller.log.last_index
 
     def _next_message(self, box: str) -> Append | InstallSnapshot:
@@ -313,7 +314,7 @@
             hint = min(known.next_index - 1, reply.match_index + 1)
             changed = known._replace(next_index=max(1, hint), match_index=0)
         self._followers[box] = changed._replace(
-            heard_ms=sent_ms, storage_id=reply.storage_id, is_first=reply.is_first
+            answered_ms=sent_ms, storage_id=reply.storage_id, is_first=reply.is_first
         )
         self._pin(box, reply.storage_id, reply.is_first)
         self._advance()
@@ -333,13 +334,13 @@
         return self._controller.is_counted(box, follower.storage_id, follower.is_first)
 
     def _is_acknowledged_since(self, since_ms: float) -> bool:
-        heard = [
+        answering = [
             box
             for box in self._controller.controllers
             if self._counts(box)
-            and (box == self._controller.box or self._followers[box].heard_ms >= since_ms)
+            and (box == self._controller.box or self._followers[box].answered_ms >= since_ms)
         ]
-        return len(heard) >= self._controller.majority
+        return len(answering) >= self._controller.majority
 
     def _is_current_since(self, since_ms: float) -> bool:
         return self._has_committed_own() and self._is_acknowledged_since(since_ms)
--- a/src/foldloom/controllers/log.py
+++ b/src/foldloom/controllers/log.py
@@ -99,7 +99,7 @@
         """Write and sync everything that was added.
 
         Raises:
-            OSError: The disk failed; nothing may be told any more.
+            OSError: The disk failed; nothing that relies on it may be answered.
         """
         async with self._lock:
             fresh = self.entries_from(self._written_index + 1, len(self._entries))
@@ -111,7 +111,7 @@
             self._durable_index = min(last, self.last_index)
 
     async def save_term_vote(self, term: int, voted_for: str) -> None:
-        """Make a newer term, or a vote in this term, durable before it is told.
+        """Make a newer term, or a vote in this term, durable before it is answered.
 
         Raises:
             OSError: The disk failed.
@@ -121,7 +121,7 @@
             await self._on_disk(lambda: self._write_term_vote(self._term_vote))
 
     async def accept(self, entries: list[Entry]) -> None:
-        """Take a leader's *entries*; those that differ from ours replace ours, durably.
+        """Append a leader's *entries*; those that differ from ours replace ours, durably.
 
         Raises:
             OSError: The disk failed.
--- a/src/foldloom/controllers/messages.py
+++ b/src/foldloom/controllers/messages.py
@@ -13,7 +13,7 @@
 class RequestVote(NamedTuple):
     """A candidate asks for a vote, or whether it would get one (``is_trial``).
 
-    With ``is_handover`` the leader asked it to stand, so that it was heard lately matters not.
+    With ``is_handover`` the leader asked it to stand, so a recent contact with it does not count.
     """
 
     term: int
--- a/src/foldloom/controllers/state.py
+++ b/src/foldloom/controllers/state.py
@@ -244,7 +244,7 @@
         self._founder_count = saved.founder_count
 
     def found(self, command: FoundCommand) -> Answer:
-        """Take the first boxes and controllers; a second time changes nothing."""
+        """Adopt the first boxes and controllers; a second time changes nothing."""
         if not self._is_founded:
             self._is_founded = True
             self._founder_count = len(command.controllers)
--- a/src/foldloom/controllers/storage.py
+++ b/src/foldloom/controllers/storage.py
@@ -5,7 +5,7 @@
 is ``length (4 bytes) | header checksum (4) | content checksum (8) | kind (1) | body``.
 Nothing counts before :meth:`LogStorage.sync` returned. A last record that is cut short, or
 zeros after the last one, is a write that never finished and is dropped. Any other damage,
-the last record's included, can't be told from a lost promise and means lost memory, as
+the last record's included, can't be told apart from a lost promise and means lost memory, as
 does a folder without an identity.
 """
 
@@ -190,7 +190,7 @@
         """Make everything written so far durable.
 
         Raises:
-            OSError: It may not be durable; nothing may be told to anyone any more.
+            OSError: It may not be durable; nothing that relies on it may be answered.
         """
         if self._sync_delay:
             time.sleep(self._sync_delay)
--- a/src/foldloom/daemon.py
+++ b/src/foldloom/daemon.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""``foldloomd SETTINGS.yaml``: run one box until it is told to stop."""
+"""``foldloomd SETTINGS.yaml``: run one box until a signal stops it."""
 
 from __future__ import annotations
 
--- a/src/foldloom/endpoints/catalog.py
+++ b/src/foldloom/endpoints/catalog.py
@@ -66,7 +66,7 @@
         return [entry.record for entry in self._entries.values() if entry.revision > revision]
 
     def merge(self, record: EndpointRecord, now_ms: float) -> bool:
-        """Take *record* if it is newer; return whether anything but its age changed."""
+        """Adopt *record* if it is newer; return whether anything but its age changed."""
         known = self._entries.get(record.endpoint)
         if known is None:
             return self._set(record, now_ms)
@@ -88,7 +88,7 @@
         return self._set(known.record._replace(state=EndpointState.GONE), now_ms)
 
     def silent_since(self, before_ms: float) -> list[str]:
-        """Return the endpoints that are not gone and were not heard after *before_ms*."""
+        """Return the endpoints that are not gone and have not reported since *before_ms*."""
         return [
             endpoint
             for endpoint, entry in self._entries.items()
@@ -96,7 +96,7 @@
         ]
 
     def forget(self, endpoint: str) -> None:
-        """Drop *endpoint* without a word to others: it may be heard elsewhere."""
+        """Drop *endpoint* without a change for others: it may report elsewhere."""
         self._entries.pop(endpoint, None)
 
     def _set(self, record: EndpointRecord, now_ms: float) -> bool:
--- a/src/foldloom/entry/follow.py
+++ b/src/foldloom/entry/follow.py
@@ -95,7 +95,7 @@
     ) -> Followed:
         """Return the response of the job that *claim* stands for.
 
-        Unless *is_waiting*, a job that still runs is told as such.
+        Unless *is_waiting*, a job that still runs is reported as running.
         """
         wait_ms = _POLL_MS if is_waiting else _PEEK_MS
         failed_asks = 0
--- a/src/foldloom/entry/job_runner.py
+++ b/src/foldloom/entry/job_runner.py
@@ -273,7 +273,7 @@
         return result
 
     def give_up_all(self) -> None:
-        """End every job now; who waits for one is told so."""
+        """End every job now; each is answered as given up."""
         for task in self._running.values():
             task.cancel()
 
--- a/src/foldloom/fleet/joiner.py
+++ b/src/foldloom/fleet/joiner.py
@@ -64,7 +64,7 @@
                 task.cancel()
 
     async def announce(self) -> None:
-        """Tell every controller now, once; used when a planned stop begins."""
+        """Join every controller now, once; used when a planned stop begins."""
         await asyncio.gather(*(self._join(box, 0, 0) for box in self._view.controllers))
 
     def _follow_controllers(self) -> None:
--- a/src/foldloom/fleet/messages.py
+++ b/src/foldloom/fleet/messages.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Messages by which the boxes of an open network find each other and share what all need."""
+"""Messages of seed discovery: how boxes find each other and share what all need."""
 
 from __future__ import annotations
 
@@ -174,13 +174,13 @@
 
 
 class OwnerQuery(NamedTuple):
-    """A box that does not hear its zone's owner asks who does."""
+    """A box whose zone's owner is silent asks who knows it."""
 
     zone: str
 
 
 class OwnerAnswer(NamedTuple):
-    """The owner known there, and how long ago it was heard; -1 for never."""
+    """The owner known there, and milliseconds since its newest heartbeat; -1 for never."""
 
     owner: OwnerRecord
     silent_ms: int
--- a/src/foldloom/fleet/registry.py
+++ b/src/foldloom/fleet/registry.py
@@ -115,7 +115,7 @@
             self._tasks.spawn(self._notify(record.box, Published(publication)))
 
     async def note_endpoint(self, record: EndpointRecord) -> None:
-        """Take an endpoint's heartbeat; what it changes is known in its zone when this returns.
+        """Note an endpoint's report; what it changes is known in its zone when this returns.
 
         A zone's boxes that can't be reached learn it by their next join.
         """
@@ -136,7 +136,7 @@
             await self._notify_zone(newest)
 
     async def note_gone(self, endpoint: str) -> None:
-        """Take an endpoint's farewell."""
+        """Note that an endpoint has left."""
         if not self._catalog.remove(endpoint, monotonic_ms()):
             return
         ENDPOINT_LOG.event("endpoint.left", endpoint=endpoint)
--- a/src/foldloom/fleet/view.py
+++ b/src/foldloom/fleet/view.py
@@ -30,7 +30,7 @@
 class FleetView:
     """Boxes and owners, as controllers and other boxes tell of them.
 
-    What was told stays known while the controllers are silent: a zone goes on without them.
+    What is known stays known while the controllers are silent: a zone goes on without them.
 
     Args:
         own: This box.
@@ -59,11 +59,11 @@
 
     @property
     def is_informed(self) -> bool:
-        """Whether any controller has told of the others."""
+        """Whether any controller has answered yet."""
         return bool(self._lists)
 
     def set_seeds(self, seeds: list[str]) -> None:
-        """Take new seeds from the settings."""
+        """Use new seeds from the settings."""
         self._seeds = list(seeds)
 
     def set_leaving(self) -> None:
@@ -93,7 +93,7 @@
         return record is not None and record.is_leaving
 
     def owner_of(self, zone: str) -> OwnerRecord:
-        """Return the owner of *zone* with the highest token heard of."""
+        """Return the owner of *zone* with the highest token known."""
         return self._owners.get(zone, OwnerRecord(zone))
 
     @property
@@ -107,7 +107,7 @@
             self._owners[owner.zone] = owner
 
     def note_box(self, record: BoxRecord, now_ms: float) -> None:
-        """Note a box that spoke for itself or that a controller told of."""
+        """Note a box that sent a message or that a controller named."""
         if record.box == self._own.box:
             return
         known = self._boxes.get(record.box)
@@ -117,7 +117,7 @@
         self._received_ms[record.box] = now_ms
 
     def note_controller(self, sender: str, reply: JoinReply, now_ms: float) -> list[str]:
-        """Take what *sender* knows; return the boxes that are known no longer."""
+        """Note what controller *sender* knows; return the boxes that are known no longer."""
         self._lists[sender] = _ControllerList(tuple(reply.controllers), now_ms)
         for box, known in list(self._lists.items()):
             if now_ms - known.received_ms > _LIST_KEPT_MS:
--- a/src/foldloom/jobs/spec.py
+++ b/src/foldloom/jobs/spec.py
@@ -57,7 +57,7 @@
 
     Args:
         job_id: The caller's id, the same when it is sent again.
-        spec: What its tasks are told.
+        spec: What its tasks are given.
         steps: The steps, in the order of their numbers.
     """
 
--- a/src/foldloom/owners/actions.py
+++ b/src/foldloom/owners/actions.py
@@ -17,7 +17,7 @@
 
 
 class StartAction(NamedTuple):
-    """Start *run_id* on *endpoint*; *text* is what the task is told."""
+    """Start *run_id* on *endpoint*; *text* is what the task is given."""
 
     run_id: RunId
     endpoint: str
--- a/src/foldloom/owners/admission.py
+++ b/src/foldloom/owners/admission.py
@@ -82,7 +82,7 @@
         return now_ms - self._first_ms < WARM_UP_MS
 
     def _room(self, now_ms: float) -> ZoneRoom:
-        """Return the room of this zone and of those that were heard of lately."""
+        """Return the room of this zone and of those whose load is known."""
         own = zone_load(self._candidates.values(), self._waiting, now_ms)
         loads = [own, *self._stealing.loads(now_ms)]
         return ZoneRoom(
--- a/src/foldloom/owners/client.py
+++ b/src/foldloom/owners/client.py
@@ -63,7 +63,7 @@
 
     @property
     def silent_ms(self) -> float:
-        """How long ago any owner was heard that could take a job."""
+        """Milliseconds since a heartbeat of any owner that could take a job."""
         return min(connection.silent_ms for connection in self._connections.values())
 
     def handle_heartbeat(self, heartbeat: OwnerHeartbeat, published_version: int) -> None:
@@ -77,7 +77,7 @@
         connection.handle_heartbeat(heartbeat, published_version)
 
     async def run(self) -> None:
-        """Tell of runs whose owner fell silent, once they have ended, until cancelled."""
+        """End the runs of silent owners, once they have ended for certain, until cancelled."""
         while True:
             await asyncio.sleep(_LOST_CHECK_S)
             for connection in self._connections.values():
@@ -105,14 +105,14 @@
         ends: asyncio.Queue[RunEnd],
         orders: list[RunOrder],
     ) -> SubmitReply:
-        """Hand runs in where they can run, once an owner is heard; return what it replied."""
+        """Deliver runs where they can run, once there is an owner; return its reply."""
         self._jobs.add(template.job_id)
         while (connection := self._choose()) is None:
             await asyncio.sleep(_OWNER_CHECK_S)
         return await connection.submit(self._batch(connection, template, began_ms, ends), orders)
 
     async def give_up(self, job_id: str) -> bool:
-        """Want nothing more of a job; return whether any run of it may have started."""
+        """Cancel a job everywhere; return whether any run of it may have started."""
         self._jobs.discard(job_id)
         cancels = [
             connection.cancel(job_id)
@@ -128,7 +128,7 @@
         return has_started
 
     def forget(self, job_id: str) -> None:
-        """Want nothing more of a job, and wait for nobody."""
+        """Cancel a job, and wait for nobody."""
         self._jobs.discard(job_id)
         is_open = any(connection.batches_of(job_id) for connection in self._connections.values())
         if is_open or job_id in self._maybe_started:
@@ -139,7 +139,7 @@
         self._maybe_started.discard(job_id)
 
     def _choose(self) -> OwnerConnection | None:
-        """Return the own zone's owner while it is heard, else the one with the most room."""
+        """Return the own zone's owner unless it is silent, else the one with the most room."""
         lost_ms = self._timings.owner_silent_ms
         if self._home.silent_ms < lost_ms and self._home.load.total_milli:
             return self._home
@@ -191,7 +191,7 @@
             return
 
     async def _move(self, batch: Batch, order: RunOrder, zone: str) -> None:
-        """Hand a run that its owner gave up to another zone's owner."""
+        """Deliver a run that its owner gave away to another zone's owner."""
         moved = order._replace(is_moved=True, is_resumed=False)
         connection = self._connections.get(zone)
         if connection is None or connection.silent_ms >= self._timings.owner_silent_ms:
--- a/src/foldloom/owners/connection.py
+++ b/src/foldloom/owners/connection.py
@@ -65,7 +65,7 @@
         view: The other boxes.
         network: The peers.
         timings: Intervals and bounds.
-        deliveries: Numbers for what is handed over; they rise.
+        deliveries: Numbers of deliveries; they rise.
     """
 
     def __init__(
@@ -92,16 +92,16 @@
 
     @property
     def owner(self) -> OwnerRecord:
-        """The owner that runs are handed to."""
+        """The owner that runs are delivered to."""
         return self._owner
 
     @property
     def silent_ms(self) -> float:
-        """How long ago the owner was heard."""
+        """Milliseconds since the owner's newest heartbeat."""
         return monotonic_ms() - self._heartbeat_ms
 
     def handle_heartbeat(self, heartbeat: OwnerHeartbeat, published_version: int) -> None:
-        """Grant the owner its right; hand everything open to a new one."""
+        """Grant the owner its right; deliver everything open to a new one."""
         if heartbeat.owner.token < self._owner.token:
             return
         is_new = heartbeat.owner.token != self._owner.token
@@ -137,7 +137,7 @@
         return LostWork(runs, started)
 
     async def submit(self, batch: Batch, orders: list[RunOrder]) -> SubmitReply:
-        """Hand *orders* in; return once the owner has taken or refused them."""
+        """Deliver *orders*; return once the owner has taken or refused them."""
         orders = self._numbered(orders)
         batch.add(orders)
         batches = self._batches.setdefault(batch.template.job_id, [])
@@ -146,7 +146,7 @@
         return await self._send(batch, orders, 0.0)
 
     async def cancel(self, job_id: str) -> bool:
-        """Want nothing more of a job here; return whether any run of it may have started."""
+        """Cancel a job here; return whether any run of it may have started."""
         batches = self._batches.pop(job_id, [])
         has_started = any(batch.has_started for batch in batches)
         has_open = any(batch.orders for batch in batches)
@@ -166,7 +166,7 @@
         return True
 
     def reopen(self) -> None:
-        """Hand everything open to the same owner again: it has let go of it meanwhile."""
+        """Deliver everything open to the same owner again: it has dropped it meanwhile."""
         for batches in self._batches.values():
             for batch in batches:
                 # What was taken once is not refused now.
@@ -182,7 +182,7 @@
         return [order._replace(delivery=delivery) for order in orders]
 
     def _resume(self, old_right_ms: float) -> None:
-        """Hand everything open to a new owner, which looks whether it runs already."""
+        """Deliver everything open to a new owner, which looks whether it runs already."""
         for batches in self._batches.values():
             for batch in batches:
                 orders = [order._replace(is_resumed=True) for order in batch.orders]
@@ -213,7 +213,7 @@
             await self._has_owner.wait()
             owner = self._owner
             if sent_to and owner.token != sent_to:
-                # The new owner was handed everything open already.
+                # Everything open was delivered to the new owner already.
                 return SubmitReply(SubmitStatus.TAKEN)
             still_open = [order for order in orders if batch.is_open(order)]
             if not still_open:
--- a/src/foldloom/owners/election.py
+++ b/src/foldloom/owners/election.py
@@ -3,7 +3,7 @@
 
 Endpoints obey the highest token that they have seen, so two owners at a time do no harm; they
 only take endpoints from each other. The rules here keep that from happening: a box claims only
-when its owner has been silent, nobody whom it reaches hears the owner, and it reaches somebody
+when its owner has been silent, nobody whom it reaches has a recent heartbeat, and it reaches one
 at all.
 """
 
@@ -31,7 +31,7 @@
     Args:
         asked: How many were asked.
         answered: How many answered.
-        least_silent_ms: How long ago the one that hears the owner best heard it; ``None`` if
+        least_silent_ms: How long ago the newest heartbeat reached any of them; ``None`` if
             none ever did.
         highest_token: The highest token that any of them knows.
     """
@@ -50,16 +50,16 @@
 def patience_ms(silent_ms: float, rank: int, has_known_owner: bool) -> float:
     """Return for how long an owner must be silent before the candidate at *rank* acts.
 
-    One that never heard an owner has nothing to wait for: those whom it asks would tell it.
+    One that never knew an owner has nothing to wait for: the witnesses would know.
     """
     return (silent_ms if has_known_owner else _FIRST_PATIENCE_MS) + rank * _RANK_STEP_MS
 
 
 def may_claim(witnesses: Witnesses, silent_ms: float) -> bool:
-    """Return whether a box that does not hear its owner may claim the zone.
+    """Return whether a box whose owner is silent may claim the zone.
 
     A box that reaches nobody can't tell a dead owner from its own isolation, and must not
-    take the endpoints from an owner that others hear.
+    take the endpoints from an owner that others still know.
     """
     if witnesses.asked and not witnesses.answered:
         return False
--- a/src/foldloom/owners/elector.py
+++ b/src/foldloom/owners/elector.py
@@ -100,7 +100,7 @@
 
     @property
     def silent_ms(self) -> float:
-        """How long the owner has not been heard."""
+        """Milliseconds since the owner's newest heartbeat."""
         return monotonic_ms() - self._heartbeat_ms
 
     @property
--- a/src/foldloom/owners/lease.py
+++ b/src/foldloom/owners/lease.py
@@ -30,7 +30,7 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether the endpoint ever told its clock."""
+        """Whether the endpoint's clock was ever received."""
         return self._is_known
 
     @property
@@ -39,7 +39,7 @@
         return self._until_ms
 
     def note(self, clock_ms: float, received_ms: float) -> None:
-        """Note that an answer received at *received_ms* told *clock_ms*."""
+        """Note that an answer received at *received_ms* carried *clock_ms*."""
         if not self._is_known or clock_ms >= self.reads_at_least(received_ms):
             self._clock_ms = clock_ms
             self._received_ms = received_ms
--- a/src/foldloom/owners/lifecycle.py
+++ b/src/foldloom/owners/lifecycle.py
@@ -90,7 +90,7 @@
         self._actions.start(StartAction(run.run_id, endpoint, run.spec.text))
 
     def adopt(self, run: Run, attempt: int, endpoint: str, now_ms: float) -> None:
-        """Take over *attempt* of *run*, which *endpoint* lists as present."""
+        """Adopt *attempt* of *run*, which *endpoint* lists as present."""
         self.waiting.remove(run.task)
         run.attempt = attempt
         room = self._candidates[endpoint].room
--- a/src/foldloom/owners/messages.py
+++ b/src/foldloom/owners/messages.py
@@ -19,7 +19,7 @@
         step: The step's number.
         position: The task's place in its step.
         attempt: Counts the task's starts, from 1.
-        is_resumed: Whether it may have been handed to an earlier owner.
+        is_resumed: Whether it may have been delivered to an earlier owner.
         is_moved: Whether another zone's owner gave it up for room here.
         delivery: Counts the box's deliveries of runs to owners: the same in each retransmission
             of a message, another one when the run is sent again for another reason; 0 if it is
@@ -51,7 +51,7 @@
 
 
 class SubmitRuns(NamedTuple):
-    """A box hands runs of one step of a job to an owner.
+    """A box delivers runs of one step of a job to an owner.
 
     Args:
         token: The owner's token.
@@ -59,7 +59,7 @@
         repeat: Which time of it.
         queue: Where the job was handed in.
         service: Whose endpoints run it.
-        spec: What its tasks are told.
+        spec: What its tasks are given.
         demand: What each task takes.
         placement: Where they may run.
         priority: 0 comes first.
@@ -89,7 +89,7 @@
 
 
 class SubmitStatus(IntEnum):
-    """What an owner did with runs that it was handed."""
+    """What an owner did with runs that were delivered to it."""
 
     TAKEN = 0
     REFUSED = 1
@@ -105,7 +105,7 @@
 
 
 class CancelJob(NamedTuple):
-    """A box wants nothing more of a job: what runs of it is stopped."""
+    """A box cancels a job: what runs of it is stopped."""
 
     job_id: str
 
@@ -117,10 +117,10 @@
 
 
 class EndCause(IntEnum):
-    """How a run that an owner was handed ended.
+    """How a run that was delivered to an owner ended.
 
-    ``MOVED``: it is on no endpoint and is to be handed to another zone's owner. ``UNATTAINABLE``:
-    it is on no endpoint, and its job can't be answered in time any more.
+    ``MOVED``: it is on no endpoint and is to be delivered to another zone's owner.
+    ``UNATTAINABLE``: it is on no endpoint, and its job can't be answered in time any more.
     """
 
     DONE = 0
@@ -163,7 +163,7 @@
 
 
 class RunsEnded(NamedTuple):
-    """A zone's owner tells of ends; sent again until it is acknowledged."""
+    """A zone's owner notifies a box of ends; sent again until it is acknowledged."""
 
     zone: str
     ends: list[RunEnd]
@@ -174,9 +174,9 @@
 
 
 class SessionBegan(NamedTuple):
-    """A zone's owner was granted its right again after it had lapsed.
+    """A box granted a zone's owner its right again after it had lapsed.
 
-    It has let go of all that the box had handed to it; what is still open there must be handed
+    It has dropped all that the box had delivered to it; what is still open there must be delivered
     over again.
     """
 
@@ -185,18 +185,18 @@
 
 
 class SessionNoted(NamedTuple):
-    """What is open is handed over again."""
+    """What is open is delivered again."""
 
 
 class WaitingGroups(NamedTuple):
-    """An owner tells the owners of other zones what waits for room in its own."""
+    """An owner offers the owners of other zones what waits for room in its own."""
 
     owner: OwnerRecord
     groups: list[GroupSummary]
 
 
 class ClaimRuns(NamedTuple):
-    """An owner with free room asks another one for runs that wait."""
+    """An owner with free room asks another one for runs that wait, to steal them."""
 
     zone: str
     group: GroupId
@@ -204,7 +204,7 @@
 
 
 class ClaimReply(NamedTuple):
-    """How many runs their box is told to hand to the claiming owner."""
+    """How many runs their box is notified to deliver to the owner that asks."""
 
     runs: int
 
--- a/src/foldloom/owners/reports.py
+++ b/src/foldloom/owners/reports.py
@@ -104,7 +104,7 @@
 def adopt_orphan(
     lifecycle: RunLifecycle, candidates: Mapping[str, Candidate], run: Run, now_ms: float
 ) -> bool:
-    """Take over a run of the task that an endpoint lists already; return whether one does."""
+    """Adopt a run of the task that an endpoint lists already; return whether one does."""
     for endpoint, candidate in candidates.items():
         orphan = candidate.orphans.pop(run.task, None)
         if orphan is not None:
--- a/src/foldloom/owners/sessions.py
+++ b/src/foldloom/owners/sessions.py
@@ -128,7 +128,7 @@
         session.right_until_ms = max(session.right_until_ms, heartbeat_sent_ms + self._session_ms)
 
     def queue_end(self, holder: HolderId, end: RunEnd) -> None:
-        """Queue an end for *holder*; one without a session is gone and hears nothing."""
+        """Queue an end for *holder*; one without a session is gone."""
         session = self._sessions.get(holder)
         if session is not None:
             session.queue_end(end)
--- a/src/foldloom/peers/lives.py
+++ b/src/foldloom/peers/lives.py
@@ -71,7 +71,7 @@
         self._current: dict[str, int] = {}
 
     def current(self, sender: str) -> int:
-        """Return the life that *sender* was last freshly heard from, or 0."""
+        """Return the life of *sender* that sent the newest fresh message, or 0."""
         return self._current.get(sender, 0)
 
     def note(self, sender: str, life: int, sent_ms: float, now_ms: float) -> float | None:
--- a/src/foldloom/peers/membership.py
+++ b/src/foldloom/peers/membership.py
@@ -63,7 +63,7 @@
 
 
 class KnownSuccessors(NamedTuple):
-    """What a box that just started is told: it may be one of the stopped lives' boxes."""
+    """What a box that just started is sent: it may be one whose earlier life has a successor."""
 
     successors: list[Successor]
 
@@ -108,11 +108,11 @@
 
     @property
     def states(self) -> dict[str, PeerState]:
-        """The last state of every peer heard from, by box."""
+        """The last state of every peer in contact, by box."""
         return dict(self._states)
 
     def is_live(self, box: str) -> bool:
-        """Return whether *box* was heard from lately."""
+        """Return whether *box* has sent a heartbeat lately."""
         if box == self._settings.box:
             return True
         state = self._states.get(box)
--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -117,7 +117,7 @@
     def _silence_options(self) -> list[tuple[int, int]]:
         """How soon a connection that fell silent is given up.
 
-        In an open network boxes come and go at any address, so a connection to one that is
+        With seed discovery boxes come and go at any address, so a connection to one that is
         gone, or behind a cut that has healed, must be made anew soon.
         """
         if not self._is_open:
@@ -170,7 +170,7 @@
             self._senders[peer.box] = self._tasks.spawn(self._send_to(peer))
 
     def add_peer(self, box: str) -> None:
-        """Connect to a box of an open network, whose name is its address (``IP:port``)."""
+        """Connect to a box found by seed discovery, whose name is its address (``IP:port``)."""
         if box in self._peers or box == self._settings.box:
             return
         peer = PeerSettings(box=box, zone="", roles=[], address=box)
@@ -181,7 +181,7 @@
             self._senders[box] = self._tasks.spawn(self._send_to(peer))
 
     def drop_peer(self, box: str) -> None:
-        """Close the connection to a box of an open network that is gone."""
+        """Close the connection to a box found by seed discovery that is gone."""
         if not self._is_open or box not in self._peers:
             return
         del self._peers[box], self._outboxes[box], self._wakeups[box]
@@ -288,7 +288,7 @@
         self._metrics.count("bytes.sent", len(data))
 
     async def _receive(self, router: zmq.Socket[bytes]) -> None:
-        """Hand each arriving message to its handler.
+        """Dispatch each arriving message to its handler.
 
         The socket is watched by its file descriptor and then emptied: that costs less for
         each message than a future of ``zmq.asyncio`` does.
@@ -310,7 +310,7 @@
             router.close()
 
     def _take_some(self, router: zmq.Socket[bytes]) -> None:
-        """Take what has arrived, up to a bound, so that other tasks get their turn."""
+        """Receive what has arrived, up to a bound, so that other tasks get their turn."""
         for _ in range(_ENVELOPES_AT_ONCE):
             try:
                 parts = router.recv_multipart(zmq.NOBLOCK, copy=False)
--- a/src/foldloom/placement/lease_manager.py
+++ b/src/foldloom/placement/lease_manager.py
@@ -41,7 +41,7 @@
         policy: How a slot is chosen.
         manager_of: Returns the lease manager of a shard, as this box sees it.
         proves_life: Asks an endpoint for a sign of life.
-        is_live: Returns whether a box is heard.
+        is_live: Returns whether a box is live.
     """
 
     def __init__(
--- a/src/foldloom/scheduling/endpoints.py
+++ b/src/foldloom/scheduling/endpoints.py
@@ -37,14 +37,14 @@
         self.orphans: dict[TaskId, OrphanedRun] = {}
 
     def follow(self, record: EndpointRecord) -> None:
-        """Take a newer record of the same life."""
+        """Adopt a newer record of the same life."""
         self.record = record
         self.room.set_capacity(record.capacity)
 
     def is_open(self, now_ms: float) -> bool:
         """Return whether it may be given work now.
 
-        While it runs what this owner was not told of, its free room is not known.
+        While it runs what no box has delivered to this owner, its free room is not known.
         """
         return (
             self.is_trusted
--- a/src/foldloom/scheduling/rooms.py
+++ b/src/foldloom/scheduling/rooms.py
@@ -73,12 +73,12 @@
         return list(self._charged)
 
     def set_capacity(self, capacity: Demand) -> None:
-        """Take another capacity; what is charged stays."""
+        """Change the capacity; what is charged stays."""
         self._free = plus(minus(self._free, self._capacity), capacity)
         self._capacity = capacity
 
     def charge(self, task: TaskId, demand: Demand) -> None:
-        """Take room for *task*; a second time changes nothing."""
+        """Charge room for *task*; a second time changes nothing."""
         if task in self._charged:
             return
         self._charged[task] = demand
--- a/src/foldloom/scheduling/runs.py
+++ b/src/foldloom/scheduling/runs.py
@@ -10,7 +10,7 @@
 
 
 class HolderId(NamedTuple):
-    """A box's life that was granted a session: it is told how its runs end."""
+    """A box's life that has a session: it is notified of how its runs end."""
 
     box: str
     life: int
@@ -36,7 +36,7 @@
         job_id: The job.
         queue: Where it was handed in.
         service: Whose endpoints run it.
-        text: What its tasks are told.
+        text: What its tasks are given.
         demand: What each takes.
         placement: Where they may run.
         priority: 0 comes first.
--- a/src/foldloom/scheduling/sharing.py
+++ b/src/foldloom/scheduling/sharing.py
@@ -94,7 +94,7 @@
         self._received_ms[zone] = now_ms
 
     def claimable(self, now_ms: float) -> list[RemoteGroup]:
-        """Return the groups that were told of lately and have runs left to claim."""
+        """Return the groups that were offered lately and have runs left to steal."""
         return [
             group
             for zone, groups in self._by_zone.items()
--- a/src/foldloom/scheduling/waiting.py
+++ b/src/foldloom/scheduling/waiting.py
@@ -65,7 +65,7 @@
             self._waiting_count += 1
 
     def remove(self, task: TaskId) -> None:
-        """Take a run out, if it waits."""
+        """Remove a run, if it waits."""
         group = self._groups.get(group_of(task))
         if group is not None and group.waiting.pop(task, None) is not None:
             self._waiting_count -= 1
