--- a/src/foldloom/controllers/election.py
+++ b/src/foldloom/controllers/election.py
@@ -5,14 +5,12 @@
 
 import asyncio
 from collections.abc import Awaitable, Sequence
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from foldloom.controllers.messages import RequestVote, StandNow, VoteReply
+from foldloom.controllers.participant import Voter
 from foldloom.logs import CONTROLLER_LOG
 
-if TYPE_CHECKING:
-    from foldloom.controllers.controller import Controller
-
 
 class Elections:
     """The elections of one controller.
@@ -21,7 +19,7 @@
         controller: The controller.
     """
 
-    def __init__(self, controller: Controller) -> None:
+    def __init__(self, controller: Voter) -> None:
         self._controller = controller
         controller.network.on(RequestVote, self._on_request_vote)
         controller.network.on(StandNow, self._on_stand_now)
--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -4,18 +4,16 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 from foldloom.controllers.members import Standby, next_change
 from foldloom.controllers.messages import Append, AppendReply, InstallSnapshot
+from foldloom.controllers.participant import Leader
 from foldloom.controllers.state import Answer, Command, VoterReadyCommand, encode_command
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.logs import CONTROLLER_LOG
 from foldloom.peers.wire import monotonic_ms
 
-if TYPE_CHECKING:
-    from foldloom.controllers.controller import Controller
-
 ANY_STORAGE = "?"
 # Entries in one append. Not measured: chosen to bound a message to some hundred kilobytes.
 _ENTRIES_PER_APPEND = 500
@@ -60,7 +58,7 @@
         controller: The controller that leads.
     """
 
-    def __init__(self, controller: Controller) -> None:
+    def __init__(self, controller: Leader) -> None:
         self._controller = controller
         self._term = controller.log.term
         self._first_index = controller.log.last_index + 1
--- /dev/null
+++ b/src/foldloom/controllers/participant.py
@@ -0,0 +1,104 @@
+# SPDX-License-Identifier: MIT
+"""What elections and leading need of the controller that they are a part of.
+
+Owns nothing: two protocols, so that neither module imports the controller, which makes both.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Protocol
+
+from foldloom.controllers.log import ReplicatedLog
+from foldloom.controllers.state import ReplicatedState
+from foldloom.peers.wire import PeerNetwork
+
+
+class Participant(Protocol):
+    """A controller as both see it."""
+
+    network: PeerNetwork
+    box: str
+    election_timeout_ms: int
+    log: ReplicatedLog
+
+    @property
+    def controllers(self) -> dict[str, str]:
+        """The controllers that count, and their data folders' ids."""
+
+    @property
+    def majority(self) -> int:
+        """How many controllers are more than half."""
+
+    @property
+    def storage_id(self) -> str:
+        """This data folder's id."""
+
+    @property
+    def is_first(self) -> bool:
+        """Whether an operator formatted this data folder."""
+
+    @property
+    def may_vote(self) -> bool:
+        """Whether this controller's memory counts."""
+
+    def is_counted(self, box: str, storage_id: str, is_first: bool) -> bool:
+        """Return whether the configuration counts *box* with this data folder."""
+
+    def notice_term(self, term: int) -> None:
+        """Adopt a newer *term* that a peer is in."""
+
+    def fail(self, error: OSError) -> None:
+        """Take no part until the data folder can be opened again."""
+
+
+class Voter(Participant, Protocol):
+    """A controller that may stand for election, and votes."""
+
+    turn: asyncio.Lock
+
+    @property
+    def leader(self) -> str:
+        """The leader's box as far as known, or an empty string."""
+
+    @property
+    def is_leading(self) -> bool:
+        """Whether this controller leads, as far as it knows."""
+
+    @property
+    def is_failed(self) -> bool:
+        """Whether the disk failed: this controller takes no part."""
+
+    @property
+    def leader_silent_ms(self) -> float:
+        """Milliseconds since a leader was last in contact."""
+
+    def note_leader_contact(self) -> None:
+        """Begin a new wait before an election."""
+
+    def forget_leader(self) -> None:
+        """Know of no leader, as a new term began."""
+
+    def lead(self) -> None:
+        """Begin to lead in the present term."""
+
+
+class Leader(Participant, Protocol):
+    """A controller that leads."""
+
+    @property
+    def commit_index(self) -> int:
+        """The index up to which entries are committed, as far as known here."""
+
+    @property
+    def state(self) -> ReplicatedState:
+        """The state after all applied entries."""
+
+    def first_payload(self) -> bytes:
+        """Return what a leader begins its term with."""
+
+    def commit(self, index: int) -> None:
+        """Commit and apply the entries up to *index*."""
+
+    def step_down(self) -> None:
+        """Stop leading."""
