--- a/src/foldloom/cli/client.py
+++ b/src/foldloom/cli/client.py
@@ -14,12 +14,17 @@
 from foldloom.exceptions import CommandError
 
 DEFAULT_URL = "http://127.0.0.1:8101"
-# Exit codes are promises to scripts (docs/operate.md).
+# Exit codes are promises to scripts (docs/operate.md). This one is for all other failures.
 EXIT_FAILURE = 1
+# Wrong usage or settings.
 EXIT_USAGE = 2
+# The work certainly did not run.
 EXIT_REFUSED = 3
+# The work may have run.
 EXIT_FAILED = 4
+# Another content or another plan.
 EXIT_CONFLICT = 5
+# No answer; it may have taken effect.
 EXIT_UNREACHABLE = 6
 # Seconds for one call. Derived: above the longest deadline of a job (60 s) and a confirm (6 s).
 _TIMEOUT_S = 90.0
--- a/src/foldloom/controllers/storage.py
+++ b/src/foldloom/controllers/storage.py
@@ -25,11 +25,15 @@
 from foldloom.exceptions import LostMemoryError
 
 _HEADER = struct.Struct("<IIQ")
-# Kinds of records. Numbers on disk are never used again.
+# Kinds of records; numbers on disk are never used again. This one holds term and vote.
 _TERM = 1
+# An entry of the log.
 _ENTRY = 2
+# Drops the entries from an index on.
 _CUT = 3
+# The state up to an index; in a file of its own.
 _SNAPSHOT = 4
+# Who the folder is; in a file of its own.
 _IDENTITY = 5
 _ENCODER = msgspec.msgpack.Encoder()
 
--- a/src/foldloom/placement/admission.py
+++ b/src/foldloom/placement/admission.py
@@ -8,9 +8,15 @@
 from foldloom.placement.messages import SlotRefusal, SlotRequest
 from foldloom.settings import LimitSettings
 
+# Milliseconds, bounds of when a refused caller should come back. Not measured.
 RETRY_MAX_MS = 10_000
+# The lower of the two.
 _RETRY_MIN_MS = 50
+# Share of the time left that the expected wait and run may take. Not measured: chosen below 1
+# because expectations are means.
 _ADMIT_SHARE = 0.8
+# Mean service times that a task is expected to run. Not measured: chosen because tasks are as long
+# as twice the mean (50 to 500 ms).
 _RUN_MEANS = 2.0
 
 
--- a/src/foldloom/placement/health.py
+++ b/src/foldloom/placement/health.py
@@ -8,7 +8,9 @@
 
 from typing import NamedTuple
 
+# Failures in a row after which an endpoint is left out. Not measured.
 _FAILURES_TO_EJECT = 3
+# Probes in a row that must succeed before it is trusted again. Not measured.
 _PROBE_SUCCESSES = 2
 
 
--- a/src/foldloom/placement/shard.py
+++ b/src/foldloom/placement/shard.py
@@ -27,13 +27,26 @@
 from foldloom.placement.speeds import SpeedTable
 from foldloom.settings import Settings
 
+# Times its peers' mean, from which a service time counts as a failure. Not measured: chosen above
+# the factor of two between old boxes and new ones.
 _SICK_RATIO = 4.0
+# Times its endpoint's mean, after which a task counts as overdue. Not measured: chosen above the
+# spread of tasks (50 to 500 ms).
 _OVERDUE_RATIO = 6.0
+# Milliseconds before which none counts as overdue. Not measured: chosen as twice the longest task.
 _OVERDUE_MIN_MS = 1_000
+# Mean service times of waiting from which a slow slot goes to the oldest job
+# (docs/design/placement.md, point 3). Not measured.
 _LONG_QUEUE_MEANS = 3.0
+# Which of a service's task sizes, as a share from the shortest, a wait is weighed against: this for
+# a lone task, more for each doubling of a job's tasks, up to the maximum. From the trial in
+# docs/design/placement.md.
 _SHORT_SHARE = 0.03
+# The addition for each doubling.
 _SHARE_PER_DOUBLING = 0.035
+# The maximum: the middle size.
 _SHARE_MAX = 0.5
+# Milliseconds after which a caller should come back if no endpoint may serve. Not measured.
 _NO_ENDPOINT_RETRY_MS = 1_000
 
 
--- a/src/foldloom/placement/slots.py
+++ b/src/foldloom/placement/slots.py
@@ -30,10 +30,18 @@
 from foldloom.placement.shards import shard_names
 from foldloom.settings import Settings
 
+# Seconds between two looks for requests to send again. Not measured.
 _CHECK_S = 0.1
+# Milliseconds without a grant after which a request is sent again. Not measured: it is numbered, so
+# a copy counts once.
 _RESEND_MS = 3_000
+# The same while managers change. Derived: a heartbeat (250 ms).
 _RESEND_UNSETTLED_MS = 250
+# Milliseconds for which managers count as changing. Not measured: chosen above a silent peer (1,000
+# ms).
 _UNSETTLED_MS = 2_500
+# Milliseconds before a lease's end at which its holder gives it up. Not measured: chosen above a
+# message's delay.
 _SAFETY_MS = 100
 
 
