--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -277,7 +277,7 @@
     Break(
         "a report from before an order says nothing of it",
         "owners/reports.py",
-        "if max(run.since_ms, run.stop_known_ms) >= sent_ms:",
+        "if max(run.since_ms, run.stop_known_ms) >= asked_ms:",
         "if False:",
         _DECISIONS + "TestJudgeAbsence::test_running_is_lost",
     ),
--- a/src/foldloom/endpoints/calls.py
+++ b/src/foldloom/endpoints/calls.py
@@ -57,6 +57,22 @@
     checkpoint: str = ""
 
 
+class EndpointReport(NamedTuple):
+    """What an endpoint lists in its answer to a poll.
+
+    Args:
+        endpoint: The endpoint's id.
+        active: The runs that are present.
+        ended: The ends that the owner has not received before.
+        asked_ms: When the owner asked, by its steady clock: the report knows nothing later.
+    """
+
+    endpoint: str
+    active: tuple[ActiveRun, ...]
+    ended: tuple[EndedRun, ...]
+    asked_ms: float
+
+
 class StartOrder(NamedTuple):
     """What an endpoint is told to start.
 
--- a/src/foldloom/owners/endpoint_link.py
+++ b/src/foldloom/owners/endpoint_link.py
@@ -12,10 +12,9 @@
 from typing import NamedTuple, Protocol
 
 from foldloom.endpoints.calls import (
-    ActiveRun,
     CallOutcome,
-    EndedRun,
     EndpointCalls,
+    EndpointReport,
     PollOrder,
     PollReply,
 )
@@ -57,15 +56,8 @@
     def may_renew(self, endpoint: str, now_ms: float) -> bool:
         """Return whether the lease of *endpoint* may be renewed."""
 
-    def handle_report(
-        self,
-        endpoint: str,
-        active: tuple[ActiveRun, ...],
-        ended: tuple[EndedRun, ...],
-        sent_ms: float,
-        now_ms: float,
-    ) -> None:
-        """Handle an endpoint's report, which was asked for at *sent_ms*."""
+    def handle_report(self, report: EndpointReport, now_ms: float) -> None:
+        """Handle an endpoint's report."""
 
     def note_silent(self, endpoint: str) -> None:
         """Note that *endpoint* does not answer."""
@@ -176,7 +168,8 @@
         fresh = tuple(end for end in reply.ended if end.sequence > self._last_sequence)
         if fresh:
             self._last_sequence = max(end.sequence for end in fresh)
-        self._owner.handle_report(self.record.endpoint, reply.active, fresh, sent_ms, now_ms)
+        report = EndpointReport(self.record.endpoint, reply.active, fresh, sent_ms)
+        self._owner.handle_report(report, now_ms)
 
     def _note_silent(self, reply: PollReply) -> None:
         if not self._is_silent:
--- a/src/foldloom/owners/reports.py
+++ b/src/foldloom/owners/reports.py
@@ -10,10 +10,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Collection, Mapping
+from collections.abc import Mapping
 from enum import Enum
 
-from foldloom.endpoints.calls import ActiveRun, EndedRun, EndKind
+from foldloom.endpoints.calls import EndedRun, EndKind, EndpointReport
 from foldloom.jobs.spec import RunId, TaskId
 from foldloom.owners.lifecycle import RunLifecycle
 from foldloom.owners.messages import EndCause
@@ -49,15 +49,15 @@
     return ListedEnd.OUTDATED
 
 
-def judge_absence(run: Run, sent_ms: float) -> EndCause | None:
+def judge_absence(run: Run, asked_ms: float) -> EndCause | None:
     """Return how a run has ended of which a report lists neither the run nor an end, if it has.
 
     Args:
         run: The run, which is thought to be on the endpoint.
-        sent_ms: When the owner asked for the report. One that was asked for before the newest
+        asked_ms: When the owner asked for the report. One that was asked for before the newest
             order took effect says nothing of it.
     """
-    if max(run.since_ms, run.stop_known_ms) >= sent_ms:
+    if max(run.since_ms, run.stop_known_ms) >= asked_ms:
         return None
     if run.state is RunState.RUNNING:
         return EndCause.LOST
@@ -72,19 +72,14 @@
 
 
 def reconcile(
-    lifecycle: RunLifecycle,
-    candidate: Candidate,
-    active: Collection[ActiveRun],
-    ended: Collection[EndedRun],
-    sent_ms: float,
-    now_ms: float,
+    lifecycle: RunLifecycle, candidate: Candidate, report: EndpointReport, now_ms: float
 ) -> None:
-    """Bring what is known into line with a report of *candidate*, asked for at *sent_ms*."""
-    for end in ended:
+    """Bring what is known into line with a *report* of *candidate*."""
+    for end in report.ended:
         _note_end(lifecycle, candidate, end, now_ms)
-    present = {one.run_id for one in active}
+    present = {one.run_id for one in report.active}
     _note_present(lifecycle, candidate, present, now_ms)
-    _note_absent(lifecycle, candidate, present, sent_ms, now_ms)
+    _note_absent(lifecycle, candidate, present, report.asked_ms, now_ms)
 
 
 def orphans_to_stop(candidates: Mapping[str, Candidate], now_ms: float) -> list[tuple[str, RunId]]:
@@ -146,7 +141,7 @@
     lifecycle: RunLifecycle,
     candidate: Candidate,
     present: set[RunId],
-    sent_ms: float,
+    asked_ms: float,
     now_ms: float,
 ) -> None:
     endpoint = candidate.record.endpoint
@@ -159,6 +154,6 @@
         if run is None or run.endpoint != endpoint:
             candidate.room.release(task)
             continue
-        cause = None if run.run_id in present else judge_absence(run, sent_ms)
+        cause = None if run.run_id in present else judge_absence(run, asked_ms)
         if cause is not None:
             lifecycle.finish(run, cause, "", now_ms)
--- a/src/foldloom/owners/state.py
+++ b/src/foldloom/owners/state.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from foldloom.endpoints.calls import ActiveRun, CallOutcome, EndedRun
+from foldloom.endpoints.calls import CallOutcome, EndpointReport
 from foldloom.endpoints.records import EndpointRecord
 from foldloom.fleet.messages import ZoneLoad
 from foldloom.jobs.spec import RunId, TaskId
@@ -183,20 +183,13 @@
             for run in present
         )
 
-    def report(
-        self,
-        endpoint: str,
-        active: tuple[ActiveRun, ...],
-        ended: tuple[EndedRun, ...],
-        sent_ms: float,
-        now_ms: float,
-    ) -> None:
-        """Reconcile with an endpoint's report, which was asked for at *sent_ms*."""
-        candidate = self._candidates.get(endpoint)
+    def report(self, report: EndpointReport, now_ms: float) -> None:
+        """Reconcile with an endpoint's report."""
+        candidate = self._candidates.get(report.endpoint)
         if candidate is None:
             return
-        reconcile(self._lifecycle, candidate, active, ended, sent_ms, now_ms)
-        self._reported_ms[endpoint] = sent_ms
+        reconcile(self._lifecycle, candidate, report, now_ms)
+        self._reported_ms[report.endpoint] = report.asked_ms
         candidate.is_trusted = True
 
     def note_start(self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float) -> None:
--- a/src/foldloom/owners/zone_owner.py
+++ b/src/foldloom/owners/zone_owner.py
@@ -11,7 +11,7 @@
 import asyncio
 from collections.abc import Callable
 
-from foldloom.endpoints.calls import ActiveRun, EndedRun
+from foldloom.endpoints.calls import EndpointReport
 from foldloom.fleet.messages import HeartbeatAck, OwnerHeartbeat, OwnerRecord, ZoneLoad
 from foldloom.logs import ENDPOINT_LOG, PLACE_LOG
 from foldloom.owners.actions import NotifyAction
@@ -185,19 +185,12 @@
         self._end_lapsed_sessions(now_ms)
         return not self._state.has_overdue_stop(endpoint, now_ms - STOP_OVERDUE_MS)
 
-    def handle_report(
-        self,
-        endpoint: str,
-        active: tuple[ActiveRun, ...],
-        ended: tuple[EndedRun, ...],
-        sent_ms: float,
-        now_ms: float,
-    ) -> None:
-        """Handle an endpoint's report, which was asked for at *sent_ms*."""
+    def handle_report(self, report: EndpointReport, now_ms: float) -> None:
+        """Handle an endpoint's report."""
         if self._is_closed:
             return
         self._metrics.count("workers.looks")
-        self._state.report(endpoint, active, ended, sent_ms, now_ms)
+        self._state.report(report, now_ms)
         self._act()
 
     def note_silent(self, endpoint: str) -> None:
--- a/tests/test_owners_machine.py
+++ b/tests/test_owners_machine.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from foldloom.endpoints.calls import CallOutcome, EndKind
+from foldloom.endpoints.calls import CallOutcome, EndKind, EndpointReport
 from foldloom.jobs.spec import RunId, TaskId
 from foldloom.owners.actions import StartAction, StopAction
 from foldloom.owners.lease import LAPSE_MARGIN_MS, STOP_OVERDUE_MS, EndpointClock, gone_after_ms
@@ -235,7 +235,7 @@
         term.lapsed.discard(name)
         fresh = tuple(end for end in answer.ended if end.sequence > term.seen[name])
         term.seen[name] = max([term.seen[name], *(end.sequence for end in fresh)])
-        term.state.report(name, answer.active, fresh, sent, self.now)
+        term.state.report(EndpointReport(name, answer.active, fresh, sent), self.now)
 
     def _may_renew(self, term: Term, name: str) -> bool:
         return not term.state.has_overdue_stop(name, self.now - STOP_OVERDUE_MS)
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -5,7 +5,7 @@
 
 from typing import Any
 
-from foldloom.endpoints.calls import ActiveRun, CallOutcome, EndedRun, EndKind
+from foldloom.endpoints.calls import ActiveRun, CallOutcome, EndedRun, EndKind, EndpointReport
 from foldloom.endpoints.records import EndpointRecord
 from foldloom.jobs.spec import Demand, Placement, RunId, TaskId
 from foldloom.owners.messages import EndCause, Objective, RunEnd, RunOrder, SubmitRuns, SubmitStatus
@@ -55,7 +55,7 @@
     state = OwnerState(_GONE_AFTER_MS)
     for record in records:
         state.follow_endpoint(record)
-        state.report(record.endpoint, (), (), 0.0, 1.0)
+        state.report(EndpointReport(record.endpoint, (), (), 0.0), 1.0)
     return state
 
 
@@ -92,7 +92,7 @@
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
         assert state.actions.pop_starts() == []
-        state.report("w1", (), (), 2.0, 3.0)
+        state.report(EndpointReport("w1", (), (), 2.0), 3.0)
         state.place(3.0)
         assert len(state.actions.pop_starts()) == 1
 
@@ -110,7 +110,7 @@
         state.submit(_E1, submission(job_id="1" * 16), 20.0)
         state.place(20.0)
         assert state.actions.pop_starts() == []
-        state.report("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 30.0, 31.0)
+        state.report(EndpointReport("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 30.0), 31.0)
         state.place(31.0)
         assert len(state.actions.pop_starts()) == 1
 
@@ -122,7 +122,7 @@
         """A done run is told once, with how long it ran."""
         state = owner_with(endpoint("w1"))
         run_id = start_one(state)
-        state.report("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 100.0, 110.0)
+        state.report(EndpointReport("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 100.0), 110.0)
         told = ends_of(state)
         assert [(holder, end.cause) for holder, end in told] == [(_E1, EndCause.DONE)]
         assert told[0][1].ran_ms == 100
@@ -146,10 +146,10 @@
         assert [action.run_id for action in state.actions.pop_stops()] == [first.run_id]
         assert state.actions.pop_starts() == []
         state.note_stop(first.run_id, first.endpoint, CallOutcome.DONE, 210.0)
-        state.report(first.endpoint, (), (), 205.0, 212.0)
+        state.report(EndpointReport(first.endpoint, (), (), 205.0), 212.0)
         state.place(212.0)
         assert state.actions.pop_starts() == []
-        state.report(first.endpoint, (), (), 215.0, 216.0)
+        state.report(EndpointReport(first.endpoint, (), (), 215.0), 216.0)
         state.place(216.0)
         assert state.actions.pop_starts()[0].run_id == RunId(_TASK, 2)
 
@@ -204,7 +204,7 @@
         state.place(1.0)
         run_id = state.actions.pop_starts()[0].run_id
         state.note_start(run_id, "w1", CallOutcome.DONE, 2.0)
-        state.report("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 3.0, 3.0)
+        state.report(EndpointReport("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 3.0), 3.0)
         assert [end.delivery for _, end in ends_of(state)] == [1]
         state.submit(_E1, _handed_over(1), 150.0)
         state.place(150.0)
@@ -234,7 +234,7 @@
         state.place(1.0)
         run_id = state.actions.pop_starts()[0].run_id
         state.note_start(run_id, "w1", CallOutcome.DONE, 2.0)
-        state.report("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 3.0, 3.0)
+        state.report(EndpointReport("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 3.0), 3.0)
         assert {holder: end.delivery for holder, end in ends_of(state)} == {_E1: 7, _E2: 3}
 
 
@@ -280,7 +280,9 @@
         action = state.actions.pop_starts()[0]
         state.note_start(action.run_id, action.endpoint, CallOutcome.DONE, 11.0)
         state.end_session(_E1, 50.0)
-        state.report("w1", (), (EndedRun(1, action.run_id, EndKind.DONE),), 60.0, 61.0)
+        state.report(
+            EndpointReport("w1", (), (EndedRun(1, action.run_id, EndKind.DONE),), 60.0), 61.0
+        )
         order = RunOrder(0, 0, 1, is_moved=True, delivery=2)
         state.submit(_E1, spec._replace(orders=[order]), 70.0)
         return state
@@ -342,8 +344,8 @@
         assert state.actions.pop_starts() == []
         state.end_session(_E1, 40.0)
         assert state.actions.pop_stops() == []
-        state.report("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 50.0, 51.0)
-        state.report("w2", (), (EndedRun(1, run_id, EndKind.DONE),), 50.0, 51.0)
+        state.report(EndpointReport("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 50.0), 51.0)
+        state.report(EndpointReport("w2", (), (EndedRun(1, run_id, EndKind.DONE),), 50.0), 51.0)
         assert [holder for holder, _ in ends_of(state)] == [_E2]
 
     def test_sent_again_while_it_is_stopped(self) -> None:
@@ -356,7 +358,7 @@
         state.place(25.0)
         assert state.actions.pop_starts() == []
         ended = EndedRun(1, run_id, EndKind.STOPPED)
-        state.report(stopped.endpoint, (), (ended,), 26.0, 27.0)
+        state.report(EndpointReport(stopped.endpoint, (), (ended,), 26.0), 27.0)
         state.place(27.0)
         assert state.actions.pop_starts()[0].run_id == RunId(_TASK, 2)
         assert ends_of(state) == []
@@ -365,7 +367,7 @@
         """A job that comes again after its end starts above the numbers used before."""
         state = owner_with(endpoint("w1"))
         run_id = start_one(state)
-        state.report("w1", (), (EndedRun(1, run_id, EndKind.FAILED),), 50.0, 51.0)
+        state.report(EndpointReport("w1", (), (EndedRun(1, run_id, EndKind.FAILED),), 50.0), 51.0)
         state.submit(_E2, submission(), 60.0)
         state.place(60.0)
         assert state.actions.pop_starts()[0].run_id == RunId(_TASK, 2)
@@ -381,13 +383,15 @@
             state = OwnerState(_GONE_AFTER_MS)
             state.follow_endpoint(endpoint("w1"))
             if looks_first:
-                state.report("w1", (ActiveRun(run_id),), (), 0.0, 1.0)
+                state.report(EndpointReport("w1", (ActiveRun(run_id),), (), 0.0), 1.0)
             state.submit(_E1, submission(run=3, is_resumed=True), 2.0)
             if not looks_first:
-                state.report("w1", (ActiveRun(run_id),), (), 3.0, 4.0)
+                state.report(EndpointReport("w1", (ActiveRun(run_id),), (), 3.0), 4.0)
             state.tick(600.0)
             assert state.actions.pop_stops() == []
-            state.report("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 700.0, 701.0)
+            state.report(
+                EndpointReport("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 700.0), 701.0
+            )
             assert [end.cause for _, end in ends_of(state)] == [EndCause.DONE]
 
     def test_end_of_an_earlier_run_is_not_the_end(self) -> None:
@@ -397,13 +401,17 @@
         state.follow_endpoint(endpoint("w1"))
         state.follow_endpoint(endpoint("w2"))
         state.submit(_E1, submission(is_resumed=True), 1.0)
-        state.report("w2", (), (EndedRun(4, RunId(_TASK, 2), EndKind.STOPPED),), 2.0, 3.0)
+        state.report(
+            EndpointReport("w2", (), (EndedRun(4, RunId(_TASK, 2), EndKind.STOPPED),), 2.0), 3.0
+        )
         state.tick(4.0)
         state.place(4.0)
         assert ends_of(state) == []
         assert state.actions.pop_starts() == []
-        state.report("w1", (ActiveRun(RunId(_TASK, 3)),), (), 5.0, 6.0)
-        state.report("w1", (), (EndedRun(1, RunId(_TASK, 3), EndKind.DONE),), 7.0, 8.0)
+        state.report(EndpointReport("w1", (ActiveRun(RunId(_TASK, 3)),), (), 5.0), 6.0)
+        state.report(
+            EndpointReport("w1", (), (EndedRun(1, RunId(_TASK, 3), EndKind.DONE),), 7.0), 8.0
+        )
         assert [(end.run_id.attempt, end.cause) for _, end in ends_of(state)] == [
             (3, EndCause.DONE)
         ]
@@ -412,7 +420,9 @@
         """An end that an endpoint still lists is told when the box asks for it."""
         state = OwnerState(_GONE_AFTER_MS)
         state.follow_endpoint(endpoint("w1"))
-        state.report("w1", (), (EndedRun(4, RunId(_TASK, 1), EndKind.DONE),), 0.0, 1.0)
+        state.report(
+            EndpointReport("w1", (), (EndedRun(4, RunId(_TASK, 1), EndKind.DONE),), 0.0), 1.0
+        )
         state.submit(_E1, submission(is_resumed=True), 2.0)
         assert [end.cause for _, end in ends_of(state)] == [EndCause.DONE]
 
@@ -431,11 +441,11 @@
         state = owner_with(endpoint("w1"), endpoint("w2"))
         state.trust_catalog()
         state.submit(_E1, submission(is_resumed=True, old_right_ms=100), 1_000.0)
-        state.report("w1", (), (), 1_101.0, 1_102.0)
-        state.report("w2", (), (), 1_050.0, 1_101.0)
+        state.report(EndpointReport("w1", (), (), 1_101.0), 1_102.0)
+        state.report(EndpointReport("w2", (), (), 1_050.0), 1_101.0)
         state.tick(1_110.0)
         assert ends_of(state) == []
-        state.report("w2", (), (), 1_110.0, 1_111.0)
+        state.report(EndpointReport("w2", (), (), 1_110.0), 1_111.0)
         state.tick(1_112.0)
         assert [end.cause for _, end in ends_of(state)] == [EndCause.LOST]
 
@@ -444,7 +454,7 @@
         state = OwnerState(_GONE_AFTER_MS)
         state.follow_endpoint(endpoint("w1"))
         stranger = RunId(TaskId("f" * 16, 0, 0, 0), 1)
-        state.report("w1", (ActiveRun(stranger),), (), 0.0, 1.0)
+        state.report(EndpointReport("w1", (ActiveRun(stranger),), (), 0.0), 1.0)
         state.submit(_E1, submission(), 10.0)
         state.place(10.0)
         assert state.actions.pop_starts() == []
@@ -452,6 +462,8 @@
         assert state.actions.pop_stops() == []
         state.tick(400.0)
         assert [action.run_id for action in state.actions.pop_stops()] == [stranger]
-        state.report("w1", (), (EndedRun(1, stranger, EndKind.STOPPED),), 410.0, 411.0)
+        state.report(
+            EndpointReport("w1", (), (EndedRun(1, stranger, EndKind.STOPPED),), 410.0), 411.0
+        )
         state.place(411.0)
         assert len(state.actions.pop_starts()) == 1
