--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -365,6 +365,13 @@
         "pass",
         "tests/test_boxes_controllers.py::TestFullDisk",
     ),
+    Break(
+        "a cancelled request ends",
+        "peers/wire.py",
+        "async with asyncio.timeout(timeout_ms / 1_000):\n                return await future",
+        "return await asyncio.wait_for(future, timeout_ms / 1_000)",
+        "tests/test_wire.py::TestCancelledRequests",
+    ),
 ]
 
 
--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -217,7 +217,9 @@
         self._waiting[request_id] = future
         try:
             self._enqueue(box, message, request_id, 0, int(timeout_ms) + 1)
-            return await asyncio.wait_for(future, timeout_ms / 1_000)
+            # Not wait_for: up to Python 3.11 it loses a cancellation that comes with the reply.
+            async with asyncio.timeout(timeout_ms / 1_000):
+                return await future
         except TimeoutError:
             raise PeerUnreachableError(f"{box} did not answer in {timeout_ms:.0f} ms") from None
         finally:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -155,6 +155,27 @@
         assert decode_body(Frame(kind_of(_BEAT), 0, 0, 0, shorter)) == _BEAT
 
 
+class TestCancelledRequests:
+    """Requests whose task is cancelled."""
+
+    def test_cancelled_as_the_reply_arrives(self) -> None:
+        """The task ends: a leader that has stepped down must not go on sending heartbeats."""
+        ports = {"a1": free_port(), "b1": free_port()}
+
+        async def run() -> None:
+            network = PeerNetwork(settings_from(_raw_settings(ports, "a1")), 5, Metrics())
+            request = asyncio.create_task(network.request("b1", _BEAT, 1_000.0))
+            await asyncio.sleep(0)
+            (reply,) = network._waiting.values()
+            reply.set_result("reply")
+            request.cancel()
+            with pytest.raises(asyncio.CancelledError):
+                await request
+            await network.stop()
+
+        asyncio.run(run())
+
+
 class TestDoubledClaims:
     """A claim request that arrives twice, at a real daemon."""
 
