--- a/src/foldloom/placement/shard.py
+++ b/src/foldloom/placement/shard.py
@@ -123,9 +123,9 @@
         """Take the configuration: *names* are this shard's endpoints, *usable* get work."""
         self._config = config
         self._usable = usable.intersection(names)
-        customers = set(names)
+        own = set(names)
         self._endpoints_of = {
-            service: [name for name in endpoints_of(config, service) if name in customers]
+            service: [name for name in endpoints_of(config, service) if name in own]
             for service in config.services
         }
         self._free = {endpoint: self._free_of(endpoint, 0.0) for endpoint in self._usable}
