--- a/src/foldloom/box.py
+++ b/src/foldloom/box.py
@@ -43,13 +43,13 @@
 from foldloom.settings import CONTROLLER, ENTRY, Settings
 from foldloom.tasks import TaskSet
 
-# Seconds between two looks at configuration, membership and the platform's list. Not measured:
+# Seconds between two checks of configuration, membership and the platform's list. Not measured:
 # chosen below a heartbeat (250 ms).
 _FOLLOW_S = 0.1
 # Milliseconds for which the manager of a shard is not determined again. Not measured: chosen
 # because it is asked for with each lease, and changes with membership (1,000 ms of silence).
 _MANAGERS_KEPT_MS = 50.0
-# Seconds between two looks for answers to forget. Not measured: chosen small against their
+# Seconds between two checks for answers to forget. Not measured: chosen small against their
 # retention.
 _EXPIRE_S = 5.0
 # Heartbeats that say that this box stops, in case some are lost, and seconds between them. Not
--- a/src/foldloom/claims/messages.py
+++ b/src/foldloom/claims/messages.py
@@ -71,7 +71,7 @@
 
 
 class ReleaseHeld(NamedTuple):
-    """Any box tells a replica that a claim's own coordinator said it is withdrawn."""
+    """Notice, by any box, that a claim's own coordinator has withdrawn it."""
 
     submission: str
     coordinator: str
--- a/src/foldloom/claims/service.py
+++ b/src/foldloom/claims/service.py
@@ -29,7 +29,7 @@
 
 # Claims in one part of a copy: some 50 kilobytes. Not measured.
 _COPY_CHUNK = 500
-# Seconds between two looks for claims to forget. Not measured: chosen small against their
+# Seconds between two checks for claims to forget. Not measured: chosen small against their
 # retention.
 _EXPIRE_INTERVAL_S = 1.0
 
--- a/src/foldloom/cli/explain.py
+++ b/src/foldloom/cli/explain.py
@@ -56,13 +56,13 @@
 
 
 class Life(NamedTuple):
-    """What the logs tell of a request.
+    """What the logs show of a request.
 
     Args:
         job: Its id.
         lines: Its events, and what the boxes that ran it believed meanwhile, in order.
-        outcome: How it was answered; empty if no log tells.
-        cause: Why, as far as its own events tell.
+        outcome: How it was answered; empty if no log shows it.
+        cause: Why, as far as its own events show.
     """
 
     job: str
--- a/src/foldloom/controllers/boxes.py
+++ b/src/foldloom/controllers/boxes.py
@@ -13,8 +13,8 @@
 from foldloom.peers.wire import monotonic_ms
 from foldloom.settings import Settings
 
-# Seconds between two looks whether a joint box list can settle. Not measured: chosen as a heartbeat
-# (250 ms).
+# Seconds between two checks whether a joint box list can settle. Not measured: chosen as one
+# heartbeat (250 ms).
 _CHECK_S = 0.25
 
 
--- a/src/foldloom/controllers/client.py
+++ b/src/foldloom/controllers/client.py
@@ -47,7 +47,7 @@
                 try:
                     reply: ProposeReply = await self._request(box, message, deadline)
                 except PeerUnreachableError:
-                    # It may be in the log: the caller must not be told that it is not.
+                    # It may be in the log: the caller must not take it for not committed.
                     is_unknown = True
                     continue
                 self._leader = reply.leader
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -52,7 +52,7 @@
 _PROPOSE_TIMEOUT_MS = 5_000
 # Seconds between two requests to be counted again. Not measured: chosen small against an election.
 _READMIT_INTERVAL_S = 0.2
-# Seconds between two looks whether another controller leads. Not measured.
+# Seconds between two checks whether another controller leads. Not measured.
 _HANDOVER_CHECK_S = 0.01
 # Election time-outs without a leader after which a controller asks whether it still counts. Not
 # measured: chosen above one election.
@@ -529,7 +529,8 @@
     async def _ask_readmission(self) -> None:
         """While this controller is not counted, or its leader is silent, ask to be counted.
 
-        One that was replaced while it was away counts itself still; only its silence tells.
+        One that was replaced while it was away counts itself still; only the leader's silence
+        shows it.
         """
         while True:
             await asyncio.sleep(_READMIT_INTERVAL_S)
--- a/src/foldloom/endpoints/calls.py
+++ b/src/foldloom/endpoints/calls.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How an endpoint is told what to run, whatever is spoken on the wire.
+"""Calls to endpoints, whatever protocol they speak.
 
 An endpoint runs what it was started with under a lease that covers everything on it, measured by
 its own steady clock. It lists what runs and what has ended; ends are listed until a later call
@@ -74,11 +74,11 @@
 
 
 class StartOrder(NamedTuple):
-    """What an endpoint is told to start.
+    """An order to start a run.
 
     Args:
         run_id: The run.
-        spec: What the task is told.
+        spec: The task's input, passed on unread.
         token: The owner's fencing token.
         until_ms: The end of the lease, by the endpoint's clock.
         checkpoint: Where to go on from; empty for the beginning.
@@ -112,7 +112,7 @@
 
     Args:
         outcome: What became of it.
-        clock_ms: The endpoint's clock when it answered; 0 if it told none.
+        clock_ms: The endpoint's clock when it answered; 0 if it gave none.
         detail: For the log.
     """
 
--- a/src/foldloom/endpoints/records.py
+++ b/src/foldloom/endpoints/records.py
@@ -47,7 +47,7 @@
     remaining_ms: int = 0
 
     def says_the_same(self, other: EndpointRecord) -> bool:
-        """Return whether *other* differs in nothing that decisions look at."""
+        """Return whether *other* differs in nothing that decisions use."""
         return self._replace(sequence=0, cold_left_ms=0, remaining_ms=0) == other._replace(
             sequence=0, cold_left_ms=0, remaining_ms=0
         )
--- a/src/foldloom/entry/follow.py
+++ b/src/foldloom/entry/follow.py
@@ -109,7 +109,7 @@
             try:
                 reply: AttachReply = await self._network.request(target, attach, _ASK_TIMEOUT_MS)
             except PeerUnreachableError:
-                # One lost answer says little; after two the caller is told that it may have run.
+                # One lost answer says little; after two the caller is answered "may have run".
                 failed_asks += 1
                 if failed_asks >= _FAILED_ASKS_MAX:
                     return self._ended(submission, COORDINATOR_SILENT)
--- a/src/foldloom/entry/operators.py
+++ b/src/foldloom/entry/operators.py
@@ -30,7 +30,7 @@
 _CONFIRM_TIMEOUT_MS = 6_000
 # Seconds for the newest version to come into force here before a plan is made. Not measured.
 _CATCH_UP_S = 1.0
-# Seconds between two looks for it. Not measured.
+# Seconds between two checks for it. Not measured.
 _CATCH_UP_STEP_S = 0.02
 
 
@@ -169,7 +169,7 @@
         scheme, _, given = request.headers.get("Authorization", "").partition(" ")
         if scheme.lower() != "bearer":
             return False
-        # Every token is compared, each in constant time, so that timing tells nothing.
+        # Every token is compared, each in constant time, so that timing reveals nothing.
         matches = [hmac.compare_digest(given.strip().encode(), token) for token in self._tokens]
         return any(matches)
 
--- a/src/foldloom/fleet/joiner.py
+++ b/src/foldloom/fleet/joiner.py
@@ -21,7 +21,7 @@
 # Joins in a row without a reply after which a controller is logged as lost. Not measured: chosen
 # because one or two are lost on any busy box.
 _LOST_AFTER = 3
-# Seconds between two looks for controllers that are new or gone. Not measured: chosen below the
+# Seconds between two checks for controllers that are new or gone. Not measured: chosen below the
 # interval between joins (250 ms).
 _WATCH_S = 0.1
 
--- a/src/foldloom/fleet/messages.py
+++ b/src/foldloom/fleet/messages.py
@@ -47,7 +47,7 @@
 
 
 class Join(NamedTuple):
-    """A box tells a controller that it lives, and how much it knows.
+    """A box's join: it is alive, and this is the newest version that it holds.
 
     Args:
         record: The box.
@@ -168,7 +168,7 @@
 
 
 class HigherToken(NamedTuple):
-    """A box tells an owner that another one has a higher token."""
+    """Notice to an owner that another one has a higher token."""
 
     owner: OwnerRecord
 
--- a/src/foldloom/fleet/publisher.py
+++ b/src/foldloom/fleet/publisher.py
@@ -60,7 +60,7 @@
                 await asyncio.sleep(_PAUSE_S)
                 continue
             except PeerUnreachableError:
-                # It may be in the log: the caller must not be told that it is not.
+                # It may be in the log: the caller must not take it for not committed.
                 is_unknown = True
                 continue
             return Ok(answer.version)
@@ -99,7 +99,7 @@
         if reply.answer is not None:
             return reply.answer
         if reply.is_unknown:
-            raise PeerUnreachableError("the leader could not tell")
+            raise PeerUnreachableError("the leader does not know whether it is committed")
         raise NotLeaderError(reply.leader)
 
     async def _read(self, left_ms: float) -> ReadReply | None:
--- a/src/foldloom/fleet/registry.py
+++ b/src/foldloom/fleet/registry.py
@@ -44,7 +44,7 @@
 # Milliseconds for which a box may take to acknowledge news. Not measured: chosen below the second
 # in which an endpoint's report must be answered, with time for one box that is dead.
 _NOTIFY_TIMEOUT_MS = 350
-# Seconds between two looks for what is to be forgotten. Not measured: chosen small against that.
+# Seconds between two checks for what is to be forgotten. Not measured: chosen small against that.
 _TIDY_S = 1.0
 
 
--- a/src/foldloom/fleet/view.py
+++ b/src/foldloom/fleet/view.py
@@ -28,7 +28,7 @@
 
 
 class FleetView:
-    """Boxes and owners, as controllers and other boxes tell of them.
+    """Boxes and owners, as known from controllers and other boxes.
 
     What is known stays known while the controllers are silent: a zone goes on without them.
 
--- a/src/foldloom/logs.py
+++ b/src/foldloom/logs.py
@@ -2,7 +2,8 @@
 """Log lines by logbook: decisions as events with fields, other news as short sentences.
 
 Neither a slow reader nor a flood of events may hold a decision up: a kind of event has a rate,
-and lines wait in a bounded batch that a thread writes. What is left out is counted and told.
+and lines wait in a bounded batch that a thread writes. What is left out is counted, and the count
+is logged.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 
 class _Allowance(NamedTuple):
-    """How many events of a kind may be told now, as of a time, and how many were left out."""
+    """How many events of a kind may be logged now, as of a time, and how many were left out."""
 
     events: float
     as_of_s: float
@@ -73,7 +74,7 @@
     """The logger of one part of the code."""
 
     def event(self, kind: str, **fields: Any) -> None:
-        """Tell of a decision or of a changed belief, with what decided it, unless too often.
+        """Log a decision or a state change with its inputs, unless the kind is over its rate.
 
         Args:
             kind: ``thing.what-happened``.
--- a/src/foldloom/owners/batches.py
+++ b/src/foldloom/owners/batches.py
@@ -19,7 +19,7 @@
         ends: Where their ends go.
         began_ms: When the template's times count from; own monotonic clock.
 
-    ``has_started`` tells whether a run of it has started, or may have under an earlier owner.
+    ``has_started``: whether a run of it has started, or may have under an earlier owner.
     """
 
     def __init__(self, template: SubmitRuns, ends: asyncio.Queue[RunEnd], began_ms: float) -> None:
@@ -45,7 +45,7 @@
         if order is None or end.run_id.attempt < order.attempt:
             return None
         if end.delivery and end.delivery != order.delivery:
-            # It tells of an earlier handing over; the run came back since.
+            # It ends an earlier delivery; the run was delivered again since.
             return None
         self.has_started = self.has_started or end.has_started
         return self._open.pop(end.run_id.task)
--- a/src/foldloom/owners/client.py
+++ b/src/foldloom/owners/client.py
@@ -31,11 +31,11 @@
 from foldloom.settings import TimingSettings
 from foldloom.tasks import TaskSet
 
-# Seconds between two looks for owners that fell silent. Not measured: chosen small against the
+# Seconds between two checks for owners that fell silent. Not measured: chosen small against the
 # 1.2 s of silence after which their work has ended.
 _LOST_CHECK_S = 0.05
-# Seconds between two looks for an owner that can take a run. Not measured: chosen small against the
-# 60 ms and more of a job's objective.
+# Seconds between two checks for an owner that can take a run. Not measured: chosen small against
+# the 60 ms and more of a job's objective.
 _OWNER_CHECK_S = 0.01
 
 
--- a/src/foldloom/owners/connection.py
+++ b/src/foldloom/owners/connection.py
@@ -36,7 +36,7 @@
 
 
 class LostRun(NamedTuple):
-    """A run whose end its owner will never tell."""
+    """A run of whose end its owner will never notify this box."""
 
     batch: Batch
     order: RunOrder
@@ -182,7 +182,7 @@
         return [order._replace(delivery=delivery) for order in orders]
 
     def _resume(self, old_right_ms: float) -> None:
-        """Deliver everything open to a new owner, which looks whether it runs already."""
+        """Deliver everything open to a new owner, which finds out whether it runs already."""
         for batches in self._batches.values():
             for batch in batches:
                 orders = [order._replace(is_resumed=True) for order in batch.orders]
--- a/src/foldloom/owners/elector.py
+++ b/src/foldloom/owners/elector.py
@@ -36,7 +36,7 @@
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
 from foldloom.settings import TimingSettings
 
-# Seconds between two looks at the owner's silence. Not measured: chosen small against the patience.
+# Seconds between two checks of the owner's silence. Not measured: chosen small against 400 ms.
 _CHECK_S = 0.03
 # Milliseconds for which witnesses may answer. Not measured: chosen far above a round trip between
 # zones (1.4 ms in a trial on the users' bench); an owner is lost that long more if one is dead.
--- a/src/foldloom/owners/messages.py
+++ b/src/foldloom/owners/messages.py
@@ -97,7 +97,7 @@
 
 
 class SubmitReply(NamedTuple):
-    """Whether the runs were taken; ``retry_after_ms`` tells when to come back if not."""
+    """Whether the runs were taken; if not, when to try again."""
 
     status: SubmitStatus
     reason: str = ""
--- a/src/foldloom/owners/orders.py
+++ b/src/foldloom/owners/orders.py
@@ -42,7 +42,7 @@
         return
     if outcome is CallOutcome.UNKNOWN:
         # It may be carried out at any time until the lease in the order has passed; the stop
-        # keeps it from starting, and the next report tells whether it has started.
+        # keeps it from starting, and the next report shows whether it has started.
         lifecycle.stop(run, now_ms)
         return
     lifecycle.free_room(run)
--- a/src/foldloom/owners/reports.py
+++ b/src/foldloom/owners/reports.py
@@ -32,7 +32,7 @@
     OUTDATED = "outdated"
     """It is of an earlier attempt, or of one that is elsewhere."""
     ADVANCES = "advances"
-    """It tells only how far the attempts of a recovering run have come."""
+    """It shows only which attempt of a recovering run is the newest."""
     FINISHES = "finishes"
     """The run is over."""
 
--- a/src/foldloom/owners/stragglers.py
+++ b/src/foldloom/owners/stragglers.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 """When a running task takes too long, and when it is worth starting it elsewhere.
 
-Owns nothing; decisions only. A run that is overdue tells that its endpoint is slow. One that is
+Owns nothing; decisions only. A run that is overdue shows that its endpoint is slow. One that is
 stuck is stopped and starts elsewhere, as long as the job can still earn something.
 """
 
--- a/src/foldloom/placement/messages.py
+++ b/src/foldloom/placement/messages.py
@@ -99,7 +99,7 @@
 
 
 class SlotHold(NamedTuple):
-    """A coordinator renews its leases, and tells a new lease manager of them."""
+    """A coordinator renews its leases; a new lease manager learns of them by it."""
 
     leases: list[HeldSlot]
 
--- a/src/foldloom/placement/slots.py
+++ b/src/foldloom/placement/slots.py
@@ -30,7 +30,7 @@
 from foldloom.placement.shards import shard_names
 from foldloom.settings import Settings
 
-# Seconds between two looks for requests to send again. Not measured.
+# Seconds between two checks for requests to send again. Not measured.
 _CHECK_S = 0.1
 # Milliseconds without a grant after which a request is sent again. Not measured: it is numbered, so
 # a copy counts once.
@@ -106,7 +106,7 @@
         """End a wish: what still arrives goes back unused."""
 
     def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
-        """Give a slot back and tell what came of it."""
+        """Give a slot back with the outcome of its task."""
 
 
 class LeasedSlots:
@@ -175,7 +175,7 @@
                 self.give_back(arrival, 0.0, SlotUse.UNUSED)
 
     def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
-        """Give a slot back and tell what came of it."""
+        """Give a slot back with the outcome of its task."""
         self._held.pop(slot.lease_id, None)
         if use is SlotUse.UNUSED:
             self._metrics.count("messages.wasted.unused-slot")
--- a/src/foldloom/scheduling/groups.py
+++ b/src/foldloom/scheduling/groups.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 """The runs of one step of one job, and by when they must start.
 
-Owns the runs that wait, and what the step's tasks that are done tell of its duration.
+Owns the runs that wait, and the step's duration as estimated from its finished tasks.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
     @property
     def expected_ms(self) -> float:
-        """How long a task is expected to take; tasks of the step that are done tell best."""
+        """How long a task is expected to take, best known from finished tasks of the same step."""
         if not self._done:
             return self._expected_ms
         own = self._done_log_sum / self._done
--- a/src/foldloom/scheduling/runs.py
+++ b/src/foldloom/scheduling/runs.py
@@ -134,7 +134,7 @@
     """Until when a run that an earlier owner may have started must be looked for.
 
     Args:
-        reports_after_ms: A look at every endpoint after this time finds it, if it runs.
+        reports_after_ms: If it runs, reports that were asked for after this time list it.
         lost_at_ms: By then its lease has lapsed on any endpoint.
     """
 
--- a/src/foldloom/settings.py
+++ b/src/foldloom/settings.py
@@ -307,7 +307,7 @@
 
 
 def _check_whole(settings: Settings, path: str) -> None:
-    """Check what no single field can tell.
+    """Check the fields against each other.
 
     Raises:
         SettingsError: Two fields contradict each other.
