--- a/src/foldloom/placement/shard.py
+++ b/src/foldloom/placement/shard.py
@@ -13,6 +13,7 @@
 from foldloom.controllers.config import Config, endpoints_of
 from foldloom.placement.admission import RETRY_MAX_MS, LoadSeen, judge
 from foldloom.placement.health import Health
+from foldloom.placement.leases import Lease, LeaseTable
 from foldloom.placement.messages import (
     HeldSlot,
     SlotGrant,
@@ -50,18 +51,6 @@
 _NO_ENDPOINT_RETRY_MS = 1_000
 
 
-class Lease(NamedTuple):
-    """A slot in a coordinator's hands."""
-
-    lease_id: int
-    endpoint: str
-    service: str
-    customer: str
-    coordinator: str
-    since_ms: float
-    renewed_ms: float
-
-
 class Grant(NamedTuple):
     """A grant and the coordinator that it goes to."""
 
@@ -85,13 +74,11 @@
         self._config: Config | None = None
         self._usable: set[str] = set()
         self._endpoints_of: dict[str, list[str]] = {}
-        self._leases: dict[int, Lease] = {}
-        self._busy: dict[str, int] = {}
+        self._leases = LeaseTable()
         self._free: dict[str, int] = {}
         self._views: dict[str, View] = {}
         self._sizes: dict[str, list[float]] = {}
         self._rates: dict[str, float] = {}
-        self._running: dict[tuple[str, str], int] = {}
         self._queue = RequestQueue(self._quota_of)
         self._granted = GrantRates()
         self._speeds = SpeedTable()
@@ -152,9 +139,7 @@
 
     def hold(self, coordinator: str, held: HeldSlot, now_ms: float) -> None:
         """Renew a lease, or learn of one that an earlier lease manager made."""
-        known = self._leases.get(held.lease_id)
-        if known is not None:
-            self._leases[held.lease_id] = known._replace(renewed_ms=now_ms)
+        if self._leases.renew(held.lease_id, now_ms):
             return
         since = now_ms - held.age_ms
         self._lend(
@@ -202,7 +187,7 @@
         """End leases that were not renewed and eject endpoints whose tasks are overdue."""
         ttl = self._settings.timings.lease_ttl_ms
         overdue: dict[str, int] = {}
-        for lease in list(self._leases.values()):
+        for lease in self._leases.present():
             if now_ms - lease.renewed_ms > ttl:
                 self._events.append(f"Lease {lease.lease_id} on {lease.endpoint} ran out.")
                 self._end(lease)
@@ -211,7 +196,9 @@
             if now_ms - lease.since_ms > max(_OVERDUE_MIN_MS, limit):
                 overdue[lease.endpoint] = overdue.get(lease.endpoint, 0) + 1
         for endpoint, count in overdue.items():
-            if count * 2 >= self._busy.get(endpoint, 0) and not self._health.is_ejected(endpoint):
+            if count * 2 >= self._leases.busy.get(endpoint, 0) and not self._health.is_ejected(
+                endpoint
+            ):
                 self._eject(endpoint, "its tasks are overdue", now_ms)
         for endpoint in self._usable:
             self._free[endpoint] = self._free_of(endpoint, now_ms)
@@ -306,7 +293,7 @@
                 name: self._speeds.mean_ms(service, name) for name in names if name in self._usable
             }
             order = sorted(means, key=lambda one: (means[one], one))
-            self._views[service] = View(order, means, self._free, self._busy)
+            self._views[service] = View(order, means, self._free, self._leases.busy)
             self._sizes[service] = self._speeds.sizes(service)
             self._rates[service] = self._rate_now(service)
 
@@ -314,7 +301,7 @@
         """Return the free slots of *endpoint*; an ejected one has one if it may be probed."""
         if self._config is None or endpoint not in self._config.endpoints:
             return 0
-        busy = self._busy.get(endpoint, 0)
+        busy = self._leases.busy.get(endpoint, 0)
         if self._health.is_ejected(endpoint):
             may_probe = endpoint in self._proven and self._health.may_probe(endpoint, now_ms)
             return 1 if may_probe and not busy else 0
@@ -379,26 +366,24 @@
         if self._config is None or customer not in self._config.customers:
             return False
         most = self._config.customers[customer]["concurrency_max"]
-        return bool(most) and self._running.get(("member", customer), 0) >= most
+        return bool(most) and self._leases.running_of_customer(customer) >= most
 
     def _is_service_full(self, service: str) -> bool:
         if self._config is None or service not in self._config.services:
             return True
         most = self._config.services[service]["concurrency_max"]
-        return bool(most) and self._running.get(("service", service), 0) >= most
+        return bool(most) and self._leases.running_of_service(service) >= most
 
     def _lend(self, lease: Lease) -> None:
-        self._leases[lease.lease_id] = lease
-        self._count(lease, 1)
+        self._leases.add(lease)
+        self._refresh_free(lease)
 
     def _end(self, lease: Lease) -> None:
-        del self._leases[lease.lease_id]
-        self._count(lease, -1)
+        self._leases.remove(lease)
+        self._refresh_free(lease)
 
-    def _count(self, lease: Lease, by: int) -> None:
-        self._busy[lease.endpoint] = self._busy.get(lease.endpoint, 0) + by
-        for key in (("member", lease.customer), ("service", lease.service)):
-            self._running[key] = self._running.get(key, 0) + by
+    def _refresh_free(self, lease: Lease) -> None:
+        """Count the free slots of the endpoint of *lease* anew."""
         if lease.endpoint in self._free:
             self._free[lease.endpoint] = self._free_of(lease.endpoint, lease.renewed_ms)
 
