--- a/src/foldloom/placement/policies.py
+++ b/src/foldloom/placement/policies.py
@@ -6,11 +6,21 @@
 
 from __future__ import annotations
 
+import math
 import random
 from collections.abc import Mapping, Sequence
 from functools import singledispatch
 from typing import Any, NamedTuple
 
+# Which of a service's task sizes, as a share from the shortest, a wait is weighed against: this for
+# a lone task, more for each doubling of a job's tasks, up to the maximum. From the trial in
+# docs/design/placement.md.
+_SHORT_SHARE = 0.03
+# The addition for each doubling.
+_SHARE_PER_DOUBLING = 0.035
+# The maximum: the middle size.
+_SHARE_MAX = 0.5
+
 
 class View(NamedTuple):
     """What a decision is made on; the maps are by endpoint.
@@ -135,6 +145,22 @@
     return None
 
 
+def job_size(sizes: Sequence[float], job_tasks: int) -> float:
+    """Return against how short a task a wait is weighed, in mean tasks.
+
+    A wait hurts a short lone task most, so nearly the shortest one counts; the longest task of a
+    job hides a wait, the more so the more tasks there are.
+
+    Args:
+        sizes: The service's latest tasks in mean tasks, in rising order; 1 without any.
+        job_tasks: How many tasks the job has.
+    """
+    if not sizes:
+        return 1.0
+    share = _SHORT_SHARE + _SHARE_PER_DOUBLING * math.log2(job_tasks)
+    return sizes[int(len(sizes) * min(share, _SHARE_MAX))]
+
+
 def _split(view: View, fast_limit_ms: float) -> tuple[Sequence[str], Sequence[str]]:
     """Return the fast endpoints and the slow ones; there is always a fast one."""
     place = 1
--- a/src/foldloom/placement/shard.py
+++ b/src/foldloom/placement/shard.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-import math
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
@@ -22,7 +21,7 @@
     SlotReturn,
     SlotUse,
 )
-from foldloom.placement.policies import Choice, Policy, View, choose
+from foldloom.placement.policies import Choice, Policy, View, choose, job_size
 from foldloom.placement.queue import Pending, RequestQueue
 from foldloom.placement.shares import GrantRates
 from foldloom.placement.speeds import SpeedTable
@@ -39,14 +38,6 @@
 # Mean service times of waiting from which a slow slot goes to the oldest job
 # (docs/design/placement.md, point 3). Not measured.
 _LONG_QUEUE_MEANS = 3.0
-# Which of a service's task sizes, as a share from the shortest, a wait is weighed against: this for
-# a lone task, more for each doubling of a job's tasks, up to the maximum. From the trial in
-# docs/design/placement.md.
-_SHORT_SHARE = 0.03
-# The addition for each doubling.
-_SHARE_PER_DOUBLING = 0.035
-# The maximum: the middle size.
-_SHARE_MAX = 0.5
 # Milliseconds after which a caller should come back if no endpoint may serve. Not measured.
 _NO_ENDPOINT_RETRY_MS = 1_000
 
@@ -250,21 +241,9 @@
             if self._free.get(endpoint) and endpoint in view.endpoints:
                 return Choice(endpoint, is_fast=False)
         newest = self._queue.newest_of(service)
-        job_size = self._job_size(service, newest.request.job_tasks)
+        size = job_size(self._sizes.get(service, ()), newest.request.job_tasks)
         queued_ahead = self._queue.tasks_of_service(service) - 1
-        return choose(self._policy, view._replace(queued_ahead=queued_ahead, job_size=job_size))
-
-    def _job_size(self, service: str, job_tasks: int) -> float:
-        """Return how short a task is allowed for when a wait is weighed, in mean tasks.
-
-        A wait hurts a short lone task most, so nearly the shortest one counts; the longest
-        task of a job hides a wait, the more so the more tasks there are.
-        """
-        sizes = self._sizes.get(service)
-        if not sizes:
-            return 1.0
-        share = _SHORT_SHARE + _SHARE_PER_DOUBLING * math.log2(job_tasks)
-        return sizes[int(len(sizes) * min(share, _SHARE_MAX))]
+        return choose(self._policy, view._replace(queued_ahead=queued_ahead, job_size=size))
 
     def _taker_of_slow(self, service: str, first: Pending) -> Pending:
         """Return which request gets a slow slot.
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -21,7 +21,7 @@
 from foldloom.metrics import Metrics
 from foldloom.placement.health import Health
 from foldloom.placement.messages import HeldSlot, SlotRequest, SlotReturn, SlotUse
-from foldloom.placement.policies import POLICIES, Choice, SlotLeases, View, choose
+from foldloom.placement.policies import POLICIES, Choice, SlotLeases, View, choose, job_size
 from foldloom.placement.retries import RetryBudget, may_retry
 from foldloom.placement.shard import Grant, Shard
 from foldloom.placement.shards import FLEET, Managers, manager_of, shard_names
@@ -116,6 +116,26 @@
         assert choose(SlotLeases(), view) == expected
 
 
+class TestJobSize:
+    """Against how short a task a wait is weighed."""
+
+    @pytest.mark.parametrize(
+        ("job_tasks", "expected"), [(1, 4.0), (2, 7.0), (8, 14.0), (1_700, 41.0)]
+    )
+    def test_more_tasks_hide_a_wait(self, job_tasks: int, expected: float) -> None:
+        """Nearly the shortest for a lone task, a longer one for a job of more tasks."""
+        sizes = [float(size) for size in range(1, 101)]
+        assert job_size(sizes, job_tasks) == expected
+
+    def test_at_most_the_middle(self) -> None:
+        """Beyond some number of tasks it is the middle size."""
+        assert job_size([1.0, 2.0, 3.0, 4.0], 1 << 20) == 3.0
+
+    def test_nothing_known(self) -> None:
+        """A service without a finished task counts as one of mean tasks."""
+        assert job_size([], 8) == 1.0
+
+
 class TestShares:
     """Deficit round robin between customers."""
 
