--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -12,10 +12,11 @@
 from collections.abc import Callable
 
 from foldloom.controllers.config import Config
+from foldloom.controllers.controller_table import ControllerTable
 from foldloom.controllers.election import Elections
 from foldloom.controllers.leadership import ANY_STORAGE, Leadership
 from foldloom.controllers.log import ReplicatedLog
-from foldloom.controllers.members import majority_of, newest_table
+from foldloom.controllers.members import majority_of
 from foldloom.controllers.messages import (
     Append,
     AppendReply,
@@ -108,8 +109,6 @@
         self._contacts = contacts
         self._settings = settings
         self._initial = initial
-        self._table_key: tuple[int, int, int] | None = None
-        self._table: dict[str, str] = {}
         self._leader = ""
         self._leadership: Leadership | None = None
         self._is_failed = False
@@ -129,9 +128,7 @@
         """Begin with what the data folder holds; only its snapshot is known to be committed."""
         self._storage, self.log = storage, log
         self._state = ReplicatedState(self._initial)
-        self._table_key = None
-        self._start_index = log.last_index
-        self._start_controllers = self._controllers_of_log()
+        self._table = ControllerTable(log, self._initial)
         self._commit_index = 0
         self._applied_index = 0
         self._load_snapshot(log.snapshot)
@@ -173,15 +170,8 @@
 
     @property
     def controllers(self) -> dict[str, str]:
-        """The controllers of the configuration and their data folders' ids.
-
-        The newest table in the own log counts, committed or not, as in Raft.
-        """
-        key = (self._applied_index, self.log.last_index, self.log.last_term)
-        if key != self._table_key:
-            self._table_key = key
-            self._table = self._read_table()
-        return self._table
+        """The controllers that count, by the own log, and their data folders' ids."""
+        return self._table.newest(self._state, self._applied_index)
 
     @property
     def majority(self) -> int:
@@ -353,8 +343,7 @@
             self._applied_index = entry.log_index
             if self._leadership is not None:
                 self._leadership.resolve(entry.log_index, answer)
-        if self.log.term_at(self._commit_index) == self.log.term:
-            self._start_index = 0
+        self._table.note_committed(self._commit_index)
         if self._state.config.version != version:
             self._adopt(version)
         if self._state.publication.version != published:
@@ -406,27 +395,6 @@
                 self.step_down()
         self._on_config(config, self._state.changes_since(version_before))
 
-    def _read_table(self) -> dict[str, str]:
-        if self._start_index:
-            # Nothing is known to be committed since the start.
-            base, first = self._start_controllers, self._start_index + 1
-        else:
-            base, first = self._state.config.controllers, self._applied_index + 1
-        if first > self.log.last_index:
-            return dict(base)
-        entries = self.log.entries_from(first, self.log.last_index - first + 1)
-        is_founded = self._state.is_founded or bool(self._start_index)
-        return newest_table(base, is_founded, (entry.payload for entry in entries))
-
-    def _controllers_of_log(self) -> dict[str, str]:
-        """Return the controllers after every entry of the own log, committed or not."""
-        state = ReplicatedState(self._initial)
-        if self.log.snapshot.last_index:
-            state.load(self.log.snapshot.state)
-        for entry in self.log.entries_from(self.log.snapshot.last_index + 1, self.log.entry_count):
-            state.apply(entry.payload)
-        return state.config.controllers
-
     def _load_snapshot(self, snapshot: Snapshot) -> None:
         if snapshot.last_index <= self._applied_index:
             return
@@ -469,11 +437,7 @@
         if prev_term is None and message.prev_index > self.log.snapshot.last_index:
             return self._append_reply(False, self.log.snapshot.last_index)
         await self.log.accept(message.entries)
-        if message.prev_index < self._start_index:
-            # What was read at the start may have been replaced.
-            self._start_index = self.log.last_index
-            self._start_controllers = self._controllers_of_log()
-            self._table_key = None
+        self._table.note_accepted(message.prev_index)
         self._leader_contact_ms = monotonic_ms()
         match_index = message.prev_index + len(message.entries)
         self.commit(min(message.commit_index, match_index))
--- /dev/null
+++ b/src/foldloom/controllers/controller_table.py
@@ -0,0 +1,80 @@
+# SPDX-License-Identifier: MIT
+"""Which controllers count, as one controller's own log says.
+
+Owns the table that was read at the start and the newest one that was worked out. Relies on the log
+and on the state of what is applied. As in Raft (Ongaro's dissertation, 2014, section 4.1), the
+newest table in the log counts, committed or not. After a start it is not known what is committed,
+so the table after every entry of the log counts until an entry of the present term is committed.
+"""
+
+from __future__ import annotations
+
+from foldloom.controllers.config import Config
+from foldloom.controllers.log import ReplicatedLog
+from foldloom.controllers.members import Table, newest_table
+from foldloom.controllers.state import ReplicatedState
+
+
+class ControllerTable:
+    """The controllers that count, and their data folders' ids.
+
+    Args:
+        log: The controller's log, as opened.
+        initial: The configuration at version 0.
+    """
+
+    def __init__(self, log: ReplicatedLog, initial: Config) -> None:
+        self._log = log
+        self._initial = initial
+        self._start_index = log.last_index
+        self._start_table = self._read_all()
+        self._newest_at: tuple[int, int, int] | None = None
+        self._newest: Table = {}
+
+    def newest(self, state: ReplicatedState, applied_index: int) -> Table:
+        """Return the newest table.
+
+        Args:
+            state: The state after the applied entries.
+            applied_index: The last of them.
+        """
+        key = (applied_index, self._log.last_index, self._log.last_term)
+        if key != self._newest_at:
+            self._newest_at = key
+            self._newest = self._read_newest(state, applied_index)
+        return self._newest
+
+    def note_committed(self, index: int) -> None:
+        """Note that the entries up to *index* are committed."""
+        if self._log.term_at(index) == self._log.term:
+            self._start_index = 0
+
+    def note_accepted(self, prev_index: int) -> None:
+        """Note that a leader's entries after *prev_index* were accepted into the log."""
+        if prev_index >= self._start_index:
+            return
+        # What was read at the start may have been replaced.
+        self._start_index = self._log.last_index
+        self._start_table = self._read_all()
+        self._newest_at = None
+
+    def _read_newest(self, state: ReplicatedState, applied_index: int) -> Table:
+        if self._start_index:
+            base, first = self._start_table, self._start_index + 1
+        else:
+            base, first = state.config.controllers, applied_index + 1
+        if first > self._log.last_index:
+            return dict(base)
+        entries = self._log.entries_from(first, self._log.last_index - first + 1)
+        is_founded = state.is_founded or bool(self._start_index)
+        return newest_table(base, is_founded, (entry.payload for entry in entries))
+
+    def _read_all(self) -> Table:
+        """Return the table after every entry of the log, committed or not."""
+        log = self._log
+        state = ReplicatedState(self._initial)
+        if log.snapshot.last_index:
+            state.load(log.snapshot.state)
+        for entry in log.entries_from(log.snapshot.last_index + 1, log.entry_count):
+            state.apply(entry.payload)
+        return state.config.controllers
