--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -53,7 +53,8 @@
 _PROPOSE_TIMEOUT_MS = 5_000
 # Seconds between two requests to be counted again. Not measured: chosen small against an election.
 _READMIT_INTERVAL_S = 0.2
-# Seconds between two checks whether another controller leads. Not measured.
+# Seconds between two checks whether another controller could lead, or leads. Not measured: chosen
+# small against an election.
 _HANDOVER_CHECK_S = 0.01
 # Election time-outs without a leader after which a controller asks whether it still counts. Not
 # measured: chosen above one election.
@@ -245,20 +246,31 @@
         self._storage.close()
 
     async def hand_over(self) -> str:
-        """Before a planned stop, have another controller lead; return which, or ''."""
-        if self._leadership is None:
-            return ""
-        successor = self._leadership.successor()
+        """Before a planned stop, have another controller lead; return which, or ''.
+
+        As in Raft's leadership transfer (Ongaro's dissertation, 2014, section 3.10), the successor
+        gets the end of the log first. New proposals are taken meanwhile, so it is bounded.
+        """
+        deadline_ms = monotonic_ms() + self.election_timeout_ms
+        successor = await self._await_successor(deadline_ms)
         if not successor:
             return ""
         term = self.log.term
         self.step_down()
         self.network.send(successor, StandNow(term))
-        deadline_ms = monotonic_ms() + self.election_timeout_ms
         while self.log.term == term and monotonic_ms() < deadline_ms:
             await asyncio.sleep(_HANDOVER_CHECK_S)
         return successor
 
+    async def _await_successor(self, deadline_ms: float) -> str:
+        """Return a controller that holds the whole log, or '' if none does by *deadline_ms*."""
+        while self._leadership is not None and self.majority > 1:
+            successor = self._leadership.successor()
+            if successor or monotonic_ms() >= deadline_ms:
+                return successor
+            await asyncio.sleep(_HANDOVER_CHECK_S)
+        return ""
+
     def fail(self, error: OSError) -> None:
         """Take no part until the data folder can be opened again.
 
--- a/tests/test_boxes_controllers.py
+++ b/tests/test_boxes_controllers.py
@@ -7,6 +7,7 @@
 import errno
 import os
 import shutil
+import time
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 from typing import Any
@@ -20,6 +21,7 @@
 
 _WAIT_S = 15.0
 _TIMEOUT_MS = 1_000.0
+_SLOW_SYNC_S = 0.04
 
 
 def box_settings(port: int, seeds: list[str], role: str, folder: Path | str = "") -> Settings:
@@ -344,3 +346,32 @@
             await core.publish(2)
 
         play(tmp_path, scenario)
+
+    def test_another_leads_at_once_though_an_entry_is_on_its_way(
+        self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
+        """The leader has its newest entry acknowledged by another before it stops."""
+        sync = LogStorage.sync
+
+        def sync_slowly(storage: LogStorage) -> None:
+            time.sleep(_SLOW_SYNC_S)
+            sync(storage)
+
+        async def scenario(core: Core) -> None:
+            leader = core.leader()
+            host = core.hosts.pop(leader)
+            monkeypatch.setattr(LogStorage, "sync", sync_slowly)
+            publishing = asyncio.create_task(host.publish(2, b"2", _TIMEOUT_MS))
+            await asyncio.sleep(_SLOW_SYNC_S / 2)
+            began = asyncio.get_running_loop().time()
+            stopping = asyncio.create_task(host.stop())
+
+            async def is_led() -> bool:
+                return core.leader() != 0
+
+            await until(is_led, "another leads")
+            assert asyncio.get_running_loop().time() - began < 0.5
+            await asyncio.gather(publishing, stopping)
+            assert await core.read() == b"2"
+
+        play(tmp_path, scenario)
