--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -18,8 +18,6 @@
 from capacity_tables import write_tables
 from rig import Cluster, cpu_seconds, resident_bytes, running_cluster, start_load
 
-from foldloom.claims.messages import Claim
-from foldloom.claims.table import ClaimTable
 from foldloom.controllers.config import (
     ACTIVE,
     Config,
@@ -31,10 +29,12 @@
 )
 from foldloom.controllers.plans import make_plan, parse_intents
 from foldloom.controllers.state import ConfirmCommand, ReplicatedState, encode_command
-from foldloom.placement.messages import SlotRequest, SlotReturn, SlotUse
-from foldloom.placement.policies import SlotLeases
-from foldloom.placement.shard import Shard
 from foldloom.settings import settings_from
+from foldloom.static_peers.claims.messages import Claim
+from foldloom.static_peers.claims.table import ClaimTable
+from foldloom.static_peers.placement.messages import SlotRequest, SlotReturn, SlotUse
+from foldloom.static_peers.placement.policies import SlotLeases
+from foldloom.static_peers.placement.shard import Shard
 
 FIGURES = Path(__file__).parent / "capacity.json"
 _SECONDS = 4.0
--- a/src/foldloom/boxes/__init__.py
+++ /dev/null
@@ -1,2 +0,0 @@
-# SPDX-License-Identifier: MIT
-"""The boxes of the path with seed discovery: an entry box, a controller."""
--- a/src/foldloom/daemon.py
+++ b/src/foldloom/daemon.py
@@ -9,10 +9,10 @@
 
 import uvloop
 
-from foldloom.box import Box
 from foldloom.exceptions import SettingsError
 from foldloom.logs import start_logging
 from foldloom.settings import Settings, load_settings
+from foldloom.static_peers.box import Box
 
 # Exit code of wrong usage or settings, as the command-line tool's.
 _EXIT_USAGE = 2
--- a/src/foldloom/endpoints/__init__.py
+++ /dev/null
@@ -1,2 +0,0 @@
-# SPDX-License-Identifier: MIT
-"""The way to endpoints and to the platform's list."""
--- a/src/foldloom/boxes/controller.py
+++ b/src/foldloom/seed_discovery/controller_box.py
@@ -12,20 +12,20 @@
 from foldloom.controllers.leadership import ANY_STORAGE
 from foldloom.controllers.state import Publication
 from foldloom.controllers.storage import format_folder
-from foldloom.endpoints.catalog import EndpointCatalog
-from foldloom.endpoints.records import EndpointRecord
-from foldloom.fleet.cache import PublicationCache
-from foldloom.fleet.joiner import Joiner
-from foldloom.fleet.messages import BoxRecord
-from foldloom.fleet.published import PublishedHolder
-from foldloom.fleet.publisher import Publisher
-from foldloom.fleet.registry import Registry
-from foldloom.fleet.view import FleetView
 from foldloom.ids import new_incarnation
 from foldloom.logs import CONFIG_LOG, CONTROLLER_LOG
 from foldloom.metrics import Metrics
 from foldloom.metrics_server import MetricsServer
 from foldloom.peers.wire import PeerNetwork
+from foldloom.seed_discovery.endpoints.catalog import EndpointCatalog
+from foldloom.seed_discovery.endpoints.records import EndpointRecord
+from foldloom.seed_discovery.fleet.cache import PublicationCache
+from foldloom.seed_discovery.fleet.joiner import Joiner
+from foldloom.seed_discovery.fleet.messages import BoxRecord
+from foldloom.seed_discovery.fleet.published import PublishedHolder
+from foldloom.seed_discovery.fleet.publisher import Publisher
+from foldloom.seed_discovery.fleet.registry import Registry
+from foldloom.seed_discovery.fleet.view import FleetView
 from foldloom.settings import CONTROLLER, Settings
 from foldloom.tasks import TaskSet
 from foldloom.verdicts import Problem
--- a/src/foldloom/endpoints/calls.py
+++ b/src/foldloom/seed_discovery/endpoints/calls.py
@@ -11,8 +11,8 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from foldloom.endpoints.records import EndpointRecord
-from foldloom.jobs.spec import RunId
+from foldloom.seed_discovery.endpoints.records import EndpointRecord
+from foldloom.seed_discovery.jobs.spec import RunId
 
 
 class CallOutcome(Enum):
--- a/src/foldloom/endpoints/catalog.py
+++ b/src/foldloom/seed_discovery/endpoints/catalog.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-from foldloom.endpoints.records import EndpointRecord, EndpointState
+from foldloom.seed_discovery.endpoints.records import EndpointRecord, EndpointState
 
 # Endpoints that are gone and still known. Not measured: chosen above the 1,700 of the size to
 # design for, at some hundred bytes each.
--- a/src/foldloom/endpoints/records.py
+++ b/src/foldloom/seed_discovery/endpoints/records.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from foldloom.jobs.spec import Demand
+from foldloom.seed_discovery.jobs.spec import Demand
 
 
 class EndpointState(StrEnum):
--- a/src/foldloom/boxes/entry.py
+++ b/src/foldloom/seed_discovery/entry_box.py
@@ -7,25 +7,25 @@
 from collections.abc import Callable
 
 from foldloom.controllers.state import Publication
-from foldloom.endpoints.calls import EndpointCalls
-from foldloom.endpoints.catalog import EndpointCatalog
-from foldloom.entry.job_runner import JobRegistry, JobResult
-from foldloom.fleet.joiner import Joiner
-from foldloom.fleet.messages import BoxRecord, OwnerHeartbeat, OwnerRecord
-from foldloom.fleet.published import PublishedHolder
-from foldloom.fleet.view import FleetView
 from foldloom.ids import new_incarnation
-from foldloom.jobs.queues import Queue, QueueTable
-from foldloom.jobs.spec import Job
 from foldloom.logs import CONFIG_LOG, ENTRY_LOG
 from foldloom.metrics import Metrics
 from foldloom.metrics_server import MetricsServer
-from foldloom.owners.client import OwnerClient
-from foldloom.owners.context import OwnerContext
-from foldloom.owners.dispatch import OwnerDispatch
-from foldloom.owners.elector import Elector
-from foldloom.owners.zone_owner import ZoneOwner
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.seed_discovery.endpoints.calls import EndpointCalls
+from foldloom.seed_discovery.endpoints.catalog import EndpointCatalog
+from foldloom.seed_discovery.fleet.joiner import Joiner
+from foldloom.seed_discovery.fleet.messages import BoxRecord, OwnerHeartbeat, OwnerRecord
+from foldloom.seed_discovery.fleet.published import PublishedHolder
+from foldloom.seed_discovery.fleet.view import FleetView
+from foldloom.seed_discovery.job_runner import JobRegistry, JobResult
+from foldloom.seed_discovery.jobs.queues import Queue, QueueTable
+from foldloom.seed_discovery.jobs.spec import Job
+from foldloom.seed_discovery.owners.client import OwnerClient
+from foldloom.seed_discovery.owners.context import OwnerContext
+from foldloom.seed_discovery.owners.dispatch import OwnerDispatch
+from foldloom.seed_discovery.owners.elector import Elector
+from foldloom.seed_discovery.owners.zone_owner import ZoneOwner
 from foldloom.settings import ENTRY, Settings
 from foldloom.tasks import TaskSet
 
--- a/src/foldloom/fleet/joiner.py
+++ b/src/foldloom/seed_discovery/fleet/joiner.py
@@ -9,14 +9,14 @@
 
 import asyncio
 
-from foldloom.endpoints.catalog import EndpointCatalog
-from foldloom.endpoints.records import EndpointRecord
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.fleet.messages import EndpointsSeen, Join, JoinReply, Noted
-from foldloom.fleet.published import PublishedHolder
-from foldloom.fleet.view import FleetView
 from foldloom.logs import PEER_LOG
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.seed_discovery.endpoints.catalog import EndpointCatalog
+from foldloom.seed_discovery.endpoints.records import EndpointRecord
+from foldloom.seed_discovery.fleet.messages import EndpointsSeen, Join, JoinReply, Noted
+from foldloom.seed_discovery.fleet.published import PublishedHolder
+from foldloom.seed_discovery.fleet.view import FleetView
 
 # Joins in a row without a reply after which a controller is logged as lost. Not measured: chosen
 # because one or two are lost on any busy box.
--- a/src/foldloom/fleet/messages.py
+++ b/src/foldloom/seed_discovery/fleet/messages.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from foldloom.controllers.state import Publication
-from foldloom.endpoints.records import EndpointRecord
 from foldloom.peers.messages import register
+from foldloom.seed_discovery.endpoints.records import EndpointRecord
 
 
 class BoxRecord(NamedTuple):
--- a/src/foldloom/fleet/published.py
+++ b/src/foldloom/seed_discovery/fleet/published.py
@@ -7,10 +7,10 @@
 
 from foldloom.controllers.state import NO_PUBLICATION, Publication
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.fleet.cache import PublicationCache
-from foldloom.fleet.messages import Noted, Published, PullPublished
 from foldloom.logs import CONFIG_LOG
 from foldloom.peers.wire import PeerNetwork
+from foldloom.seed_discovery.fleet.cache import PublicationCache
+from foldloom.seed_discovery.fleet.messages import Noted, Published, PullPublished
 
 # Milliseconds for a pull. Not measured: chosen for documents of some megabytes on a slow link.
 _PULL_TIMEOUT_MS = 800
--- a/src/foldloom/fleet/publisher.py
+++ b/src/foldloom/seed_discovery/fleet/publisher.py
@@ -15,8 +15,8 @@
 from foldloom.controllers.messages import Propose, ProposeReply
 from foldloom.controllers.state import Answer, Publication, PublishCommand, encode_command
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
-from foldloom.fleet.messages import ReadPublished, ReadReply
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.seed_discovery.fleet.messages import ReadPublished, ReadReply
 from foldloom.verdicts import Problem, may_have_run, not_run
 
 # Seconds until the leader is looked for again. Not measured: chosen small against an election
--- a/src/foldloom/fleet/registry.py
+++ b/src/foldloom/seed_discovery/fleet/registry.py
@@ -13,10 +13,12 @@
 from typing import NamedTuple
 
 from foldloom.controllers.state import Publication
-from foldloom.endpoints.catalog import EndpointCatalog
-from foldloom.endpoints.records import EndpointRecord, EndpointState
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.fleet.messages import (
+from foldloom.logs import ENDPOINT_LOG, PEER_LOG
+from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.seed_discovery.endpoints.catalog import EndpointCatalog
+from foldloom.seed_discovery.endpoints.records import EndpointRecord, EndpointState
+from foldloom.seed_discovery.fleet.messages import (
     BoxRecord,
     EndpointsSeen,
     Join,
@@ -27,9 +29,7 @@
     OwnerRecord,
     Published,
 )
-from foldloom.fleet.published import PublishedHolder
-from foldloom.logs import ENDPOINT_LOG, PEER_LOG
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.seed_discovery.fleet.published import PublishedHolder
 from foldloom.settings import CONTROLLER, ENTRY
 from foldloom.tasks import TaskSet
 
--- a/src/foldloom/fleet/view.py
+++ b/src/foldloom/seed_discovery/fleet/view.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-from foldloom.fleet.messages import BoxRecord, JoinReply, OwnerRecord
+from foldloom.seed_discovery.fleet.messages import BoxRecord, JoinReply, OwnerRecord
 from foldloom.settings import ENTRY
 
 # Milliseconds after which a box that nobody mentions is forgotten. Not measured: chosen far above
--- a/src/foldloom/entry/job_runner.py
+++ b/src/foldloom/seed_discovery/job_runner.py
@@ -14,12 +14,13 @@
 
 from expression import Error, Ok, Result
 
-from foldloom.jobs.queues import Queue
-from foldloom.jobs.spec import Job, Step, TaskId
 from foldloom.logs import ENTRY_LOG
 from foldloom.metrics import Metrics
-from foldloom.owners.client import OwnerClient
-from foldloom.owners.messages import (
+from foldloom.peers.wire import monotonic_ms
+from foldloom.seed_discovery.jobs.queues import Queue
+from foldloom.seed_discovery.jobs.spec import Job, Step, TaskId
+from foldloom.seed_discovery.owners.client import OwnerClient
+from foldloom.seed_discovery.owners.messages import (
     EndCause,
     Objective,
     RunEnd,
@@ -27,7 +28,6 @@
     SubmitRuns,
     SubmitStatus,
 )
-from foldloom.peers.wire import monotonic_ms
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
 # Milliseconds after which a caller whose job was given up should come back. Not measured: chosen as
--- a/src/foldloom/owners/actions.py
+++ b/src/foldloom/seed_discovery/owners/actions.py
@@ -9,11 +9,11 @@
 
 from typing import NamedTuple
 
-from foldloom.jobs.spec import RunId
-from foldloom.owners.messages import RunEnd
-from foldloom.scheduling.placing import Reservation
-from foldloom.scheduling.runs import HolderId
-from foldloom.scheduling.sharing import GroupId
+from foldloom.seed_discovery.jobs.spec import RunId
+from foldloom.seed_discovery.owners.messages import RunEnd
+from foldloom.seed_discovery.scheduling.placing import Reservation
+from foldloom.seed_discovery.scheduling.runs import HolderId
+from foldloom.seed_discovery.scheduling.sharing import GroupId
 
 
 class StartAction(NamedTuple):
--- a/src/foldloom/owners/admission.py
+++ b/src/foldloom/seed_discovery/owners/admission.py
@@ -3,26 +3,26 @@
 
 Owns the time of the term's first job. Relies on the queue, the endpoints' rooms and the loads of
 other zones, which it is given; how long a job is expected to wait and when that is too long is
-decided in :mod:`foldloom.scheduling.admission`.
+decided in :mod:`foldloom.seed_discovery.scheduling.admission`.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-from foldloom.owners.loads import zone_load
-from foldloom.owners.messages import SubmitReply, SubmitRuns, SubmitStatus
-from foldloom.owners.stealing import WorkStealing
-from foldloom.scheduling.admission import (
+from foldloom.seed_discovery.owners.loads import zone_load
+from foldloom.seed_discovery.owners.messages import SubmitReply, SubmitRuns, SubmitStatus
+from foldloom.seed_discovery.owners.stealing import WorkStealing
+from foldloom.seed_discovery.scheduling.admission import (
     ZoneRoom,
     expected_wait_ms,
     is_too_late,
     retry_after_ms,
 )
-from foldloom.scheduling.endpoints import Candidate
-from foldloom.scheduling.groups import Group
-from foldloom.scheduling.sharing import GroupId
-from foldloom.scheduling.waiting import WaitingRuns
+from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.groups import Group
+from foldloom.seed_discovery.scheduling.sharing import GroupId
+from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
 
 # Milliseconds after a term's first job in which none is refused: endpoints answer the first look
 # within their call's 250 ms, or twice that if the first look is lost.
--- a/src/foldloom/owners/batches.py
+++ b/src/foldloom/seed_discovery/owners/batches.py
@@ -6,9 +6,9 @@
 import asyncio
 from collections.abc import Iterable
 
-from foldloom.jobs.spec import TaskId
-from foldloom.owners.messages import RunEnd, RunOrder, SubmitRuns
 from foldloom.peers.wire import monotonic_ms
+from foldloom.seed_discovery.jobs.spec import TaskId
+from foldloom.seed_discovery.owners.messages import RunEnd, RunOrder, SubmitRuns
 
 
 class Batch:
--- a/src/foldloom/owners/client.py
+++ b/src/foldloom/seed_discovery/owners/client.py
@@ -10,13 +10,14 @@
 import asyncio
 import itertools
 
-from foldloom.fleet.messages import OwnerHeartbeat
-from foldloom.fleet.view import FleetView
-from foldloom.jobs.spec import RunId
 from foldloom.logs import PLACE_LOG
-from foldloom.owners.batches import Batch
-from foldloom.owners.connection import OwnerConnection
-from foldloom.owners.messages import (
+from foldloom.peers.wire import PeerNetwork
+from foldloom.seed_discovery.fleet.messages import OwnerHeartbeat
+from foldloom.seed_discovery.fleet.view import FleetView
+from foldloom.seed_discovery.jobs.spec import RunId
+from foldloom.seed_discovery.owners.batches import Batch
+from foldloom.seed_discovery.owners.connection import OwnerConnection
+from foldloom.seed_discovery.owners.messages import (
     EndCause,
     EndsNoted,
     RunEnd,
@@ -27,7 +28,6 @@
     SubmitReply,
     SubmitRuns,
 )
-from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import TimingSettings
 from foldloom.tasks import TaskSet
 
--- a/src/foldloom/owners/connection.py
+++ b/src/foldloom/seed_discovery/owners/connection.py
@@ -8,19 +8,24 @@
 from typing import NamedTuple
 
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.fleet.messages import HeartbeatAck, OwnerHeartbeat, OwnerRecord, ZoneLoad
-from foldloom.fleet.view import FleetView
 from foldloom.logs import PLACE_LOG
-from foldloom.owners.batches import Batch
-from foldloom.owners.lease import gone_after_ms
-from foldloom.owners.messages import (
+from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.seed_discovery.fleet.messages import (
+    HeartbeatAck,
+    OwnerHeartbeat,
+    OwnerRecord,
+    ZoneLoad,
+)
+from foldloom.seed_discovery.fleet.view import FleetView
+from foldloom.seed_discovery.owners.batches import Batch
+from foldloom.seed_discovery.owners.lease import gone_after_ms
+from foldloom.seed_discovery.owners.messages import (
     CancelJob,
     Cancelled,
     RunOrder,
     SubmitReply,
     SubmitStatus,
 )
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
 from foldloom.settings import TimingSettings
 from foldloom.tasks import TaskSet
 
--- a/src/foldloom/owners/context.py
+++ b/src/foldloom/seed_discovery/owners/context.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from foldloom.endpoints.calls import EndpointCalls
-from foldloom.endpoints.catalog import EndpointCatalog
-from foldloom.fleet.view import FleetView
 from foldloom.metrics import Metrics
 from foldloom.peers.wire import PeerNetwork
+from foldloom.seed_discovery.endpoints.calls import EndpointCalls
+from foldloom.seed_discovery.endpoints.catalog import EndpointCatalog
+from foldloom.seed_discovery.fleet.view import FleetView
 from foldloom.settings import TimingSettings
 
 
--- a/src/foldloom/owners/deliveries.py
+++ b/src/foldloom/seed_discovery/owners/deliveries.py
@@ -10,15 +10,15 @@
 
 from collections.abc import Mapping
 
-from foldloom.jobs.spec import TaskId
-from foldloom.owners.lifecycle import RunLifecycle
-from foldloom.owners.messages import EndCause, RunOrder, SubmitRuns
-from foldloom.owners.recovery import recovery_bound
-from foldloom.owners.reports import adopt_orphan
-from foldloom.owners.stealing import WorkStealing
-from foldloom.scheduling.endpoints import Candidate
-from foldloom.scheduling.runs import HolderId, RecoveryBound, Run, RunSpec, RunState
-from foldloom.scheduling.sharing import group_of
+from foldloom.seed_discovery.jobs.spec import TaskId
+from foldloom.seed_discovery.owners.lifecycle import RunLifecycle
+from foldloom.seed_discovery.owners.messages import EndCause, RunOrder, SubmitRuns
+from foldloom.seed_discovery.owners.recovery import recovery_bound
+from foldloom.seed_discovery.owners.reports import adopt_orphan
+from foldloom.seed_discovery.owners.stealing import WorkStealing
+from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.runs import HolderId, RecoveryBound, Run, RunSpec, RunState
+from foldloom.seed_discovery.scheduling.sharing import group_of
 
 # Milliseconds. Not measured: chosen because a message between boxes expires after 150 ms, and a
 # retransmission under way when a job is cancelled must not bring it back.
--- a/src/foldloom/owners/dispatch.py
+++ b/src/foldloom/seed_discovery/owners/dispatch.py
@@ -8,9 +8,10 @@
 
 from collections.abc import Callable
 
-from foldloom.fleet.messages import HeartbeatAck
-from foldloom.fleet.view import FleetView
-from foldloom.owners.messages import (
+from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.seed_discovery.fleet.messages import HeartbeatAck
+from foldloom.seed_discovery.fleet.view import FleetView
+from foldloom.seed_discovery.owners.messages import (
     CancelJob,
     Cancelled,
     ClaimReply,
@@ -20,8 +21,7 @@
     SubmitStatus,
     WaitingGroups,
 )
-from foldloom.owners.zone_owner import ZoneOwner
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.seed_discovery.owners.zone_owner import ZoneOwner
 
 
 class OwnerDispatch:
--- a/src/foldloom/owners/elector.py
+++ b/src/foldloom/seed_discovery/owners/elector.py
@@ -3,7 +3,7 @@
 
 Owns the newest owner that is known and, while this box owns the zone, the present term. Relies on
 owners' heartbeats and on the other boxes as witnesses; when to claim is decided in
-:mod:`foldloom.owners.election`.
+:mod:`foldloom.seed_discovery.owners.election`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,9 @@
 from collections.abc import Callable
 
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.fleet.messages import (
+from foldloom.logs import PLACE_LOG
+from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.seed_discovery.fleet.messages import (
     HigherToken,
     OwnerAnswer,
     OwnerHeartbeat,
@@ -21,9 +23,8 @@
     OwnerRecord,
     TakeOver,
 )
-from foldloom.fleet.view import FleetView
-from foldloom.logs import PLACE_LOG
-from foldloom.owners.election import (
+from foldloom.seed_discovery.fleet.view import FleetView
+from foldloom.seed_discovery.owners.election import (
     Witnesses,
     may_claim,
     new_box_bits,
@@ -32,8 +33,7 @@
     rank_of,
     token_above,
 )
-from foldloom.owners.zone_owner import ZoneOwner
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.seed_discovery.owners.zone_owner import ZoneOwner
 from foldloom.settings import TimingSettings
 
 # Seconds between two checks of the owner's silence. Not measured: chosen small against 400 ms.
--- a/src/foldloom/owners/endpoint_link.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_link.py
@@ -11,17 +11,17 @@
 import asyncio
 from typing import NamedTuple, Protocol
 
-from foldloom.endpoints.calls import (
+from foldloom.logs import ENDPOINT_LOG
+from foldloom.peers.wire import monotonic_ms
+from foldloom.seed_discovery.endpoints.calls import (
     CallOutcome,
     EndpointCalls,
     EndpointReport,
     PollOrder,
     PollReply,
 )
-from foldloom.endpoints.records import EndpointRecord
-from foldloom.logs import ENDPOINT_LOG
-from foldloom.owners.lease import LAPSE_MARGIN_MS, EndpointClock
-from foldloom.peers.wire import monotonic_ms
+from foldloom.seed_discovery.endpoints.records import EndpointRecord
+from foldloom.seed_discovery.owners.lease import LAPSE_MARGIN_MS, EndpointClock
 
 # Milliseconds that a poll waits at the endpoint for an end. Not measured: chosen as a third of the
 # 600 ms of a lease, so that two polls may be lost before it lapses.
--- a/src/foldloom/owners/endpoint_links.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_links.py
@@ -9,12 +9,12 @@
 
 import asyncio
 
-from foldloom.endpoints.calls import EndpointCalls
-from foldloom.endpoints.catalog import EndpointCatalog
-from foldloom.endpoints.records import EndpointRecord
 from foldloom.logs import ENDPOINT_LOG
-from foldloom.owners.endpoint_link import EndpointLink, LeaseTerms, LinkOwner
-from foldloom.owners.state import OwnerState
+from foldloom.seed_discovery.endpoints.calls import EndpointCalls
+from foldloom.seed_discovery.endpoints.catalog import EndpointCatalog
+from foldloom.seed_discovery.endpoints.records import EndpointRecord
+from foldloom.seed_discovery.owners.endpoint_link import EndpointLink, LeaseTerms, LinkOwner
+from foldloom.seed_discovery.owners.state import OwnerState
 
 # Milliseconds without an answer after which an endpoint is dropped from the catalog; it reports
 # itself if it lives. Not measured: chosen as ten of the users' heartbeats (1,500 ms).
--- a/src/foldloom/owners/heartbeats.py
+++ b/src/foldloom/seed_discovery/owners/heartbeats.py
@@ -11,9 +11,9 @@
 import asyncio
 from collections.abc import Callable
 
-from foldloom.fleet.messages import OwnerHeartbeat, OwnerRecord, ZoneLoad
-from foldloom.owners.context import OwnerContext
 from foldloom.peers.wire import monotonic_ms
+from foldloom.seed_discovery.fleet.messages import OwnerHeartbeat, OwnerRecord, ZoneLoad
+from foldloom.seed_discovery.owners.context import OwnerContext
 
 # Entry boxes in all zones up to which heartbeats go to all of them. Not measured: chosen to bound
 # the messages of large fleets (docs/CAPACITY.md).
--- a/src/foldloom/owners/lifecycle.py
+++ b/src/foldloom/seed_discovery/owners/lifecycle.py
@@ -27,16 +27,16 @@
 
 from collections.abc import Mapping
 
-from foldloom.jobs.spec import TaskId
-from foldloom.owners.actions import Actions, NotifyAction, StartAction, StopAction
-from foldloom.owners.messages import EndCause, RunEnd
-from foldloom.owners.tombstones import Tombstones
-from foldloom.scheduling.endpoints import Candidate
-from foldloom.scheduling.estimates import Estimates
-from foldloom.scheduling.runs import HolderId, Run, RunState
-from foldloom.scheduling.sharing import group_of
-from foldloom.scheduling.speeds import EndpointSpeeds
-from foldloom.scheduling.waiting import WaitingRuns
+from foldloom.seed_discovery.jobs.spec import TaskId
+from foldloom.seed_discovery.owners.actions import Actions, NotifyAction, StartAction, StopAction
+from foldloom.seed_discovery.owners.messages import EndCause, RunEnd
+from foldloom.seed_discovery.owners.tombstones import Tombstones
+from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.estimates import Estimates
+from foldloom.seed_discovery.scheduling.runs import HolderId, Run, RunState
+from foldloom.seed_discovery.scheduling.sharing import group_of
+from foldloom.seed_discovery.scheduling.speeds import EndpointSpeeds
+from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
 
 
 class RunLifecycle:
--- a/src/foldloom/owners/loads.py
+++ b/src/foldloom/seed_discovery/owners/loads.py
@@ -5,9 +5,9 @@
 
 from collections.abc import Iterable
 
-from foldloom.fleet.messages import ZoneLoad
-from foldloom.scheduling.endpoints import Candidate
-from foldloom.scheduling.waiting import WaitingRuns
+from foldloom.seed_discovery.fleet.messages import ZoneLoad
+from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
 
 
 def zone_load(candidates: Iterable[Candidate], waiting: WaitingRuns, now_ms: float) -> ZoneLoad:
--- a/src/foldloom/owners/messages.py
+++ b/src/foldloom/seed_discovery/owners/messages.py
@@ -6,10 +6,10 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from foldloom.fleet.messages import OwnerRecord
-from foldloom.jobs.spec import Demand, Placement, RunId
 from foldloom.peers.messages import register
-from foldloom.scheduling.sharing import GroupId, GroupSummary
+from foldloom.seed_discovery.fleet.messages import OwnerRecord
+from foldloom.seed_discovery.jobs.spec import Demand, Placement, RunId
+from foldloom.seed_discovery.scheduling.sharing import GroupId, GroupSummary
 
 
 class RunOrder(NamedTuple):
--- a/src/foldloom/owners/offers.py
+++ b/src/foldloom/seed_discovery/owners/offers.py
@@ -10,12 +10,12 @@
 import asyncio
 
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.fleet.messages import OwnerRecord
-from foldloom.owners.actions import StealAction
-from foldloom.owners.context import OwnerContext
-from foldloom.owners.messages import ClaimReply, ClaimRuns, WaitingGroups
-from foldloom.owners.state import OwnerState
 from foldloom.peers.wire import monotonic_ms
+from foldloom.seed_discovery.fleet.messages import OwnerRecord
+from foldloom.seed_discovery.owners.actions import StealAction
+from foldloom.seed_discovery.owners.context import OwnerContext
+from foldloom.seed_discovery.owners.messages import ClaimReply, ClaimRuns, WaitingGroups
+from foldloom.seed_discovery.owners.state import OwnerState
 
 # Milliseconds that an owner waits for the reply of another zone's. Not measured: chosen because the
 # room reserved for the runs is kept for 40 ms (RESERVED_MS), which must be longer.
--- a/src/foldloom/owners/order_sender.py
+++ b/src/foldloom/seed_discovery/owners/order_sender.py
@@ -10,15 +10,15 @@
 import asyncio
 from collections.abc import Callable
 
-from foldloom.endpoints.calls import CallOutcome, CallReply, StartOrder
 from foldloom.logs import PLACE_LOG
-from foldloom.owners.actions import StartAction, StopAction
-from foldloom.owners.context import OwnerContext
-from foldloom.owners.endpoint_link import SUSPECT_AFTER_MS, LinkOwner
-from foldloom.owners.endpoint_links import EndpointLinks
-from foldloom.owners.sessions import Sessions
-from foldloom.owners.state import OwnerState
 from foldloom.peers.wire import monotonic_ms
+from foldloom.seed_discovery.endpoints.calls import CallOutcome, CallReply, StartOrder
+from foldloom.seed_discovery.owners.actions import StartAction, StopAction
+from foldloom.seed_discovery.owners.context import OwnerContext
+from foldloom.seed_discovery.owners.endpoint_link import SUSPECT_AFTER_MS, LinkOwner
+from foldloom.seed_discovery.owners.endpoint_links import EndpointLinks
+from foldloom.seed_discovery.owners.sessions import Sessions
+from foldloom.seed_discovery.owners.state import OwnerState
 
 
 class OrderSender:
--- a/src/foldloom/owners/orders.py
+++ b/src/foldloom/seed_discovery/owners/orders.py
@@ -9,12 +9,12 @@
 
 from collections.abc import Mapping
 
-from foldloom.endpoints.calls import CallOutcome
-from foldloom.jobs.spec import RunId
-from foldloom.owners.lifecycle import RunLifecycle
-from foldloom.owners.messages import EndCause
-from foldloom.scheduling.endpoints import Candidate
-from foldloom.scheduling.runs import Run, RunState
+from foldloom.seed_discovery.endpoints.calls import CallOutcome
+from foldloom.seed_discovery.jobs.spec import RunId
+from foldloom.seed_discovery.owners.lifecycle import RunLifecycle
+from foldloom.seed_discovery.owners.messages import EndCause
+from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.runs import Run, RunState
 
 # Milliseconds without new work for an endpoint that refused a start for want of room: it frees
 # some when a run ends, and tasks of the users take 60 ms and more. Not measured.
--- a/src/foldloom/owners/recovery.py
+++ b/src/foldloom/seed_discovery/owners/recovery.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable
 
-from foldloom.scheduling.runs import RecoveryBound, Run
+from foldloom.seed_discovery.scheduling.runs import RecoveryBound, Run
 
 
 def recovery_bound(now_ms: float, old_right_ms: float, gone_after_ms: float) -> RecoveryBound:
--- a/src/foldloom/owners/reports.py
+++ b/src/foldloom/seed_discovery/owners/reports.py
@@ -13,13 +13,13 @@
 from collections.abc import Mapping
 from enum import Enum
 
-from foldloom.endpoints.calls import EndedRun, EndKind, EndpointReport
-from foldloom.jobs.spec import RunId, TaskId
-from foldloom.owners.lifecycle import RunLifecycle
-from foldloom.owners.messages import EndCause
-from foldloom.owners.tombstones import CAUSE_OF_KIND
-from foldloom.scheduling.endpoints import Candidate, OrphanedRun
-from foldloom.scheduling.runs import Run, RunState
+from foldloom.seed_discovery.endpoints.calls import EndedRun, EndKind, EndpointReport
+from foldloom.seed_discovery.jobs.spec import RunId, TaskId
+from foldloom.seed_discovery.owners.lifecycle import RunLifecycle
+from foldloom.seed_discovery.owners.messages import EndCause
+from foldloom.seed_discovery.owners.tombstones import CAUSE_OF_KIND
+from foldloom.seed_discovery.scheduling.endpoints import Candidate, OrphanedRun
+from foldloom.seed_discovery.scheduling.runs import Run, RunState
 
 # Milliseconds. Not measured: chosen because entry boxes deliver what they have open to a new owner
 # within one heartbeat of it (100 ms), or three where heartbeats are lost.
--- a/src/foldloom/owners/sessions.py
+++ b/src/foldloom/seed_discovery/owners/sessions.py
@@ -15,9 +15,9 @@
 from typing import NamedTuple
 
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.owners.messages import RunEnd, RunsEnded, SessionBegan
 from foldloom.peers.wire import PeerNetwork
-from foldloom.scheduling.runs import HolderId
+from foldloom.seed_discovery.owners.messages import RunEnd, RunsEnded, SessionBegan
+from foldloom.seed_discovery.scheduling.runs import HolderId
 
 # Milliseconds until a message without a reply is sent again. Not measured: chosen far above a round
 # trip between zones (1.4 ms in a trial on the users' bench), so that a busy box is not sent twice.
--- a/src/foldloom/owners/state.py
+++ b/src/foldloom/seed_discovery/owners/state.py
@@ -9,27 +9,33 @@
 
 from __future__ import annotations
 
-from foldloom.endpoints.calls import CallOutcome, EndpointReport
-from foldloom.endpoints.records import EndpointRecord
-from foldloom.fleet.messages import ZoneLoad
-from foldloom.jobs.spec import RunId, TaskId
-from foldloom.owners.actions import Actions, StealAction, StopAction
-from foldloom.owners.admission import Admission
-from foldloom.owners.deliveries import Deliveries
-from foldloom.owners.lifecycle import RunLifecycle
-from foldloom.owners.loads import zone_load
-from foldloom.owners.messages import EndCause, RunEnd, SubmitReply, SubmitRuns, SubmitStatus
-from foldloom.owners.orders import note_start, note_stop
-from foldloom.owners.recovery import is_lost
-from foldloom.owners.reports import orphans_to_stop, reconcile
-from foldloom.owners.stealing import WorkStealing
-from foldloom.owners.stragglers import is_overdue, is_stuck
-from foldloom.scheduling.endpoints import Candidate
-from foldloom.scheduling.placing import place
-from foldloom.scheduling.ranking import Tier, tier_of
-from foldloom.scheduling.runs import HolderId, Run, RunState
-from foldloom.scheduling.sharing import GroupId, GroupSummary
-from foldloom.scheduling.waiting import WaitingRuns
+from foldloom.seed_discovery.endpoints.calls import CallOutcome, EndpointReport
+from foldloom.seed_discovery.endpoints.records import EndpointRecord
+from foldloom.seed_discovery.fleet.messages import ZoneLoad
+from foldloom.seed_discovery.jobs.spec import RunId, TaskId
+from foldloom.seed_discovery.owners.actions import Actions, StealAction, StopAction
+from foldloom.seed_discovery.owners.admission import Admission
+from foldloom.seed_discovery.owners.deliveries import Deliveries
+from foldloom.seed_discovery.owners.lifecycle import RunLifecycle
+from foldloom.seed_discovery.owners.loads import zone_load
+from foldloom.seed_discovery.owners.messages import (
+    EndCause,
+    RunEnd,
+    SubmitReply,
+    SubmitRuns,
+    SubmitStatus,
+)
+from foldloom.seed_discovery.owners.orders import note_start, note_stop
+from foldloom.seed_discovery.owners.recovery import is_lost
+from foldloom.seed_discovery.owners.reports import orphans_to_stop, reconcile
+from foldloom.seed_discovery.owners.stealing import WorkStealing
+from foldloom.seed_discovery.owners.stragglers import is_overdue, is_stuck
+from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.placing import place
+from foldloom.seed_discovery.scheduling.ranking import Tier, tier_of
+from foldloom.seed_discovery.scheduling.runs import HolderId, Run, RunState
+from foldloom.seed_discovery.scheduling.sharing import GroupId, GroupSummary
+from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
 
 # How many groups an owner offers to the owners of other zones. Not measured: chosen because these
 # are the next in order, and the offer is renewed 3 ms after each change.
--- a/src/foldloom/owners/stealing.py
+++ b/src/foldloom/seed_discovery/owners/stealing.py
@@ -11,11 +11,11 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from foldloom.fleet.messages import ZoneLoad
-from foldloom.owners.actions import StealAction
-from foldloom.scheduling.endpoints import Candidate
-from foldloom.scheduling.placing import Reservation
-from foldloom.scheduling.sharing import VIEW_KEPT_MS, GroupId, RemoteGroups
+from foldloom.seed_discovery.fleet.messages import ZoneLoad
+from foldloom.seed_discovery.owners.actions import StealAction
+from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.placing import Reservation
+from foldloom.seed_discovery.scheduling.sharing import VIEW_KEPT_MS, GroupId, RemoteGroups
 
 
 class _ReceivedLoad(NamedTuple):
--- a/src/foldloom/owners/tombstones.py
+++ b/src/foldloom/seed_discovery/owners/tombstones.py
@@ -10,10 +10,10 @@
 
 from typing import NamedTuple
 
-from foldloom.endpoints.calls import EndedRun, EndKind
-from foldloom.jobs.spec import TaskId
-from foldloom.owners.messages import EndCause, RunEnd
-from foldloom.scheduling.runs import HolderId, Run
+from foldloom.seed_discovery.endpoints.calls import EndedRun, EndKind
+from foldloom.seed_discovery.jobs.spec import TaskId
+from foldloom.seed_discovery.owners.messages import EndCause, RunEnd
+from foldloom.seed_discovery.scheduling.runs import HolderId, Run
 
 # Milliseconds. Not measured: chosen because no message, order or lease lives longer than the
 # longest of the users' deadlines, 2.8 s, and twice that leaves a margin.
--- a/src/foldloom/owners/zone_owner.py
+++ b/src/foldloom/seed_discovery/owners/zone_owner.py
@@ -11,16 +11,22 @@
 import asyncio
 from collections.abc import Callable
 
-from foldloom.endpoints.calls import EndpointReport
-from foldloom.fleet.messages import HeartbeatAck, OwnerHeartbeat, OwnerRecord, ZoneLoad
 from foldloom.logs import ENDPOINT_LOG, PLACE_LOG
-from foldloom.owners.actions import NotifyAction
-from foldloom.owners.context import OwnerContext
-from foldloom.owners.endpoint_link import LeaseTerms
-from foldloom.owners.endpoint_links import EndpointLinks
-from foldloom.owners.heartbeats import HeartbeatSender
-from foldloom.owners.lease import STOP_OVERDUE_MS, gone_after_ms, longest_real_ms
-from foldloom.owners.messages import (
+from foldloom.peers.wire import monotonic_ms
+from foldloom.seed_discovery.endpoints.calls import EndpointReport
+from foldloom.seed_discovery.fleet.messages import (
+    HeartbeatAck,
+    OwnerHeartbeat,
+    OwnerRecord,
+    ZoneLoad,
+)
+from foldloom.seed_discovery.owners.actions import NotifyAction
+from foldloom.seed_discovery.owners.context import OwnerContext
+from foldloom.seed_discovery.owners.endpoint_link import LeaseTerms
+from foldloom.seed_discovery.owners.endpoint_links import EndpointLinks
+from foldloom.seed_discovery.owners.heartbeats import HeartbeatSender
+from foldloom.seed_discovery.owners.lease import STOP_OVERDUE_MS, gone_after_ms, longest_real_ms
+from foldloom.seed_discovery.owners.messages import (
     CancelJob,
     Cancelled,
     ClaimReply,
@@ -30,12 +36,11 @@
     SubmitStatus,
     WaitingGroups,
 )
-from foldloom.owners.offers import OfferSender
-from foldloom.owners.order_sender import OrderSender
-from foldloom.owners.sessions import Sessions
-from foldloom.owners.state import OwnerState
-from foldloom.peers.wire import monotonic_ms
-from foldloom.scheduling.runs import HolderId
+from foldloom.seed_discovery.owners.offers import OfferSender
+from foldloom.seed_discovery.owners.order_sender import OrderSender
+from foldloom.seed_discovery.owners.sessions import Sessions
+from foldloom.seed_discovery.owners.state import OwnerState
+from foldloom.seed_discovery.scheduling.runs import HolderId
 from foldloom.tasks import TaskSet
 
 # Seconds between two ticks. Not measured: chosen as a fifth of the 100 ms after which the
--- a/src/foldloom/scheduling/admission.py
+++ b/src/foldloom/seed_discovery/scheduling/admission.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
 """How long a job is expected to wait, whether that is too long, and when to come back.
 
-Owns nothing; decisions only, taken when a job comes. :mod:`foldloom.owners.admission` gathers the
-inputs.
+Owns nothing; decisions only, taken when a job comes.
+:mod:`foldloom.seed_discovery.owners.admission` gathers the inputs.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from foldloom.scheduling.groups import Group
-from foldloom.scheduling.ranking import rank
-from foldloom.scheduling.sharing import RemoteGroup
+from foldloom.seed_discovery.scheduling.groups import Group
+from foldloom.seed_discovery.scheduling.ranking import rank
+from foldloom.seed_discovery.scheduling.sharing import RemoteGroup
 
 # Share of all cores that work can use at a time. Not measured: chosen from the users' sizes, where
 # two tasks of 6.8 cores fill 13.6 of 16 cores and three 20.4 of 24 (both 0.85).
--- a/src/foldloom/scheduling/endpoints.py
+++ b/src/foldloom/seed_discovery/scheduling/endpoints.py
@@ -5,9 +5,9 @@
 
 from typing import NamedTuple
 
-from foldloom.endpoints.records import EndpointRecord, EndpointState
-from foldloom.jobs.spec import Demand, TaskId
-from foldloom.scheduling.rooms import Room, fits
+from foldloom.seed_discovery.endpoints.records import EndpointRecord, EndpointState
+from foldloom.seed_discovery.jobs.spec import Demand, TaskId
+from foldloom.seed_discovery.scheduling.rooms import Room, fits
 
 
 class OrphanedRun(NamedTuple):
--- a/src/foldloom/scheduling/groups.py
+++ b/src/foldloom/seed_discovery/scheduling/groups.py
@@ -8,8 +8,8 @@
 
 import math
 
-from foldloom.jobs.spec import TaskId
-from foldloom.scheduling.runs import Run, RunSpec
+from foldloom.seed_discovery.jobs.spec import TaskId
+from foldloom.seed_discovery.scheduling.runs import Run, RunSpec
 
 # Times its objective, until which a job earns anything: the users' rule for late answers.
 LATE_FACTOR = 3.0
--- a/src/foldloom/scheduling/placing.py
+++ b/src/foldloom/seed_discovery/scheduling/placing.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: MIT
 """Which waiting run goes to which endpoint now, and which runs of other zones to steal.
 
-Owns the numbers of reservations. Relies on the order (:mod:`foldloom.scheduling.ranking`), the
-endpoints' rooms and speeds, and what other zones offer. Runs are considered in order; each goes to
-the endpoint with room that is near its data, fast, and left with the least room.
+Owns the numbers of reservations. Relies on the order
+(:mod:`foldloom.seed_discovery.scheduling.ranking`), the endpoints' rooms and speeds, and what other
+zones offer. Runs are considered in order; each goes to the endpoint with room that is near its
+data, fast, and left with the least room.
 """
 
 from __future__ import annotations
@@ -12,14 +13,20 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from foldloom.jobs.spec import Demand, Placement
-from foldloom.scheduling.endpoints import Candidate
-from foldloom.scheduling.groups import Group
-from foldloom.scheduling.ranking import Rank, Tier, rank, speed_min
-from foldloom.scheduling.runs import Run
-from foldloom.scheduling.sharing import RESERVED_MS, GroupId, RemoteGroup, RemoteGroups, group_of
-from foldloom.scheduling.speeds import EndpointSpeeds
-from foldloom.scheduling.waiting import WaitingRuns
+from foldloom.seed_discovery.jobs.spec import Demand, Placement
+from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.groups import Group
+from foldloom.seed_discovery.scheduling.ranking import Rank, Tier, rank, speed_min
+from foldloom.seed_discovery.scheduling.runs import Run
+from foldloom.seed_discovery.scheduling.sharing import (
+    RESERVED_MS,
+    GroupId,
+    RemoteGroup,
+    RemoteGroups,
+    group_of,
+)
+from foldloom.seed_discovery.scheduling.speeds import EndpointSpeeds
+from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
 
 _reservation_numbers = itertools.count(1)
 
--- a/src/foldloom/scheduling/ranking.py
+++ b/src/foldloom/seed_discovery/scheduling/ranking.py
@@ -10,7 +10,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from foldloom.scheduling.groups import Group
+from foldloom.seed_discovery.scheduling.groups import Group
 
 # Share of the speed that a group needs by its estimate, below which an endpoint is left out. Not
 # measured: chosen below 1 because estimates are off by some tens of per cent.
--- a/src/foldloom/scheduling/rooms.py
+++ b/src/foldloom/seed_discovery/scheduling/rooms.py
@@ -5,7 +5,7 @@
 
 from typing import NamedTuple
 
-from foldloom.jobs.spec import Demand, TaskId
+from foldloom.seed_discovery.jobs.spec import Demand, TaskId
 
 _NOTHING = Demand(0, 0, 0)
 
--- a/src/foldloom/scheduling/runs.py
+++ b/src/foldloom/seed_discovery/scheduling/runs.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from foldloom.jobs.spec import Demand, Placement, RunId, TaskId
+from foldloom.seed_discovery.jobs.spec import Demand, Placement, RunId, TaskId
 
 
 class HolderId(NamedTuple):
--- a/src/foldloom/scheduling/sharing.py
+++ b/src/foldloom/seed_discovery/scheduling/sharing.py
@@ -12,8 +12,8 @@
 
 from typing import NamedTuple
 
-from foldloom.jobs.spec import Demand, Placement, TaskId
-from foldloom.scheduling.ranking import Rank
+from foldloom.seed_discovery.jobs.spec import Demand, Placement, TaskId
+from foldloom.seed_discovery.scheduling.ranking import Rank
 
 # Milliseconds for which what another zone's owner said is acted on. Not measured: chosen as three
 # of its heartbeats (100 ms), which carry its load.
--- a/src/foldloom/scheduling/waiting.py
+++ b/src/foldloom/seed_discovery/scheduling/waiting.py
@@ -6,12 +6,12 @@
 
 from __future__ import annotations
 
-from foldloom.jobs.spec import TaskId
-from foldloom.scheduling.estimates import Estimates
-from foldloom.scheduling.groups import Group
-from foldloom.scheduling.ranking import rank, speed_min
-from foldloom.scheduling.runs import Run
-from foldloom.scheduling.sharing import GroupId, GroupSummary, group_of
+from foldloom.seed_discovery.jobs.spec import TaskId
+from foldloom.seed_discovery.scheduling.estimates import Estimates
+from foldloom.seed_discovery.scheduling.groups import Group
+from foldloom.seed_discovery.scheduling.ranking import rank, speed_min
+from foldloom.seed_discovery.scheduling.runs import Run
+from foldloom.seed_discovery.scheduling.sharing import GroupId, GroupSummary, group_of
 
 
 class WaitingRuns:
--- a/src/foldloom/box.py
+++ b/src/foldloom/static_peers/box.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 """One box of the own interface: its parts are made, started, and stopped as planned.
 
-Owns the parts and their tasks. Boxes with seed discovery are in :mod:`foldloom.boxes`.
+Owns the parts and their tasks. Boxes with seed discovery are in :mod:`foldloom.seed_discovery`.
 """
 
 from __future__ import annotations
@@ -10,37 +10,37 @@
 import itertools
 from typing import Any
 
-from foldloom.claims.acquire import ClaimAcquirer
-from foldloom.claims.recovery import Recovery
-from foldloom.claims.service import ClaimService
-from foldloom.claims.table import ClaimTable
-from foldloom.controllers.boxes import BoxListKeeper
 from foldloom.controllers.client import ControllerClient
 from foldloom.controllers.config import Config, empty_config, endpoints_of
 from foldloom.controllers.controller import Controller
 from foldloom.controllers.holder import ConfigHolder
 from foldloom.controllers.leadership import ANY_STORAGE
-from foldloom.endpoints.adapter import EndpointAdapter
-from foldloom.endpoints.platform import PlatformList
-from foldloom.endpoints.usage import UsageReports
-from foldloom.entry.coordinator import Coordinator
-from foldloom.entry.follow import Follower
-from foldloom.entry.http import HttpServer
-from foldloom.entry.jobs import JobTable
-from foldloom.entry.operators import OperatorRoutes
-from foldloom.entry.run import RunContext
 from foldloom.ids import new_incarnation
 from foldloom.logs import CONFIG_LOG, ENTRY_LOG
 from foldloom.metrics import Metrics
 from foldloom.metrics_server import MetricsServer
-from foldloom.peers.membership import Heartbeat, Membership, ZoneLoad
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
-from foldloom.placement.lease_manager import LeaseManager
-from foldloom.placement.policies import POLICIES, SlotLeases
-from foldloom.placement.retries import RetryBudget
-from foldloom.placement.shards import Managers
-from foldloom.placement.slots import DirectSlots, LeasedSlots, SlotSource
 from foldloom.settings import CONTROLLER, ENTRY, Settings
+from foldloom.static_peers.box_list import BoxListKeeper
+from foldloom.static_peers.claims.acquire import ClaimAcquirer
+from foldloom.static_peers.claims.recovery import Recovery
+from foldloom.static_peers.claims.service import ClaimService
+from foldloom.static_peers.claims.table import ClaimTable
+from foldloom.static_peers.endpoints.adapter import EndpointAdapter
+from foldloom.static_peers.endpoints.platform import PlatformList
+from foldloom.static_peers.endpoints.usage import UsageReports
+from foldloom.static_peers.entry.coordinator import Coordinator
+from foldloom.static_peers.entry.follow import Follower
+from foldloom.static_peers.entry.http import HttpServer
+from foldloom.static_peers.entry.jobs import JobTable
+from foldloom.static_peers.entry.operators import OperatorRoutes
+from foldloom.static_peers.entry.run import RunContext
+from foldloom.static_peers.membership import Heartbeat, Membership, ZoneLoad
+from foldloom.static_peers.placement.lease_manager import LeaseManager
+from foldloom.static_peers.placement.policies import POLICIES, SlotLeases
+from foldloom.static_peers.placement.retries import RetryBudget
+from foldloom.static_peers.placement.shards import Managers
+from foldloom.static_peers.placement.slots import DirectSlots, LeasedSlots, SlotSource
 from foldloom.tasks import TaskSet
 
 # Seconds between two checks of configuration, membership and the platform's list. Not measured:
--- a/src/foldloom/controllers/boxes.py
+++ b/src/foldloom/static_peers/box_list.py
@@ -9,9 +9,9 @@
 from foldloom.controllers.state import BoxesSettledCommand, encode_command
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.logs import CONTROLLER_LOG
-from foldloom.peers.membership import Membership
 from foldloom.peers.wire import monotonic_ms
 from foldloom.settings import Settings
+from foldloom.static_peers.membership import Membership
 
 # Seconds between two checks whether a joint box list can settle. Not measured: chosen as one
 # heartbeat (250 ms).
--- a/src/foldloom/claims/acquire.py
+++ b/src/foldloom/static_peers/claims/acquire.py
@@ -7,13 +7,20 @@
 from enum import Enum
 from typing import NamedTuple
 
-from foldloom.claims.messages import Claim, ClaimReply, ClaimRequest, ReleaseHeld, Vote, Withdraw
-from foldloom.claims.replicas import ReplicaSets
-from foldloom.claims.service import ClaimService
-from foldloom.claims.votes import is_won, may_still_win
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import Settings
+from foldloom.static_peers.claims.messages import (
+    Claim,
+    ClaimReply,
+    ClaimRequest,
+    ReleaseHeld,
+    Vote,
+    Withdraw,
+)
+from foldloom.static_peers.claims.replicas import ReplicaSets
+from foldloom.static_peers.claims.service import ClaimService
+from foldloom.static_peers.claims.votes import is_won, may_still_win
 
 
 class Acquisition(Enum):
--- a/src/foldloom/claims/recovery.py
+++ b/src/foldloom/static_peers/claims/recovery.py
@@ -6,15 +6,15 @@
 import asyncio
 from collections.abc import Callable
 
-from foldloom.claims.messages import CopyReply, CopyRequest
-from foldloom.claims.replicas import ReplicaSets
-from foldloom.claims.table import ClaimTable
 from foldloom.controllers.client import ControllerClient
 from foldloom.controllers.config import BoxList
 from foldloom.controllers.state import IncarnationCommand
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.logs import CLAIM_LOG
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.static_peers.claims.messages import CopyReply, CopyRequest
+from foldloom.static_peers.claims.replicas import ReplicaSets
+from foldloom.static_peers.claims.table import ClaimTable
 
 # Milliseconds for one part of a copy. Not measured: chosen far above 500 claims on a slow link.
 _COPY_TIMEOUT_MS = 2_000
--- a/src/foldloom/claims/service.py
+++ b/src/foldloom/static_peers/claims/service.py
@@ -6,7 +6,11 @@
 import asyncio
 from collections.abc import Callable
 
-from foldloom.claims.messages import (
+from foldloom.controllers.config import BoxList
+from foldloom.logs import CLAIM_LOG
+from foldloom.metrics import Metrics
+from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.static_peers.claims.messages import (
     Claim,
     ClaimReply,
     ClaimRequest,
@@ -19,13 +23,9 @@
     Vote,
     Withdraw,
 )
-from foldloom.claims.recovery import Recovery
-from foldloom.claims.replicas import ReplicaSets, replica_sets
-from foldloom.claims.table import ClaimTable
-from foldloom.controllers.config import BoxList
-from foldloom.logs import CLAIM_LOG
-from foldloom.metrics import Metrics
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.static_peers.claims.recovery import Recovery
+from foldloom.static_peers.claims.replicas import ReplicaSets, replica_sets
+from foldloom.static_peers.claims.table import ClaimTable
 
 # Claims in one part of a copy: some 50 kilobytes. Not measured.
 _COPY_CHUNK = 500
--- a/src/foldloom/claims/table.py
+++ b/src/foldloom/static_peers/claims/table.py
@@ -10,7 +10,7 @@
 import sys
 from typing import NamedTuple
 
-from foldloom.claims.messages import Claim, CopiedClaim, Vote
+from foldloom.static_peers.claims.messages import Claim, CopiedClaim, Vote
 
 
 class _Held(NamedTuple):
--- a/src/foldloom/claims/votes.py
+++ b/src/foldloom/static_peers/claims/votes.py
@@ -5,8 +5,8 @@
 
 from collections.abc import Callable
 
-from foldloom.claims.messages import ClaimReply, Vote
-from foldloom.claims.replicas import ReplicaSets
+from foldloom.static_peers.claims.messages import ClaimReply, Vote
+from foldloom.static_peers.claims.replicas import ReplicaSets
 
 
 def is_won(
--- a/src/foldloom/endpoints/usage.py
+++ b/src/foldloom/static_peers/endpoints/usage.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from foldloom.controllers.config import Config
-from foldloom.endpoints.adapter import EndpointAdapter
+from foldloom.static_peers.endpoints.adapter import EndpointAdapter
 
 # Seconds between two polls of an endpoint: the platform's reports lag by as much.
 _POLL_S = 0.5
--- a/src/foldloom/entry/coordinator.py
+++ b/src/foldloom/static_peers/entry/coordinator.py
@@ -7,11 +7,17 @@
 import random
 from collections.abc import Callable
 
-from foldloom.claims.acquire import AcquireResult, Acquisition, ClaimAcquirer
-from foldloom.claims.messages import Claim, Lookup, LookupReply
-from foldloom.claims.service import ClaimService
-from foldloom.entry.follow import CONFLICT, Followed, FollowEnd, Follower
-from foldloom.entry.jobs import (
+from foldloom.exceptions import PeerUnreachableError
+from foldloom.ids import zone_of
+from foldloom.logs import CLAIM_LOG, ENTRY_LOG
+from foldloom.metrics import Metrics
+from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.settings import Settings
+from foldloom.static_peers.claims.acquire import AcquireResult, Acquisition, ClaimAcquirer
+from foldloom.static_peers.claims.messages import Claim, Lookup, LookupReply
+from foldloom.static_peers.claims.service import ClaimService
+from foldloom.static_peers.entry.follow import CONFLICT, Followed, FollowEnd, Follower
+from foldloom.static_peers.entry.jobs import (
     Job,
     JobState,
     JobTable,
@@ -19,14 +25,8 @@
     complete_response,
     problem_response,
 )
-from foldloom.entry.requests import JobRequest
-from foldloom.entry.run import JobRun, RunContext
-from foldloom.exceptions import PeerUnreachableError
-from foldloom.ids import zone_of
-from foldloom.logs import CLAIM_LOG, ENTRY_LOG
-from foldloom.metrics import Metrics
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
-from foldloom.settings import Settings
+from foldloom.static_peers.entry.requests import JobRequest
+from foldloom.static_peers.entry.run import JobRun, RunContext
 from foldloom.tasks import TaskSet
 from foldloom.verdicts import Problem, Verdict, may_have_run, not_run
 
--- a/src/foldloom/entry/follow.py
+++ b/src/foldloom/static_peers/entry/follow.py
@@ -7,9 +7,20 @@
 from enum import Enum
 from typing import NamedTuple
 
-from foldloom.claims.messages import Claim
-from foldloom.entry.jobs import InheritedKey, Job, JobState, JobTable, Response, problem_response
-from foldloom.entry.messages import (
+from foldloom.exceptions import PeerUnreachableError
+from foldloom.logs import ENTRY_LOG
+from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.settings import Settings
+from foldloom.static_peers.claims.messages import Claim
+from foldloom.static_peers.entry.jobs import (
+    InheritedKey,
+    Job,
+    JobState,
+    JobTable,
+    Response,
+    problem_response,
+)
+from foldloom.static_peers.entry.messages import (
     Attach,
     AttachReply,
     AttachState,
@@ -17,11 +28,7 @@
     Handover,
     HandoverReply,
 )
-from foldloom.exceptions import PeerUnreachableError
-from foldloom.logs import ENTRY_LOG
-from foldloom.peers.membership import Membership
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
-from foldloom.settings import Settings
+from foldloom.static_peers.membership import Membership
 from foldloom.verdicts import Problem, may_have_run, not_run
 
 # Milliseconds for which the coordinator holds one question about a job. Not measured: chosen to
--- a/src/foldloom/entry/http.py
+++ b/src/foldloom/static_peers/entry/http.py
@@ -12,12 +12,12 @@
 from aiohttp import web
 from aiohttp.web_protocol import RequestHandler
 
-from foldloom.entry.coordinator import Coordinator
-from foldloom.entry.jobs import Response, problem_response
-from foldloom.entry.requests import parse_job
 from foldloom.ids import is_valid_submission
 from foldloom.metrics import Metrics
 from foldloom.settings import Settings
+from foldloom.static_peers.entry.coordinator import Coordinator
+from foldloom.static_peers.entry.jobs import Response, problem_response
+from foldloom.static_peers.entry.requests import parse_job
 from foldloom.verdicts import Problem, not_run
 
 JSON_TYPE = "application/json"
--- a/src/foldloom/entry/operators.py
+++ b/src/foldloom/static_peers/entry/operators.py
@@ -18,10 +18,10 @@
 from foldloom.controllers.holder import ConfigHolder
 from foldloom.controllers.plans import Plan, make_plan, parse_intents
 from foldloom.controllers.state import Answer, ConfirmCommand
-from foldloom.entry.http import PROBLEM_TYPE, read_body
-from foldloom.entry.jobs import problem_response
 from foldloom.logs import CONFIG_LOG
 from foldloom.settings import Settings
+from foldloom.static_peers.entry.http import PROBLEM_TYPE, read_body
+from foldloom.static_peers.entry.jobs import problem_response
 from foldloom.verdicts import Problem, not_run
 
 # Milliseconds to show which version is the newest. Not measured: chosen above two elections.
--- a/src/foldloom/entry/run.py
+++ b/src/foldloom/static_peers/entry/run.py
@@ -13,14 +13,14 @@
 from expression import Error, Ok, Result
 
 from foldloom.controllers.config import ACTIVE, Config, Service
-from foldloom.endpoints.adapter import EndpointAdapter, TaskAnswer, TaskCall
-from foldloom.entry.requests import JobRequest
 from foldloom.logs import PLACE_LOG
 from foldloom.metrics import Metrics
 from foldloom.peers.wire import monotonic_ms
-from foldloom.placement.messages import SlotRefusal, SlotUse
-from foldloom.placement.retries import RetryBudget, may_retry
-from foldloom.placement.slots import Slot, SlotSource, Want
+from foldloom.static_peers.endpoints.adapter import EndpointAdapter, TaskAnswer, TaskCall
+from foldloom.static_peers.entry.requests import JobRequest
+from foldloom.static_peers.placement.messages import SlotRefusal, SlotUse
+from foldloom.static_peers.placement.retries import RetryBudget, may_retry
+from foldloom.static_peers.placement.slots import Slot, SlotSource, Want
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
 # Milliseconds after which a caller should come back whose job no endpoint took. Not measured.
--- a/src/foldloom/placement/admission.py
+++ b/src/foldloom/static_peers/placement/admission.py
@@ -5,8 +5,8 @@
 
 from typing import NamedTuple
 
-from foldloom.placement.messages import SlotRefusal, SlotRequest
 from foldloom.settings import LimitSettings
+from foldloom.static_peers.placement.messages import SlotRefusal, SlotRequest
 
 # Milliseconds, bounds of when a refused caller should come back. Not measured.
 RETRY_MAX_MS = 10_000
--- a/src/foldloom/placement/lease_manager.py
+++ b/src/foldloom/static_peers/placement/lease_manager.py
@@ -11,18 +11,18 @@
 from foldloom.controllers.config import Config
 from foldloom.logs import PLACE_LOG
 from foldloom.metrics import Metrics
-from foldloom.peers.membership import ZoneLoad
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
-from foldloom.placement.messages import (
+from foldloom.settings import Settings
+from foldloom.static_peers.membership import ZoneLoad
+from foldloom.static_peers.placement.messages import (
     SlotCancel,
     SlotHold,
     SlotRequest,
     SlotReturn,
 )
-from foldloom.placement.policies import Policy
-from foldloom.placement.shard import Shard
-from foldloom.placement.shards import may_take, shard_names
-from foldloom.settings import Settings
+from foldloom.static_peers.placement.policies import Policy
+from foldloom.static_peers.placement.shard import Shard
+from foldloom.static_peers.placement.shards import may_take, shard_names
 from foldloom.tasks import TaskSet
 
 # Seconds between two ticks. Not measured: chosen small against a lease (2,000 ms).
--- a/src/foldloom/placement/queue.py
+++ b/src/foldloom/static_peers/placement/queue.py
@@ -5,8 +5,8 @@
 
 from collections.abc import Callable, Iterator
 
-from foldloom.placement.messages import SlotRequest
-from foldloom.placement.shares import RoundRobin
+from foldloom.static_peers.placement.messages import SlotRequest
+from foldloom.static_peers.placement.shares import RoundRobin
 
 Key = tuple[str, int]
 
--- a/src/foldloom/placement/shard.py
+++ b/src/foldloom/static_peers/placement/shard.py
@@ -10,10 +10,11 @@
 from typing import NamedTuple
 
 from foldloom.controllers.config import Config, endpoints_of
-from foldloom.placement.admission import RETRY_MAX_MS, LoadSeen, judge
-from foldloom.placement.health import Health
-from foldloom.placement.leases import Lease, LeaseTable
-from foldloom.placement.messages import (
+from foldloom.settings import Settings
+from foldloom.static_peers.placement.admission import RETRY_MAX_MS, LoadSeen, judge
+from foldloom.static_peers.placement.health import Health
+from foldloom.static_peers.placement.leases import Lease, LeaseTable
+from foldloom.static_peers.placement.messages import (
     HeldSlot,
     SlotGrant,
     SlotRefusal,
@@ -21,11 +22,10 @@
     SlotReturn,
     SlotUse,
 )
-from foldloom.placement.policies import Choice, Policy, View, choose, job_size
-from foldloom.placement.queue import Pending, RequestQueue
-from foldloom.placement.shares import GrantRates
-from foldloom.placement.speeds import SpeedTable
-from foldloom.settings import Settings
+from foldloom.static_peers.placement.policies import Choice, Policy, View, choose, job_size
+from foldloom.static_peers.placement.queue import Pending, RequestQueue
+from foldloom.static_peers.placement.shares import GrantRates
+from foldloom.static_peers.placement.speeds import SpeedTable
 
 # Times its peers' mean, from which a service time counts as a failure. Not measured: chosen above
 # the factor of two between old boxes and new ones.
--- a/src/foldloom/placement/slots.py
+++ b/src/foldloom/static_peers/placement/slots.py
@@ -14,9 +14,10 @@
 
 from foldloom.controllers.config import Config
 from foldloom.metrics import Metrics
-from foldloom.peers.membership import ZoneLoad
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
-from foldloom.placement.messages import (
+from foldloom.settings import Settings
+from foldloom.static_peers.membership import ZoneLoad
+from foldloom.static_peers.placement.messages import (
     HeldSlot,
     SlotCancel,
     SlotGrant,
@@ -26,9 +27,8 @@
     SlotReturn,
     SlotUse,
 )
-from foldloom.placement.policies import Policy, View, choose
-from foldloom.placement.shards import shard_names
-from foldloom.settings import Settings
+from foldloom.static_peers.placement.policies import Policy, View, choose
+from foldloom.static_peers.placement.shards import shard_names
 
 # Seconds between two checks for requests to send again. Not measured.
 _CHECK_S = 0.1
--- a/tests/models/endpoint_world.py
+++ b/tests/models/endpoint_world.py
@@ -5,8 +5,8 @@
 
 from typing import NamedTuple
 
-from foldloom.endpoints.calls import ActiveRun, CallOutcome, EndedRun, EndKind
-from foldloom.jobs.spec import RunId, TaskId
+from foldloom.seed_discovery.endpoints.calls import ActiveRun, CallOutcome, EndedRun, EndKind
+from foldloom.seed_discovery.jobs.spec import RunId, TaskId
 
 
 class Look(NamedTuple):
--- a/tests/standins/run_endpoint.py
+++ b/tests/standins/run_endpoint.py
@@ -17,8 +17,8 @@
 from aiohttp import ClientError, ClientSession, web
 
 from bodies import task_of, task_text
-from foldloom.endpoints.calls import CallOutcome, EndKind
-from foldloom.jobs.spec import RunId, TaskId
+from foldloom.seed_discovery.endpoints.calls import CallOutcome, EndKind
+from foldloom.seed_discovery.jobs.spec import RunId, TaskId
 from models.endpoint_world import SimulatedEndpoint
 
 SERVICE = "svc"
--- a/tests/test_boxes_controllers.py
+++ b/tests/test_boxes_controllers.py
@@ -15,8 +15,8 @@
 import pytest
 
 from cluster import free_port
-from foldloom.boxes.controller import ControllerHost
 from foldloom.controllers.storage import LogStorage
+from foldloom.seed_discovery.controller_box import ControllerHost
 from foldloom.settings import Settings, settings_from
 
 _WAIT_S = 15.0
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -9,11 +9,11 @@
 import pytest
 
 from cluster import Cluster
-from foldloom.claims.messages import Claim, ClaimReply, ClaimRequest, Vote, Withdraw
-from foldloom.claims.table import ClaimTable
-from foldloom.peers.membership import Heartbeat, ZoneLoad
 from foldloom.peers.messages import Envelope, Frame, encode_body, encode_envelope, kind_of
-from foldloom.placement.messages import SlotGrant, SlotRequest, SlotReturn, SlotUse
+from foldloom.static_peers.claims.messages import Claim, ClaimReply, ClaimRequest, Vote, Withdraw
+from foldloom.static_peers.claims.table import ClaimTable
+from foldloom.static_peers.membership import Heartbeat, ZoneLoad
+from foldloom.static_peers.placement.messages import SlotGrant, SlotRequest, SlotReturn, SlotUse
 
 _ID = "0f8fad5b-d9cb-469f-a165-70867728950e"
 _LIFE = 1_790_000_000_000
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -3,10 +3,10 @@
 
 from __future__ import annotations
 
-from foldloom.claims.messages import Claim, ClaimReply, CopiedClaim, Vote
-from foldloom.claims.replicas import ReplicaSets
-from foldloom.claims.table import ClaimTable
-from foldloom.claims.votes import is_won, may_still_win
+from foldloom.static_peers.claims.messages import Claim, ClaimReply, CopiedClaim, Vote
+from foldloom.static_peers.claims.replicas import ReplicaSets
+from foldloom.static_peers.claims.table import ClaimTable
+from foldloom.static_peers.claims.votes import is_won, may_still_win
 
 _DIGEST = "ab" * 16
 _X = Claim(_DIGEST, "x1", 1, 1)
--- a/tests/test_claims_faults.py
+++ b/tests/test_claims_faults.py
@@ -16,7 +16,7 @@
 import pytest
 
 from cluster import Cluster, HttpAnswer, http, wait_until
-from foldloom.claims.replicas import claim_replicas
+from foldloom.static_peers.claims.replicas import claim_replicas
 from proxy import FaultProxy
 
 _SHORT = {"timings": {"resubmission_window_ms": 20_000, "deadline_max_ms": 10_000}}
--- a/tests/test_claims_machine.py
+++ b/tests/test_claims_machine.py
@@ -8,14 +8,14 @@
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from foldloom.claims.messages import ClaimReply, ClaimRequest, CopyRequest, Withdraw
-from foldloom.claims.recovery import Recovery
-from foldloom.claims.replicas import ReplicaSets
-from foldloom.claims.service import ClaimService
-from foldloom.claims.table import ClaimTable
-from foldloom.claims.votes import is_won
 from foldloom.controllers.config import BoxList
 from foldloom.metrics import Metrics
+from foldloom.static_peers.claims.messages import ClaimReply, ClaimRequest, CopyRequest, Withdraw
+from foldloom.static_peers.claims.recovery import Recovery
+from foldloom.static_peers.claims.replicas import ReplicaSets
+from foldloom.static_peers.claims.service import ClaimService
+from foldloom.static_peers.claims.table import ClaimTable
+from foldloom.static_peers.claims.votes import is_won
 from strategies import coordinator_numbers, replica_numbers
 
 _RETENTION_MS = 10**9
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -34,7 +34,9 @@
 
 
 def _exists(path: str) -> bool:
-    places = (_ROOT, _ROOT / "src" / "foldloom", _ROOT / "tests", _ROOT / "docs")
+    code = _ROOT / "src" / "foldloom"
+    paths = (code / "static_peers", code / "seed_discovery")
+    places = (_ROOT, code, *paths, _ROOT / "tests", _ROOT / "docs")
     return any((place / path).exists() or any(place.glob(path)) for place in places)
 
 
@@ -52,8 +54,10 @@
 
     def test_modules(self, page: str) -> None:
         """A module without its ending, as ``room/module``."""
-        rooms = "owners|scheduling|entry|claims|controllers|fleet|placement|endpoints|peers|boxes"
-        modules = {name for name in _named(page) if re.fullmatch(rf"({rooms})/\w+", name)}
+        paths = "static_peers|seed_discovery"
+        rooms = "owners|scheduling|entry|claims|controllers|fleet|placement|endpoints|peers|jobs"
+        form = rf"(({paths})/)?({rooms})/\w+"
+        modules = {name for name in _named(page) if re.fullmatch(form, name)}
         assert {name for name in modules if not _exists(f"{name}.py")} == set()
 
     def test_tests(self, page: str) -> None:
--- a/tests/test_endpoints_catalog.py
+++ b/tests/test_endpoints_catalog.py
@@ -3,9 +3,9 @@
 
 from __future__ import annotations
 
-from foldloom.endpoints.catalog import EndpointCatalog
-from foldloom.endpoints.records import EndpointRecord, EndpointState
-from foldloom.jobs.spec import Demand
+from foldloom.seed_discovery.endpoints.catalog import EndpointCatalog
+from foldloom.seed_discovery.endpoints.records import EndpointRecord, EndpointState
+from foldloom.seed_discovery.jobs.spec import Demand
 
 _READY = EndpointRecord("w1", "svc", "127.0.0.1:9", "a", Demand(16_000, 32_000, 0), sequence=5)
 
--- a/tests/test_jobs_queues.py
+++ b/tests/test_jobs_queues.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from foldloom.jobs.queues import Queue, QueueTable
+from foldloom.seed_discovery.jobs.queues import Queue, QueueTable
 
 _TABLE = QueueTable(
     3,
--- a/tests/test_owners_client.py
+++ b/tests/test_owners_client.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.fleet.messages import BoxRecord, OwnerHeartbeat, OwnerRecord, ZoneLoad
-from foldloom.fleet.view import FleetView
-from foldloom.jobs.spec import RunId, TaskId
-from foldloom.owners.client import OwnerClient
-from foldloom.owners.messages import (
+from foldloom.seed_discovery.fleet.messages import BoxRecord, OwnerHeartbeat, OwnerRecord, ZoneLoad
+from foldloom.seed_discovery.fleet.view import FleetView
+from foldloom.seed_discovery.jobs.spec import RunId, TaskId
+from foldloom.seed_discovery.owners.client import OwnerClient
+from foldloom.seed_discovery.owners.messages import (
     CancelJob,
     Cancelled,
     EndCause,
--- a/tests/test_owners_decisions.py
+++ b/tests/test_owners_decisions.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from foldloom.endpoints.calls import EndedRun, EndKind
-from foldloom.jobs.spec import Demand, Placement, RunId, TaskId
-from foldloom.owners.messages import EndCause
-from foldloom.owners.recovery import is_lost, recovery_bound
-from foldloom.owners.reports import ListedEnd, is_orphan, judge_absence, judge_end
-from foldloom.owners.stragglers import is_overdue, is_stuck
-from foldloom.owners.tombstones import TOMBSTONE_KEPT_MS, Tombstones
-from foldloom.scheduling.runs import HolderId, Run, RunSpec, RunState
+from foldloom.seed_discovery.endpoints.calls import EndedRun, EndKind
+from foldloom.seed_discovery.jobs.spec import Demand, Placement, RunId, TaskId
+from foldloom.seed_discovery.owners.messages import EndCause
+from foldloom.seed_discovery.owners.recovery import is_lost, recovery_bound
+from foldloom.seed_discovery.owners.reports import ListedEnd, is_orphan, judge_absence, judge_end
+from foldloom.seed_discovery.owners.stragglers import is_overdue, is_stuck
+from foldloom.seed_discovery.owners.tombstones import TOMBSTONE_KEPT_MS, Tombstones
+from foldloom.seed_discovery.scheduling.runs import HolderId, Run, RunSpec, RunState
 
 _TASK = TaskId("0" * 16, 0, 0, 0)
 _SPEC = RunSpec(
--- a/tests/test_owners_election.py
+++ b/tests/test_owners_election.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from foldloom.owners.election import (
+from foldloom.seed_discovery.owners.election import (
     Witnesses,
     may_claim,
     next_token,
--- a/tests/test_owners_elector.py
+++ b/tests/test_owners_elector.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.fleet.messages import (
+from foldloom.peers.wire import monotonic_ms
+from foldloom.seed_discovery.fleet.messages import (
     BoxRecord,
     JoinReply,
     OwnerAnswer,
@@ -17,9 +18,8 @@
     OwnerRecord,
     ZoneLoad,
 )
-from foldloom.fleet.view import FleetView
-from foldloom.owners.elector import Elector
-from foldloom.peers.wire import monotonic_ms
+from foldloom.seed_discovery.fleet.view import FleetView
+from foldloom.seed_discovery.owners.elector import Elector
 from foldloom.settings import ENTRY, TimingSettings
 
 _ZONE = "z"
--- a/tests/test_owners_machine.py
+++ b/tests/test_owners_machine.py
@@ -11,13 +11,18 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from foldloom.endpoints.calls import CallOutcome, EndKind, EndpointReport
-from foldloom.jobs.spec import RunId, TaskId
-from foldloom.owners.actions import StartAction, StopAction
-from foldloom.owners.lease import LAPSE_MARGIN_MS, STOP_OVERDUE_MS, EndpointClock, gone_after_ms
-from foldloom.owners.messages import EndCause, RunOrder
-from foldloom.owners.state import OwnerState
-from foldloom.scheduling.runs import HolderId
+from foldloom.seed_discovery.endpoints.calls import CallOutcome, EndKind, EndpointReport
+from foldloom.seed_discovery.jobs.spec import RunId, TaskId
+from foldloom.seed_discovery.owners.actions import StartAction, StopAction
+from foldloom.seed_discovery.owners.lease import (
+    LAPSE_MARGIN_MS,
+    STOP_OVERDUE_MS,
+    EndpointClock,
+    gone_after_ms,
+)
+from foldloom.seed_discovery.owners.messages import EndCause, RunOrder
+from foldloom.seed_discovery.owners.state import OwnerState
+from foldloom.seed_discovery.scheduling.runs import HolderId
 from models.endpoint_world import SimulatedEndpoint
 from test_owners_state import endpoint, submission
 
--- a/tests/test_owners_sessions.py
+++ b/tests/test_owners_sessions.py
@@ -8,10 +8,16 @@
 from typing import Any
 
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.jobs.spec import RunId, TaskId
-from foldloom.owners.messages import EndCause, EndsNoted, RunEnd, RunsEnded, SessionBegan
-from foldloom.owners.sessions import Sessions
-from foldloom.scheduling.runs import HolderId
+from foldloom.seed_discovery.jobs.spec import RunId, TaskId
+from foldloom.seed_discovery.owners.messages import (
+    EndCause,
+    EndsNoted,
+    RunEnd,
+    RunsEnded,
+    SessionBegan,
+)
+from foldloom.seed_discovery.owners.sessions import Sessions
+from foldloom.seed_discovery.scheduling.runs import HolderId
 
 _HOLDER = HolderId("e1", 1)
 _TOKEN = 7
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -5,13 +5,26 @@
 
 from typing import Any
 
-from foldloom.endpoints.calls import ActiveRun, CallOutcome, EndedRun, EndKind, EndpointReport
-from foldloom.endpoints.records import EndpointRecord
-from foldloom.jobs.spec import Demand, Placement, RunId, TaskId
-from foldloom.owners.messages import EndCause, Objective, RunEnd, RunOrder, SubmitRuns, SubmitStatus
-from foldloom.owners.state import OwnerState
-from foldloom.scheduling.runs import HolderId
-from foldloom.scheduling.sharing import GroupId
+from foldloom.seed_discovery.endpoints.calls import (
+    ActiveRun,
+    CallOutcome,
+    EndedRun,
+    EndKind,
+    EndpointReport,
+)
+from foldloom.seed_discovery.endpoints.records import EndpointRecord
+from foldloom.seed_discovery.jobs.spec import Demand, Placement, RunId, TaskId
+from foldloom.seed_discovery.owners.messages import (
+    EndCause,
+    Objective,
+    RunEnd,
+    RunOrder,
+    SubmitRuns,
+    SubmitStatus,
+)
+from foldloom.seed_discovery.owners.state import OwnerState
+from foldloom.seed_discovery.scheduling.runs import HolderId
+from foldloom.seed_discovery.scheduling.sharing import GroupId
 
 _GONE_AFTER_MS = 750.0
 _E1 = HolderId("e1", 1)
--- a/tests/test_owners_zone_owner.py
+++ b/tests/test_owners_zone_owner.py
@@ -7,13 +7,13 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from foldloom.endpoints.catalog import EndpointCatalog
-from foldloom.fleet.messages import BoxRecord, HeartbeatAck, OwnerRecord
-from foldloom.fleet.view import FleetView
 from foldloom.metrics import Metrics
-from foldloom.owners.context import OwnerContext
-from foldloom.owners.zone_owner import ZoneOwner
 from foldloom.peers.wire import monotonic_ms
+from foldloom.seed_discovery.endpoints.catalog import EndpointCatalog
+from foldloom.seed_discovery.fleet.messages import BoxRecord, HeartbeatAck, OwnerRecord
+from foldloom.seed_discovery.fleet.view import FleetView
+from foldloom.seed_discovery.owners.context import OwnerContext
+from foldloom.seed_discovery.owners.zone_owner import ZoneOwner
 from foldloom.settings import ENTRY, TimingSettings
 
 _ZONE = "z"
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -19,15 +19,22 @@
     empty_config,
 )
 from foldloom.metrics import Metrics
-from foldloom.placement.health import Health
-from foldloom.placement.messages import HeldSlot, SlotRequest, SlotReturn, SlotUse
-from foldloom.placement.policies import POLICIES, Choice, SlotLeases, View, choose, job_size
-from foldloom.placement.retries import RetryBudget, may_retry
-from foldloom.placement.shard import Grant, Shard
-from foldloom.placement.shards import FLEET, Managers, manager_of, shard_names
-from foldloom.placement.slots import LeasedSlots
-from foldloom.placement.speeds import SpeedTable
 from foldloom.settings import settings_from
+from foldloom.static_peers.placement.health import Health
+from foldloom.static_peers.placement.messages import HeldSlot, SlotRequest, SlotReturn, SlotUse
+from foldloom.static_peers.placement.policies import (
+    POLICIES,
+    Choice,
+    SlotLeases,
+    View,
+    choose,
+    job_size,
+)
+from foldloom.static_peers.placement.retries import RetryBudget, may_retry
+from foldloom.static_peers.placement.shard import Grant, Shard
+from foldloom.static_peers.placement.shards import FLEET, Managers, manager_of, shard_names
+from foldloom.static_peers.placement.slots import LeasedSlots
+from foldloom.static_peers.placement.speeds import SpeedTable
 from foldloom.verdicts import may_have_run, not_run
 
 _LONG_MS = 10**7
--- a/tests/test_placement_leases.py
+++ b/tests/test_placement_leases.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from foldloom.placement.leases import Lease, LeaseTable
+from foldloom.static_peers.placement.leases import Lease, LeaseTable
 
 
 def lease(lease_id: int, endpoint: str = "w1", customer: str = "red") -> Lease:
--- a/tests/test_platform_bodies.py
+++ b/tests/test_platform_bodies.py
@@ -10,8 +10,8 @@
 
 from bodies import active_of, ended_of, task_of, task_text
 from documents import check_document, read_queues
-from foldloom.endpoints.calls import EndKind
-from foldloom.jobs.spec import RunId, TaskId
+from foldloom.seed_discovery.endpoints.calls import EndKind
+from foldloom.seed_discovery.jobs.spec import RunId, TaskId
 from job_bodies import parse_job
 
 _ID = "5c0e7a21d94b36f8"
--- a/tests/test_scheduling_groups.py
+++ b/tests/test_scheduling_groups.py
@@ -3,10 +3,10 @@
 
 from __future__ import annotations
 
-from foldloom.jobs.spec import Demand, Placement
-from foldloom.scheduling.groups import LATE_FACTOR, Group
-from foldloom.scheduling.ranking import Tier, tier_of
-from foldloom.scheduling.runs import RunSpec
+from foldloom.seed_discovery.jobs.spec import Demand, Placement
+from foldloom.seed_discovery.scheduling.groups import LATE_FACTOR, Group
+from foldloom.seed_discovery.scheduling.ranking import Tier, tier_of
+from foldloom.seed_discovery.scheduling.runs import RunSpec
 
 
 def _spec(estimate_ms: int) -> RunSpec:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -9,7 +9,6 @@
 
 import pytest
 
-from foldloom.claims.replicas import claim_replicas, replica_sets
 from foldloom.controllers.config import BoxList, empty_config
 from foldloom.controllers.holder import ConfigHolder
 from foldloom.controllers.messages import ConfigPull, ConfigReply
@@ -23,6 +22,7 @@
     VoterReadyCommand,
     encode_command,
 )
+from foldloom.static_peers.claims.replicas import claim_replicas, replica_sets
 
 _BOXES = {f"{zone}{n}": zone for zone in "abc" for n in (1, 2, 3)}
 
--- a/tests/test_unchanged.py
+++ b/tests/test_unchanged.py
@@ -24,20 +24,20 @@
 import pytest
 from expression import Error, Ok
 
-from foldloom.claims.messages import Vote
 from foldloom.cli import client as cli_client
 from foldloom.cli.load import LoadOptions
 from foldloom.cli.main import Commands
 from foldloom.controllers import plans, state, storage
 from foldloom.controllers.config import encode_config
 from foldloom.controllers.state import ReplicatedState
-from foldloom.endpoints.calls import CallOutcome
-from foldloom.entry.job_runner import JobEnd, JobState, outcome_of
 from foldloom.exposition import metrics_text
-from foldloom.fleet.cache import PublicationCache
 from foldloom.metrics import Metrics
-from foldloom.owners.messages import EndCause
+from foldloom.seed_discovery.endpoints.calls import CallOutcome
+from foldloom.seed_discovery.fleet.cache import PublicationCache
+from foldloom.seed_discovery.job_runner import JobEnd, JobState, outcome_of
+from foldloom.seed_discovery.owners.messages import EndCause
 from foldloom.settings import Settings, settings_from
+from foldloom.static_peers.claims.messages import Vote
 from foldloom.verdicts import may_have_run, not_run
 from unchanged.describe_messages import sample
 from unchanged.recorded import check
@@ -47,12 +47,16 @@
 _CONTROLLERS = "foldloom.controllers.messages"
 _BY_SETTINGS = [
     _CONTROLLERS,
-    "foldloom.claims.messages",
-    "foldloom.placement.messages",
-    "foldloom.entry.messages",
-    "foldloom.peers.membership",
+    "foldloom.static_peers.claims.messages",
+    "foldloom.static_peers.placement.messages",
+    "foldloom.static_peers.entry.messages",
+    "foldloom.static_peers.membership",
+]
+_BY_SEEDS = [
+    _CONTROLLERS,
+    "foldloom.seed_discovery.fleet.messages",
+    "foldloom.seed_discovery.owners.messages",
 ]
-_BY_SEEDS = [_CONTROLLERS, "foldloom.fleet.messages", "foldloom.owners.messages"]
 _COMMANDS = (
     state.ConfirmCommand,
     state.IncarnationCommand,
--- a/tests/test_unchanged_platform.py
+++ b/tests/test_unchanged_platform.py
@@ -19,11 +19,11 @@
 from documents import read_queues
 from endpoint_calls import HttpEndpointCalls
 from foldloom.controllers.state import Publication
-from foldloom.endpoints.calls import PollOrder, StartOrder
-from foldloom.endpoints.records import EndpointRecord
-from foldloom.entry.job_runner import JobEnd, JobResult, JobState
-from foldloom.jobs.spec import Demand, RunId, TaskId
 from foldloom.metrics import Metrics
+from foldloom.seed_discovery.endpoints.calls import PollOrder, StartOrder
+from foldloom.seed_discovery.endpoints.records import EndpointRecord
+from foldloom.seed_discovery.job_runner import JobEnd, JobResult, JobState
+from foldloom.seed_discovery.jobs.spec import Demand, RunId, TaskId
 from foldloom.verdicts import may_have_run, not_run
 from local_settings import read_settings
 from operators import OperatorRoutes
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,9 +14,7 @@
 import zmq
 
 from cluster import Cluster, free_port, wait_until
-from foldloom.claims.messages import ClaimReply, ClaimRequest, Vote
 from foldloom.metrics import Metrics
-from foldloom.peers.membership import Heartbeat
 from foldloom.peers.messages import (
     Envelope,
     Frame,
@@ -27,6 +25,8 @@
 )
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
 from foldloom.settings import settings_from
+from foldloom.static_peers.claims.messages import ClaimReply, ClaimRequest, Vote
+from foldloom.static_peers.membership import Heartbeat
 
 _BEAT = Heartbeat(1, False, True, [])
 
--- a/tests/unchanged/own_http.py
+++ b/tests/unchanged/own_http.py
@@ -15,11 +15,11 @@
 
 import msgspec
 
-from foldloom.box import Box
-from foldloom.entry.http import HttpServer
-from foldloom.entry.jobs import complete_response, problem_response
 from foldloom.metrics import Metrics
 from foldloom.settings import settings_from
+from foldloom.static_peers.box import Box
+from foldloom.static_peers.entry.http import HttpServer
+from foldloom.static_peers.entry.jobs import complete_response, problem_response
 from foldloom.verdicts import may_have_run, not_run
 from unchanged.http_answers import answers_of
 from unchanged.samples import INTENTS, SETTINGS
