--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -18,6 +18,7 @@
 from capacity_tables import write_tables
 from rig import Cluster, cpu_seconds, resident_bytes, running_cluster, start_load
 
+from foldloom.controllers.commands import ConfirmCommand, encode_command
 from foldloom.controllers.config import (
     ACTIVE,
     Config,
@@ -28,7 +29,7 @@
     encode_config,
 )
 from foldloom.controllers.plans import make_plan, parse_intents
-from foldloom.controllers.state import ConfirmCommand, ReplicatedState, encode_command
+from foldloom.controllers.state import ReplicatedState
 from foldloom.settings import settings_from
 from foldloom.static_peers.claims.messages import Claim
 from foldloom.static_peers.claims.table import ClaimTable
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -11,6 +11,7 @@
 import random
 from collections.abc import Callable
 
+from foldloom.controllers.commands import FoundCommand, encode_command
 from foldloom.controllers.config import Config
 from foldloom.controllers.controller_table import ControllerTable
 from foldloom.controllers.election import Elections
@@ -28,14 +29,7 @@
     Readmit,
     StandNow,
 )
-from foldloom.controllers.state import (
-    Answer,
-    ChangeSet,
-    FoundCommand,
-    Publication,
-    ReplicatedState,
-    encode_command,
-)
+from foldloom.controllers.state import Answer, ChangeSet, Publication, ReplicatedState
 from foldloom.controllers.storage import LogStorage, Snapshot, format_folder, set_aside
 from foldloom.exceptions import LostMemoryError, NotLeaderError, PeerUnreachableError
 from foldloom.logs import CONTROLLER_LOG
--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -6,10 +6,11 @@
 import asyncio
 from typing import NamedTuple
 
+from foldloom.controllers.commands import Command, VoterReadyCommand, encode_command
 from foldloom.controllers.members import Standby, next_change
 from foldloom.controllers.messages import Append, AppendReply, InstallSnapshot
 from foldloom.controllers.participant import Leader
-from foldloom.controllers.state import Answer, Command, VoterReadyCommand, encode_command
+from foldloom.controllers.state import Answer
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.logs import CONTROLLER_LOG
 from foldloom.peers.wire import monotonic_ms
--- a/src/foldloom/controllers/members.py
+++ b/src/foldloom/controllers/members.py
@@ -11,7 +11,7 @@
 from functools import singledispatch
 from typing import Any, NamedTuple
 
-from foldloom.controllers.state import (
+from foldloom.controllers.commands import (
     Command,
     ControllerJoinCommand,
     ControllerLeaveCommand,
--- a/src/foldloom/controllers/state.py
+++ b/src/foldloom/controllers/state.py
@@ -12,6 +12,17 @@
 
 import msgspec
 
+from foldloom.controllers.commands import (
+    BoxesSettledCommand,
+    ConfirmCommand,
+    ControllerJoinCommand,
+    ControllerLeaveCommand,
+    FoundCommand,
+    IncarnationCommand,
+    PublishCommand,
+    VoterReadyCommand,
+    decode_command,
+)
 from foldloom.controllers.config import (
     BOXES,
     CONTROLLERS,
@@ -31,79 +42,6 @@
 CHANGES_KEPT = 256
 
 
-class ConfirmCommand(msgspec.Struct, tag="confirm", array_like=True, frozen=True):
-    """Put intents in force if they still mean the changes that *digest* names."""
-
-    command: str
-    digest: str
-    intents: list[Any]
-
-
-class IncarnationCommand(msgspec.Struct, tag="incarnation", array_like=True, frozen=True):
-    """Record that *box* started a life numbered *incarnation*."""
-
-    box: str
-    incarnation: int
-
-
-class VoterReadyCommand(msgspec.Struct, tag="voter-ready", array_like=True, frozen=True):
-    """Count the controller *box* again, now with the data folder *storage_id*."""
-
-    box: str
-    storage_id: str
-
-
-class ControllerJoinCommand(msgspec.Struct, tag="controller-join", array_like=True, frozen=True):
-    """Count one controller more, with the data folder *storage_id*."""
-
-    box: str
-    storage_id: str
-
-
-class ControllerLeaveCommand(msgspec.Struct, tag="controller-leave", array_like=True, frozen=True):
-    """Count the controller *box* no longer."""
-
-    box: str
-
-
-class BoxesSettledCommand(msgspec.Struct, tag="boxes-settled", array_like=True, frozen=True):
-    """End the joint box list of *epoch*: the next list is the only one."""
-
-    epoch: int
-
-
-class FoundCommand(msgspec.Struct, tag="found", array_like=True, frozen=True):
-    """Write down the boxes and controllers that the system began with.
-
-    Settings change when boxes come; what a log is replayed onto must not.
-    """
-
-    boxes: dict[str, str]
-    controllers: dict[str, str]
-
-
-class PublishCommand(msgspec.Struct, tag="publish", array_like=True, frozen=True):
-    """Put a whole document in force if *version* is above the one held."""
-
-    version: int
-    document: bytes
-
-
-Command = (
-    ConfirmCommand
-    | IncarnationCommand
-    | VoterReadyCommand
-    | BoxesSettledCommand
-    | FoundCommand
-    | PublishCommand
-    | ControllerJoinCommand
-    | ControllerLeaveCommand
-)
-
-_COMMANDS = msgspec.msgpack.Decoder(Command)
-_ENCODER = msgspec.msgpack.Encoder()
-
-
 class Answer(NamedTuple):
     """What a command came to.
 
@@ -156,19 +94,10 @@
     founder_count: int = 0
 
 
+_ENCODER = msgspec.msgpack.Encoder()
 _SAVED = msgspec.msgpack.Decoder(_Saved)
 
 
-def encode_command(command: Command) -> bytes:
-    """Return the bytes of *command* for a log entry."""
-    return _ENCODER.encode(command)
-
-
-def decode_command(payload: bytes) -> Command:
-    """Return the command in a log entry's *payload*."""
-    return _COMMANDS.decode(payload)
-
-
 class ReplicatedState:
     """The state that the log's entries build.
 
@@ -286,21 +215,15 @@
         """Count a controller again under its new storage id."""
         if command.box not in self._config.controllers:
             return Answer(409, self._config.version, "no controller of this configuration")
-        self._change([_controller_change(self._config, command)])
-        return Answer(200, self._config.version)
+        return self._set_controller(command.box, command.storage_id)
 
     def join(self, command: ControllerJoinCommand) -> Answer:
         """Count one controller more."""
-        before = self._config.controllers.get(command.box)
-        after = command.storage_id
-        self._change([Change(section=CONTROLLERS, name=command.box, before=before, after=after)])
-        return Answer(200, self._config.version)
+        return self._set_controller(command.box, command.storage_id)
 
     def leave(self, command: ControllerLeaveCommand) -> Answer:
         """Count a controller no longer."""
-        before = self._config.controllers.get(command.box)
-        self._change([Change(section=CONTROLLERS, name=command.box, before=before, after=None)])
-        return Answer(200, self._config.version)
+        return self._set_controller(command.box, None)
 
     def settle_boxes(self, command: BoxesSettledCommand) -> Answer:
         """End a joint box list."""
@@ -325,6 +248,11 @@
         self._change(plan.changes)
         return Answer(200, self._config.version)
 
+    def _set_controller(self, box: str, storage_id: str | None) -> Answer:
+        before = self._config.controllers.get(box)
+        self._change([Change(section=CONTROLLERS, name=box, before=before, after=storage_id)])
+        return Answer(200, self._config.version)
+
     def _change(self, changes: list[Change]) -> None:
         version = self._config.version + 1
         self._config = apply_changes(self._config, changes, version)
@@ -332,11 +260,6 @@
         del self._change_sets[:-CHANGES_KEPT]
 
 
-def _controller_change(config: Config, command: VoterReadyCommand) -> Change:
-    before = config.controllers[command.box]
-    return Change(section=CONTROLLERS, name=command.box, before=before, after=command.storage_id)
-
-
 @singledispatch
 def _apply(command: Any, _state: ReplicatedState) -> Answer:
     raise TypeError(f"no effect for {type(command).__name__}")
--- a/src/foldloom/static_peers/box_list.py
+++ b/src/foldloom/static_peers/box_list.py
@@ -5,8 +5,8 @@
 
 import asyncio
 
+from foldloom.controllers.commands import BoxesSettledCommand, encode_command
 from foldloom.controllers.controller import Controller
-from foldloom.controllers.state import BoxesSettledCommand, encode_command
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.logs import CONTROLLER_LOG
 from foldloom.peers.wire import monotonic_ms
--- a/src/foldloom/static_peers/claims/recovery.py
+++ b/src/foldloom/static_peers/claims/recovery.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 
 from foldloom.controllers.client import ControllerClient
+from foldloom.controllers.commands import IncarnationCommand
 from foldloom.controllers.config import BoxList
-from foldloom.controllers.state import IncarnationCommand
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.logs import CLAIM_LOG
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
--- a/tests/test_controllers_controller_table.py
+++ b/tests/test_controllers_controller_table.py
@@ -6,17 +6,17 @@
 import asyncio
 from pathlib import Path
 
-from foldloom.controllers.config import empty_config
-from foldloom.controllers.controller_table import ControllerTable
-from foldloom.controllers.log import ReplicatedLog
-from foldloom.controllers.state import (
+from foldloom.controllers.commands import (
     Command,
     ControllerJoinCommand,
     ControllerLeaveCommand,
     FoundCommand,
-    ReplicatedState,
     encode_command,
 )
+from foldloom.controllers.config import empty_config
+from foldloom.controllers.controller_table import ControllerTable
+from foldloom.controllers.log import ReplicatedLog
+from foldloom.controllers.state import ReplicatedState
 from foldloom.controllers.storage import Entry, LogStorage, format_folder
 
 _EMPTY = empty_config({}, {})
--- a/tests/test_controllers_members.py
+++ b/tests/test_controllers_members.py
@@ -3,8 +3,7 @@
 
 from __future__ import annotations
 
-from foldloom.controllers.members import Standby, majority_of, newest_table, next_change
-from foldloom.controllers.state import (
+from foldloom.controllers.commands import (
     ControllerJoinCommand,
     ControllerLeaveCommand,
     FoundCommand,
@@ -12,6 +11,7 @@
     VoterReadyCommand,
     encode_command,
 )
+from foldloom.controllers.members import Standby, majority_of, newest_table, next_change
 
 _TABLE = {"a": "1", "b": "2", "c": "3"}
 _READY = Standby("d", "4", True)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -9,19 +9,19 @@
 
 import pytest
 
-from foldloom.controllers.config import BoxList, empty_config
-from foldloom.controllers.holder import ConfigHolder
-from foldloom.controllers.messages import ConfigPull, ConfigReply
-from foldloom.controllers.plans import make_plan, parse_intents
-from foldloom.controllers.state import (
+from foldloom.controllers.commands import (
     BoxesSettledCommand,
     ConfirmCommand,
     FoundCommand,
     IncarnationCommand,
-    ReplicatedState,
     VoterReadyCommand,
     encode_command,
 )
+from foldloom.controllers.config import BoxList, empty_config
+from foldloom.controllers.holder import ConfigHolder
+from foldloom.controllers.messages import ConfigPull, ConfigReply
+from foldloom.controllers.plans import make_plan, parse_intents
+from foldloom.controllers.state import ReplicatedState
 from foldloom.static_peers.claims.replicas import claim_replicas, replica_sets
 
 _BOXES = {f"{zone}{n}": zone for zone in "abc" for n in (1, 2, 3)}
--- a/tests/test_unchanged.py
+++ b/tests/test_unchanged.py
@@ -27,7 +27,7 @@
 from foldloom.cli import client as cli_client
 from foldloom.cli.load import LoadOptions
 from foldloom.cli.main import Commands
-from foldloom.controllers import plans, state, storage
+from foldloom.controllers import commands, plans, state, storage
 from foldloom.controllers.config import encode_config
 from foldloom.controllers.state import ReplicatedState
 from foldloom.exposition import metrics_text
@@ -58,14 +58,14 @@
     "foldloom.seed_discovery.owners.messages",
 ]
 _COMMANDS = (
-    state.ConfirmCommand,
-    state.IncarnationCommand,
-    state.VoterReadyCommand,
-    state.ControllerJoinCommand,
-    state.ControllerLeaveCommand,
-    state.BoxesSettledCommand,
-    state.FoundCommand,
-    state.PublishCommand,
+    commands.ConfirmCommand,
+    commands.IncarnationCommand,
+    commands.VoterReadyCommand,
+    commands.ControllerJoinCommand,
+    commands.ControllerLeaveCommand,
+    commands.BoxesSettledCommand,
+    commands.FoundCommand,
+    commands.PublishCommand,
 )
 
 
@@ -93,21 +93,21 @@
 
 def _confirm(command: str, intents: list[dict[str, Any]], known: ReplicatedState) -> bytes:
     planned = plans.make_plan(known.config, plans.parse_intents(intents).ok)
-    return state.encode_command(state.ConfirmCommand(command, planned.ok.digest, intents))
+    return commands.encode_command(commands.ConfirmCommand(command, planned.ok.digest, intents))
 
 
 def _payloads(known: ReplicatedState) -> Iterator[bytes]:
     """Yield commands of both kinds of state; each sees the effect of those before."""
     yield b""
-    yield state.encode_command(state.FoundCommand({"a1": "a"}, {"c1": "*", "c2": "*"}))
-    yield state.encode_command(state.IncarnationCommand("a1", 41))
-    yield state.encode_command(state.VoterReadyCommand("c1", "disk-1"))
+    yield commands.encode_command(commands.FoundCommand({"a1": "a"}, {"c1": "*", "c2": "*"}))
+    yield commands.encode_command(commands.IncarnationCommand("a1", 41))
+    yield commands.encode_command(commands.VoterReadyCommand("c1", "disk-1"))
     yield _confirm("first", INTENTS, known)
     yield _confirm("second", [{"kind": "remove", "section": "workers", "name": "w1"}], known)
-    yield state.encode_command(state.BoxesSettledCommand(1))
-    yield state.encode_command(state.ControllerJoinCommand("c3", "disk-3"))
-    yield state.encode_command(state.ControllerLeaveCommand("c2"))
-    yield state.encode_command(state.PublishCommand(7, b'{"version":7}'))
+    yield commands.encode_command(commands.BoxesSettledCommand(1))
+    yield commands.encode_command(commands.ControllerJoinCommand("c3", "disk-3"))
+    yield commands.encode_command(commands.ControllerLeaveCommand("c2"))
+    yield commands.encode_command(commands.PublishCommand(7, b'{"version":7}'))
 
 
 def _meaning(known: ReplicatedState) -> dict[str, Any]:
@@ -117,7 +117,7 @@
         "publication": [known.publication.version, known.publication.document.decode()],
         "changes": [list(changes) for changes in known.changes_since(1)],
         "founders": known.founder_count,
-        "resent": list(known.apply(state.encode_command(state.IncarnationCommand("a1", 41)))),
+        "resent": list(known.apply(commands.encode_command(commands.IncarnationCommand("a1", 41)))),
     }
 
 
@@ -127,7 +127,7 @@
     def test_commands(self) -> None:
         """The entries of the log have the same bytes."""
         present = {
-            kind.__struct_config__.tag: state.encode_command(_command_of(kind)).hex()
+            kind.__struct_config__.tag: commands.encode_command(_command_of(kind)).hex()
             for kind in _COMMANDS
         }
         check("commands", present)
