--- a/src/foldloom/static_peers/box.py
+++ b/src/foldloom/static_peers/box.py
@@ -36,11 +36,13 @@
 from foldloom.static_peers.entry.operators import OperatorRoutes
 from foldloom.static_peers.entry.run import RunContext
 from foldloom.static_peers.membership import Heartbeat, Membership, ZoneLoad
+from foldloom.static_peers.placement.direct_slots import DirectSlots
 from foldloom.static_peers.placement.lease_manager import LeaseManager
+from foldloom.static_peers.placement.leased_slots import LeasedSlots
 from foldloom.static_peers.placement.policies import POLICIES, SlotLeases
 from foldloom.static_peers.placement.retries import RetryBudget
 from foldloom.static_peers.placement.shards import Managers
-from foldloom.static_peers.placement.slots import DirectSlots, LeasedSlots, SlotSource
+from foldloom.static_peers.placement.slots import SlotSource
 from foldloom.tasks import TaskSet
 
 # Seconds between two checks of configuration, membership and the platform's list. Not measured:
--- /dev/null
+++ b/src/foldloom/static_peers/placement/direct_slots.py
@@ -0,0 +1,69 @@
+# SPDX-License-Identifier: MIT
+"""Slots without leases: an endpoint at once by a baseline policy, for comparisons.
+
+Owns the count of the own running tasks on each endpoint. Relies on the endpoints' lagging reports.
+"""
+
+from __future__ import annotations
+
+import itertools
+from collections.abc import Callable
+
+from foldloom.peers.wire import monotonic_ms
+from foldloom.static_peers.placement.messages import SlotRefusal, SlotUse
+from foldloom.static_peers.placement.policies import Policy, View, choose
+from foldloom.static_peers.placement.slots import RESEND_MS, Slot, Want
+
+
+class DirectSlots:
+    """An endpoint at once by a baseline policy.
+
+    Args:
+        policy: The policy.
+        candidates: Returns the usable endpoints of a service and their mean service times.
+        reported: Returns each endpoint's running tasks by its lagging report.
+    """
+
+    def __init__(
+        self,
+        policy: Policy,
+        candidates: Callable[[str], list[str]],
+        reported: Callable[[], dict[str, int]],
+    ) -> None:
+        self._policy = policy
+        self._candidates = candidates
+        self._reported = reported
+        self._local: dict[str, int] = {}
+        self._ids = itertools.count(1)
+
+    def want(self, service: str, customer: str, deadline_ms: float, job_tasks: int) -> Want:
+        """Open a wish; nothing is asked yet."""
+        return Want(next(self._ids), service, customer, deadline_ms, job_tasks)
+
+    def request(self, want: Want, count: int) -> None:
+        """Pick *count* endpoints at once."""
+        reported = self._reported()
+        for _ in range(count):
+            view = View(
+                self._candidates(want.service), local_count=self._local, reported_count=reported
+            )
+            choice = choose(self._policy, view)
+            if choice is None:
+                want.arrivals.put_nowait(SlotRefusal(want.request_id, "no-worker", RESEND_MS))
+                return
+            endpoint = choice.endpoint
+            self._local[endpoint] = self._local.get(endpoint, 0) + 1
+            now_ms = monotonic_ms()
+            slot = Slot(0, endpoint, want.service, want.customer, now_ms, want.deadline_ms)
+            want.arrivals.put_nowait(slot)
+
+    def close(self, want: Want) -> None:
+        """End a wish: what was picked and not used is given back."""
+        while not want.arrivals.empty():
+            arrival = want.arrivals.get_nowait()
+            if isinstance(arrival, Slot):
+                self.give_back(arrival, 0.0, SlotUse.UNUSED)
+
+    def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
+        """Give a slot back."""
+        self._local[slot.endpoint] = self._local.get(slot.endpoint, 1) - 1
--- /dev/null
+++ b/src/foldloom/static_peers/placement/leased_slots.py
@@ -0,0 +1,240 @@
+# SPDX-License-Identifier: MIT
+"""Slots by lease: asked of lease managers, renewed while they are held.
+
+Owns a box's open requests and the leases that it holds. Relies on the lease managers, on the
+configuration in force and on the load of each shard that heartbeats tell.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+from collections.abc import Callable
+
+from foldloom.controllers.config import Config
+from foldloom.metrics import Metrics
+from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.settings import Settings
+from foldloom.static_peers.membership import ZoneLoad
+from foldloom.static_peers.placement.messages import (
+    HeldSlot,
+    SlotCancel,
+    SlotGrant,
+    SlotHold,
+    SlotRefusal,
+    SlotRequest,
+    SlotReturn,
+    SlotUse,
+)
+from foldloom.static_peers.placement.shards import shard_names
+from foldloom.static_peers.placement.slots import RESEND_MS, Slot, Want
+
+# Seconds between two checks for requests to send again. Not measured.
+_CHECK_S = 0.1
+# Milliseconds without a grant after which a request is sent again while managers change. Derived:
+# a heartbeat (250 ms).
+_RESEND_UNSETTLED_MS = 250
+# Milliseconds for which managers count as changing. Not measured: chosen above a silent peer (1,000
+# ms).
+_UNSETTLED_MS = 2_500
+# Milliseconds before a lease's end at which its holder gives it up. Not measured: chosen above a
+# message's delay.
+_SAFETY_MS = 100
+
+
+class LeasedSlots:
+    """Slots by lease.
+
+    Args:
+        settings: This box's settings.
+        network: The peers.
+        metrics: Counters.
+        config: Returns the configuration in force.
+        manager_of: Returns the lease manager of a shard, as this box sees it.
+        loads: Returns the last known load of each shard.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        network: PeerNetwork,
+        metrics: Metrics,
+        config: Callable[[], Config],
+        manager_of: Callable[[str], str],
+        loads: Callable[[], dict[str, ZoneLoad]],
+    ) -> None:
+        self._settings = settings
+        self._network = network
+        self._metrics = metrics
+        self._config = config
+        self._manager_of = manager_of
+        self._loads = loads
+        self._ids = itertools.count(1)
+        self._wants: dict[int, Want] = {}
+        self._held: dict[int, Slot] = {}
+        self._shards: tuple[int, dict[str, list[str]]] = (-1, {})
+        self._shard_of: dict[str, str] = {}
+        self._managers: dict[str, str] = {}
+        self._unsettled_ms = 0.0
+        network.on(SlotGrant, self._on_grant)
+        network.on(SlotRefusal, self._on_refusal)
+
+    def want(self, service: str, customer: str, deadline_ms: float, job_tasks: int) -> Want:
+        """Open a wish; nothing is asked yet."""
+        want = Want(next(self._ids), service, customer, deadline_ms, job_tasks)
+        self._wants[want.request_id] = want
+        return want
+
+    def request(self, want: Want, count: int) -> None:
+        """Ask for *count* more slots."""
+        if want.outstanding:
+            # One request at a time: a number that is sent again counts once.
+            self._send(SlotCancel(want.request_id), want.asked_of)
+            del self._wants[want.request_id]
+            want.request_id = next(self._ids)
+            self._wants[want.request_id] = want
+        want.outstanding += count
+        self._send_request(want)
+
+    def close(self, want: Want) -> None:
+        """End a wish: what still arrives goes back unused."""
+        self._wants.pop(want.request_id, None)
+        if want.outstanding:
+            self._send(SlotCancel(want.request_id), want.asked_of)
+            want.outstanding = 0
+        while not want.arrivals.empty():
+            arrival = want.arrivals.get_nowait()
+            if isinstance(arrival, Slot):
+                self.give_back(arrival, 0.0, SlotUse.UNUSED)
+
+    def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
+        """Give a slot back with the outcome of its task."""
+        self._held.pop(slot.lease_id, None)
+        if use is SlotUse.UNUSED:
+            self._metrics.count("messages.wasted.unused-slot")
+        message = SlotReturn(slot.lease_id, slot.endpoint, slot.service, service_ms, use)
+        self._send(message, self._manager_of_endpoint(slot.endpoint))
+
+    async def run(self) -> None:
+        """Renew leases, and ask again where a lease manager was lost, until cancelled."""
+        renewed_ms = monotonic_ms()
+        while True:
+            await asyncio.sleep(_CHECK_S)
+            now_ms = monotonic_ms()
+            changed = self._note_managers()
+            if changed or now_ms - renewed_ms > self._settings.timings.lease_ttl_ms / 4:
+                renewed_ms = now_ms
+                self._renew(now_ms)
+            self.ask_again(now_ms, changed)
+
+    def ask_again(self, now_ms: float, has_changed: bool) -> None:
+        """Send requests again that a lost or a new lease manager may not have.
+
+        A new one may not know yet that it is: it drops what comes too early. So for a while
+        after a change requests go again and again; sent twice they count once.
+        """
+        if has_changed:
+            self._unsettled_ms = now_ms + _UNSETTLED_MS
+        limit_ms = _RESEND_UNSETTLED_MS if now_ms < self._unsettled_ms else RESEND_MS
+        for want in list(self._wants.values()):
+            is_stale = now_ms - want.touched_ms > limit_ms
+            is_moved = self._managers.get(want.shard) != want.asked_of
+            if want.outstanding and (is_stale or is_moved):
+                self._send_request(want)
+
+    def _shard_names(self) -> dict[str, list[str]]:
+        config = self._config()
+        if self._shards[0] != config.version:
+            names = shard_names(config, self._settings.limits.lease_shard_endpoints)
+            self._shards = (config.version, names)
+            self._shard_of = {
+                endpoint: shard for shard, endpoints in names.items() for endpoint in endpoints
+            }
+        return self._shards[1]
+
+    def _note_managers(self) -> bool:
+        """Return whether a shard has another lease manager than at the last call."""
+        managers = {shard: self._manager_of(shard) for shard in self._shard_names()}
+        changed = managers != self._managers
+        self._managers = managers
+        return changed
+
+    def _manager_of_endpoint(self, endpoint: str) -> str:
+        self._shard_names()
+        shard = self._shard_of.get(endpoint, "")
+        return self._manager_of(shard) if shard else ""
+
+    def _pick_shard(self) -> str:
+        """Return the own zone's shard with room, else the one with the most room."""
+        names = self._shard_names()
+        if len(names) <= 1:
+            return next(iter(names), "")
+        loads = self._loads()
+        zone = self._settings.zone
+
+        def room(shard: str) -> tuple[bool, bool, int]:
+            load = loads.get(shard)
+            spare = 0 if load is None else load.free_slots - load.queued
+            return spare > 0, shard.partition("/")[0] == zone, spare
+
+        return max(names, key=room)
+
+    def _send_request(self, want: Want) -> None:
+        now_ms = monotonic_ms()
+        want.shard = self._pick_shard()
+        want.asked_of = self._manager_of(want.shard)
+        want.touched_ms = now_ms
+        if not want.shard:
+            want.arrivals.put_nowait(SlotRefusal(want.request_id, "no-worker", RESEND_MS))
+            return
+        message = SlotRequest(
+            want.request_id,
+            want.shard,
+            want.service,
+            want.customer,
+            want.outstanding,
+            int(want.deadline_ms - now_ms),
+            want.job_tasks,
+        )
+        self._send(message, want.asked_of)
+
+    def _send(self, message: object, box: str) -> None:
+        if box:
+            self._network.send(box, message)
+
+    def _on_grant(self, _sender: str, message: SlotGrant) -> None:
+        now_ms = monotonic_ms()
+        want = self._wants.get(message.request_id)
+        if want is None or want.outstanding == 0:
+            slot = Slot(message.lease_id, message.endpoint, "", "", now_ms, now_ms)
+            self.give_back(slot, 0.0, SlotUse.UNUSED)
+            return
+        want.outstanding -= 1
+        want.touched_ms = now_ms
+        expires_ms = now_ms + message.ttl_ms - _SAFETY_MS
+        slot = Slot(
+            message.lease_id, message.endpoint, want.service, want.customer, now_ms, expires_ms
+        )
+        self._held[slot.lease_id] = slot
+        want.arrivals.put_nowait(slot)
+
+    def _on_refusal(self, _sender: str, message: SlotRefusal) -> None:
+        want = self._wants.get(message.request_id)
+        if want is None or want.outstanding == 0:
+            return
+        want.outstanding = 0
+        want.arrivals.put_nowait(message)
+
+    def _renew(self, now_ms: float) -> None:
+        by_manager: dict[str, list[HeldSlot]] = {}
+        for slot in self._held.values():
+            held = HeldSlot(
+                slot.lease_id,
+                slot.endpoint,
+                slot.service,
+                slot.customer,
+                int(now_ms - slot.granted_ms),
+            )
+            by_manager.setdefault(self._manager_of_endpoint(slot.endpoint), []).append(held)
+        for box, leases in by_manager.items():
+            self._send(SlotHold(leases), box)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -21,6 +21,7 @@
 from foldloom.metrics import Metrics
 from foldloom.settings import settings_from
 from foldloom.static_peers.placement.health import Health
+from foldloom.static_peers.placement.leased_slots import LeasedSlots
 from foldloom.static_peers.placement.messages import HeldSlot, SlotRequest, SlotReturn, SlotUse
 from foldloom.static_peers.placement.policies import (
     POLICIES,
@@ -33,7 +34,6 @@
 from foldloom.static_peers.placement.retries import RetryBudget, may_retry
 from foldloom.static_peers.placement.shard import Grant, Shard
 from foldloom.static_peers.placement.shards import FLEET, Managers, manager_of, shard_names
-from foldloom.static_peers.placement.slots import LeasedSlots
 from foldloom.static_peers.placement.speeds import SpeedTable
 from foldloom.verdicts import may_have_run, not_run
 
