--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -171,7 +171,7 @@
     ),
     Break(
         "record checksums",
-        "controllers/storage.py",
+        "controllers/records.py",
         "if xxhash.xxh3_64_intdigest(content) != checksum:",
         "if False:",
         "tests/test_storage.py::TestStorageMachine",
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -29,8 +29,9 @@
     Readmit,
     StandNow,
 )
+from foldloom.controllers.records import Snapshot
 from foldloom.controllers.state import Answer, ChangeSet, Publication, ReplicatedState
-from foldloom.controllers.storage import LogStorage, Snapshot, format_folder, set_aside
+from foldloom.controllers.storage import LogStorage, format_folder, set_aside
 from foldloom.exceptions import LostMemoryError, NotLeaderError, PeerUnreachableError
 from foldloom.logs import CONTROLLER_LOG
 from foldloom.metrics import Metrics
--- a/src/foldloom/controllers/log.py
+++ b/src/foldloom/controllers/log.py
@@ -8,7 +8,8 @@
 import threading
 from collections.abc import Callable
 
-from foldloom.controllers.storage import Entry, LogStorage, Recovered, Snapshot, TermVote
+from foldloom.controllers.records import Entry, Recovered, Snapshot, TermVote
+from foldloom.controllers.storage import LogStorage
 
 
 class ReplicatedLog:
--- a/src/foldloom/controllers/messages.py
+++ b/src/foldloom/controllers/messages.py
@@ -5,8 +5,8 @@
 
 from typing import NamedTuple
 
+from foldloom.controllers.records import Entry, Snapshot
 from foldloom.controllers.state import Answer, ChangeSet
-from foldloom.controllers.storage import Entry, Snapshot
 from foldloom.peers.messages import register
 
 
--- /dev/null
+++ b/src/foldloom/controllers/records.py
@@ -0,0 +1,199 @@
+# SPDX-License-Identifier: MIT
+"""The bytes of a controller's data folder: checksummed records, and what a log of them means.
+
+Owns nothing: types, and functions of bytes. A record, little-endian, is
+``length (4 bytes) | header checksum (4) | content checksum (8) | kind (1) | body (msgpack)``. The
+length counts kind and body, the content checksum (xxh3) covers them, and the header checksum
+(xxh32) covers length and content checksum. Numbers of kinds are never used again, and a field is
+only added at the end of a body.
+"""
+
+from __future__ import annotations
+
+import struct
+from typing import NamedTuple
+
+import msgspec
+import xxhash
+
+from foldloom.exceptions import LostMemoryError
+
+_HEADER = struct.Struct("<IIQ")
+# Kinds of records; numbers on disk are never used again. This one holds term and vote.
+_TERM = 1
+# An entry of the log.
+_ENTRY = 2
+# Drops the entries from an index on.
+_CUT = 3
+# The state up to an index; in a file of its own.
+_SNAPSHOT = 4
+# Who the folder is; in a file of its own.
+_IDENTITY = 5
+_ENCODER = msgspec.msgpack.Encoder()
+
+
+class Entry(NamedTuple):
+    """One entry of the replicated log.
+
+    Args:
+        log_index: Its place, from 1.
+        term: The term of the leader that made it.
+        payload: The encoded command; empty for a no-op.
+    """
+
+    log_index: int
+    term: int
+    payload: bytes
+
+
+class TermVote(NamedTuple):
+    """The newest term that this controller knows, and its vote in it ('' for none)."""
+
+    term: int
+    voted_for: str
+
+
+class Snapshot(NamedTuple):
+    """The state after all entries up to ``last_index``."""
+
+    last_index: int
+    term: int
+    state: bytes
+
+
+class Recovered(NamedTuple):
+    """What the disk held at start."""
+
+    term_vote: TermVote
+    snapshot: Snapshot
+    entries: list[Entry]
+
+
+EMPTY_SNAPSHOT = Snapshot(0, 0, b"")
+
+
+class Identity(NamedTuple):
+    """Who a data folder is.
+
+    Args:
+        storage_id: Made when the folder was formatted.
+        is_first: Whether an operator formatted it for a new system; ``False`` if the
+            controller did so itself after it lost its memory.
+    """
+
+    storage_id: str
+    is_first: bool
+
+
+def encode_entries(entries: list[Entry]) -> bytes:
+    """Return the records of *entries*."""
+    return b"".join(_record(_ENTRY, _ENCODER.encode(entry)) for entry in entries)
+
+
+def encode_cut(index: int) -> bytes:
+    """Return the record that drops the entries from *index* on."""
+    return _record(_CUT, _ENCODER.encode(index))
+
+
+def encode_term_vote(term_vote: TermVote) -> bytes:
+    """Return the record of *term_vote*."""
+    return _record(_TERM, _ENCODER.encode(term_vote))
+
+
+def encode_snapshot(snapshot: Snapshot) -> bytes:
+    """Return the record of *snapshot*, the whole of its file."""
+    return _record(_SNAPSHOT, _ENCODER.encode(snapshot))
+
+
+def encode_identity(identity: Identity) -> bytes:
+    """Return the record of *identity*, the whole of its file."""
+    return _record(_IDENTITY, _ENCODER.encode(identity))
+
+
+def decode_identity(data: bytes) -> Identity:
+    """Return the identity in a file's *data*.
+
+    Raises:
+        LostMemoryError: The file is damaged.
+    """
+    record = _parse(data, 0)
+    if record is None:
+        raise LostMemoryError("the identity is cut short")
+    return msgspec.msgpack.decode(record.body, type=Identity)
+
+
+def decode_snapshot(data: bytes) -> Snapshot:
+    """Return the snapshot in a file's *data*.
+
+    Raises:
+        LostMemoryError: The file is damaged.
+    """
+    record = _parse(data, 0)
+    if record is None:
+        raise LostMemoryError("the snapshot is cut short")
+    return msgspec.msgpack.decode(record.body, type=Snapshot)
+
+
+def replay_log(data: bytes, snapshot: Snapshot) -> tuple[Recovered, int]:
+    """Return what the log's bytes say after *snapshot*, and how many of them are good.
+
+    Raises:
+        LostMemoryError: A record is damaged, or entries are missing.
+    """
+    term_vote = TermVote(snapshot.term, "")
+    entries: list[Entry] = []
+    offset = 0
+    while (record := _parse(data, offset)) is not None:
+        kind, body, offset = record
+        if kind == _TERM:
+            term_vote = msgspec.msgpack.decode(body, type=TermVote)
+        elif kind == _CUT:
+            first = msgspec.msgpack.decode(body, type=int)
+            entries = [entry for entry in entries if entry.log_index < first]
+        else:
+            entry = msgspec.msgpack.decode(body, type=Entry)
+            if entry.log_index > snapshot.last_index:
+                entries.append(entry)
+    for position, entry in enumerate(entries, snapshot.last_index + 1):
+        if entry.log_index != position:
+            raise LostMemoryError("entries are missing from the log")
+    return Recovered(term_vote, snapshot, entries), offset
+
+
+class _Record(NamedTuple):
+    """One record: its kind, its body, and the offset behind it."""
+
+    kind: int
+    body: bytes
+    end: int
+
+
+def _record(kind: int, body: bytes) -> bytes:
+    content = bytes([kind]) + body
+    checksum = xxhash.xxh3_64_intdigest(content)
+    return _HEADER.pack(len(content), _header_check(len(content), checksum), checksum) + content
+
+
+def _header_check(length: int, checksum: int) -> int:
+    return xxhash.xxh32_intdigest(struct.pack("<IQ", length, checksum))
+
+
+def _parse(data: bytes, offset: int) -> _Record | None:
+    """Return the record at *offset*, or ``None`` at the good end.
+
+    Raises:
+        LostMemoryError: The record is damaged.
+    """
+    start = offset + _HEADER.size
+    if start > len(data) or not any(data[offset:]):
+        return None
+    length, header_check, checksum = _HEADER.unpack_from(data, offset)
+    if header_check != _header_check(length, checksum):
+        raise LostMemoryError(f"the record header at byte {offset} is damaged")
+    end = start + length
+    if end > len(data):
+        return None
+    content = data[start:end]
+    if xxhash.xxh3_64_intdigest(content) != checksum:
+        raise LostMemoryError(f"the record at byte {offset} is damaged")
+    return _Record(content[0], content[1:], end)
--- a/tests/test_controllers_controller_table.py
+++ b/tests/test_controllers_controller_table.py
@@ -16,8 +16,9 @@
 from foldloom.controllers.config import empty_config
 from foldloom.controllers.controller_table import ControllerTable
 from foldloom.controllers.log import ReplicatedLog
+from foldloom.controllers.records import Entry
 from foldloom.controllers.state import ReplicatedState
-from foldloom.controllers.storage import Entry, LogStorage, format_folder
+from foldloom.controllers.storage import LogStorage, format_folder
 
 _EMPTY = empty_config({}, {})
 _FOUND = FoundCommand({}, {"c1": "s1", "c2": "s2"})
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -16,15 +16,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
 from foldloom.controllers.log import ReplicatedLog
-from foldloom.controllers.storage import (
-    EMPTY_SNAPSHOT,
-    Entry,
-    LogStorage,
-    Snapshot,
-    TermVote,
-    format_folder,
-    set_aside,
-)
+from foldloom.controllers.records import EMPTY_SNAPSHOT, Entry, Snapshot, TermVote
+from foldloom.controllers.storage import LogStorage, format_folder, set_aside
 from foldloom.exceptions import LostMemoryError
 from strategies import payloads, shares
 
--- a/tests/test_unchanged.py
+++ b/tests/test_unchanged.py
@@ -27,7 +27,7 @@
 from foldloom.cli import client as cli_client
 from foldloom.cli.load import LoadOptions
 from foldloom.cli.main import Commands
-from foldloom.controllers import commands, plans, state, storage
+from foldloom.controllers import commands, plans, records, state, storage
 from foldloom.controllers.config import encode_config
 from foldloom.controllers.state import ReplicatedState
 from foldloom.exposition import metrics_text
@@ -190,23 +190,23 @@
 def _write_folder(folder: Path) -> dict[str, bytes]:
     """Write a data folder with a snapshot, entries after it, a cut and a vote."""
     storage.format_folder(str(folder), is_first=True)
-    identity = storage.Identity("0" * 32, True)
-    record = storage._record(storage._IDENTITY, msgspec.msgpack.encode(identity))
+    identity = records.Identity("0" * 32, True)
+    record = records.encode_identity(identity)
     (folder / "identity").write_bytes(record)
     log = storage.LogStorage(str(folder))
     log.open()
     known = ReplicatedState(state.empty_config({}, {}))
     entries = []
     for index, payload in enumerate(_payloads(known), start=1):
-        entries.append(storage.Entry(index, 2 if index < 4 else 3, payload))
+        entries.append(records.Entry(index, 2 if index < 4 else 3, payload))
         known.apply(payload)
         if index == 6:
-            snapshot = storage.Snapshot(6, 3, known.dump())
-            log.save_snapshot(snapshot, storage.TermVote(3, "c1"), [])
+            snapshot = records.Snapshot(6, 3, known.dump())
+            log.save_snapshot(snapshot, records.TermVote(3, "c1"), [])
     log.append(entries[6:])
     log.cut_from(9)
     log.append(entries[8:])
-    log.save_term_vote(storage.TermVote(4, "c2"))
+    log.save_term_vote(records.TermVote(4, "c2"))
     log.sync()
     log.close()
     return {path.name: path.read_bytes() for path in sorted(folder.iterdir())}
