--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -15,24 +15,16 @@
 from foldloom.controllers.config import Config
 from foldloom.controllers.controller_table import ControllerTable
 from foldloom.controllers.election import Elections
+from foldloom.controllers.following import Following
 from foldloom.controllers.leadership import ANY_STORAGE, Leadership
-from foldloom.controllers.log import ReplicatedLog
+from foldloom.controllers.log import ReplicatedLog, open_storage
 from foldloom.controllers.members import majority_of
-from foldloom.controllers.messages import (
-    Append,
-    AppendReply,
-    BarrierReply,
-    InstallSnapshot,
-    Propose,
-    ProposeReply,
-    ReadBarrier,
-    Readmit,
-    StandNow,
-)
+from foldloom.controllers.messages import Readmit
 from foldloom.controllers.records import Snapshot
+from foldloom.controllers.requests import Requests
 from foldloom.controllers.state import Answer, ChangeSet, Publication, ReplicatedState
-from foldloom.controllers.storage import LogStorage, format_folder, set_aside
-from foldloom.exceptions import LostMemoryError, NotLeaderError, PeerUnreachableError
+from foldloom.controllers.storage import LogStorage
+from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.logs import CONTROLLER_LOG
 from foldloom.metrics import Metrics
 from foldloom.peers.wire import PeerNetwork, monotonic_ms
@@ -48,9 +40,6 @@
 _PROPOSE_TIMEOUT_MS = 5_000
 # Seconds between two requests to be counted again. Not measured: chosen small against an election.
 _READMIT_INTERVAL_S = 0.2
-# Seconds between two checks whether another controller could lead, or leads. Not measured: chosen
-# small against an election.
-_HANDOVER_CHECK_S = 0.01
 # Election time-outs without a leader after which a controller asks whether it still counts. Not
 # measured: chosen above one election.
 _REPLACED_AFTER_TIMEOUTS = 2
@@ -59,20 +48,6 @@
 _REOPEN_INTERVAL_S = 1.0
 
 
-def open_storage(settings: Settings) -> tuple[LogStorage, ReplicatedLog]:
-    """Open the data folder; one that lost its memory is set aside and made anew."""
-    storage = LogStorage(settings.data_folder, settings.timings.sync_delay_ms)
-    try:
-        recovered = storage.open()
-    except LostMemoryError as error:
-        CONTROLLER_LOG.error("Memory lost: {}. No vote until readmitted.", error)
-        set_aside(settings.data_folder)
-        format_folder(settings.data_folder, is_first=False)
-        storage = LogStorage(settings.data_folder, settings.timings.sync_delay_ms)
-        recovered = storage.open()
-    return storage, ReplicatedLog(storage, recovered)
-
-
 class Controller:
     """A controller.
 
@@ -114,11 +89,8 @@
         self._is_compacting = False
         self._begin_with(*open_storage(settings))
         self._elections = Elections(self)
-        network.on(Append, self._on_append)
-        network.on(InstallSnapshot, self._on_install)
-        network.on(Propose, self._on_propose)
-        network.on(ReadBarrier, self._on_barrier)
-        network.on(Readmit, self._on_readmit)
+        Following(self)
+        Requests(self)
 
     def _begin_with(self, storage: LogStorage, log: ReplicatedLog) -> None:
         """Begin with what the data folder holds; only its snapshot is known to be committed."""
@@ -127,7 +99,7 @@
         self._table = ControllerTable(log, self._initial)
         self._commit_index = 0
         self._applied_index = 0
-        self._load_snapshot(log.snapshot)
+        self.load_snapshot(log.snapshot)
 
     @property
     def state(self) -> ReplicatedState:
@@ -240,31 +212,9 @@
         await self._tasks.stop()
         self._storage.close()
 
-    async def hand_over(self) -> str:
-        """Before a planned stop, have another controller lead; return which, or ''.
-
-        As in Raft's leadership transfer (Ongaro's dissertation, 2014, section 3.10), the successor
-        gets the end of the log first. New proposals are taken meanwhile, so it is bounded.
-        """
-        deadline_ms = monotonic_ms() + self.election_timeout_ms
-        successor = await self._await_successor(deadline_ms)
-        if not successor:
-            return ""
-        term = self.log.term
-        self.step_down()
-        self.network.send(successor, StandNow(term))
-        while self.log.term == term and monotonic_ms() < deadline_ms:
-            await asyncio.sleep(_HANDOVER_CHECK_S)
-        return successor
-
-    async def _await_successor(self, deadline_ms: float) -> str:
-        """Return a controller that holds the whole log, or '' if none does by *deadline_ms*."""
-        while self._leadership is not None and self.majority > 1:
-            successor = self._leadership.successor()
-            if successor or monotonic_ms() >= deadline_ms:
-                return successor
-            await asyncio.sleep(_HANDOVER_CHECK_S)
-        return ""
+    def successor(self) -> str:
+        """Return the controller that could lead at once in this leader's place, or ''."""
+        return "" if self._leadership is None else self._leadership.successor()
 
     def fail(self, error: OSError) -> None:
         """Take no part until the data folder can be opened again.
@@ -298,6 +248,17 @@
                 "The disk takes writes again: entry {} is the last.", log.last_index
             )
 
+    def follow(self, leader: str) -> None:
+        """Note that *leader* leads in the present term, and is in contact."""
+        if self._leader != leader:
+            CONTROLLER_LOG.info("Follow {} in term {}.", leader, self.log.term)
+        self._leader = leader
+        self.note_leader_contact()
+
+    def note_accepted(self, prev_index: int) -> None:
+        """Note that entries after *prev_index* were accepted into the log."""
+        self._table.note_accepted(prev_index)
+
     def note_leader_contact(self) -> None:
         """Begin a new wait before an election."""
         self._leader_contact_ms = monotonic_ms()
@@ -324,16 +285,21 @@
     def notice_term(self, term: int) -> None:
         """Adopt a newer *term* that a peer is in, in a task of its own."""
         if term > self.log.term:
-            self._tasks.spawn(self._meet_term_in_turn(term))
+            self._tasks.spawn(self._adopt_term_in_turn(term))
 
-    async def _meet_term_in_turn(self, term: int) -> None:
+    async def _adopt_term_in_turn(self, term: int) -> None:
         async with self.turn:
             try:
-                await self._meet_term(term)
+                await self.adopt_term(term)
             except OSError as error:
                 self.fail(error)
 
-    async def _meet_term(self, term: int) -> None:
+    async def adopt_term(self, term: int) -> None:
+        """Adopt *term* durably if it is newer, and stop leading.
+
+        Raises:
+            OSError: The disk failed.
+        """
         if term <= self.log.term:
             return
         self.step_down()
@@ -402,7 +368,8 @@
                 self.step_down()
         self._on_config(config, self._state.changes_since(version_before))
 
-    def _load_snapshot(self, snapshot: Snapshot) -> None:
+    def load_snapshot(self, snapshot: Snapshot) -> None:
+        """Replace the state by that of *snapshot*, unless more is applied here."""
         if snapshot.last_index <= self._applied_index:
             return
         self._state.load(snapshot.state)
@@ -425,78 +392,6 @@
         finally:
             self._is_compacting = False
 
-    async def _on_append(self, sender: str, message: Append) -> AppendReply | None:
-        async with self.turn:
-            try:
-                return await self._follow(sender, message)
-            except OSError as error:
-                self.fail(error)
-                return None
-
-    async def _follow(self, sender: str, message: Append) -> AppendReply | None:
-        if not await self._accept_leader(sender, message.term):
-            return None if self._is_failed else self._append_reply(False, 0)
-        if message.prev_index > self.log.last_index:
-            return self._append_reply(False, self.log.last_index)
-        prev_term = self.log.term_at(message.prev_index)
-        if prev_term is not None and prev_term != message.prev_term:
-            return self._append_reply(False, max(self._commit_index, message.prev_index - 1))
-        if prev_term is None and message.prev_index > self.log.snapshot.last_index:
-            return self._append_reply(False, self.log.snapshot.last_index)
-        await self.log.accept(message.entries)
-        self._table.note_accepted(message.prev_index)
-        self._leader_contact_ms = monotonic_ms()
-        match_index = message.prev_index + len(message.entries)
-        self.commit(min(message.commit_index, match_index))
-        return self._append_reply(True, match_index)
-
-    async def _on_install(self, sender: str, message: InstallSnapshot) -> AppendReply | None:
-        async with self.turn:
-            try:
-                if not await self._accept_leader(sender, message.term):
-                    return None if self._is_failed else self._append_reply(False, 0)
-                await self.log.compact(message.snapshot)
-            except OSError as error:
-                self.fail(error)
-                return None
-            self._load_snapshot(message.snapshot)
-            return self._append_reply(True, message.snapshot.last_index)
-
-    async def _accept_leader(self, sender: str, term: int) -> bool:
-        """Return whether *sender* leads in *term*; note the contact."""
-        if self._is_failed or term < self.log.term:
-            return False
-        if term > self.log.term:
-            await self._meet_term(term)
-        if self._leader != sender:
-            CONTROLLER_LOG.info("Follow {} in term {}.", sender, term)
-        self._leader = sender
-        self._leader_contact_ms = monotonic_ms()
-        return True
-
-    def _append_reply(self, is_ok: bool, match_index: int) -> AppendReply:
-        return AppendReply(self.log.term, is_ok, match_index, self.storage_id, self.is_first)
-
-    async def _on_propose(self, _sender: str, message: Propose) -> ProposeReply:
-        try:
-            answer = await self.propose(message.payload)
-        except NotLeaderError as error:
-            return ProposeReply(None, False, error.leader)
-        except PeerUnreachableError:
-            # It was appended and may still be committed.
-            return ProposeReply(None, True, self.leader)
-        return ProposeReply(answer, False, self.box)
-
-    async def _on_barrier(self, _sender: str, _message: ReadBarrier) -> BarrierReply:
-        try:
-            return BarrierReply(True, await self.barrier(), self.box)
-        except NotLeaderError as error:
-            return BarrierReply(False, 0, error.leader)
-
-    def _on_readmit(self, sender: str, message: Readmit) -> None:
-        if self._leadership is not None:
-            self._leadership.admit(sender, message.storage_id)
-
     async def _ask_readmission(self) -> None:
         """While this controller is not counted, or its leader is silent, ask to be counted.
 
--- a/src/foldloom/controllers/log.py
+++ b/src/foldloom/controllers/log.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""The replicated log of one controller: entries in memory, written and synced in groups."""
+"""The replicated log of one controller: entries in memory, written and synced in groups.
+
+Owns the entries, the term and the vote, and the one lock under which the disk changes. Relies on
+storage, which may fail at any write.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,10 @@
 from collections.abc import Callable
 
 from foldloom.controllers.records import Entry, Recovered, Snapshot, TermVote
-from foldloom.controllers.storage import LogStorage
+from foldloom.controllers.storage import LogStorage, format_folder, set_aside
+from foldloom.exceptions import LostMemoryError
+from foldloom.logs import CONTROLLER_LOG
+from foldloom.settings import Settings
 
 
 class ReplicatedLog:
@@ -227,3 +234,17 @@
             if self.term_at(entry.log_index) != entry.term:
                 return entries[position:]
         return []
+
+
+def open_storage(settings: Settings) -> tuple[LogStorage, ReplicatedLog]:
+    """Open the data folder; one that lost its memory is set aside and made anew."""
+    storage = LogStorage(settings.data_folder, settings.timings.sync_delay_ms)
+    try:
+        recovered = storage.open()
+    except LostMemoryError as error:
+        CONTROLLER_LOG.error("Memory lost: {}. No vote until readmitted.", error)
+        set_aside(settings.data_folder)
+        format_folder(settings.data_folder, is_first=False)
+        storage = LogStorage(settings.data_folder, settings.timings.sync_delay_ms)
+        recovered = storage.open()
+    return storage, ReplicatedLog(storage, recovered)
--- a/src/foldloom/controllers/participant.py
+++ b/src/foldloom/controllers/participant.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""What elections and leading need of the controller that they are a part of.
+"""What the parts of a controller need of it: elections, leading, following, a planned stop.
 
-Owns nothing: two protocols, so that neither module imports the controller, which makes both.
+Owns nothing: protocols, so that no part imports the controller, which makes them.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 from typing import Protocol
 
 from foldloom.controllers.log import ReplicatedLog
+from foldloom.controllers.records import Snapshot
 from foldloom.controllers.state import ReplicatedState
 from foldloom.peers.wire import PeerNetwork
 
@@ -102,3 +103,49 @@
 
     def step_down(self) -> None:
         """Stop leading."""
+
+
+class Replica(Participant, Protocol):
+    """A controller that follows a leader."""
+
+    turn: asyncio.Lock
+
+    @property
+    def is_failed(self) -> bool:
+        """Whether the disk failed: this controller takes no part."""
+
+    @property
+    def commit_index(self) -> int:
+        """The index up to which entries are committed, as far as known here."""
+
+    async def adopt_term(self, term: int) -> None:
+        """Adopt *term* durably if it is newer, and stop leading."""
+
+    def follow(self, leader: str) -> None:
+        """Note that *leader* leads in the present term, and is in contact."""
+
+    def note_leader_contact(self) -> None:
+        """Begin a new wait before an election."""
+
+    def note_accepted(self, prev_index: int) -> None:
+        """Note that entries after *prev_index* were accepted into the log."""
+
+    def commit(self, index: int) -> None:
+        """Commit and apply the entries up to *index*."""
+
+    def load_snapshot(self, snapshot: Snapshot) -> None:
+        """Replace the state by that of *snapshot*, unless more is applied here."""
+
+
+class StoppingLeader(Participant, Protocol):
+    """A controller that may lead and is about to stop."""
+
+    @property
+    def is_leading(self) -> bool:
+        """Whether this controller leads, as far as it knows."""
+
+    def successor(self) -> str:
+        """Return the controller that could lead at once in this leader's place, or ''."""
+
+    def step_down(self) -> None:
+        """Stop leading."""
--- a/src/foldloom/seed_discovery/controller_box.py
+++ b/src/foldloom/seed_discovery/controller_box.py
@@ -9,6 +9,7 @@
 
 from foldloom.controllers.config import empty_config
 from foldloom.controllers.controller import Controller
+from foldloom.controllers.handover import transfer_leadership
 from foldloom.controllers.leadership import ANY_STORAGE
 from foldloom.controllers.state import Publication
 from foldloom.controllers.storage import format_folder
@@ -125,9 +126,7 @@
     async def stop(self) -> None:
         """Stop as planned: a leader has another one lead first."""
         self._view.set_leaving()
-        successor = await self._controller.hand_over()
-        if successor:
-            CONTROLLER_LOG.event("leader.handed_over", to=successor)
+        await transfer_leadership(self._controller)
         await self.kill()
 
     async def kill(self) -> None:
