--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -1,8 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""One controller of the replicated log: elections, following, applying what is committed.
+"""One controller of the replicated log: its parts put to work on one data folder.
 
-The rules are Raft's as published (Ongaro and Ousterhout, 2014), with trial votes before an
-election, step-down without a majority, and a data folder's identity behind every vote.
+Owns the role (leading, following, failed), who leads, and the log. Relies on its parts: elections,
+following, leadership, what is applied. The rules are Raft's as published (Ongaro and Ousterhout,
+2014), with trial votes before an election (Ongaro's dissertation, section 9.6), step-down without a
+majority (section 6.2), and a data folder's identity behind every vote.
 """
 
 from __future__ import annotations
@@ -11,16 +13,14 @@
 import random
 from collections.abc import Callable
 
-from foldloom.controllers.commands import FoundCommand, encode_command
+from foldloom.controllers.applied import AppliedState
 from foldloom.controllers.config import Config
-from foldloom.controllers.controller_table import ControllerTable
 from foldloom.controllers.election import Elections
 from foldloom.controllers.following import Following
 from foldloom.controllers.leadership import ANY_STORAGE, Leadership
 from foldloom.controllers.log import ReplicatedLog, open_storage
 from foldloom.controllers.members import majority_of
-from foldloom.controllers.messages import Readmit
-from foldloom.controllers.records import Snapshot
+from foldloom.controllers.readmission import ask_readmission
 from foldloom.controllers.requests import Requests
 from foldloom.controllers.state import Answer, ChangeSet, Publication, ReplicatedState
 from foldloom.controllers.storage import LogStorage
@@ -38,12 +38,8 @@
 _SNAPSHOT_LOG_BYTES = 8 * 1024 * 1024
 # Milliseconds for a commit. Not measured: chosen above several elections.
 _PROPOSE_TIMEOUT_MS = 5_000
-# Seconds between two requests to be counted again. Not measured: chosen small against an election.
-_READMIT_INTERVAL_S = 0.2
-# Election time-outs without a leader after which a controller asks whether it still counts. Not
-# measured: chosen above one election.
-_REPLACED_AFTER_TIMEOUTS = 2
-# Seconds. Not measured: chosen because a full disk of the bench refuses writes for 6 s, and one
+# Seconds between two attempts to open a data folder again whose disk failed. Not measured: chosen
+# because a full disk of the bench refuses writes for 6 s, and one
 # attempt costs a read and a write of the whole log.
 _REOPEN_INTERVAL_S = 1.0
 
@@ -95,27 +91,24 @@
     def _begin_with(self, storage: LogStorage, log: ReplicatedLog) -> None:
         """Begin with what the data folder holds; only its snapshot is known to be committed."""
         self._storage, self.log = storage, log
-        self._state = ReplicatedState(self._initial)
-        self._table = ControllerTable(log, self._initial)
-        self._commit_index = 0
-        self._applied_index = 0
-        self.load_snapshot(log.snapshot)
+        self.applied = AppliedState(log, self._initial, self._adopt_config, self._on_publication)
+        self.applied.load(log.snapshot)
 
     @property
     def state(self) -> ReplicatedState:
         """The state after all applied entries."""
-        return self._state
-
-    @property
-    def commit_index(self) -> int:
-        """The index up to which entries are committed, as far as known here."""
-        return self._commit_index
+        return self.applied.state
 
     @property
     def leader(self) -> str:
         """The leader's box as far as known, or an empty string."""
         return self.box if self._leadership is not None else self._leader
 
+    @property
+    def known_leader(self) -> str:
+        """The leader that was last in contact, or an empty string."""
+        return self._leader
+
     @property
     def is_leading(self) -> bool:
         """Whether this controller leads, as far as it knows."""
@@ -139,7 +132,7 @@
     @property
     def controllers(self) -> dict[str, str]:
         """The controllers that count, by the own log, and their data folders' ids."""
-        return self._table.newest(self._state, self._applied_index)
+        return self.applied.controllers
 
     @property
     def majority(self) -> int:
@@ -173,7 +166,7 @@
         return {
             "leader": self.leader,
             "term": self.log.term,
-            "commit_index": self._commit_index,
+            "commit_index": self.applied.commit_index,
             "may_vote": self.may_vote,
             "is_failed": self._is_failed,
             "log_bytes": self._storage.log_bytes,
@@ -189,7 +182,7 @@
 
     async def run(self) -> None:
         """Stand for election when the leader is silent, and ask to be counted, until cancelled."""
-        self._tasks.spawn(self._ask_readmission())
+        self._tasks.spawn(ask_readmission(self, self._contacts))
         while True:
             if self._is_failed:
                 await asyncio.sleep(_REOPEN_INTERVAL_S)
@@ -255,10 +248,6 @@
         self._leader = leader
         self.note_leader_contact()
 
-    def note_accepted(self, prev_index: int) -> None:
-        """Note that entries after *prev_index* were accepted into the log."""
-        self._table.note_accepted(prev_index)
-
     def note_leader_contact(self) -> None:
         """Begin a new wait before an election."""
         self._leader_contact_ms = monotonic_ms()
@@ -307,30 +296,15 @@
 
     def commit(self, index: int) -> None:
         """Commit and apply the entries up to *index*."""
-        self._commit_index = max(self._commit_index, index)
-        version = self._state.config.version
-        published = self._state.publication.version
-        while self._applied_index < min(self._commit_index, self.log.last_index):
-            entry = self.log.entry(self._applied_index + 1)
-            answer = self._state.apply(entry.payload)
-            self._applied_index = entry.log_index
-            if self._leadership is not None:
-                self._leadership.resolve(entry.log_index, answer)
-        self._table.note_committed(self._commit_index)
-        if self._state.config.version != version:
-            self._adopt(version)
-        if self._state.publication.version != published:
-            self._on_publication(self._state.publication)
+        self.applied.commit(index, self._resolve)
         if self._is_snapshot_due and not self._is_compacting:
             self._is_compacting = True
             self._tasks.spawn(self._compact())
 
-    def first_payload(self) -> bytes:
-        """Return what a leader begins its term with: nothing, unless the system is new."""
-        if self._state.is_founded or self.log.last_index:
-            return b""
-        boxes = self._initial.boxes["current"]
-        return encode_command(FoundCommand(boxes, self._initial.controllers))
+    def _resolve(self, index: int, answer: Answer) -> None:
+        """Give an applied entry's answer to whoever proposed it here."""
+        if self._leadership is not None:
+            self._leadership.resolve(index, answer)
 
     async def propose(self, payload: bytes) -> Answer:
         """Commit *payload* if this controller leads, and return its answer.
@@ -357,52 +331,25 @@
         if self._leadership is None:
             raise NotLeaderError(self._leader)
         await self._leadership.barrier()
-        return self._state.config.version
+        return self.state.config.version
 
-    def _adopt(self, version_before: int) -> None:
-        config = self._state.config
+    def _adopt_config(self, config: Config, changes: list[ChangeSet]) -> None:
+        """Follow the controllers of a newer configuration, or stop leading if not among them."""
         if self._leadership is not None:
             if self.box in config.controllers:
                 self._leadership.follow_members()
             else:
                 self.step_down()
-        self._on_config(config, self._state.changes_since(version_before))
-
-    def load_snapshot(self, snapshot: Snapshot) -> None:
-        """Replace the state by that of *snapshot*, unless more is applied here."""
-        if snapshot.last_index <= self._applied_index:
-            return
-        self._state.load(snapshot.state)
-        self._applied_index = snapshot.last_index
-        self._commit_index = max(self._commit_index, snapshot.last_index)
-        self._on_config(self._state.config, [])
-        self._on_publication(self._state.publication)
+        self._on_config(config, changes)
 
     async def _compact(self) -> None:
-        index = self._applied_index
-        term = self.log.term_at(index)
-        log, snapshot = self.log, Snapshot(index, term or 0, self._state.dump())
+        log, snapshot = self.log, self.applied.snapshot
         try:
             await log.compact(snapshot)
-            CONTROLLER_LOG.info("Snapshot up to entry {}.", index)
+            CONTROLLER_LOG.info("Snapshot up to entry {}.", snapshot.last_index)
         except OSError as error:
             # The log may have been opened again since; then this was about the one before.
             if log is self.log:
                 self.fail(error)
         finally:
             self._is_compacting = False
-
-    async def _ask_readmission(self) -> None:
-        """While this controller is not counted, or its leader is silent, ask to be counted.
-
-        One that was replaced while it was away counts itself still; only the leader's silence
-        shows it.
-        """
-        while True:
-            await asyncio.sleep(_READMIT_INTERVAL_S)
-            has_leader = self.leader_silent_ms < _REPLACED_AFTER_TIMEOUTS * self.election_timeout_ms
-            if self._is_failed or self.is_leading or (self.may_vote and has_leader):
-                continue
-            asked = [self._leader] if self._leader and has_leader else self._contacts()
-            for box in asked:
-                self.network.send(box, Readmit(self.storage_id))
--- a/src/foldloom/controllers/following.py
+++ b/src/foldloom/controllers/following.py
@@ -41,12 +41,12 @@
         prev_term = self._controller.log.term_at(message.prev_index)
         if prev_term is not None and prev_term != message.prev_term:
             return self._append_reply(
-                False, max(self._controller.commit_index, message.prev_index - 1)
+                False, max(self._controller.applied.commit_index, message.prev_index - 1)
             )
         if prev_term is None and message.prev_index > self._controller.log.snapshot.last_index:
             return self._append_reply(False, self._controller.log.snapshot.last_index)
         await self._controller.log.accept(message.entries)
-        self._controller.note_accepted(message.prev_index)
+        self._controller.applied.note_accepted(message.prev_index)
         self._controller.note_leader_contact()
         match_index = message.prev_index + len(message.entries)
         self._controller.commit(min(message.commit_index, match_index))
@@ -61,7 +61,7 @@
             except OSError as error:
                 self._controller.fail(error)
                 return None
-            self._controller.load_snapshot(message.snapshot)
+            self._controller.applied.load(message.snapshot)
             return self._append_reply(True, message.snapshot.last_index)
 
     async def _accept_leader(self, sender: str, term: int) -> bool:
--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -77,7 +77,7 @@
 
     def start(self) -> None:
         """Begin the term with an entry of its own and start the tasks."""
-        self._controller.log.add(self._controller.first_payload())
+        self._controller.log.add(self._controller.applied.first_payload())
         self._tasks["flush"] = asyncio.create_task(self._flush())
         self._tasks["watch"] = asyncio.create_task(self._watch())
         self._dirty.set()
@@ -166,7 +166,10 @@
         follower = self._followers.get(box)
         if follower is None or follower.storage_id != storage_id:
             return
-        if follower.match_index < self._controller.commit_index or not self._has_committed_own():
+        if (
+            follower.match_index < self._controller.applied.commit_index
+            or not self._has_committed_own()
+        ):
             return
         others = [
             name for name in self._controller.controllers if name not in (box, self._controller.box)
@@ -207,7 +210,10 @@
             if now_ms - known.since_ms > _STANDBY_KEPT_TIMEOUTS * timeout_ms:
                 del self._standbys[box]
                 self.follow_members()
-        if not self._has_committed_own() or self._controller.commit_index < self._member_index:
+        if (
+            not self._has_committed_own()
+            or self._controller.applied.commit_index < self._member_index
+        ):
             return
         silent = [
             box
@@ -221,7 +227,7 @@
         ]
         command = next_change(
             self._controller.controllers,
-            self._controller.state.founder_count,
+            self._controller.applied.state.founder_count,
             silent,
             standbys,
             self._controller.box,
@@ -234,7 +240,7 @@
         follower = self._followers.get(box)
         if follower is None or follower.storage_id != storage_id:
             return False
-        return follower.match_index >= self._controller.commit_index
+        return follower.match_index >= self._controller.applied.commit_index
 
     async def _flush(self) -> None:
         """Make added entries durable, as many as there are at a time."""
@@ -301,7 +307,9 @@
         if prev_term is None:
             return InstallSnapshot(self._term, log.snapshot)
         entries = log.entries_from(next_index, _ENTRIES_PER_APPEND)
-        return Append(self._term, next_index - 1, prev_term, entries, self._controller.commit_index)
+        return Append(
+            self._term, next_index - 1, prev_term, entries, self._controller.applied.commit_index
+        )
 
     def _note(self, box: str, reply: AppendReply, sent_ms: float) -> None:
         known = self._followers[box]
@@ -345,7 +353,7 @@
         return self._has_committed_own() and self._is_acknowledged_since(since_ms)
 
     def _has_committed_own(self) -> bool:
-        return self._controller.commit_index >= self._first_index
+        return self._controller.applied.commit_index >= self._first_index
 
     def _advance(self) -> None:
         """Commit what a majority holds, if it is of this term."""
@@ -359,7 +367,7 @@
             return
         matches.sort(reverse=True)
         agreed = matches[self._controller.majority - 1]
-        if agreed > self._controller.commit_index and log.term_at(agreed) == self._term:
+        if agreed > self._controller.applied.commit_index and log.term_at(agreed) == self._term:
             self._controller.commit(agreed)
             self._pin(self._controller.box, self._controller.storage_id, self._controller.is_first)
             self._wake_all()
--- a/src/foldloom/controllers/participant.py
+++ b/src/foldloom/controllers/participant.py
@@ -9,9 +9,8 @@
 import asyncio
 from typing import Protocol
 
+from foldloom.controllers.applied import AppliedState
 from foldloom.controllers.log import ReplicatedLog
-from foldloom.controllers.records import Snapshot
-from foldloom.controllers.state import ReplicatedState
 from foldloom.peers.wire import PeerNetwork
 
 
@@ -87,16 +86,7 @@
 class Leader(Participant, Protocol):
     """A controller that leads."""
 
-    @property
-    def commit_index(self) -> int:
-        """The index up to which entries are committed, as far as known here."""
-
-    @property
-    def state(self) -> ReplicatedState:
-        """The state after all applied entries."""
-
-    def first_payload(self) -> bytes:
-        """Return what a leader begins its term with."""
+    applied: AppliedState
 
     def commit(self, index: int) -> None:
         """Commit and apply the entries up to *index*."""
@@ -108,16 +98,13 @@
 class Replica(Participant, Protocol):
     """A controller that follows a leader."""
 
+    applied: AppliedState
     turn: asyncio.Lock
 
     @property
     def is_failed(self) -> bool:
         """Whether the disk failed: this controller takes no part."""
 
-    @property
-    def commit_index(self) -> int:
-        """The index up to which entries are committed, as far as known here."""
-
     async def adopt_term(self, term: int) -> None:
         """Adopt *term* durably if it is newer, and stop leading."""
 
@@ -127,15 +114,9 @@
     def note_leader_contact(self) -> None:
         """Begin a new wait before an election."""
 
-    def note_accepted(self, prev_index: int) -> None:
-        """Note that entries after *prev_index* were accepted into the log."""
-
     def commit(self, index: int) -> None:
         """Commit and apply the entries up to *index*."""
 
-    def load_snapshot(self, snapshot: Snapshot) -> None:
-        """Replace the state by that of *snapshot*, unless more is applied here."""
-
 
 class StoppingLeader(Participant, Protocol):
     """A controller that may lead and is about to stop."""
--- /dev/null
+++ b/src/foldloom/controllers/readmission.py
@@ -0,0 +1,51 @@
+# SPDX-License-Identifier: MIT
+"""A controller that does not count asks to be counted: after lost memory, or as a newcomer.
+
+Owns nothing. Relies on the leader, which takes it in once that is safe (``Leadership.admit``).
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Protocol
+
+from foldloom.controllers.messages import Readmit
+from foldloom.controllers.participant import Voter
+
+# Seconds between two requests to be counted again. Not measured: chosen small against an election.
+_READMIT_INTERVAL_S = 0.2
+# Election time-outs without a leader after which a controller asks whether it still counts. Not
+# measured: chosen above one election.
+_REPLACED_AFTER_TIMEOUTS = 2
+
+
+class Applicant(Voter, Protocol):
+    """A controller that may not count."""
+
+    @property
+    def known_leader(self) -> str:
+        """The leader that was last in contact, or an empty string."""
+
+
+async def ask_readmission(controller: Applicant, contacts: Callable[[], list[str]]) -> None:
+    """Ask while *controller* is not counted, or its leader is silent, until cancelled.
+
+    One that was replaced while it was away counts itself still; only the leader's silence
+    shows it.
+
+    Args:
+        controller: The controller.
+        contacts: Returns the controllers that may know the leader.
+    """
+    silent_max_ms = _REPLACED_AFTER_TIMEOUTS * controller.election_timeout_ms
+    while True:
+        await asyncio.sleep(_READMIT_INTERVAL_S)
+        has_leader = controller.leader_silent_ms < silent_max_ms
+        is_counted = controller.may_vote and has_leader
+        if controller.is_failed or controller.is_leading or is_counted:
+            continue
+        leader = controller.known_leader
+        asked = [leader] if leader and has_leader else contacts()
+        for box in asked:
+            controller.network.send(box, Readmit(controller.storage_id))
