--- a/src/foldloom/controllers/config.py
+++ b/src/foldloom/controllers/config.py
@@ -19,6 +19,9 @@
 BOXES = "boxes"
 CONTROLLERS = "controllers"
 
+# The data folder's id of a controller whose folder an operator formatted and nobody has seen yet.
+ANY_STORAGE = "?"
+
 # Sections are named in plans, in the log and in operators' answers; two names are older than the
 # code's words.
 _FIELDS = {
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -14,10 +14,10 @@
 from collections.abc import Callable
 
 from foldloom.controllers.applied import AppliedState
-from foldloom.controllers.config import Config
+from foldloom.controllers.config import ANY_STORAGE, Config
 from foldloom.controllers.election import Elections
 from foldloom.controllers.following import Following
-from foldloom.controllers.leadership import ANY_STORAGE, Leadership
+from foldloom.controllers.leadership import Leadership
 from foldloom.controllers.log import ReplicatedLog, open_storage
 from foldloom.controllers.members import majority_of
 from foldloom.controllers.readmission import ask_readmission
--- a/src/foldloom/seed_discovery/controller_box.py
+++ b/src/foldloom/seed_discovery/controller_box.py
@@ -7,10 +7,9 @@
 
 from expression import Result
 
-from foldloom.controllers.config import empty_config
+from foldloom.controllers.config import ANY_STORAGE, empty_config
 from foldloom.controllers.controller import Controller
 from foldloom.controllers.handover import transfer_leadership
-from foldloom.controllers.leadership import ANY_STORAGE
 from foldloom.controllers.state import Publication
 from foldloom.controllers.storage import format_folder
 from foldloom.ids import new_incarnation
--- a/src/foldloom/static_peers/box.py
+++ b/src/foldloom/static_peers/box.py
@@ -11,10 +11,9 @@
 from typing import Any
 
 from foldloom.controllers.client import ControllerClient
-from foldloom.controllers.config import Config, empty_config, endpoints_of
+from foldloom.controllers.config import ANY_STORAGE, Config, empty_config, endpoints_of
 from foldloom.controllers.controller import Controller
 from foldloom.controllers.holder import ConfigHolder
-from foldloom.controllers.leadership import ANY_STORAGE
 from foldloom.ids import new_incarnation
 from foldloom.logs import CONFIG_LOG, ENTRY_LOG
 from foldloom.metrics import Metrics
