--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -227,7 +227,7 @@
     ),
     Break(
         "overdue tasks eject a worker",
-        "static_peers/placement/shard.py",
+        "static_peers/placement/ejection.py",
         'self._eject(endpoint, "its tasks are overdue", now_ms)',
         "pass",
         _PLACE + "TestSickEndpoints::test_frozen_endpoint",
--- a/src/foldloom/static_peers/placement/lease_manager.py
+++ b/src/foldloom/static_peers/placement/lease_manager.py
@@ -119,8 +119,8 @@
             for name, shard in list(self._shards.items()):
                 shard.tick(now_ms)
                 shard.drop_lost(self._is_live)
-                for endpoint in shard.to_prove(now_ms):
-                    shard.note_dead(endpoint, now_ms)
+                for endpoint in shard.ejection.to_prove(now_ms):
+                    shard.ejection.note_dead(endpoint, now_ms)
                     self._tasks.spawn(self._prove(shard, endpoint))
                 self._hand_out(name, shard)
                 self._metrics.gauge(f"leases.{name}", shard.lease_count)
@@ -129,7 +129,7 @@
     async def _prove(self, shard: Shard, endpoint: str) -> None:
         self._metrics.count("messages.wasted.probe")
         if await self._proves_life(endpoint):
-            shard.prove(endpoint)
+            shard.ejection.prove(endpoint)
 
     def _take_over(self, name: str) -> Shard:
         shard = Shard(self._settings, self._policy, self._lease_ids)
--- a/src/foldloom/static_peers/placement/leases.py
+++ b/src/foldloom/static_peers/placement/leases.py
@@ -8,6 +8,8 @@
 
 from typing import NamedTuple
 
+from foldloom.static_peers.placement.messages import HeldSlot
+
 
 class Lease(NamedTuple):
     """A slot that a coordinator holds.
@@ -31,6 +33,14 @@
     renewed_ms: float
 
 
+def reported_lease(held: HeldSlot, coordinator: str, now_ms: float) -> Lease:
+    """Return the lease that *coordinator* reports to a new lease manager."""
+    since_ms = now_ms - held.age_ms
+    return Lease(
+        held.lease_id, held.endpoint, held.service, held.customer, coordinator, since_ms, now_ms
+    )
+
+
 class LeaseTable:
     """The leases that are out."""
 
--- a/src/foldloom/static_peers/placement/shard.py
+++ b/src/foldloom/static_peers/placement/shard.py
@@ -12,8 +12,10 @@
 from foldloom.controllers.config import Config, endpoints_of
 from foldloom.settings import Settings
 from foldloom.static_peers.placement.admission import RETRY_MAX_MS, LoadSeen, judge
+from foldloom.static_peers.placement.bounds import Bounds
+from foldloom.static_peers.placement.ejection import Ejection
 from foldloom.static_peers.placement.health import Health
-from foldloom.static_peers.placement.leases import Lease, LeaseTable
+from foldloom.static_peers.placement.leases import Lease, LeaseTable, reported_lease
 from foldloom.static_peers.placement.messages import (
     HeldSlot,
     SlotGrant,
@@ -22,14 +24,12 @@
     SlotReturn,
     SlotUse,
 )
-from foldloom.static_peers.placement.policies import Choice, Policy, View, choose, job_size
+from foldloom.static_peers.placement.policies import Choice, Policy, choose, job_size
 from foldloom.static_peers.placement.queue import Pending, RequestQueue
 from foldloom.static_peers.placement.shares import GrantRates
 from foldloom.static_peers.placement.speeds import SpeedTable
+from foldloom.static_peers.placement.views import ViewTable
 
-# Times its peers' mean, from which a service time counts as a failure. Not measured: chosen above
-# the factor of two between old boxes and new ones.
-_SICK_RATIO = 4.0
 # Times its endpoint's mean, after which a task counts as overdue. Not measured: chosen above the
 # spread of tasks (50 to 500 ms).
 _OVERDUE_RATIO = 6.0
@@ -62,20 +62,22 @@
         self._settings = settings
         self._policy = policy
         self._lease_ids = lease_ids
-        self._config: Config | None = None
+        self._bounds = Bounds()
         self._usable: set[str] = set()
         self._endpoints_of: dict[str, list[str]] = {}
         self._leases = LeaseTable()
-        self._free: dict[str, int] = {}
-        self._views: dict[str, View] = {}
-        self._sizes: dict[str, list[float]] = {}
-        self._rates: dict[str, float] = {}
-        self._queue = RequestQueue(self._quota_of)
+        self._queue = RequestQueue(self._bounds.quota_of)
         self._granted = GrantRates()
         self._speeds = SpeedTable()
-        self._health = Health(settings.timings.ejection_ms, settings.limits.ejected_share_max)
-        self._proven: set[str] = set()
         self._events: list[str] = []
+        health = Health(settings.timings.ejection_ms, settings.limits.ejected_share_max)
+        self._ejection = Ejection(health, self._speeds, self._note_event)
+        self._views = ViewTable(self._bounds, self._leases, self._speeds, self._ejection)
+
+    @property
+    def ejection(self) -> Ejection:
+        """Which endpoints are left out."""
+        return self._ejection
 
     @property
     def queued(self) -> int:
@@ -85,7 +87,7 @@
     @property
     def free_slots(self) -> int:
         """How many slots no lease holds, on endpoints that get work."""
-        return sum(self._free.values())
+        return self._views.free_slots
 
     @property
     def lease_count(self) -> int:
@@ -99,15 +101,15 @@
 
     def set_endpoints(self, config: Config, names: list[str], usable: set[str]) -> None:
         """Take the configuration: *names* are this shard's endpoints, *usable* get work."""
-        self._config = config
+        self._bounds.follow(config)
         self._usable = usable.intersection(names)
+        self._ejection.follow(self._usable)
         own = set(names)
         self._endpoints_of = {
             service: [name for name in endpoints_of(config, service) if name in own]
             for service in config.services
         }
-        self._free = {endpoint: self._free_of(endpoint, 0.0) for endpoint in self._usable}
-        self._refresh_views()
+        self._views.follow(self._endpoints_of, self._usable)
 
     def add(self, coordinator: str, request: SlotRequest) -> SlotRefusal | None:
         """Queue *request*, or return why it is refused at once."""
@@ -132,18 +134,7 @@
         """Renew a lease, or learn of one that an earlier lease manager made."""
         if self._leases.renew(held.lease_id, now_ms):
             return
-        since = now_ms - held.age_ms
-        self._lend(
-            Lease(
-                held.lease_id,
-                held.endpoint,
-                held.service,
-                held.customer,
-                coordinator,
-                since,
-                now_ms,
-            )
-        )
+        self._lend(reported_lease(held, coordinator, now_ms))
 
     def give_back(self, message: SlotReturn, now_ms: float) -> None:
         """Take a slot back and learn from what came of it."""
@@ -152,27 +143,10 @@
             self._end(lease)
         if message.use is SlotUse.DONE:
             self._speeds.note(message.service, message.endpoint, message.service_ms, now_ms)
-            self._judge_success(message, now_ms)
+            peer_mean_ms = self._views.peer_mean_ms(message.service, message.endpoint)
+            self._ejection.note_success(message, peer_mean_ms, now_ms)
         elif message.use in (SlotUse.FAILED, SlotUse.NOT_RUN):
-            self._note_failure(message.endpoint, now_ms)
-
-    def prove(self, endpoint: str) -> None:
-        """Note that an ejected endpoint answers again, so that a task may probe it."""
-        self._proven.add(endpoint)
-
-    def to_prove(self, now_ms: float) -> list[str]:
-        """Return the ejected endpoints that are due for a sign of life."""
-        return [
-            endpoint
-            for endpoint in self._usable
-            if self._health.is_ejected(endpoint)
-            and endpoint not in self._proven
-            and self._health.may_probe(endpoint, now_ms)
-        ]
-
-    def note_dead(self, endpoint: str, now_ms: float) -> None:
-        """Note that an ejected endpoint gave no sign of life."""
-        self._health.eject(endpoint, len(self._usable), now_ms)
+            self._ejection.note_failure(message.endpoint, now_ms)
 
     def tick(self, now_ms: float) -> None:
         """End leases that were not renewed and eject endpoints whose tasks are overdue."""
@@ -187,15 +161,11 @@
             if now_ms - lease.since_ms > max(_OVERDUE_MIN_MS, limit):
                 overdue[lease.endpoint] = overdue.get(lease.endpoint, 0) + 1
         for endpoint, count in overdue.items():
-            if count * 2 >= self._leases.busy.get(endpoint, 0) and not self._health.is_ejected(
-                endpoint
-            ):
-                self._eject(endpoint, "its tasks are overdue", now_ms)
-        for endpoint in self._usable:
-            self._free[endpoint] = self._free_of(endpoint, now_ms)
+            if count * 2 >= self._leases.busy.get(endpoint, 0):
+                self._ejection.note_overdue(endpoint, now_ms)
         self._speeds.doubt_stale(now_ms)
         self._granted.refresh(now_ms)
-        self._refresh_views()
+        self._views.refresh(now_ms)
 
     def match(self, now_ms: float) -> list[Grant]:
         """Hand out slots to whoever is next, as long as that is better than to wait."""
@@ -209,7 +179,7 @@
 
     def expected_wait_ms(self, service: str) -> float:
         """Return how long a new task of *service* is expected to wait."""
-        rate = self._rates.get(service, 0.0)
+        rate = self._views.rate_of(service)
         if rate <= 0.0:
             return float(RETRY_MAX_MS)
         excess = self.queued - self.free_slots
@@ -234,14 +204,14 @@
 
     def _choose(self, service: str) -> Choice | None:
         """Return the slot for the last task in the queue, which would wait longest."""
-        view = self._views.get(service)
+        view = self._views.view_of(service)
         if view is None or self._is_service_full(service):
             return None
-        for endpoint in self._proven:
-            if self._free.get(endpoint) and endpoint in view.endpoints:
+        for endpoint in self._ejection.proven:
+            if self._views.has_free_slot(endpoint) and endpoint in view.endpoints:
                 return Choice(endpoint, is_fast=False)
         newest = self._queue.newest_of(service)
-        size = job_size(self._sizes.get(service, ()), newest.request.job_tasks)
+        size = job_size(self._views.sizes_of(service), newest.request.job_tasks)
         queued_ahead = self._queue.tasks_of_service(service) - 1
         return choose(self._policy, view._replace(queued_ahead=queued_ahead, job_size=size))
 
@@ -265,34 +235,11 @@
             newest = pending
         return newest
 
-    def _refresh_views(self) -> None:
-        """Order each service's endpoints by speed anew."""
-        for service, names in self._endpoints_of.items():
-            means = {
-                name: self._speeds.mean_ms(service, name) for name in names if name in self._usable
-            }
-            order = sorted(means, key=lambda one: (means[one], one))
-            self._views[service] = View(order, means, self._free, self._leases.busy)
-            self._sizes[service] = self._speeds.sizes(service)
-            self._rates[service] = self._rate_now(service)
-
-    def _free_of(self, endpoint: str, now_ms: float) -> int:
-        """Return the free slots of *endpoint*; an ejected one has one if it may be probed."""
-        if self._config is None or endpoint not in self._config.endpoints:
-            return 0
-        busy = self._leases.busy.get(endpoint, 0)
-        if self._health.is_ejected(endpoint):
-            may_probe = endpoint in self._proven and self._health.may_probe(endpoint, now_ms)
-            return 1 if may_probe and not busy else 0
-        return max(0, self._config.endpoints[endpoint]["slots"] - busy)
-
     def _grant(self, pending: Pending, choice: Choice, now_ms: float) -> Grant:
         request, endpoint = pending.request, choice.endpoint
         pending.has_slow = pending.has_slow or not choice.is_fast
         lease_id = next(self._lease_ids)
-        if self._health.is_ejected(endpoint):
-            self._proven.discard(endpoint)
-            self._events.append(f"Probe {endpoint} with one task.")
+        self._ejection.note_grant(endpoint)
         self._lend(
             Lease(
                 lease_id,
@@ -320,84 +267,26 @@
             self.queued,
             self._queue.tasks_of_customer(request.customer),
             self.free_slots,
-            self._rates.get(request.service, 0.0),
-            self._quota_of(request.customer) / sum(map(self._quota_of, active)),
+            self._views.rate_of(request.service),
+            self._bounds.quota_of(request.customer) / sum(map(self._bounds.quota_of, active)),
             self._granted.rate_of(request.customer),
             self._speeds.service_mean_ms(request.service),
         )
         return judge(request, seen, self._settings.limits)
 
-    def _rate_now(self, service: str) -> float:
-        """Return how many tasks of *service* the shard can finish a millisecond."""
-        assert self._config is not None
-        return sum(
-            self._config.endpoints[endpoint]["slots"] / mean_ms
-            for endpoint, mean_ms in self._views[service].mean_ms.items()
-            if not self._health.is_ejected(endpoint)
-        )
-
-    def _quota_of(self, customer: str) -> int:
-        if self._config is None or customer not in self._config.customers:
-            return 1
-        return self._config.customers[customer]["quota"]
-
     def _is_customer_full(self, customer: str) -> bool:
-        if self._config is None or customer not in self._config.customers:
-            return False
-        most = self._config.customers[customer]["concurrency_max"]
-        return bool(most) and self._leases.running_of_customer(customer) >= most
+        return self._bounds.is_customer_full(customer, self._leases.running_of_customer(customer))
 
     def _is_service_full(self, service: str) -> bool:
-        if self._config is None or service not in self._config.services:
-            return True
-        most = self._config.services[service]["concurrency_max"]
-        return bool(most) and self._leases.running_of_service(service) >= most
+        return self._bounds.is_service_full(service, self._leases.running_of_service(service))
+
+    def _note_event(self, sentence: str) -> None:
+        self._events.append(sentence)
 
     def _lend(self, lease: Lease) -> None:
         self._leases.add(lease)
-        self._refresh_free(lease)
+        self._views.refresh_free(lease.endpoint, lease.renewed_ms)
 
     def _end(self, lease: Lease) -> None:
         self._leases.remove(lease)
-        self._refresh_free(lease)
-
-    def _refresh_free(self, lease: Lease) -> None:
-        """Count the free slots of the endpoint of *lease* anew."""
-        if lease.endpoint in self._free:
-            self._free[lease.endpoint] = self._free_of(lease.endpoint, lease.renewed_ms)
-
-    def _judge_success(self, message: SlotReturn, now_ms: float) -> None:
-        """Eject an endpoint that is far slower than its peers; take one back that is not."""
-        endpoint = message.endpoint
-        sick_ms = _SICK_RATIO * self._peer_mean_ms(message.service, endpoint)
-        if not self._health.is_ejected(endpoint):
-            if self._speeds.mean_ms(message.service, endpoint) > sick_ms:
-                self._eject(endpoint, "it is far slower than its peers", now_ms)
-            return
-        # The probe itself counts: the average still holds the tasks that hung.
-        if message.service_ms > sick_ms:
-            self._health.eject(endpoint, len(self._usable), now_ms)
-            return
-        self._proven.add(endpoint)
-        if self._health.note_success(endpoint):
-            self._proven.discard(endpoint)
-            self._speeds.forget(endpoint)
-            self._events.append(f"{endpoint} is well again.")
-
-    def _peer_mean_ms(self, service: str, endpoint: str) -> float:
-        """Return the median service time of the endpoints of *service*."""
-        view = self._views.get(service)
-        if view is None or not view.endpoints:
-            return self._speeds.mean_ms(service, endpoint)
-        return view.mean_ms[view.endpoints[len(view.endpoints) // 2]]
-
-    def _note_failure(self, endpoint: str, now_ms: float) -> None:
-        was_ejected = self._health.is_ejected(endpoint)
-        is_ejected = self._health.note_failure(endpoint, len(self._usable), now_ms)
-        self._proven.discard(endpoint)
-        if is_ejected and not was_ejected:
-            self._events.append(f"Eject {endpoint}: it failed again and again.")
-
-    def _eject(self, endpoint: str, why: str, now_ms: float) -> None:
-        if self._health.eject(endpoint, len(self._usable), now_ms):
-            self._events.append(f"Eject {endpoint}: {why}.")
+        self._views.refresh_free(lease.endpoint, lease.renewed_ms)
--- /dev/null
+++ b/tests/test_controllers_followers.py
@@ -0,0 +1,95 @@
+# SPDX-License-Identifier: MIT
+"""What a leader concludes from its followers' answers."""
+
+from __future__ import annotations
+
+from types import SimpleNamespace
+from typing import Any
+
+import pytest
+
+from foldloom.controllers.followers import FollowerTable
+from foldloom.controllers.messages import AppendReply
+
+_FOLDERS = {"c1": "s1", "c2": "s2", "c3": "s3"}
+
+
+def _table(durable_index: int = 9, commit_index: int = 0) -> FollowerTable:
+    """Return what c1, which leads and holds 9 entries, knows of c2 and c3."""
+    controller: Any = SimpleNamespace(
+        box="c1",
+        may_vote=True,
+        majority=2,
+        controllers=_FOLDERS,
+        is_counted=lambda box, storage_id, _is_first: _FOLDERS.get(box) == storage_id,
+        log=SimpleNamespace(last_index=9, durable_index=durable_index),
+        applied=SimpleNamespace(commit_index=commit_index),
+    )
+    table = FollowerTable(controller)
+    table.add("c2")
+    table.add("c3")
+    return table
+
+
+def _reply(match_index: int, storage_id: str, is_ok: bool = True) -> AppendReply:
+    return AppendReply(1, is_ok, match_index, storage_id, False)
+
+
+class TestAgreedIndex:
+    """Up to where a majority holds the log durably."""
+
+    @pytest.mark.parametrize(
+        ("own", "others", "agreed"),
+        [(9, (7, 0), 7), (9, (7, 8), 8), (5, (7, 8), 7), (5, (0, 0), 0)],
+    )
+    def test_middle_of_three(self, own: int, others: tuple[int, int], agreed: int) -> None:
+        """The leader's own log counts up to what is synced, as any other's."""
+        table = _table(durable_index=own)
+        table.note_reply("c2", _reply(others[0], "s2"), 1.0)
+        table.note_reply("c3", _reply(others[1], "s3"), 1.0)
+        assert table.agreed_index() == agreed
+
+    def test_another_data_folder_does_not_count(self) -> None:
+        """One that lost its memory holds what it says, but may have promised more before."""
+        table = _table()
+        table.note_reply("c2", _reply(9, "new"), 1.0)
+        assert table.agreed_index() == 0
+
+
+class TestAnswers:
+    """Who has answered, and how far they are."""
+
+    def test_refused_append_steps_back(self) -> None:
+        """The next append begins behind what the follower says it holds, at the latest."""
+        table = _table()
+        assert table.next_index("c2") == 10
+        table.note_reply("c2", _reply(4, "s2", is_ok=False), 1.0)
+        assert table.next_index("c2") == 5
+        table.note_reply("c2", _reply(9, "s2", is_ok=False), 1.0)
+        assert table.next_index("c2") == 4
+
+    def test_majority_since(self) -> None:
+        """The leader and one answer are a majority of three."""
+        table = _table()
+        table.note_reply("c2", _reply(9, "s2"), 5.0)
+        assert table.is_acknowledged_since(5.0)
+        assert not table.is_acknowledged_since(6.0)
+        assert table.silent_since(5.0) == ["c3"]
+
+    def test_successor_holds_the_whole_log(self) -> None:
+        """Of those, the one that was last in contact."""
+        table = _table()
+        table.note_reply("c2", _reply(8, "s2"), 7.0)
+        assert table.successor() == ""
+        table.note_reply("c3", _reply(9, "s3"), 5.0)
+        assert table.successor() == "c3"
+        table.note_reply("c2", _reply(9, "s2"), 7.0)
+        assert table.successor() == "c2"
+
+    def test_holding_what_is_committed(self) -> None:
+        """Only in the folder that it asks to be counted with."""
+        table = _table(commit_index=6)
+        table.note_reply("c2", _reply(6, "s2"), 1.0)
+        assert table.holds_committed("c2", "s2")
+        assert not table.holds_committed("c2", "new")
+        assert not table.holds_committed("c3", "s3")
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -346,8 +346,8 @@
             shard.tick(0.0)
         shard.add("a1", _request(2, 8))
         assert "w3" not in {grant.message.endpoint for grant in shard.match(0.0)}
-        assert shard.to_prove(5_000.0) == ["w3"]
-        shard.prove("w3")
+        assert shard.ejection.to_prove(5_000.0) == ["w3"]
+        shard.ejection.prove("w3")
         shard.tick(5_000.0)
         probes = [g for g in shard.match(5_000.0) if g.message.endpoint == "w3"]
         assert len(probes) == 1
--- /dev/null
+++ b/tests/test_placement_ejection.py
@@ -0,0 +1,110 @@
+# SPDX-License-Identifier: MIT
+"""Which endpoints of a shard are left out, and what the configuration allows."""
+
+from __future__ import annotations
+
+from foldloom.controllers.config import Customer, empty_config
+from foldloom.static_peers.placement.bounds import Bounds
+from foldloom.static_peers.placement.ejection import Ejection
+from foldloom.static_peers.placement.health import Health
+from foldloom.static_peers.placement.messages import SlotReturn, SlotUse
+from foldloom.static_peers.placement.speeds import SpeedTable
+
+_EJECTION_MS = 1_000
+_ENDPOINTS = {"w1", "w2", "w3", "w4"}
+
+
+def _returned(service_ms: float) -> SlotReturn:
+    return SlotReturn(1, "w1", "sign", service_ms, SlotUse.DONE)
+
+
+class TestEjection:
+    """Out for a cause, and back by a sign of life and probes."""
+
+    def _ejection(self) -> tuple[Ejection, list[str]]:
+        sentences: list[str] = []
+        health = Health(_EJECTION_MS, 0.5)
+        ejection = Ejection(health, SpeedTable(), sentences.append)
+        ejection.follow(_ENDPOINTS)
+        return ejection, sentences
+
+    def test_overdue_tasks(self) -> None:
+        """An endpoint whose tasks are overdue is left out once, with a sentence."""
+        ejection, sentences = self._ejection()
+        ejection.note_overdue("w1", 0.0)
+        ejection.note_overdue("w1", 10.0)
+        assert ejection.is_ejected("w1")
+        assert sentences == ["Eject w1: its tasks are overdue."]
+
+    def test_failures_in_a_row(self) -> None:
+        """One failure leaves nobody out, three do."""
+        ejection, sentences = self._ejection()
+        ejection.note_failure("w1", 0.0)
+        assert not ejection.is_ejected("w1")
+        ejection.note_failure("w1", 1.0)
+        ejection.note_failure("w1", 2.0)
+        assert sentences == ["Eject w1: it failed again and again."]
+
+    def test_no_probe_without_a_sign_of_life(self) -> None:
+        """A task goes to an ejected endpoint only after it answered, and after its time."""
+        ejection, _ = self._ejection()
+        ejection.note_overdue("w1", 0.0)
+        assert not ejection.may_probe("w1", _EJECTION_MS)
+        assert ejection.to_prove(_EJECTION_MS - 1) == []
+        assert ejection.to_prove(_EJECTION_MS) == ["w1"]
+        ejection.prove("w1")
+        assert ejection.to_prove(_EJECTION_MS) == []
+        assert ejection.may_probe("w1", _EJECTION_MS)
+
+    def test_a_probe_uses_the_sign_of_life_up(self) -> None:
+        """The next probe needs another one, or a success."""
+        ejection, sentences = self._ejection()
+        ejection.note_overdue("w1", 0.0)
+        ejection.prove("w1")
+        ejection.note_grant("w1")
+        assert not ejection.may_probe("w1", _EJECTION_MS)
+        assert sentences[-1] == "Probe w1 with one task."
+
+    def test_back_after_probes(self) -> None:
+        """Two probes that are not slow bring it back."""
+        ejection, sentences = self._ejection()
+        ejection.note_overdue("w1", 0.0)
+        ejection.note_success(_returned(100.0), 100.0, _EJECTION_MS)
+        assert ejection.is_ejected("w1")
+        ejection.note_success(_returned(100.0), 100.0, _EJECTION_MS)
+        assert not ejection.is_ejected("w1")
+        assert sentences[-1] == "w1 is well again."
+
+    def test_a_slow_probe_counts_against_it(self) -> None:
+        """A probe of over four times the peers' mean keeps it out for another while."""
+        ejection, _ = self._ejection()
+        ejection.note_overdue("w1", 0.0)
+        ejection.note_success(_returned(401.0), 100.0, 500.0)
+        ejection.prove("w1")
+        assert not ejection.may_probe("w1", _EJECTION_MS)
+        assert ejection.may_probe("w1", 500.0 + _EJECTION_MS)
+
+
+class TestBounds:
+    """What the configuration in force allows."""
+
+    def test_before_a_configuration(self) -> None:
+        """Nothing is served, and nobody is favoured."""
+        bounds = Bounds()
+        assert bounds.is_service_full("sign", 0)
+        assert bounds.slots_of("w1") == 0
+        assert bounds.quota_of("x") == 1
+
+    def test_a_customers_tasks_at_a_time(self) -> None:
+        """0 means no bound."""
+        bounds = Bounds()
+        customers = {
+            "calm": Customer(quota=3, concurrency_max=2),
+            "free": Customer(quota=1, concurrency_max=0),
+        }
+        bounds.follow(empty_config({}, {})._replace(customers=customers))
+        assert not bounds.is_customer_full("calm", 1)
+        assert bounds.is_customer_full("calm", 2)
+        assert not bounds.is_customer_full("free", 1_000)
+        assert not bounds.is_customer_full("unknown", 1_000)
+        assert bounds.quota_of("calm") == 3
