--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -13,17 +13,15 @@
 import inspect
 import time
 from collections.abc import Callable
-from pathlib import Path
 from typing import Any
 
 import msgspec
 import zmq
-import zmq.asyncio
-from zmq.auth.asyncio import AsyncioAuthenticator
 
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.logs import PEER_LOG
 from foldloom.metrics import Metrics
+from foldloom.peers.curve import Curve
 from foldloom.peers.lives import FreshLives, Lives, OrderedLives
 from foldloom.peers.messages import (
     Envelope,
@@ -96,7 +94,6 @@
         self._is_open = bool(settings.seeds)
         self._is_started = False
         self._zone_by_box = {peer.box: peer.zone for peer in settings.peers}
-        self._key_owner = {peer.public_key: peer.box for peer in settings.peers if peer.public_key}
         self._outboxes: dict[str, list[Frame]] = {name: [] for name in self._peers}
         self._wakeups = {name: asyncio.Event() for name in self._peers}
         self._handlers: dict[type, Handler] = {}
@@ -105,8 +102,7 @@
         self._senders: dict[str, asyncio.Task[None]] = {}
         self._next_id = 0
         self._tasks = TaskSet()
-        self._authenticator: AsyncioAuthenticator | None = None
-        self._secret_key = b""
+        self._curve = Curve(settings, metrics)
 
     @property
     def incarnation(self) -> int:
@@ -155,14 +151,13 @@
 
     async def start(self) -> None:
         """Bind, connect to every peer and start the tasks."""
-        if self._settings.secret_key_file:
-            self._start_authenticator()
+        self._curve.start(self._context)
         router = self._context.socket(zmq.ROUTER)
         router.setsockopt(zmq.LINGER, 0)
         router.setsockopt(zmq.RCVHWM, _HIGH_WATER_MARK)
         router.setsockopt(zmq.MAXMSGSIZE, _ENVELOPE_MAX_BYTES)
         router.setsockopt(zmq.ROUTER_HANDOVER, 1)
-        self._secure_server(router)
+        self._curve.secure_server(router)
         router.bind(f"tcp://{self._settings.listen}")
         self._tasks.spawn(self._receive(router))
         self._is_started = True
@@ -192,8 +187,7 @@
     async def stop(self) -> None:
         """End the tasks and close the sockets."""
         await self._tasks.stop()
-        if self._authenticator is not None:
-            self._authenticator.stop()
+        self._curve.stop()
         self._context.destroy(linger=0)
 
     def send(self, box: str, message: object, ttl_ms: int = DEFAULT_TTL_MS) -> None:
@@ -263,7 +257,7 @@
         ):
             dealer.setsockopt(option, value)
         dealer.setsockopt(zmq.IDENTITY, f"{self._settings.box}/{self._incarnation}".encode())
-        self._secure_client(dealer, peer)
+        self._curve.secure_client(dealer, peer)
         dealer.connect(f"tcp://{peer.address}")
         wakeup = self._wakeups[peer.box]
         outbox = self._outboxes[peer.box]
@@ -352,9 +346,7 @@
             if not self._is_open or not is_address(sender):
                 return False
             self.add_peer(sender)
-        if not self._settings.secret_key_file:
-            return True
-        return self._key_owner.get(str(part.get("User-Id"))) == sender
+        return self._curve.is_genuine(sender, part)
 
     def _dispatch(self, sender: str, frame: Frame) -> None:
         message = decode_body(frame)
@@ -386,45 +378,7 @@
             return
         self._enqueue(sender, reply, 0, frame.id, frame.ttl_ms)
 
-    def _start_authenticator(self) -> None:
-        self._secret_key = read_secret_key(self._settings.secret_key_file)
-        allowed = set(self._key_owner)
-        metrics = self._metrics
-
-        class _KnownPeers:
-            """Admit only the public keys in the settings."""
-
-            def callback(self, _domain: str, key: bytes) -> bool:
-                known = key.decode("ascii") in allowed
-                if not known:
-                    metrics.count("messages.dropped.unknown-key")
-                return known
-
-        context = zmq.asyncio.Context.shadow(self._context.underlying)
-        self._authenticator = AsyncioAuthenticator(context)
-        self._authenticator.start()
-        self._authenticator.configure_curve_callback("*", _KnownPeers())
-
-    def _secure_server(self, socket: zmq.Socket[bytes]) -> None:
-        if not self._secret_key:
-            return
-        socket.curve_secretkey = self._secret_key
-        socket.curve_publickey = zmq.curve_public(self._secret_key)
-        socket.curve_server = True
-
-    def _secure_client(self, socket: zmq.Socket[bytes], peer: PeerSettings) -> None:
-        if not self._secret_key:
-            return
-        socket.curve_secretkey = self._secret_key
-        socket.curve_publickey = zmq.curve_public(self._secret_key)
-        socket.curve_serverkey = peer.public_key.encode()
-
 
 async def _wait(awaitable: Any) -> None:
     """Await *awaitable* and drop its result."""
     await awaitable
-
-
-def read_secret_key(path: str) -> bytes:
-    """Return the Z85 secret key in the file at *path*."""
-    return Path(path).read_text(encoding="ascii").strip().encode()
