--- /dev/null
+++ b/src/foldloom/clock.py
@@ -0,0 +1,11 @@
+# SPDX-License-Identifier: MIT
+"""The one clock that decisions use: steady, and unknown to any other box."""
+
+from __future__ import annotations
+
+import time
+
+
+def monotonic_ms() -> float:
+    """Return the monotonic clock in milliseconds."""
+    return time.monotonic() * 1_000
--- a/src/foldloom/controllers/client.py
+++ b/src/foldloom/controllers/client.py
@@ -8,11 +8,12 @@
 
 from expression import Error, Ok, Result
 
+from foldloom.clock import monotonic_ms
 from foldloom.controllers.commands import Command, encode_command
 from foldloom.controllers.messages import BarrierReply, Propose, ProposeReply, ReadBarrier
 from foldloom.controllers.state import Answer
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.verdicts import Problem, may_have_run, not_run
 
 # Milliseconds for one controller. Not measured: chosen above two elections (600 to 1,200 ms each).
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -13,6 +13,7 @@
 import random
 from collections.abc import Callable
 
+from foldloom.clock import monotonic_ms
 from foldloom.controllers.applied import AppliedState
 from foldloom.controllers.config import ANY_STORAGE, Config
 from foldloom.controllers.election import Elections
@@ -27,7 +28,7 @@
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.logs import CONTROLLER_LOG
 from foldloom.metrics import Metrics
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import Settings
 from foldloom.tasks import TaskSet
 
--- a/src/foldloom/controllers/handover.py
+++ b/src/foldloom/controllers/handover.py
@@ -9,10 +9,10 @@
 
 import asyncio
 
+from foldloom.clock import monotonic_ms
 from foldloom.controllers.messages import StandNow
 from foldloom.controllers.participant import StoppingLeader
 from foldloom.logs import CONTROLLER_LOG
-from foldloom.peers.wire import monotonic_ms
 
 # Seconds between two checks whether another controller could lead, or leads. Not measured: chosen
 # small against an election.
--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -10,6 +10,7 @@
 
 import asyncio
 
+from foldloom.clock import monotonic_ms
 from foldloom.controllers.commands import Command, encode_command
 from foldloom.controllers.followers import FollowerTable
 from foldloom.controllers.messages import Append, AppendReply, InstallSnapshot
@@ -18,7 +19,6 @@
 from foldloom.controllers.voter_changes import VoterChanges
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.logs import CONTROLLER_LOG
-from foldloom.peers.wire import monotonic_ms
 
 # Entries in one append. Not measured: chosen to bound a message to some hundred kilobytes.
 _ENTRIES_PER_APPEND = 500
--- a/src/foldloom/controllers/voter_changes.py
+++ b/src/foldloom/controllers/voter_changes.py
@@ -11,13 +11,13 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from foldloom.clock import monotonic_ms
 from foldloom.controllers.commands import Command, VoterReadyCommand
 from foldloom.controllers.config import ANY_STORAGE
 from foldloom.controllers.followers import FollowerTable
 from foldloom.controllers.members import Standby, next_change
 from foldloom.controllers.participant import Leader
 from foldloom.logs import CONTROLLER_LOG
-from foldloom.peers.wire import monotonic_ms
 
 # Election time-outs of silence after which a controller may be replaced by a standby. Not measured:
 # chosen above a restart, which takes 1 to 2 s on the users' bench.
--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -11,13 +11,13 @@
 
 import asyncio
 import inspect
-import time
 from collections.abc import Callable
 from typing import Any
 
 import msgspec
 import zmq
 
+from foldloom.clock import monotonic_ms
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.logs import PEER_LOG
 from foldloom.metrics import Metrics
@@ -71,11 +71,6 @@
 Handler = Callable[[str, Any], Any]
 
 
-def monotonic_ms() -> float:
-    """Return the monotonic clock in milliseconds."""
-    return time.monotonic() * 1_000
-
-
 class PeerNetwork:
     """Send messages to peers and hand theirs to the registered handlers.
 
--- a/src/foldloom/seed_discovery/entry_box.py
+++ b/src/foldloom/seed_discovery/entry_box.py
@@ -6,12 +6,13 @@
 import asyncio
 from collections.abc import Callable
 
+from foldloom.clock import monotonic_ms
 from foldloom.controllers.state import Publication
 from foldloom.ids import new_incarnation
 from foldloom.logs import CONFIG_LOG, ENTRY_LOG
 from foldloom.metrics import Metrics
 from foldloom.metrics_server import MetricsServer
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.seed_discovery.endpoints.calls import EndpointCalls
 from foldloom.seed_discovery.endpoints.catalog import EndpointCatalog
 from foldloom.seed_discovery.fleet.joiner import Joiner
--- a/src/foldloom/seed_discovery/fleet/joiner.py
+++ b/src/foldloom/seed_discovery/fleet/joiner.py
@@ -9,9 +9,10 @@
 
 import asyncio
 
+from foldloom.clock import monotonic_ms
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.logs import PEER_LOG
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.seed_discovery.endpoints.catalog import EndpointCatalog
 from foldloom.seed_discovery.endpoints.records import EndpointRecord
 from foldloom.seed_discovery.fleet.messages import EndpointsSeen, Join, JoinReply, Noted
--- a/src/foldloom/seed_discovery/fleet/publisher.py
+++ b/src/foldloom/seed_discovery/fleet/publisher.py
@@ -11,12 +11,13 @@
 
 from expression import Error, Ok, Result
 
+from foldloom.clock import monotonic_ms
 from foldloom.controllers.commands import PublishCommand, encode_command
 from foldloom.controllers.controller import Controller
 from foldloom.controllers.messages import Propose, ProposeReply
 from foldloom.controllers.state import Answer, Publication
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.seed_discovery.fleet.messages import ReadPublished, ReadReply
 from foldloom.verdicts import Problem, may_have_run, not_run
 
--- a/src/foldloom/seed_discovery/fleet/registry.py
+++ b/src/foldloom/seed_discovery/fleet/registry.py
@@ -12,10 +12,11 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from foldloom.clock import monotonic_ms
 from foldloom.controllers.state import Publication
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.logs import ENDPOINT_LOG, PEER_LOG
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.seed_discovery.endpoints.catalog import EndpointCatalog
 from foldloom.seed_discovery.endpoints.records import EndpointRecord, EndpointState
 from foldloom.seed_discovery.fleet.messages import (
--- a/src/foldloom/seed_discovery/job_runner.py
+++ b/src/foldloom/seed_discovery/job_runner.py
@@ -14,9 +14,9 @@
 
 from expression import Error, Ok, Result
 
+from foldloom.clock import monotonic_ms
 from foldloom.logs import ENTRY_LOG
 from foldloom.metrics import Metrics
-from foldloom.peers.wire import monotonic_ms
 from foldloom.seed_discovery.jobs.queues import Queue
 from foldloom.seed_discovery.jobs.spec import Job, Step, TaskId
 from foldloom.seed_discovery.owners.client import OwnerClient
--- a/src/foldloom/seed_discovery/owners/batches.py
+++ b/src/foldloom/seed_discovery/owners/batches.py
@@ -6,7 +6,7 @@
 import asyncio
 from collections.abc import Iterable
 
-from foldloom.peers.wire import monotonic_ms
+from foldloom.clock import monotonic_ms
 from foldloom.seed_discovery.jobs.spec import TaskId
 from foldloom.seed_discovery.owners.messages import RunEnd, RunOrder, SubmitRuns
 
--- a/src/foldloom/seed_discovery/owners/connection.py
+++ b/src/foldloom/seed_discovery/owners/connection.py
@@ -7,9 +7,10 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
+from foldloom.clock import monotonic_ms
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.logs import PLACE_LOG
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.seed_discovery.fleet.messages import (
     HeartbeatAck,
     OwnerHeartbeat,
--- a/src/foldloom/seed_discovery/owners/dispatch.py
+++ b/src/foldloom/seed_discovery/owners/dispatch.py
@@ -8,7 +8,8 @@
 
 from collections.abc import Callable
 
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.clock import monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.seed_discovery.fleet.messages import HeartbeatAck
 from foldloom.seed_discovery.fleet.view import FleetView
 from foldloom.seed_discovery.owners.messages import (
--- a/src/foldloom/seed_discovery/owners/elector.py
+++ b/src/foldloom/seed_discovery/owners/elector.py
@@ -12,9 +12,10 @@
 import time
 from collections.abc import Callable
 
+from foldloom.clock import monotonic_ms
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.logs import PLACE_LOG
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.seed_discovery.fleet.messages import (
     HigherToken,
     OwnerAnswer,
--- a/src/foldloom/seed_discovery/owners/endpoint_link.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_link.py
@@ -11,8 +11,8 @@
 import asyncio
 from typing import NamedTuple, Protocol
 
+from foldloom.clock import monotonic_ms
 from foldloom.logs import ENDPOINT_LOG
-from foldloom.peers.wire import monotonic_ms
 from foldloom.seed_discovery.endpoints.calls import (
     CallOutcome,
     EndpointCalls,
--- a/src/foldloom/seed_discovery/owners/heartbeats.py
+++ b/src/foldloom/seed_discovery/owners/heartbeats.py
@@ -11,7 +11,7 @@
 import asyncio
 from collections.abc import Callable
 
-from foldloom.peers.wire import monotonic_ms
+from foldloom.clock import monotonic_ms
 from foldloom.seed_discovery.fleet.messages import OwnerHeartbeat, OwnerRecord, ZoneLoad
 from foldloom.seed_discovery.owners.context import OwnerContext
 
--- a/src/foldloom/seed_discovery/owners/offers.py
+++ b/src/foldloom/seed_discovery/owners/offers.py
@@ -9,8 +9,8 @@
 
 import asyncio
 
+from foldloom.clock import monotonic_ms
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.peers.wire import monotonic_ms
 from foldloom.seed_discovery.fleet.messages import OwnerRecord
 from foldloom.seed_discovery.owners.actions import StealAction
 from foldloom.seed_discovery.owners.context import OwnerContext
--- a/src/foldloom/seed_discovery/owners/order_sender.py
+++ b/src/foldloom/seed_discovery/owners/order_sender.py
@@ -10,8 +10,8 @@
 import asyncio
 from collections.abc import Callable
 
+from foldloom.clock import monotonic_ms
 from foldloom.logs import PLACE_LOG
-from foldloom.peers.wire import monotonic_ms
 from foldloom.seed_discovery.endpoints.calls import CallOutcome, CallReply, StartOrder
 from foldloom.seed_discovery.owners.actions import StartAction, StopAction
 from foldloom.seed_discovery.owners.context import OwnerContext
--- a/src/foldloom/seed_discovery/owners/zone_owner.py
+++ b/src/foldloom/seed_discovery/owners/zone_owner.py
@@ -11,8 +11,8 @@
 import asyncio
 from collections.abc import Callable
 
+from foldloom.clock import monotonic_ms
 from foldloom.logs import ENDPOINT_LOG, PLACE_LOG
-from foldloom.peers.wire import monotonic_ms
 from foldloom.seed_discovery.endpoints.calls import EndpointReport
 from foldloom.seed_discovery.fleet.messages import (
     HeartbeatAck,
--- a/src/foldloom/static_peers/box.py
+++ b/src/foldloom/static_peers/box.py
@@ -10,6 +10,7 @@
 import itertools
 from typing import Any
 
+from foldloom.clock import monotonic_ms
 from foldloom.controllers.client import ControllerClient
 from foldloom.controllers.config import ANY_STORAGE, Config, empty_config, endpoints_of
 from foldloom.controllers.controller import Controller
@@ -18,7 +19,7 @@
 from foldloom.logs import CONFIG_LOG, ENTRY_LOG
 from foldloom.metrics import Metrics
 from foldloom.metrics_server import MetricsServer
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import CONTROLLER, ENTRY, Settings
 from foldloom.static_peers.box_list import BoxListKeeper
 from foldloom.static_peers.claims.acquire import ClaimAcquirer
--- a/src/foldloom/static_peers/box_list.py
+++ b/src/foldloom/static_peers/box_list.py
@@ -5,11 +5,11 @@
 
 import asyncio
 
+from foldloom.clock import monotonic_ms
 from foldloom.controllers.commands import BoxesSettledCommand, encode_command
 from foldloom.controllers.controller import Controller
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.logs import CONTROLLER_LOG
-from foldloom.peers.wire import monotonic_ms
 from foldloom.settings import Settings
 from foldloom.static_peers.membership import Membership
 
--- a/src/foldloom/static_peers/claims/recovery.py
+++ b/src/foldloom/static_peers/claims/recovery.py
@@ -6,12 +6,13 @@
 import asyncio
 from collections.abc import Callable
 
+from foldloom.clock import monotonic_ms
 from foldloom.controllers.client import ControllerClient
 from foldloom.controllers.commands import IncarnationCommand
 from foldloom.controllers.config import BoxList
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.logs import CLAIM_LOG
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.static_peers.claims.messages import CopyReply, CopyRequest
 from foldloom.static_peers.claims.replicas import ReplicaSets
 from foldloom.static_peers.claims.table import ClaimTable
--- a/src/foldloom/static_peers/claims/service.py
+++ b/src/foldloom/static_peers/claims/service.py
@@ -6,10 +6,11 @@
 import asyncio
 from collections.abc import Callable
 
+from foldloom.clock import monotonic_ms
 from foldloom.controllers.config import BoxList
 from foldloom.logs import CLAIM_LOG
 from foldloom.metrics import Metrics
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.static_peers.claims.messages import (
     Claim,
     ClaimReply,
--- a/src/foldloom/static_peers/endpoints/adapter.py
+++ b/src/foldloom/static_peers/endpoints/adapter.py
@@ -14,8 +14,8 @@
 import msgspec
 from expression import Error, Ok, Result
 
+from foldloom.clock import monotonic_ms
 from foldloom.logs import ENDPOINT_LOG
-from foldloom.peers.wire import monotonic_ms
 from foldloom.settings import Settings
 from foldloom.verdicts import Problem, may_have_run, not_run
 
--- a/src/foldloom/static_peers/entry/coordinator.py
+++ b/src/foldloom/static_peers/entry/coordinator.py
@@ -7,11 +7,12 @@
 import random
 from collections.abc import Callable
 
+from foldloom.clock import monotonic_ms
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.ids import zone_of
 from foldloom.logs import CLAIM_LOG, ENTRY_LOG
 from foldloom.metrics import Metrics
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import Settings
 from foldloom.static_peers.claims.acquire import AcquireResult, Acquisition, ClaimAcquirer
 from foldloom.static_peers.claims.messages import Claim, Lookup, LookupReply
--- a/src/foldloom/static_peers/entry/follow.py
+++ b/src/foldloom/static_peers/entry/follow.py
@@ -7,9 +7,10 @@
 from enum import Enum
 from typing import NamedTuple
 
+from foldloom.clock import monotonic_ms
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.logs import ENTRY_LOG
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import Settings
 from foldloom.static_peers.claims.messages import Claim
 from foldloom.static_peers.entry.jobs import (
--- a/src/foldloom/static_peers/entry/jobs.py
+++ b/src/foldloom/static_peers/entry/jobs.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
+from foldloom.clock import monotonic_ms
 from foldloom.metrics import Metrics
-from foldloom.peers.wire import monotonic_ms
 from foldloom.verdicts import Problem, Verdict, may_have_run
 
 _ENCODER = msgspec.json.Encoder()
--- a/src/foldloom/static_peers/entry/run.py
+++ b/src/foldloom/static_peers/entry/run.py
@@ -12,10 +12,10 @@
 import msgspec
 from expression import Error, Ok, Result
 
+from foldloom.clock import monotonic_ms
 from foldloom.controllers.config import ACTIVE, Config, Service
 from foldloom.logs import PLACE_LOG
 from foldloom.metrics import Metrics
-from foldloom.peers.wire import monotonic_ms
 from foldloom.static_peers.endpoints.adapter import EndpointAdapter, TaskAnswer, TaskCall
 from foldloom.static_peers.entry.requests import JobRequest
 from foldloom.static_peers.placement.messages import SlotRefusal, SlotUse
--- a/src/foldloom/static_peers/membership.py
+++ b/src/foldloom/static_peers/membership.py
@@ -7,8 +7,9 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from foldloom.clock import monotonic_ms
 from foldloom.peers.messages import register
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import Settings
 
 # Lives whose answers went to another box that are known. Not measured: chosen above the 93 restarts
--- a/src/foldloom/static_peers/placement/direct_slots.py
+++ b/src/foldloom/static_peers/placement/direct_slots.py
@@ -9,7 +9,7 @@
 import itertools
 from collections.abc import Callable
 
-from foldloom.peers.wire import monotonic_ms
+from foldloom.clock import monotonic_ms
 from foldloom.static_peers.placement.messages import SlotRefusal, SlotUse
 from foldloom.static_peers.placement.policies import Policy, View, choose
 from foldloom.static_peers.placement.slots import RESEND_MS, Slot, Want
--- a/src/foldloom/static_peers/placement/lease_manager.py
+++ b/src/foldloom/static_peers/placement/lease_manager.py
@@ -8,10 +8,11 @@
 import random
 from collections.abc import Awaitable, Callable
 
+from foldloom.clock import monotonic_ms
 from foldloom.controllers.config import Config
 from foldloom.logs import PLACE_LOG
 from foldloom.metrics import Metrics
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import Settings
 from foldloom.static_peers.membership import ZoneLoad
 from foldloom.static_peers.placement.messages import (
--- a/src/foldloom/static_peers/placement/leased_slots.py
+++ b/src/foldloom/static_peers/placement/leased_slots.py
@@ -11,9 +11,10 @@
 import itertools
 from collections.abc import Callable
 
+from foldloom.clock import monotonic_ms
 from foldloom.controllers.config import Config
 from foldloom.metrics import Metrics
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import Settings
 from foldloom.static_peers.membership import ZoneLoad
 from foldloom.static_peers.placement.messages import (
--- a/tests/test_owners_elector.py
+++ b/tests/test_owners_elector.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
+from foldloom.clock import monotonic_ms
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.peers.wire import monotonic_ms
 from foldloom.seed_discovery.fleet.messages import (
     BoxRecord,
     JoinReply,
--- a/tests/test_owners_zone_owner.py
+++ b/tests/test_owners_zone_owner.py
@@ -7,8 +7,8 @@
 from collections.abc import Coroutine
 from typing import Any
 
+from foldloom.clock import monotonic_ms
 from foldloom.metrics import Metrics
-from foldloom.peers.wire import monotonic_ms
 from foldloom.seed_discovery.endpoints.catalog import EndpointCatalog
 from foldloom.seed_discovery.fleet.messages import BoxRecord, HeartbeatAck, OwnerRecord
 from foldloom.seed_discovery.fleet.view import FleetView
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,6 +14,7 @@
 import zmq
 
 from cluster import Cluster, free_port, wait_until
+from foldloom.clock import monotonic_ms
 from foldloom.metrics import Metrics
 from foldloom.peers.messages import (
     Envelope,
@@ -23,7 +24,7 @@
     encode_envelope,
     kind_of,
 )
-from foldloom.peers.wire import PeerNetwork, monotonic_ms
+from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import settings_from
 from foldloom.static_peers.claims.messages import ClaimReply, ClaimRequest, Vote
 from foldloom.static_peers.membership import Heartbeat
