--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -30,7 +30,7 @@
 )
 from foldloom.controllers.plans import make_plan, parse_intents
 from foldloom.controllers.state import ReplicatedState
-from foldloom.settings import settings_from
+from foldloom.settings_file import settings_from
 from foldloom.static_peers.claims.messages import Claim
 from foldloom.static_peers.claims.table import ClaimTable
 from foldloom.static_peers.placement.messages import SlotRequest, SlotReturn, SlotUse
--- a/src/foldloom/cli/main.py
+++ b/src/foldloom/cli/main.py
@@ -31,7 +31,8 @@
 from foldloom.cli.load import LoadOptions, run_load
 from foldloom.controllers.storage import format_folder
 from foldloom.exceptions import CommandError, SettingsError
-from foldloom.settings import CONTROLLER, load_settings
+from foldloom.settings import CONTROLLER
+from foldloom.settings_file import load_settings
 
 
 class Commands:
--- a/src/foldloom/daemon.py
+++ b/src/foldloom/daemon.py
@@ -11,7 +11,8 @@
 
 from foldloom.exceptions import SettingsError
 from foldloom.logs import start_logging
-from foldloom.settings import Settings, load_settings
+from foldloom.settings import Settings
+from foldloom.settings_file import load_settings
 from foldloom.static_peers.box import Box
 
 # Exit code of wrong usage or settings, as the command-line tool's.
--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -17,6 +17,7 @@
 import msgspec
 import zmq
 
+from foldloom.addresses import is_address
 from foldloom.clock import monotonic_ms
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.logs import PEER_LOG
@@ -32,7 +33,7 @@
     encode_body,
     kind_of,
 )
-from foldloom.settings import PeerSettings, Settings, is_address
+from foldloom.settings import PeerSettings, Settings
 from foldloom.tasks import TaskSet
 
 # Envelopes taken before other tasks get their turn. Not measured.
--- a/tests/test_boxes_controllers.py
+++ b/tests/test_boxes_controllers.py
@@ -17,7 +17,8 @@
 from cluster import free_port
 from foldloom.controllers.storage import LogStorage
 from foldloom.seed_discovery.controller_box import ControllerHost
-from foldloom.settings import Settings, settings_from
+from foldloom.settings import Settings
+from foldloom.settings_file import settings_from
 
 _WAIT_S = 15.0
 _TIMEOUT_MS = 1_000.0
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -19,7 +19,7 @@
     empty_config,
 )
 from foldloom.metrics import Metrics
-from foldloom.settings import settings_from
+from foldloom.settings_file import settings_from
 from foldloom.static_peers.placement.health import Health
 from foldloom.static_peers.placement.leased_slots import LeasedSlots
 from foldloom.static_peers.placement.messages import HeldSlot, SlotRequest, SlotReturn, SlotUse
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -11,7 +11,7 @@
 import yaml
 
 from foldloom.exceptions import SettingsError
-from foldloom.settings import load_settings, settings_from
+from foldloom.settings_file import load_settings, settings_from
 
 _GOOD: dict[str, Any] = {
     "box": "a1",
--- a/tests/test_unchanged.py
+++ b/tests/test_unchanged.py
@@ -36,7 +36,8 @@
 from foldloom.seed_discovery.fleet.cache import PublicationCache
 from foldloom.seed_discovery.job_runner import JobEnd, JobState, outcome_of
 from foldloom.seed_discovery.owners.messages import EndCause
-from foldloom.settings import Settings, settings_from
+from foldloom.settings import Settings
+from foldloom.settings_file import settings_from
 from foldloom.static_peers.claims.messages import Vote
 from foldloom.verdicts import may_have_run, not_run
 from unchanged.describe_messages import sample
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -25,7 +25,7 @@
     kind_of,
 )
 from foldloom.peers.wire import PeerNetwork
-from foldloom.settings import settings_from
+from foldloom.settings_file import settings_from
 from foldloom.static_peers.claims.messages import ClaimReply, ClaimRequest, Vote
 from foldloom.static_peers.membership import Heartbeat
 
--- a/tests/unchanged/describe_messages.py
+++ b/tests/unchanged/describe_messages.py
@@ -20,7 +20,7 @@
 from foldloom.metrics import Metrics
 from foldloom.peers import messages
 from foldloom.peers.wire import PeerNetwork
-from foldloom.settings import settings_from
+from foldloom.settings_file import settings_from
 
 _BOX = "127.0.0.1:9000"
 _PEER = "127.0.0.1:9001"
--- a/tests/unchanged/own_http.py
+++ b/tests/unchanged/own_http.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from foldloom.metrics import Metrics
-from foldloom.settings import settings_from
+from foldloom.settings_file import settings_from
 from foldloom.static_peers.box import Box
 from foldloom.static_peers.entry.http import HttpServer
 from foldloom.static_peers.entry.jobs import complete_response, problem_response
