--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -28,7 +28,8 @@
     empty_config,
     encode_config,
 )
-from foldloom.controllers.plans import make_plan, parse_intents
+from foldloom.controllers.intents import parse_intents
+from foldloom.controllers.plans import make_plan
 from foldloom.controllers.state import ReplicatedState
 from foldloom.settings_file import settings_from
 from foldloom.static_peers.claims.messages import Claim
--- /dev/null
+++ b/src/foldloom/controllers/intents.py
@@ -0,0 +1,116 @@
+# SPDX-License-Identifier: MIT
+"""What operators may ask for: one type an intent, and how JSON is checked into them.
+
+Owns nothing. Kinds and fields are promises to operators; GLOSSARY.md maps those that say worker or
+member. A field left out (``UNSET``) keeps its value.
+"""
+
+from __future__ import annotations
+
+from typing import Any, Literal
+
+import msgspec
+from expression import Error, Ok, Result
+from msgspec import UNSET, UnsetType
+
+# Intents in one plan. Not measured: chosen above twice the 1,700 endpoints of the size to design
+# for.
+INTENTS_MAX = 5_000
+
+
+class ServiceIntent(msgspec.Struct, tag_field="kind", tag="service", forbid_unknown_fields=True):
+    """Create or change a service; a field left out keeps its value."""
+
+    name: str
+    workers: list[str] | UnsetType = UNSET
+    concurrency_max: int | UnsetType = UNSET
+    restart: Literal["never", "after-worker-death"] | UnsetType = UNSET
+
+
+class EndpointIntent(msgspec.Struct, tag_field="kind", tag="worker", forbid_unknown_fields=True):
+    """Let an endpoint join, or change it; it becomes active."""
+
+    name: str
+    endpoint: str | UnsetType = UNSET
+    zone: str | UnsetType = UNSET
+    slots: int | UnsetType = UNSET
+
+
+class EndpointLeavingIntent(
+    msgspec.Struct, tag_field="kind", tag="worker-leaving", forbid_unknown_fields=True
+):
+    """Give an endpoint no new work."""
+
+    name: str
+
+
+class CustomerIntent(msgspec.Struct, tag_field="kind", tag="member", forbid_unknown_fields=True):
+    """Create or change a customer; a field left out keeps its value."""
+
+    name: str
+    quota: int | UnsetType = UNSET
+    concurrency_max: int | UnsetType = UNSET
+
+
+class RemoveIntent(msgspec.Struct, tag_field="kind", tag="remove", forbid_unknown_fields=True):
+    """Remove a service, an endpoint or a customer."""
+
+    section: Literal["services", "workers", "members"]
+    name: str
+
+
+class BoxJoiningIntent(
+    msgspec.Struct, tag_field="kind", tag="box-joining", forbid_unknown_fields=True
+):
+    """Let a box hold claims."""
+
+    name: str
+    zone: str
+
+
+class BoxLeavingIntent(
+    msgspec.Struct, tag_field="kind", tag="box-leaving", forbid_unknown_fields=True
+):
+    """Let a box hold no claims any more."""
+
+    name: str
+
+
+class BoxDeadIntent(msgspec.Struct, tag_field="kind", tag="box-dead", forbid_unknown_fields=True):
+    """Declare that a box of the old list will never come back with its memory."""
+
+    name: str
+
+
+class ControllerReplaceIntent(
+    msgspec.Struct, tag_field="kind", tag="controller-replace", forbid_unknown_fields=True
+):
+    """Put the controller ``new`` in the place of ``old``."""
+
+    old: str
+    new: str
+
+
+Intent = (
+    ServiceIntent
+    | EndpointIntent
+    | EndpointLeavingIntent
+    | CustomerIntent
+    | RemoveIntent
+    | BoxJoiningIntent
+    | BoxLeavingIntent
+    | BoxDeadIntent
+    | ControllerReplaceIntent
+)
+
+
+def parse_intents(raw: Any) -> Result[list[Intent], str]:
+    """Check *raw* (a list of JSON objects) and return the intents, or what is wrong."""
+    if not isinstance(raw, list) or not raw:
+        return Error("intents: expected a list that is not empty")
+    if len(raw) > INTENTS_MAX:
+        return Error(f"intents: more than {INTENTS_MAX}")
+    try:
+        return Ok(msgspec.convert(raw, list[Intent]))
+    except msgspec.ValidationError as error:
+        return Error(f"intents: {error}")
--- a/src/foldloom/controllers/plans.py
+++ b/src/foldloom/controllers/plans.py
@@ -1,14 +1,18 @@
 # SPDX-License-Identifier: MIT
-"""From intents to a plan: what a confirm would change, in words and as data."""
+"""From intents to a plan: what a confirm would change, in words and as data.
+
+Owns nothing; decisions only. A plan is named by a digest of its changes, so that a confirm of what
+has moved meanwhile is noticed.
+"""
 
 from __future__ import annotations
 
 from functools import singledispatch
-from typing import Any, Literal, NamedTuple
+from typing import Any, NamedTuple
 
 import msgspec
 from expression import Error, Ok, Result
-from msgspec import UNSET, UnsetType
+from msgspec import UNSET
 
 from foldloom.controllers.config import (
     ACTIVE,
@@ -28,97 +32,19 @@
     apply_changes,
     section_value,
 )
-from foldloom.ids import content_digest
-
-# Intents in one plan. Not measured: chosen above twice the 1,700 endpoints of the size to design
-# for.
-INTENTS_MAX = 5_000
-
-
-class ServiceIntent(msgspec.Struct, tag_field="kind", tag="service", forbid_unknown_fields=True):
-    """Create or change a service; a field left out keeps its value."""
-
-    name: str
-    workers: list[str] | UnsetType = UNSET
-    concurrency_max: int | UnsetType = UNSET
-    restart: Literal["never", "after-worker-death"] | UnsetType = UNSET
-
-
-class EndpointIntent(msgspec.Struct, tag_field="kind", tag="worker", forbid_unknown_fields=True):
-    """Let an endpoint join, or change it; it becomes active."""
-
-    name: str
-    endpoint: str | UnsetType = UNSET
-    zone: str | UnsetType = UNSET
-    slots: int | UnsetType = UNSET
-
-
-class EndpointLeavingIntent(
-    msgspec.Struct, tag_field="kind", tag="worker-leaving", forbid_unknown_fields=True
-):
-    """Give an endpoint no new work."""
-
-    name: str
-
-
-class CustomerIntent(msgspec.Struct, tag_field="kind", tag="member", forbid_unknown_fields=True):
-    """Create or change a customer; a field left out keeps its value."""
-
-    name: str
-    quota: int | UnsetType = UNSET
-    concurrency_max: int | UnsetType = UNSET
-
-
-class RemoveIntent(msgspec.Struct, tag_field="kind", tag="remove", forbid_unknown_fields=True):
-    """Remove a service, an endpoint or a customer."""
-
-    section: Literal["services", "workers", "members"]
-    name: str
-
-
-class BoxJoiningIntent(
-    msgspec.Struct, tag_field="kind", tag="box-joining", forbid_unknown_fields=True
-):
-    """Let a box hold claims."""
-
-    name: str
-    zone: str
-
-
-class BoxLeavingIntent(
-    msgspec.Struct, tag_field="kind", tag="box-leaving", forbid_unknown_fields=True
-):
-    """Let a box hold no claims any more."""
-
-    name: str
-
-
-class BoxDeadIntent(msgspec.Struct, tag_field="kind", tag="box-dead", forbid_unknown_fields=True):
-    """Declare that a box of the old list will never come back with its memory."""
-
-    name: str
-
-
-class ControllerReplaceIntent(
-    msgspec.Struct, tag_field="kind", tag="controller-replace", forbid_unknown_fields=True
-):
-    """Put the controller ``new`` in the place of ``old``."""
-
-    old: str
-    new: str
-
-
-Intent = (
-    ServiceIntent
-    | EndpointIntent
-    | EndpointLeavingIntent
-    | CustomerIntent
-    | RemoveIntent
-    | BoxJoiningIntent
-    | BoxLeavingIntent
-    | BoxDeadIntent
-    | ControllerReplaceIntent
+from foldloom.controllers.intents import (
+    BoxDeadIntent,
+    BoxJoiningIntent,
+    BoxLeavingIntent,
+    ControllerReplaceIntent,
+    CustomerIntent,
+    EndpointIntent,
+    EndpointLeavingIntent,
+    Intent,
+    RemoveIntent,
+    ServiceIntent,
 )
+from foldloom.ids import content_digest
 
 
 class Plan(NamedTuple):
@@ -140,18 +66,6 @@
         return [_sentence(change) for change in self.changes]
 
 
-def parse_intents(raw: Any) -> Result[list[Intent], str]:
-    """Check *raw* (a list of JSON objects) and return the intents, or what is wrong."""
-    if not isinstance(raw, list) or not raw:
-        return Error("intents: expected a list that is not empty")
-    if len(raw) > INTENTS_MAX:
-        return Error(f"intents: more than {INTENTS_MAX}")
-    try:
-        return Ok(msgspec.convert(raw, list[Intent]))
-    except msgspec.ValidationError as error:
-        return Error(f"intents: {error}")
-
-
 def make_plan(config: Config, intents: list[Intent]) -> Result[Plan, str]:
     """Return the plan that *intents* mean on *config*, or why there is none."""
     working = config
--- a/src/foldloom/controllers/state.py
+++ b/src/foldloom/controllers/state.py
@@ -34,7 +34,8 @@
     empty_config,
     encode_config,
 )
-from foldloom.controllers.plans import Plan, make_plan, parse_intents
+from foldloom.controllers.intents import parse_intents
+from foldloom.controllers.plans import Plan, make_plan
 
 # Commands whose answers are kept for resends: four days of the 2,400 changes a day to design for.
 COMMANDS_KEPT = 10_000
--- a/src/foldloom/static_peers/entry/operators.py
+++ b/src/foldloom/static_peers/entry/operators.py
@@ -17,7 +17,8 @@
 from foldloom.controllers.commands import ConfirmCommand
 from foldloom.controllers.config import config_fields
 from foldloom.controllers.holder import ConfigHolder
-from foldloom.controllers.plans import Plan, make_plan, parse_intents
+from foldloom.controllers.intents import parse_intents
+from foldloom.controllers.plans import Plan, make_plan
 from foldloom.controllers.state import Answer
 from foldloom.logs import CONFIG_LOG
 from foldloom.settings import Settings
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -19,8 +19,9 @@
 )
 from foldloom.controllers.config import BoxList, empty_config
 from foldloom.controllers.holder import ConfigHolder
+from foldloom.controllers.intents import parse_intents
 from foldloom.controllers.messages import ConfigPull, ConfigReply
-from foldloom.controllers.plans import make_plan, parse_intents
+from foldloom.controllers.plans import make_plan
 from foldloom.controllers.state import ReplicatedState
 from foldloom.static_peers.claims.replicas import claim_replicas, replica_sets
 
--- a/tests/test_unchanged.py
+++ b/tests/test_unchanged.py
@@ -29,6 +29,7 @@
 from foldloom.cli.main import Commands
 from foldloom.controllers import commands, plans, records, state, storage
 from foldloom.controllers.config import encode_config
+from foldloom.controllers.intents import parse_intents
 from foldloom.controllers.state import ReplicatedState
 from foldloom.exposition import metrics_text
 from foldloom.metrics import Metrics
@@ -93,7 +94,7 @@
 
 
 def _confirm(command: str, intents: list[dict[str, Any]], known: ReplicatedState) -> bytes:
-    planned = plans.make_plan(known.config, plans.parse_intents(intents).ok)
+    planned = plans.make_plan(known.config, parse_intents(intents).ok)
     return commands.encode_command(commands.ConfirmCommand(command, planned.ok.digest, intents))
 
 
