--- a/src/foldloom/controllers/applied.py
+++ b/src/foldloom/controllers/applied.py
@@ -9,12 +9,12 @@
 
 from collections.abc import Callable
 
-from foldloom.controllers.commands import FoundCommand, encode_command
+from foldloom.controllers.commands import Answer, FoundCommand, encode_command
 from foldloom.controllers.config import Config
 from foldloom.controllers.controller_table import ControllerTable
 from foldloom.controllers.log import ReplicatedLog
 from foldloom.controllers.records import Snapshot
-from foldloom.controllers.state import Answer, ChangeSet, Publication, ReplicatedState
+from foldloom.controllers.state import ChangeSet, Publication, ReplicatedState
 
 
 class AppliedState:
--- a/src/foldloom/controllers/client.py
+++ b/src/foldloom/controllers/client.py
@@ -9,9 +9,8 @@
 from expression import Error, Ok, Result
 
 from foldloom.clock import monotonic_ms
-from foldloom.controllers.commands import Command, encode_command
+from foldloom.controllers.commands import Answer, Command, encode_command
 from foldloom.controllers.messages import BarrierReply, Propose, ProposeReply, ReadBarrier
-from foldloom.controllers.state import Answer
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.peers.wire import PeerNetwork
 from foldloom.verdicts import Problem, may_have_run, not_run
--- a/src/foldloom/controllers/commands.py
+++ b/src/foldloom/controllers/commands.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The commands of the replicated log, and their bytes in a log entry.
+"""The commands of the replicated log, their bytes in a log entry, and what one comes to.
 
 Owns nothing: data and its encoding (msgpack, by tag; fields by position). What a command does is in
 :mod:`foldloom.controllers.state`. Entries on disk hold these bytes, so a field is only added at the
@@ -8,10 +8,12 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
+from foldloom.controllers.plans import Plan
+
 
 class ConfirmCommand(msgspec.Struct, tag="confirm", array_like=True, frozen=True):
     """Put intents in force if they still mean the changes that *digest* names."""
@@ -86,6 +88,24 @@
 _ENCODER = msgspec.msgpack.Encoder()
 
 
+class Answer(NamedTuple):
+    """What a command came to.
+
+    Args:
+        status: 200 if done, 409 for a conflict, 400 if the intents are wrong.
+        version: The configuration version after it.
+        detail: For people.
+        plan: With 409, the fresh plan.
+        number: For an incarnation, the one recorded before (0: first boot).
+    """
+
+    status: int
+    version: int = 0
+    detail: str = ""
+    plan: Plan | None = None
+    number: int = 0
+
+
 def encode_command(command: Command) -> bytes:
     """Return the bytes of *command* for a log entry."""
     return _ENCODER.encode(command)
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -15,6 +15,7 @@
 
 from foldloom.clock import monotonic_ms
 from foldloom.controllers.applied import AppliedState
+from foldloom.controllers.commands import Answer
 from foldloom.controllers.config import ANY_STORAGE, Config
 from foldloom.controllers.election import Elections
 from foldloom.controllers.following import Following
@@ -23,7 +24,7 @@
 from foldloom.controllers.members import majority_of
 from foldloom.controllers.readmission import ask_readmission
 from foldloom.controllers.requests import Requests
-from foldloom.controllers.state import Answer, ChangeSet, Publication, ReplicatedState
+from foldloom.controllers.state import ChangeSet, Publication, ReplicatedState
 from foldloom.controllers.storage import LogStorage
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.logs import CONTROLLER_LOG
--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -11,11 +11,10 @@
 import asyncio
 
 from foldloom.clock import monotonic_ms
-from foldloom.controllers.commands import Command, encode_command
+from foldloom.controllers.commands import Answer, Command, encode_command
 from foldloom.controllers.followers import FollowerTable
 from foldloom.controllers.messages import Append, AppendReply, InstallSnapshot
 from foldloom.controllers.participant import Leader
-from foldloom.controllers.state import Answer
 from foldloom.controllers.voter_changes import VoterChanges
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.logs import CONTROLLER_LOG
--- a/src/foldloom/controllers/messages.py
+++ b/src/foldloom/controllers/messages.py
@@ -5,8 +5,9 @@
 
 from typing import NamedTuple
 
+from foldloom.controllers.commands import Answer
 from foldloom.controllers.records import Entry, Snapshot
-from foldloom.controllers.state import Answer, ChangeSet
+from foldloom.controllers.state import ChangeSet
 from foldloom.peers.messages import register
 
 
--- a/src/foldloom/controllers/requests.py
+++ b/src/foldloom/controllers/requests.py
@@ -8,6 +8,7 @@
 
 from typing import Protocol
 
+from foldloom.controllers.commands import Answer
 from foldloom.controllers.leadership import Leadership
 from foldloom.controllers.messages import (
     BarrierReply,
@@ -16,7 +17,6 @@
     ReadBarrier,
     Readmit,
 )
-from foldloom.controllers.state import Answer
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.peers.wire import PeerNetwork
 
--- a/src/foldloom/controllers/state.py
+++ b/src/foldloom/controllers/state.py
@@ -13,6 +13,7 @@
 import msgspec
 
 from foldloom.controllers.commands import (
+    Answer,
     BoxesSettledCommand,
     ConfirmCommand,
     ControllerJoinCommand,
@@ -35,7 +36,7 @@
     encode_config,
 )
 from foldloom.controllers.intents import parse_intents
-from foldloom.controllers.plans import Plan, make_plan
+from foldloom.controllers.plans import make_plan
 
 # Commands whose answers are kept for resends: four days of the 2,400 changes a day to design for.
 COMMANDS_KEPT = 10_000
@@ -43,24 +44,6 @@
 CHANGES_KEPT = 256
 
 
-class Answer(NamedTuple):
-    """What a command came to.
-
-    Args:
-        status: 200 if done, 409 for a conflict, 400 if the intents are wrong.
-        version: The configuration version after it.
-        detail: For people.
-        plan: With 409, the fresh plan.
-        number: For an incarnation, the one recorded before (0: first boot).
-    """
-
-    status: int
-    version: int = 0
-    detail: str = ""
-    plan: Plan | None = None
-    number: int = 0
-
-
 class ChangeSet(NamedTuple):
     """The changes that made a version from the one before."""
 
--- a/src/foldloom/seed_discovery/fleet/publisher.py
+++ b/src/foldloom/seed_discovery/fleet/publisher.py
@@ -12,10 +12,10 @@
 from expression import Error, Ok, Result
 
 from foldloom.clock import monotonic_ms
-from foldloom.controllers.commands import PublishCommand, encode_command
+from foldloom.controllers.commands import Answer, PublishCommand, encode_command
 from foldloom.controllers.controller import Controller
 from foldloom.controllers.messages import Propose, ProposeReply
-from foldloom.controllers.state import Answer, Publication
+from foldloom.controllers.state import Publication
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.peers.wire import PeerNetwork
 from foldloom.seed_discovery.fleet.messages import ReadPublished, ReadReply
--- a/src/foldloom/static_peers/entry/operators.py
+++ b/src/foldloom/static_peers/entry/operators.py
@@ -14,12 +14,11 @@
 from expression import Result
 
 from foldloom.controllers.client import ControllerClient
-from foldloom.controllers.commands import ConfirmCommand
+from foldloom.controllers.commands import Answer, ConfirmCommand
 from foldloom.controllers.config import config_fields
 from foldloom.controllers.holder import ConfigHolder
 from foldloom.controllers.intents import parse_intents
 from foldloom.controllers.plans import Plan, make_plan
-from foldloom.controllers.state import Answer
 from foldloom.logs import CONFIG_LOG
 from foldloom.settings import Settings
 from foldloom.static_peers.entry.http import PROBLEM_TYPE, read_body
