--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -93,7 +93,7 @@
     ),
     Break(
         "no not-run without a majority",
-        "static_peers/entry/coordinator.py",
+        "static_peers/entry/lookup.py",
         'return may_have_run("claim-no-quorum"',
         'return not_run("claim-no-quorum"',
         _CLAIMS + "TestCutZones::test_each_zone_in_turn",
--- a/src/foldloom/static_peers/box.py
+++ b/src/foldloom/static_peers/box.py
@@ -80,9 +80,13 @@
             self._entry = EntryRole(parts, lambda: self._is_stopping)
         operators = OperatorRoutes(settings, self._client, self._holder, self.status)
         self._metrics_server = MetricsServer(self._metrics, settings.metrics_address)
-        coordinator = None if self._entry is None else self._entry.coordinator
         self._http = HttpServer(
-            settings, coordinator, self._is_ready, self._metrics, operators.add_to
+            settings,
+            None if self._entry is None else self._entry.coordinator,
+            None if self._entry is None else self._entry.lookup,
+            self._is_ready,
+            self._metrics,
+            operators.add_to,
         )
 
     def status(self) -> dict[str, Any]:
--- a/src/foldloom/static_peers/claims/acquire.py
+++ b/src/foldloom/static_peers/claims/acquire.py
@@ -59,6 +59,11 @@
         self._network = network
         self._service = service
 
+    def is_own(self, claim: Claim) -> bool:
+        """Return whether this very life of this box made *claim*."""
+        is_own_box = claim.coordinator == self._settings.box
+        return is_own_box and claim.incarnation == self._network.incarnation
+
     async def acquire(self, submission: str, digest: str, attempt: int) -> AcquireResult:
         """Try once to get the claim of *submission*.
 
--- a/src/foldloom/static_peers/entry/coordinator.py
+++ b/src/foldloom/static_peers/entry/coordinator.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""A caller's job from its arrival to its one response: claim, run or follow, answer."""
+"""A caller's job from its arrival to its one response: claim, run or follow, answer.
+
+Owns the tasks of the jobs that arrived here. Relies on the claim for who may run a job, and on the
+table of jobs for what was answered. Decides which job is refused at once.
+"""
 
 from __future__ import annotations
 
@@ -8,15 +12,10 @@
 from collections.abc import Callable
 
 from foldloom.clock import monotonic_ms
-from foldloom.exceptions import PeerUnreachableError
-from foldloom.ids import zone_of
 from foldloom.logs import CLAIM_LOG, ENTRY_LOG
-from foldloom.metrics import Metrics
-from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import Settings
 from foldloom.static_peers.claims.acquire import AcquireResult, Acquisition, ClaimAcquirer
-from foldloom.static_peers.claims.messages import Claim, Lookup, LookupReply
-from foldloom.static_peers.claims.service import ClaimService
+from foldloom.static_peers.claims.messages import Claim
 from foldloom.static_peers.entry.follow import CONFLICT, Followed, FollowEnd, Follower
 from foldloom.static_peers.entry.jobs import (
     Job,
@@ -26,6 +25,7 @@
     complete_response,
     problem_response,
 )
+from foldloom.static_peers.entry.lookup import RETRY_AFTER_MS, no_quorum
 from foldloom.static_peers.entry.requests import JobRequest
 from foldloom.static_peers.entry.run import JobRun, RunContext
 from foldloom.tasks import TaskSet
@@ -39,9 +39,8 @@
 _BACKOFF_MIN_S = 0.002
 # The longest such pause.
 _BACKOFF_MAX_S = 0.02
-# Milliseconds after which a refused caller should come back. Not measured.
-_RETRY_AFTER_MS = 500
-# The same from a box that stops: any other box can take the job at once.
+# Milliseconds after which a caller refused by a box that stops should come back: any other box can
+# take the job at once.
 _STOPPING_RETRY_AFTER_MS = 100
 
 
@@ -50,36 +49,28 @@
 
     Args:
         settings: This box's settings.
-        network: The peers.
-        claims: This box's claim replica.
         acquirer: Gets claims for this box.
         follower: Follows jobs on other boxes.
         jobs: This box's jobs.
         context: What its runs share.
-        metrics: Counters.
         is_stopping: Returns whether a planned stop began.
     """
 
     def __init__(
         self,
         settings: Settings,
-        network: PeerNetwork,
-        claims: ClaimService,
         acquirer: ClaimAcquirer,
         follower: Follower,
         jobs: JobTable,
         context: RunContext,
-        metrics: Metrics,
         is_stopping: Callable[[], bool],
     ) -> None:
         self._settings = settings
-        self._network = network
-        self._claims = claims
         self._acquirer = acquirer
         self._follower = follower
         self._jobs = jobs
         self._context = context
-        self._metrics = metrics
+        self._metrics = context.metrics
         self._is_stopping = is_stopping
         self._tasks = TaskSet()
 
@@ -98,47 +89,10 @@
         assert job.response is not None
         return job.response
 
-    async def peek(self, submission: str) -> Response | None:
-        """Return what is known of *submission* anywhere; start nothing.
-
-        ``None`` stands for a job that runs now.
-        """
-        job = self._jobs.get(submission)
-        if job is not None and job.state is not JobState.FOLLOWING:
-            return job.response
-        holders, is_sure = await self._look_up(submission)
-        for holder in holders:
-            deadline_ms = monotonic_ms() + self._settings.timings.claim_timeout_ms
-            followed = await self._follower.follow(
-                submission, holder.digest, holder, deadline_ms, is_waiting=False
-            )
-            if followed.how is not FollowEnd.RELEASED:
-                return followed.response
-        if is_sure:
-            return self._refusal(submission, not_run("unknown", "no such job", status=404))
-        return self._refusal(submission, self._no_quorum(submission, "too few claim replicas"))
-
     async def finish_all(self) -> None:
         """Return when no job of this box is open."""
         await self._tasks.wait()
 
-    async def _look_up(self, submission: str) -> tuple[list[Claim], bool]:
-        """Return the claims that the replicas hold, and whether a majority was asked."""
-        replicas = self._claims.replicas_of(submission)
-        asked = [self._look_up_at(box, submission) for box in replicas.boxes]
-        replies = dict(zip(replicas.boxes, await asyncio.gather(*asked), strict=True))
-        holders = [claim for reply in replies.values() if reply for claim in reply.holders]
-        sure = {box for box, reply in replies.items() if reply is not None and reply.can_vote}
-        return list(dict.fromkeys(holders)), replicas.is_majority(sure)
-
-    async def _look_up_at(self, box: str, submission: str) -> LookupReply | None:
-        try:
-            timeout_ms = self._settings.timings.claim_timeout_ms
-            return await self._network.request(box, Lookup(submission), timeout_ms)
-        except PeerUnreachableError:
-            # No answer is not "no claim": fewer replicas were asked.
-            return None
-
     async def _serve(self, job: Job, request: JobRequest) -> None:
         """Bring *job* to its response; it goes on when the caller has left."""
         try:
@@ -171,7 +125,9 @@
             job.claim_again()
         job.decide(JobState.FOLLOWING)
         detail = "" if result is None else result.detail
-        response = self._refusal(job.submission, self._no_quorum(job.submission, detail))
+        response = self._refusal(
+            job.submission, no_quorum(job.submission, self._settings.zone, detail)
+        )
         self._end(job, JobState.FOLLOWING, response)
 
     async def _follow_holders(
@@ -186,11 +142,7 @@
         return None
 
     async def _follow(self, job: Job, holder: Claim, deadline_ms: float) -> Followed:
-        is_own_life = (
-            holder.coordinator == self._settings.box
-            and holder.incarnation == self._network.incarnation
-        )
-        if is_own_life:
+        if self._acquirer.is_own(holder):
             # An earlier attempt of this box: it started nothing, else the job were known here.
             return Followed(FollowEnd.RELEASED, None)
         ENTRY_LOG.info("Job {}: follow it on {}.", job.submission, holder.coordinator)
@@ -229,7 +181,7 @@
         if self._is_stopping():
             return not_run("stopping", "this box is being stopped", _STOPPING_RETRY_AFTER_MS)
         if self._jobs.running_count >= self._settings.limits.jobs_in_flight_max:
-            return not_run("too-many-jobs", "this box runs as many jobs as it may", _RETRY_AFTER_MS)
+            return not_run("too-many-jobs", "this box runs as many jobs as it may", RETRY_AFTER_MS)
         return None
 
     def _withdraw(self, job: Job, problem: Problem) -> None:
@@ -244,12 +196,3 @@
 
     def _refusal(self, submission: str, problem: Problem) -> Response:
         return problem_response(submission, self._settings.zone, problem)
-
-    def _no_quorum(self, submission: str, detail: str) -> Problem:
-        """Return the problem of a claim that no majority could judge.
-
-        It can't be called not-run: a box that can't be reached may run the submission.
-        """
-        if not zone_of(submission):
-            detail += f"; ids that begin with {self._settings.zone}~ need this zone only"
-        return may_have_run("claim-no-quorum", detail, _RETRY_AFTER_MS, status=503)
--- a/src/foldloom/static_peers/entry/http.py
+++ b/src/foldloom/static_peers/entry/http.py
@@ -17,6 +17,7 @@
 from foldloom.settings import Settings
 from foldloom.static_peers.entry.coordinator import Coordinator
 from foldloom.static_peers.entry.jobs import Response, problem_response
+from foldloom.static_peers.entry.lookup import JobLookup
 from foldloom.static_peers.entry.requests import parse_job
 from foldloom.verdicts import Problem, not_run
 
@@ -91,6 +92,7 @@
     Args:
         settings: This box's settings.
         coordinator: Takes jobs; ``None`` on a box without the entry role.
+        lookup: Answers what is known of a job; ``None`` as well.
         is_ready: Returns whether the balancer should send work.
         metrics: Counters.
         add_routes: Adds the operators' routes.
@@ -100,12 +102,14 @@
         self,
         settings: Settings,
         coordinator: Coordinator | None,
+        lookup: JobLookup | None,
         is_ready: Callable[[], bool],
         metrics: Metrics,
         add_routes: Callable[[web.Application], None],
     ) -> None:
         self._settings = settings
         self._coordinator = coordinator
+        self._lookup = lookup
         self._is_ready = is_ready
         self._metrics = metrics
         self._connections = 0
@@ -209,10 +213,10 @@
 
     async def _get_job(self, request: web.Request) -> web.Response:
         submission = request.match_info["submission"]
-        if self._coordinator is None or not is_valid_submission(submission):
+        if self._lookup is None or not is_valid_submission(submission):
             detail = "submission: not a well-formed id"
             return self._problem("", not_run("bad-request", detail, status=400))
-        response = await self._coordinator.peek(submission)
+        response = await self._lookup.peek(submission)
         if response is None:
             fields = {"submission": submission, "verdict": "running"}
             return web.json_response(fields, status=202)
--- /dev/null
+++ b/src/foldloom/static_peers/entry/lookup.py
@@ -0,0 +1,102 @@
+# SPDX-License-Identifier: MIT
+"""What is known of a submission anywhere: asked of the claim replicas, and of who holds the claim.
+
+Owns nothing. Relies on this box's jobs, on the claim replicas, and on the boxes that follow. Starts
+nothing, and claims nothing.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+from foldloom.clock import monotonic_ms
+from foldloom.exceptions import PeerUnreachableError
+from foldloom.ids import zone_of
+from foldloom.peers.wire import PeerNetwork
+from foldloom.settings import Settings
+from foldloom.static_peers.claims.messages import Claim, Lookup, LookupReply
+from foldloom.static_peers.claims.service import ClaimService
+from foldloom.static_peers.entry.follow import FollowEnd, Follower
+from foldloom.static_peers.entry.jobs import JobState, JobTable, Response, problem_response
+from foldloom.verdicts import Problem, may_have_run, not_run
+
+# Milliseconds after which a refused caller should come back. Not measured.
+RETRY_AFTER_MS = 500
+
+
+class JobLookup:
+    """Look submissions up.
+
+    Args:
+        settings: This box's settings.
+        network: The peers.
+        claims: This box's claim replica.
+        follower: Follows jobs on other boxes.
+        jobs: This box's jobs.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        network: PeerNetwork,
+        claims: ClaimService,
+        follower: Follower,
+        jobs: JobTable,
+    ) -> None:
+        self._settings = settings
+        self._network = network
+        self._claims = claims
+        self._follower = follower
+        self._jobs = jobs
+
+    async def peek(self, submission: str) -> Response | None:
+        """Return what is known of *submission* anywhere; start nothing.
+
+        ``None`` stands for a job that runs now.
+        """
+        job = self._jobs.get(submission)
+        if job is not None and job.state is not JobState.FOLLOWING:
+            return job.response
+        holders, is_sure = await self._look_up(submission)
+        for holder in holders:
+            deadline_ms = monotonic_ms() + self._settings.timings.claim_timeout_ms
+            followed = await self._follower.follow(
+                submission, holder.digest, holder, deadline_ms, is_waiting=False
+            )
+            if followed.how is not FollowEnd.RELEASED:
+                return followed.response
+        if is_sure:
+            return self._problem(submission, not_run("unknown", "no such job", status=404))
+        return self._problem(
+            submission, no_quorum(submission, self._settings.zone, "too few claim replicas")
+        )
+
+    async def _look_up(self, submission: str) -> tuple[list[Claim], bool]:
+        """Return the claims that the replicas hold, and whether a majority was asked."""
+        replicas = self._claims.replicas_of(submission)
+        asked = [self._look_up_at(box, submission) for box in replicas.boxes]
+        replies = dict(zip(replicas.boxes, await asyncio.gather(*asked), strict=True))
+        holders = [claim for reply in replies.values() if reply for claim in reply.holders]
+        sure = {box for box, reply in replies.items() if reply is not None and reply.can_vote}
+        return list(dict.fromkeys(holders)), replicas.is_majority(sure)
+
+    async def _look_up_at(self, box: str, submission: str) -> LookupReply | None:
+        try:
+            timeout_ms = self._settings.timings.claim_timeout_ms
+            return await self._network.request(box, Lookup(submission), timeout_ms)
+        except PeerUnreachableError:
+            # No answer is not "no claim": fewer replicas were asked.
+            return None
+
+    def _problem(self, submission: str, problem: Problem) -> Response:
+        return problem_response(submission, self._settings.zone, problem)
+
+
+def no_quorum(submission: str, zone: str, detail: str) -> Problem:
+    """Return the problem of a claim that no majority could judge.
+
+    It can't be called not-run: a box that can't be reached may run the submission.
+    """
+    if not zone_of(submission):
+        detail += f"; ids that begin with {zone}~ need this zone only"
+    return may_have_run("claim-no-quorum", detail, RETRY_AFTER_MS, status=503)
--- a/src/foldloom/static_peers/entry_role.py
+++ b/src/foldloom/static_peers/entry_role.py
@@ -30,6 +30,7 @@
 from foldloom.static_peers.entry.coordinator import Coordinator
 from foldloom.static_peers.entry.follow import Follower
 from foldloom.static_peers.entry.jobs import JobTable
+from foldloom.static_peers.entry.lookup import JobLookup
 from foldloom.static_peers.entry.run import RunContext
 from foldloom.static_peers.membership import Membership, ZoneLoad
 from foldloom.static_peers.placement.direct_slots import DirectSlots
@@ -107,21 +108,26 @@
         self._follower = Follower(self._settings, parts.network, parts.membership, self._jobs)
         self._coordinator = Coordinator(
             self._settings,
-            parts.network,
-            self._claims,
             ClaimAcquirer(self._settings, parts.network, self._claims),
             self._follower,
             self._jobs,
             self._build_run_context(),
-            parts.metrics,
             is_stopping,
         )
+        self._lookup = JobLookup(
+            self._settings, parts.network, self._claims, self._follower, self._jobs
+        )
 
     @property
     def coordinator(self) -> Coordinator:
         """Who runs callers' jobs."""
         return self._coordinator
 
+    @property
+    def lookup(self) -> JobLookup:
+        """Who answers what is known of a job."""
+        return self._lookup
+
     @property
     def can_vote(self) -> bool:
         """Whether this box votes on claims."""
--- a/tests/unchanged/own_http.py
+++ b/tests/unchanged/own_http.py
@@ -75,6 +75,7 @@
     callers = HttpServer(
         settings,
         _Coordinator(),
+        _Coordinator(),
         lambda: True,
         Metrics(),
         lambda _app: None,  # type: ignore
