--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -130,7 +130,7 @@
     Break(
         "answers are handed over",
         "static_peers/entry_role.py",
-        "taken = await self._follower.hand_over(successors[0])",
+        "taken = await self._follower.pass_answers_to(successors[0])",
         "taken = 0",
         _CLAIMS + "TestLostMemory::test_planned_stop_hands_answers_over",
     ),
--- a/src/foldloom/seed_discovery/endpoints/catalog.py
+++ b/src/foldloom/seed_discovery/endpoints/catalog.py
@@ -15,7 +15,7 @@
 _GONE_KEPT = 2_000
 
 
-class Entry(NamedTuple):
+class ListedEndpoint(NamedTuple):
     """An endpoint's newest record and what is known of its age.
 
     Args:
@@ -37,7 +37,7 @@
     """
 
     def __init__(self) -> None:
-        self._entries: dict[str, Entry] = {}
+        self._entries: dict[str, ListedEndpoint] = {}
         self._revision = 0
 
     @property
@@ -76,7 +76,7 @@
             # An endpoint never takes its leave back: an equal sequence came by another way.
             return False
         if known.record.says_the_same(record):
-            self._entries[record.endpoint] = Entry(record, now_ms, known.revision)
+            self._entries[record.endpoint] = ListedEndpoint(record, now_ms, known.revision)
             return False
         return self._set(record, now_ms)
 
@@ -102,7 +102,7 @@
     def _set(self, record: EndpointRecord, now_ms: float) -> bool:
         self._revision += 1
         self._entries.pop(record.endpoint, None)
-        self._entries[record.endpoint] = Entry(record, now_ms, self._revision)
+        self._entries[record.endpoint] = ListedEndpoint(record, now_ms, self._revision)
         self._forget_some_gone()
         return True
 
--- a/src/foldloom/seed_discovery/entry_box.py
+++ b/src/foldloom/seed_discovery/entry_box.py
@@ -129,7 +129,7 @@
     async def begin_stop(self) -> None:
         """Begin a planned stop: hand ownership over, return when no caller comes any more."""
         self._view.set_leaving()
-        successor = self._elector.hand_over()
+        successor = self._elector.resign()
         ENTRY_LOG.event("process.stopping", zone_handed_to=successor, jobs=self._jobs.running_count)
         await self._joiner.announce()
         await asyncio.sleep(self._settings.timings.drain_ms / 1_000)
--- a/src/foldloom/seed_discovery/owners/elector.py
+++ b/src/foldloom/seed_discovery/owners/elector.py
@@ -127,7 +127,7 @@
             if self._is_due() and may_claim(witnesses, self._timings.owner_silent_ms):
                 self._claim(witnesses.highest_token)
 
-    def hand_over(self) -> str:
+    def resign(self) -> str:
         """Give the zone to another box before a planned stop; return who gets it, or ''."""
         owner = self._owner
         if owner is None:
--- a/src/foldloom/static_peers/entry/coordinator.py
+++ b/src/foldloom/static_peers/entry/coordinator.py
@@ -16,7 +16,7 @@
 from foldloom.settings import Settings
 from foldloom.static_peers.claims.acquire import AcquireResult, Acquisition, ClaimAcquirer
 from foldloom.static_peers.claims.messages import Claim
-from foldloom.static_peers.entry.follow import CONFLICT, Followed, FollowEnd, Follower
+from foldloom.static_peers.entry.follow import CONFLICT, Followed, FollowEnd, JobFollower
 from foldloom.static_peers.entry.jobs import (
     Job,
     JobState,
@@ -60,7 +60,7 @@
         self,
         settings: Settings,
         acquirer: ClaimAcquirer,
-        follower: Follower,
+        follower: JobFollower,
         jobs: JobTable,
         context: RunContext,
         is_stopping: Callable[[], bool],
--- a/src/foldloom/static_peers/entry/follow.py
+++ b/src/foldloom/static_peers/entry/follow.py
@@ -73,7 +73,7 @@
     response: Response | None
 
 
-class Follower:
+class JobFollower:
     """Follow jobs on other boxes and let others follow those here.
 
     Args:
@@ -129,7 +129,7 @@
             return self._judge(submission, reply)
         return self._ended(submission, DEADLINE)
 
-    async def hand_over(self, successor: str) -> int:
+    async def pass_answers_to(self, successor: str) -> int:
         """Give every kept answer to *successor*; return how many it took."""
         kept = self._jobs.done_responses()
         taken = 0
--- a/src/foldloom/static_peers/entry/lookup.py
+++ b/src/foldloom/static_peers/entry/lookup.py
@@ -16,7 +16,7 @@
 from foldloom.settings import Settings
 from foldloom.static_peers.claims.messages import Claim, Lookup, LookupReply
 from foldloom.static_peers.claims.service import ClaimService
-from foldloom.static_peers.entry.follow import FollowEnd, Follower
+from foldloom.static_peers.entry.follow import FollowEnd, JobFollower
 from foldloom.static_peers.entry.jobs import JobState, JobTable, Response, problem_response
 from foldloom.verdicts import Problem, may_have_run, not_run
 
@@ -40,7 +40,7 @@
         settings: Settings,
         network: PeerNetwork,
         claims: ClaimService,
-        follower: Follower,
+        follower: JobFollower,
         jobs: JobTable,
     ) -> None:
         self._settings = settings
--- a/src/foldloom/static_peers/entry_role.py
+++ b/src/foldloom/static_peers/entry_role.py
@@ -28,11 +28,11 @@
 from foldloom.static_peers.endpoints.platform import PlatformList
 from foldloom.static_peers.endpoints.usage import UsageReports
 from foldloom.static_peers.entry.coordinator import Coordinator
-from foldloom.static_peers.entry.follow import Follower
+from foldloom.static_peers.entry.follow import JobFollower
 from foldloom.static_peers.entry.jobs import JobTable
 from foldloom.static_peers.entry.lookup import JobLookup
 from foldloom.static_peers.entry.run import RunContext
-from foldloom.static_peers.membership import Membership, ZoneLoad
+from foldloom.static_peers.membership import Membership, ShardLoad
 from foldloom.static_peers.placement.direct_slots import DirectSlots
 from foldloom.static_peers.placement.lease_manager import LeaseManager
 from foldloom.static_peers.placement.leased_slots import LeasedSlots
@@ -105,7 +105,7 @@
             parts.metrics,
         )
         parts.tasks.spawn(self._expire_jobs())
-        self._follower = Follower(self._settings, parts.network, parts.membership, self._jobs)
+        self._follower = JobFollower(self._settings, parts.network, parts.membership, self._jobs)
         self._coordinator = Coordinator(
             self._settings,
             ClaimAcquirer(self._settings, parts.network, self._claims),
@@ -134,7 +134,7 @@
         return self._claims.can_vote
 
     @property
-    def loads(self) -> list[ZoneLoad]:
+    def loads(self) -> list[ShardLoad]:
         """The load of the shards that this box manages."""
         return [] if self._leases is None else self._leases.loads
 
@@ -181,7 +181,7 @@
         successors.sort(key=lambda box: zone_of(box) != self._settings.zone)
         if not successors:
             return
-        taken = await self._follower.hand_over(successors[0])
+        taken = await self._follower.pass_answers_to(successors[0])
         self._successor = successors[0]
         ENTRY_LOG.info("Handed {} answers over to {}.", taken, successors[0])
 
@@ -264,7 +264,7 @@
         live = [box for box in network.peer_names if self._parts.membership.is_live(box)]
         return {self._settings.zone, *map(network.zone_of, live)}
 
-    def _shard_loads(self) -> dict[str, ZoneLoad]:
+    def _shard_loads(self) -> dict[str, ShardLoad]:
         return {
             load.shard: load
             for state in self._parts.membership.states.values()
--- a/src/foldloom/static_peers/membership.py
+++ b/src/foldloom/static_peers/membership.py
@@ -17,7 +17,7 @@
 _SUCCESSORS_KEPT = 1_000
 
 
-class ZoneLoad(NamedTuple):
+class ShardLoad(NamedTuple):
     """How loaded one lease shard is.
 
     Args:
@@ -49,7 +49,7 @@
     config_version: int
     is_stopping: bool
     can_vote: bool
-    loads: list[ZoneLoad]
+    loads: list[ShardLoad]
     successor: str = ""
     is_confirmed_current: bool = False
     list_epoch: int = 0
--- a/src/foldloom/static_peers/placement/lease_manager.py
+++ b/src/foldloom/static_peers/placement/lease_manager.py
@@ -14,7 +14,7 @@
 from foldloom.metrics import Metrics
 from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import Settings
-from foldloom.static_peers.membership import ZoneLoad
+from foldloom.static_peers.membership import ShardLoad
 from foldloom.static_peers.placement.messages import (
     SlotCancel,
     SlotHold,
@@ -80,10 +80,10 @@
         network.on(SlotHold, self._on_hold)
 
     @property
-    def loads(self) -> list[ZoneLoad]:
+    def loads(self) -> list[ShardLoad]:
         """How loaded each managed shard is, for the heartbeat."""
         return [
-            ZoneLoad(name, shard.free_slots, shard.queued, 0.0)
+            ShardLoad(name, shard.free_slots, shard.queued, 0.0)
             for name, shard in self._shards.items()
         ]
 
--- a/src/foldloom/static_peers/placement/leased_slots.py
+++ b/src/foldloom/static_peers/placement/leased_slots.py
@@ -16,7 +16,7 @@
 from foldloom.metrics import Metrics
 from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import Settings
-from foldloom.static_peers.membership import ZoneLoad
+from foldloom.static_peers.membership import ShardLoad
 from foldloom.static_peers.placement.messages import (
     HeldSlot,
     SlotCancel,
@@ -62,7 +62,7 @@
         metrics: Metrics,
         config: Callable[[], Config],
         manager_of: Callable[[str], str],
-        loads: Callable[[], dict[str, ZoneLoad]],
+        loads: Callable[[], dict[str, ShardLoad]],
     ) -> None:
         self._settings = settings
         self._network = network
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -12,7 +12,7 @@
 from foldloom.peers.messages import Envelope, Frame, encode_body, encode_envelope, kind_of
 from foldloom.static_peers.claims.messages import Claim, ClaimReply, ClaimRequest, Vote, Withdraw
 from foldloom.static_peers.claims.table import ClaimTable
-from foldloom.static_peers.membership import Heartbeat, ZoneLoad
+from foldloom.static_peers.membership import Heartbeat, ShardLoad
 from foldloom.static_peers.placement.messages import SlotGrant, SlotRequest, SlotReturn, SlotUse
 
 _ID = "0f8fad5b-d9cb-469f-a165-70867728950e"
@@ -26,7 +26,7 @@
     @pytest.mark.parametrize(
         ("message", "most"),
         [
-            (Heartbeat(4, False, True, [ZoneLoad("fleet", 99, 9, 0.0)], "", True, 3), 36),
+            (Heartbeat(4, False, True, [ShardLoad("fleet", 99, 9, 0.0)], "", True, 3), 36),
             (ClaimRequest(_ID, "ab" * 16, _LIFE, 1, 0), 90),
             (ClaimReply(Vote.GRANTED, _LIFE, {"a1": _LIFE, "b1": _LIFE}, []), 40),
             (Withdraw(_ID, _LIFE, 1), 50),
