--- a/src/foldloom/seed_discovery/owners/elector.py
+++ b/src/foldloom/seed_discovery/owners/elector.py
@@ -94,11 +94,6 @@
         """The present term of owning, if this box owns its zone."""
         return self._owner
 
-    @property
-    def known_owner(self) -> OwnerRecord:
-        """The owner whose heartbeats arrive; a token of 0 for none yet."""
-        return self._known
-
     @property
     def silent_ms(self) -> float:
         """Milliseconds since the owner's newest heartbeat."""
--- a/src/foldloom/seed_discovery/scheduling/runs.py
+++ b/src/foldloom/seed_discovery/scheduling/runs.py
@@ -26,9 +26,6 @@
     STOPPING = "stopping"
 
 
-OCCUPYING = frozenset((RunState.STARTING, RunState.RUNNING, RunState.STOPPING))
-
-
 class RunSpec(NamedTuple):
     """What is the same for all runs of one step of a job.
 
