--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -18,6 +18,7 @@
     "docs/operate.md",
     "docs/proofs.md",
     "docs/design/scheduling.md",
+    "docs/design/controllers.md",
 ]
 # A counter, and a field of the status.
 _NOT_EVENTS = {"runs.hopeless", "controller.may_vote"}
