--- a/src/foldloom/addresses.py
+++ b/src/foldloom/addresses.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Addresses of boxes, as text."""
+"""Addresses of boxes, as text.
+
+Owns nothing. Relies on no other module.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/cli/client.py
+++ b/src/foldloom/cli/client.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""HTTP calls of the command-line tool."""
+"""HTTP calls of the command-line tool.
+
+Owns the box address and the operator token of one command. Relies on the HTTP interface only; a
+call is never sent again by itself.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/cli/explain.py
+++ b/src/foldloom/cli/explain.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""The life of one request, collected from the logs of several boxes."""
+"""The life of one request, collected from the logs of several boxes.
+
+Owns nothing: it reads log files and sorts their lines by time. Relies on the events' names, those
+of the release before included.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/cli/load.py
+++ b/src/foldloom/cli/load.py
@@ -1,6 +1,8 @@
 # SPDX-License-Identifier: MIT
 """Open-loop load: jobs leave at random moments of a fixed mean rate, whatever comes back.
 
+Owns the histogram of one run. Relies on the HTTP interface only.
+
 Waiting is not hidden: a job's response time counts from the moment it was due. The ideal is
 the longest of its tasks' own times, on a full-speed endpoint.
 """
--- a/src/foldloom/cli/main.py
+++ b/src/foldloom/cli/main.py
@@ -1,6 +1,9 @@
 # SPDX-License-Identifier: MIT
 """``foldloom``: the command-line tool.
 
+Owns nothing. Relies on the HTTP interface of a running box, and on the settings and the data
+folder for the commands that need no box.
+
 Exit codes: 0 done; 1 failure; 2 usage or settings; 3 refused, certainly not run; 4 failed,
 may have run; 5 conflict; 6 box unreachable.
 """
--- a/src/foldloom/controllers/client.py
+++ b/src/foldloom/controllers/client.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""How any box reaches the controllers' leader: proposals and read barriers."""
+"""How any box reaches the controllers' leader: proposals and read barriers.
+
+Owns which controller led last. Relies on controllers to name the leader; whether a command whose
+answer was lost took effect stays open, and the same command is sent again.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/controllers/config.py
+++ b/src/foldloom/controllers/config.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""The configuration: services, endpoints, customers and the list of boxes."""
+"""The configuration: services, endpoints, customers and the list of boxes.
+
+Owns nothing: types, and the change of one into the next. Stored sections keep older names
+(``workers``, ``members``), mapped in ``_FIELDS``.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/controllers/election.py
+++ b/src/foldloom/controllers/election.py
@@ -1,5 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""How a controller comes to lead, and how it votes for others."""
+"""How a controller comes to lead, and how it votes for others.
+
+Owns nothing but the handlers of votes. Relies on its controller for term, log and role. The rules
+are Raft's (Ongaro and Ousterhout, 2014, sections 5.2 and 5.4.1) with trial votes (Ongaro's
+dissertation, 2014, section 9.6); a vote counts by the data folder that it came from.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/controllers/holder.py
+++ b/src/foldloom/controllers/holder.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""The configuration in force on this box: it only rises, and is pulled from any peer."""
+"""The configuration in force on this box: it only rises, and is pulled from any peer.
+
+Owns the configuration in force here, and its copy on disk where there is a disk. Relies on the own
+controller or on peers for newer ones.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/controllers/members.py
+++ b/src/foldloom/controllers/members.py
@@ -1,6 +1,8 @@
 # SPDX-License-Identifier: MIT
 """Who counts among the controllers, and how that changes: decisions only.
 
+Owns nothing. Relies on the encoding of commands, to read the ones that change the table.
+
 The newest table in a controller's own log counts, committed or not, as published for Raft.
 Controllers come and go one at a time: a change begins only when the one before is committed.
 """
--- a/src/foldloom/controllers/messages.py
+++ b/src/foldloom/controllers/messages.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Messages between controllers, and of other boxes to them."""
+"""Messages between controllers, and of other boxes to them.
+
+Owns the numbers of these messages, which are never used again. Relies on the codec of
+:mod:`foldloom.peers.messages`.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/controllers/state.py
+++ b/src/foldloom/controllers/state.py
@@ -1,6 +1,9 @@
 # SPDX-License-Identifier: MIT
 """The replicated state: the configuration, the commands already answered, the boxes' lives.
 
+Owns the state that a log's entries build, and its form in a snapshot. Relies on the order of
+entries only.
+
 Every controller applies the same committed entries in the same order, so all hold the
 same state. Nothing here reads a clock or a random number.
 """
--- a/src/foldloom/daemon.py
+++ b/src/foldloom/daemon.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""``foldloomd SETTINGS.yaml``: run one box until a signal stops it."""
+"""``foldloomd SETTINGS.yaml``: run one box until a signal stops it.
+
+Owns the event loop and the signals. Relies on the settings file; a wrong one ends the process with
+exit code 2.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/exceptions.py
+++ b/src/foldloom/exceptions.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Every exception that foldloom raises to its own callers."""
+"""Every exception that foldloom raises to its own callers.
+
+Owns nothing. Relies on no other module.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/exposition.py
+++ b/src/foldloom/exposition.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""A box's figures as text, in the form that Prometheus reads."""
+"""A box's figures as text, in the form that Prometheus reads.
+
+Owns nothing. Relies on the metrics and on prometheus_client for the form.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/ids.py
+++ b/src/foldloom/ids.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Submission ids, content digests and incarnation numbers."""
+"""Submission ids, content digests and incarnation numbers.
+
+Owns nothing. Relies on the wall clock for incarnations: a process that starts later has a higher
+one unless the clock went back.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/logs.py
+++ b/src/foldloom/logs.py
@@ -1,6 +1,9 @@
 # SPDX-License-Identifier: MIT
 """Log lines by logbook: decisions as events with fields, other news as short sentences.
 
+Owns the loggers of all parts and the batch of lines that wait. Relies on logbook and on one
+thread.
+
 Neither a slow reader nor a flood of events may hold a decision up: a kind of event has a rate,
 and lines wait in a bounded batch that a thread writes. What is left out is counted, and the count
 is logged.
--- a/src/foldloom/metrics.py
+++ b/src/foldloom/metrics.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Counters, gauges and latency histograms: kept in memory, sent by statsd, served as text."""
+"""Counters, gauges and latency histograms: kept in memory, sent by statsd, served as text.
+
+Owns the figures of one process. Relies on statsd only to send them: without it they stay in
+memory.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/metrics_server.py
+++ b/src/foldloom/metrics_server.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""A box's figures on an address of their own."""
+"""A box's figures on an address of their own.
+
+Owns the listener on the metrics address. Relies on the metrics; an address in use is logged and
+the box goes on.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/peers/lives.py
+++ b/src/foldloom/peers/lives.py
@@ -1,6 +1,8 @@
 # SPDX-License-Identifier: MIT
 """Which life of a peer is the present one, and how old its messages are.
 
+Owns what is known of each peer's life and clock. Relies on nothing but the envelopes' fields.
+
 A life is one run of a process. Ages are worked out from the least difference seen between the
 receiver's clock and the sender's sending time, both monotonic, so no clocks are compared.
 """
--- a/src/foldloom/peers/messages.py
+++ b/src/foldloom/peers/messages.py
@@ -1,6 +1,8 @@
 # SPDX-License-Identifier: MIT
 """The codec for messages between boxes: NamedTuples in msgpack, grouped in envelopes.
 
+Owns the registry of messages by number and type. Relies on msgspec.
+
 Fields are only ever added at a message's end, with a default. A longer tuple than this
 release knows is cut to the fields that it knows, so that a rolling upgrade works.
 """
--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -1,6 +1,9 @@
 # SPDX-License-Identifier: MIT
 """Messages between boxes over ZeroMQ: one outbound task a peer, one inbound socket.
 
+Owns the inbound socket, the requests that wait for a reply, and the handlers. Relies on a
+connection to each peer, and on lives for the age of messages.
+
 Each box binds one ROUTER and connects one DEALER to every peer. Requests and replies both
 leave by the sender's own DEALER, so that one socket pair serves each direction. ZeroMQ
 queues silently and delivers after a cut heals; small high-water marks, ``IMMEDIATE`` and a
--- a/src/foldloom/seed_discovery/controller_box.py
+++ b/src/foldloom/seed_discovery/controller_box.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""A controller with seed discovery: it keeps what is published and collects endpoints' reports."""
+"""A controller with seed discovery: it keeps what is published and collects endpoints' reports.
+
+Owns its parts and their tasks. Relies on the seeds of the settings to find the others, and on its
+data folder.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/seed_discovery/endpoints/calls.py
+++ b/src/foldloom/seed_discovery/endpoints/calls.py
@@ -1,6 +1,9 @@
 # SPDX-License-Identifier: MIT
 """Calls to endpoints, whatever protocol they speak.
 
+Owns nothing: types, and the interface that an adapter implements. Relies on the adapter to say
+whether a call may have been carried out.
+
 An endpoint runs what it was started with under a lease that covers everything on it, measured by
 its own steady clock. It lists what runs and what has ended; ends are listed until a later call
 says that they were seen.
--- a/src/foldloom/seed_discovery/endpoints/records.py
+++ b/src/foldloom/seed_discovery/endpoints/records.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What endpoints say of themselves in their heartbeats."""
+"""What endpoints say of themselves in their heartbeats.
+
+Owns nothing: types only.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/seed_discovery/entry_box.py
+++ b/src/foldloom/seed_discovery/entry_box.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""An entry box with seed discovery: it takes jobs, and may own its zone's endpoints."""
+"""An entry box with seed discovery: it takes jobs, and may own its zone's endpoints.
+
+Owns its parts and their tasks. Relies on the seeds of the settings to find the others; it has no
+disk.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/seed_discovery/fleet/cache.py
+++ b/src/foldloom/seed_discovery/fleet/cache.py
@@ -1,6 +1,8 @@
 # SPDX-License-Identifier: MIT
 """The published configuration on a controller's disk, to be handed out right after a restart.
 
+Owns one file of the data folder. Relies on rename being atomic.
+
 What stands there was committed once, so it may be obeyed; whether it is the newest is known only
 once a leader has shown it. It is written without a sync: after a loss of power an older one, or
 none, does no harm.
--- a/src/foldloom/seed_discovery/fleet/messages.py
+++ b/src/foldloom/seed_discovery/fleet/messages.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Messages of seed discovery: how boxes find each other and share what all need."""
+"""Messages of seed discovery: how boxes find each other and share what all need.
+
+Owns the numbers 80 and up of this path. Relies on the codec of :mod:`foldloom.peers.messages`.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/seed_discovery/fleet/published.py
+++ b/src/foldloom/seed_discovery/fleet/published.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""The published configuration in force on this box: it only rises."""
+"""The published configuration in force on this box: it only rises.
+
+Owns the document in force here. Relies on controllers that push it, and on peers to pull a missed
+one from.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/seed_discovery/jobs/queues.py
+++ b/src/foldloom/seed_discovery/jobs/queues.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Queues: where jobs are handed in, and how a request finds its own."""
+"""Queues: where jobs are handed in, and how a request finds its own.
+
+Owns nothing: types, and the match of a request to a queue. Relies on the published document for
+the queues.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/seed_discovery/jobs/spec.py
+++ b/src/foldloom/seed_discovery/jobs/spec.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Jobs as they are handed in: steps of tasks, what each task needs, and where it may run."""
+"""Jobs as they are handed in: steps of tasks, what each task needs, and where it may run.
+
+Owns nothing: types only.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/seed_discovery/owners/connection.py
+++ b/src/foldloom/seed_discovery/owners/connection.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""An entry box's connection to the owner of one zone: grants, runs delivered, a new owner."""
+"""An entry box's connection to the owner of one zone: grants, runs delivered, a new owner.
+
+Owns the batches delivered to this owner and the grant that it was given. Relies on the owner's
+heartbeats; when they stop, runs are taken for ended only after the grant has lapsed for certain.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/seed_discovery/owners/context.py
+++ b/src/foldloom/seed_discovery/owners/context.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What a box gives to each of its terms of owning a zone."""
+"""What a box gives to each of its terms of owning a zone.
+
+Owns nothing: what stays the same from one term of owning to the next.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/seed_discovery/owners/election.py
+++ b/src/foldloom/seed_discovery/owners/election.py
@@ -1,6 +1,8 @@
 # SPDX-License-Identifier: MIT
 """When a box may claim its zone's endpoints, and with which token: decisions only.
 
+Owns nothing. Relies on what witnesses answer and on the age of heartbeats.
+
 Endpoints obey the highest token that they have seen, so two owners at a time do no harm; they
 only take endpoints from each other. The rules here keep that from happening: a box claims only
 when its owner has been silent, nobody whom it reaches has a recent heartbeat, and it reaches one
--- a/src/foldloom/seed_discovery/owners/lease.py
+++ b/src/foldloom/seed_discovery/owners/lease.py
@@ -1,6 +1,8 @@
 # SPDX-License-Identifier: MIT
 """Leases on endpoints, in the endpoint's own time.
 
+Owns nothing: types and bounds. Relies on the share by which an endpoint's clock may run slow.
+
 An endpoint measures leases by its own steady clock, which may run slow by a known share. The
 owner sees that clock only in answers, which are late by an unknown delay. All bounds here err
 so that a run is never thought ended while it may go on.
--- a/src/foldloom/seed_discovery/owners/messages.py
+++ b/src/foldloom/seed_discovery/owners/messages.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Messages between entry boxes and the owners of endpoints: runs, their ends, cancels."""
+"""Messages between entry boxes and the owners of endpoints: runs, their ends, cancels.
+
+Owns the numbers of these messages, which are never used again. Relies on the codec of
+:mod:`foldloom.peers.messages`.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/seed_discovery/scheduling/endpoints.py
+++ b/src/foldloom/seed_discovery/scheduling/endpoints.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The endpoints of a zone as placement sees them: room, trust, orphaned runs."""
+"""The endpoints of a zone as placement sees them: room, trust, orphaned runs.
+
+Owns the room of each endpoint. Relies on its record and on the owner's link to it.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/seed_discovery/scheduling/runs.py
+++ b/src/foldloom/seed_discovery/scheduling/runs.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What an owner knows of one task's present run. The lifecycle of runs changes it."""
+"""What an owner knows of one task's present run. The lifecycle of runs changes it.
+
+Owns nothing: types only.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/settings.py
+++ b/src/foldloom/settings.py
@@ -1,6 +1,9 @@
 # SPDX-License-Identifier: MIT
 """The daemon's settings: a YAML file, every field checked, units in the names.
 
+Owns nothing: types with their defaults. Relies on msgspec to check them;
+:mod:`foldloom.settings_file` reads the file.
+
 Keys are promises to operators. Where a key uses an older word than the code (``worker``,
 ``member``), ``msgspec.field(name=...)`` maps it to the attribute.
 """
--- a/src/foldloom/static_peers/box_list.py
+++ b/src/foldloom/static_peers/box_list.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""The leader ends a joint box list once every old box knows of it and a window has passed."""
+"""The leader ends a joint box list once every old box knows of it and a window has passed.
+
+Owns when the present joint list was first seen by this leader. Relies on heartbeats for what the
+other boxes know; counted anew by each leader.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/claims/acquire.py
+++ b/src/foldloom/static_peers/claims/acquire.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""How a coordinator gets the claim of a submission: two of three votes, nearest first."""
+"""How a coordinator gets the claim of a submission: two of three votes, nearest first.
+
+Owns nothing between calls. Relies on claim replicas; no vote of one that lost its memory counts.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/claims/messages.py
+++ b/src/foldloom/static_peers/claims/messages.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Messages about claims. The coordinator of a claim is always the message's sender."""
+"""Messages about claims. The coordinator of a claim is always the message's sender.
+
+Owns the numbers of these messages, which are never used again. Relies on the codec of
+:mod:`foldloom.peers.messages`.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/claims/recovery.py
+++ b/src/foldloom/static_peers/claims/recovery.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""How a restarted claim replica gets its memory back before it votes again."""
+"""How a restarted claim replica gets its memory back before it votes again.
+
+Owns from whom this replica has copied in this life. Relies on the other replicas of the box list,
+and on the controllers for the life before.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/claims/replicas.py
+++ b/src/foldloom/static_peers/claims/replicas.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Which boxes hold the claim of a submission: rendezvous hashing over the box list."""
+"""Which boxes hold the claim of a submission: rendezvous hashing over the box list.
+
+Owns nothing. Relies on the box list of the configuration in force.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/claims/service.py
+++ b/src/foldloom/static_peers/claims/service.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The claim replica of one box: answers to claims, withdrawals, look-ups and copies."""
+"""The claim replica of one box: answers to claims, withdrawals, look-ups and copies.
+
+Owns the handlers. Relies on the table for votes, and on recovery for whether it may vote.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/claims/table.py
+++ b/src/foldloom/static_peers/claims/table.py
@@ -1,6 +1,8 @@
 # SPDX-License-Identifier: MIT
 """The claims that one box holds in memory, and how it votes.
 
+Owns the claims of one life of this box. Relies on its caller for the time.
+
 Kept small: one short tuple a claim, names and lives shared between claims. Claims expire in
 the order in which they came, so the oldest are always at the front.
 """
--- a/src/foldloom/static_peers/claims/votes.py
+++ b/src/foldloom/static_peers/claims/votes.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""How votes on a claim are counted."""
+"""How votes on a claim are counted.
+
+Owns nothing: decisions only. Relies on the replicas of a submission.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/endpoints/adapter.py
+++ b/src/foldloom/static_peers/endpoints/adapter.py
@@ -1,6 +1,9 @@
 # SPDX-License-Identifier: MIT
 """The narrow adapter to endpoints: start a task, stop one, read the usage, over HTTP.
 
+Owns the connections to endpoints. Relies on aiohttp; what became of an attempt is said by a
+:class:`~foldloom.verdicts.Problem`.
+
 Every attempt is sent exactly once. aiohttp sends a POST again for no reason of its own; a
 keep-alive connection that closes under it is an error here, and the task may have run.
 """
--- a/src/foldloom/static_peers/endpoints/platform.py
+++ b/src/foldloom/static_peers/endpoints/platform.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""The platform's lagging list of which boxes and endpoints are live and which are leaving."""
+"""The platform's lagging list of which boxes and endpoints are live and which are leaving.
+
+Owns the newest list that was read. Relies on the platform's URL; while it does not answer, the
+list before holds.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/endpoints/usage.py
+++ b/src/foldloom/static_peers/endpoints/usage.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The endpoints' lagging usage reports, polled for the policies that decide by them."""
+"""The endpoints' lagging usage reports, polled for the policies that decide by them.
+
+Owns the newest reports. Relies on the adapter; a report that can't be had leaves the one before.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/entry/follow.py
+++ b/src/foldloom/static_peers/entry/follow.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""A resubmission that meets another box's claim gets that box's response."""
+"""A resubmission that meets another box's claim gets that box's response.
+
+Owns the handlers of followed jobs and of answers that are passed on. Relies on the table of jobs,
+and on membership for where a stopped box's answers went.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/entry/http.py
+++ b/src/foldloom/static_peers/entry/http.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""The HTTP side of a box: callers' jobs, health, and the operators' routes."""
+"""The HTTP side of a box: callers' jobs, health, and the operators' routes.
+
+Owns the listener and the count of connections. Relies on the coordinator and the lookup; it
+decides nothing but what is malformed.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/entry/jobs.py
+++ b/src/foldloom/static_peers/entry/jobs.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""The jobs that this box knows: running here, or finished and kept for resubmissions."""
+"""The jobs that this box knows: running here, or finished and kept for resubmissions.
+
+Owns the jobs of this life and the kept answers, within bounds of number and bytes. Relies on its
+caller to run them.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/entry/messages.py
+++ b/src/foldloom/static_peers/entry/messages.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Messages about jobs: follow a job on another box, hand over answers."""
+"""Messages about jobs: follow a job on another box, hand over answers.
+
+Owns the numbers 80 and up of this path. Relies on the codec of :mod:`foldloom.peers.messages`.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/entry/operators.py
+++ b/src/foldloom/static_peers/entry/operators.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""The operators' routes: intents to a plan, a plan confirmed, configuration and status."""
+"""The operators' routes: intents to a plan, a plan confirmed, configuration and status.
+
+Owns the operators' tokens. Relies on the controllers' leader; nothing takes effect before a plan
+is confirmed.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/entry/requests.py
+++ b/src/foldloom/static_peers/entry/requests.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""A caller's job: checked before anything is done with it."""
+"""A caller's job: checked before anything is done with it.
+
+Owns nothing. Relies on the settings' limits.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/entry/run.py
+++ b/src/foldloom/static_peers/entry/run.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Run one claimed job: a slot for each task, each task started at most once."""
+"""Run one claimed job: a slot for each task, each task started at most once.
+
+Owns the attempts of one job. Relies on slots, on the adapter, and on
+:mod:`foldloom.static_peers.placement.retries` for whether an attempt may be made again.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/membership.py
+++ b/src/foldloom/static_peers/membership.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Which boxes are live: heartbeats between all boxes, and what they carry."""
+"""Which boxes are live: heartbeats between all boxes, and what they carry.
+
+Owns the newest heartbeat of each box. Relies on messages alone: a box is live while its heartbeats
+arrive.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/placement/admission.py
+++ b/src/foldloom/static_peers/placement/admission.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Whether a request for slots is taken: at once, and with when to come back if not."""
+"""Whether a request for slots is taken: at once, and with when to come back if not.
+
+Owns nothing: decisions only. Relies on what the shard has counted.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/placement/health.py
+++ b/src/foldloom/static_peers/placement/health.py
@@ -1,6 +1,8 @@
 # SPDX-License-Identifier: MIT
 """Which endpoints are sick: ejected on failures, on tasks overdue, or far slower than peers.
 
+Owns the failures and ejections of a shard's endpoints. Relies on its caller for the time.
+
 An ejected endpoint gets one task at a time as a probe; no more than a set share is ejected.
 """
 
--- a/src/foldloom/static_peers/placement/lease_manager.py
+++ b/src/foldloom/static_peers/placement/lease_manager.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""The lease manager of one box: the shards that it manages now, and their messages."""
+"""The lease manager of one box: the shards that it manages now, and their messages.
+
+Owns the shards that this box manages now; they are rebuilt from their holders' reports. Relies on
+membership for which box manages which.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/placement/policies.py
+++ b/src/foldloom/static_peers/placement/policies.py
@@ -1,6 +1,8 @@
 # SPDX-License-Identifier: MIT
 """Which endpoint a task goes to: one function, a policy for each way.
 
+Owns nothing: decisions only.
+
 Every policy sees the same :class:`View` and returns a :class:`Choice`, or ``None`` to wait.
 """
 
--- a/src/foldloom/static_peers/placement/queue.py
+++ b/src/foldloom/static_peers/placement/queue.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The requests that wait at a lease manager, by customer and by service."""
+"""The requests that wait at a lease manager, by customer and by service.
+
+Owns the requests that wait. Relies on shares for whose turn it is.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/placement/retries.py
+++ b/src/foldloom/static_peers/placement/retries.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The one place that decides whether an attempt may be made again, and the retry budget."""
+"""The one place that decides whether an attempt may be made again, and the retry budget.
+
+Owns the budget of one box. Relies on the configuration for what a service lets be started again.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/placement/shard.py
+++ b/src/foldloom/static_peers/placement/shard.py
@@ -1,6 +1,9 @@
 # SPDX-License-Identifier: MIT
 """One shard's soft state: free slots, leases, the queue, and who gets the next slot.
 
+Owns the queue and who has got how much; leases, views and ejections are parts of their own. Relies
+on its caller for the time.
+
 Nothing here waits or sends; a lease manager calls it and sends what it returns.
 """
 
--- a/src/foldloom/static_peers/placement/shards.py
+++ b/src/foldloom/static_peers/placement/shards.py
@@ -1,6 +1,9 @@
 # SPDX-License-Identifier: MIT
 """Which lease manager hands out which endpoints' slots.
 
+Owns nothing but the managers that were worked out last. Relies on the configuration and on which
+boxes serve.
+
 Endpoints are grouped into shards; each shard has one lease manager: the live entry box that
 rendezvous hashing picks. A small fleet is one shard, so that one queue sees every slot; a
 larger one is split by zone, then by hash.
--- a/src/foldloom/static_peers/placement/shares.py
+++ b/src/foldloom/static_peers/placement/shares.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Whose turn it is: deficit round robin between customers, and what each has got lately."""
+"""Whose turn it is: deficit round robin between customers, and what each has got lately.
+
+Owns the deficits and the rates of one shard. The first is deficit round robin (Shreedhar and
+Varghese, 1996).
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/static_peers/placement/speeds.py
+++ b/src/foldloom/static_peers/placement/speeds.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""How fast each endpoint runs each service, from what its tasks took."""
+"""How fast each endpoint runs each service, from what its tasks took.
+
+Owns the averages of one shard. Relies on its caller for the time.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/tasks.py
+++ b/src/foldloom/tasks.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Tasks of one part, kept until they end: the event loop itself holds tasks only weakly."""
+"""Tasks of one part, kept until they end: the event loop itself holds tasks only weakly.
+
+Owns its tasks. Relies on the event loop.
+"""
 
 from __future__ import annotations
 
--- a/src/foldloom/verdicts.py
+++ b/src/foldloom/verdicts.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The verdict on a job or an attempt: what happened, and whether work may have run."""
+"""The verdict on a job or an attempt: what happened, and whether work may have run.
+
+Owns nothing: types that both paths use.
+"""
 
 from __future__ import annotations
 
