--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -41,6 +41,17 @@
     return any((place / path).exists() or any(place.glob(path)) for place in places)
 
 
+class TestMetrics:
+    """The reference of metrics."""
+
+    def test_every_name_stands_there(self) -> None:
+        """A name that the code completes, as ``thing.{reason}``, stands there as ``thing.*``."""
+        used = set(re.findall(r'\.(?:count|gauge|timing)\(\s*f?"([^"{]+)', _CODE))
+        assert "messages.sent." in used
+        listed = {f"{name}*" if name.endswith(".") else name for name in used}
+        assert listed - _named("docs/OPERATIONS.md") == set()
+
+
 @pytest.mark.parametrize("page", _PAGES)
 class TestNames:
     """Names in backticks."""
