--- a/src/foldloom/static_peers/box.py
+++ b/src/foldloom/static_peers/box.py
@@ -66,18 +66,7 @@
         self._adapter = EndpointAdapter(settings)
         self._platform = PlatformList(settings.platform_url, settings.timings.platform_poll_ms)
         if ENTRY in settings.roles:
-            parts = SharedParts(
-                settings,
-                self._network,
-                self._metrics,
-                self._holder,
-                self._client,
-                self._membership,
-                self._platform,
-                self._adapter,
-                self._tasks,
-            )
-            self._entry = EntryRole(parts, lambda: self._is_stopping)
+            self._entry = self._build_entry_role()
         operators = OperatorRoutes(settings, self._client, self._holder, self.status)
         self._metrics_server = MetricsServer(self._metrics, settings.metrics_address)
         self._http = HttpServer(
@@ -153,6 +142,20 @@
         await self._network.stop()
         ENTRY_LOG.info("The planned stop is done.")
 
+    def _build_entry_role(self) -> EntryRole:
+        parts = SharedParts(
+            self._settings,
+            self._network,
+            self._metrics,
+            self._holder,
+            self._client,
+            self._membership,
+            self._platform,
+            self._adapter,
+            self._tasks,
+        )
+        return EntryRole(parts, lambda: self._is_stopping)
+
     def _describe(self) -> Heartbeat:
         """Return this box's next heartbeat."""
         config = self._holder.config
--- a/src/foldloom/static_peers/entry/run.py
+++ b/src/foldloom/static_peers/entry/run.py
@@ -24,7 +24,7 @@
 from foldloom.static_peers.entry.requests import JobRequest
 from foldloom.static_peers.placement.messages import SlotRefusal, SlotUse
 from foldloom.static_peers.placement.retries import RetryBudget, may_retry
-from foldloom.static_peers.placement.slots import Slot, SlotSource, Want
+from foldloom.static_peers.placement.slots import Slot, SlotSource, SlotWaiter
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
 # Milliseconds after which a caller should come back whose job no endpoint took. Not measured.
@@ -107,29 +107,29 @@
             detail = f"service: {self._request.service} is unknown"
             # It may have been confirmed a moment ago and not be in force here yet.
             return Error(not_run("unknown-service", detail, _RETRY_AFTER_MS, status=404))
-        want = self._context.slots.want(
+        waiter = self._context.slots.open_waiter(
             self._request.service, self._request.customer, self._deadline_ms, self._left
         )
         try:
-            self._context.slots.request(want, self._left)
-            problem = await self._serve(want)
+            self._context.slots.request(waiter, self._left)
+            problem = await self._serve(waiter)
         finally:
-            self._context.slots.close(want)
+            self._context.slots.close(waiter)
         if problem is None:
             return Ok([answer for answer in self._answers if answer is not None])
         self._stop_attempts()
         return Error(self._truthful(problem))
 
-    async def _serve(self, want: Want) -> Problem | None:
+    async def _serve(self, waiter: SlotWaiter) -> Problem | None:
         """Match slots and tasks until all are answered or the job has failed."""
-        self._events = want.arrivals
+        self._events = waiter.arrivals
         while self._left:
             event = await self._next_event()
             problem: Problem | None = _DEADLINE
             if isinstance(event, AttemptEnd):
-                problem = await self._take_end(event, want)
+                problem = await self._take_end(event, waiter)
             elif event is not None:
-                problem = self._take_arrival(event, want)
+                problem = self._take_arrival(event, waiter)
             if problem is not None:
                 return problem
         return None
@@ -150,7 +150,7 @@
         if isinstance(arrived, Slot):
             self._context.slots.give_back(arrived, 0.0, SlotUse.UNUSED)
 
-    def _take_arrival(self, arrived: Slot | SlotRefusal, want: Want) -> Problem | None:
+    def _take_arrival(self, arrived: Slot | SlotRefusal, waiter: SlotWaiter) -> Problem | None:
         if isinstance(arrived, SlotRefusal):
             detail = f"no slot for {len(self._waiting)} tasks in time"
             self._context.metrics.count(f"refusals.{arrived.reason}")
@@ -161,7 +161,7 @@
         url = self._url_of(arrived)
         if not url:
             self._return_unused(arrived)
-            self._context.slots.request(want, 1)
+            self._context.slots.request(waiter, 1)
             return None
         index = self._waiting.popleft()
         task = asyncio.create_task(self._attempt(index, arrived, url))
@@ -221,7 +221,7 @@
         self._context.slots.give_back(slot, service_ms, use)
         self._events.put_nowait(AttemptEnd(index, result))
 
-    async def _take_end(self, end: AttemptEnd, want: Want) -> Problem | None:
+    async def _take_end(self, end: AttemptEnd, waiter: SlotWaiter) -> Problem | None:
         if end.result.is_ok():
             answer = end.result.ok
             self._answers[end.task_index] = answer.answer
@@ -241,7 +241,7 @@
         self._context.metrics.count("tasks.retried")
         await asyncio.sleep(_RETRY_PAUSE_S)
         self._waiting.appendleft(end.task_index)
-        self._context.slots.request(want, 1)
+        self._context.slots.request(waiter, 1)
         return None
 
     def _stop_attempts(self) -> None:
--- a/src/foldloom/static_peers/placement/direct_slots.py
+++ b/src/foldloom/static_peers/placement/direct_slots.py
@@ -12,7 +12,7 @@
 from foldloom.clock import monotonic_ms
 from foldloom.static_peers.placement.messages import SlotRefusal, SlotUse
 from foldloom.static_peers.placement.policies import Policy, View, choose
-from foldloom.static_peers.placement.slots import RESEND_MS, Slot, Want
+from foldloom.static_peers.placement.slots import RESEND_MS, Slot, SlotWaiter
 
 
 class DirectSlots:
@@ -36,31 +36,33 @@
         self._local: dict[str, int] = {}
         self._ids = itertools.count(1)
 
-    def want(self, service: str, customer: str, deadline_ms: float, job_tasks: int) -> Want:
-        """Open a wish; nothing is asked yet."""
-        return Want(next(self._ids), service, customer, deadline_ms, job_tasks)
+    def open_waiter(
+        self, service: str, customer: str, deadline_ms: float, job_tasks: int
+    ) -> SlotWaiter:
+        """Begin to wait for slots; nothing is asked yet."""
+        return SlotWaiter(next(self._ids), service, customer, deadline_ms, job_tasks)
 
-    def request(self, want: Want, count: int) -> None:
+    def request(self, waiter: SlotWaiter, count: int) -> None:
         """Pick *count* endpoints at once."""
         reported = self._reported()
         for _ in range(count):
             view = View(
-                self._candidates(want.service), local_count=self._local, reported_count=reported
+                self._candidates(waiter.service), local_count=self._local, reported_count=reported
             )
             choice = choose(self._policy, view)
             if choice is None:
-                want.arrivals.put_nowait(SlotRefusal(want.request_id, "no-worker", RESEND_MS))
+                waiter.arrivals.put_nowait(SlotRefusal(waiter.request_id, "no-worker", RESEND_MS))
                 return
             endpoint = choice.endpoint
             self._local[endpoint] = self._local.get(endpoint, 0) + 1
             now_ms = monotonic_ms()
-            slot = Slot(0, endpoint, want.service, want.customer, now_ms, want.deadline_ms)
-            want.arrivals.put_nowait(slot)
+            slot = Slot(0, endpoint, waiter.service, waiter.customer, now_ms, waiter.deadline_ms)
+            waiter.arrivals.put_nowait(slot)
 
-    def close(self, want: Want) -> None:
-        """End a wish: what was picked and not used is given back."""
-        while not want.arrivals.empty():
-            arrival = want.arrivals.get_nowait()
+    def close(self, waiter: SlotWaiter) -> None:
+        """Wait no more: what was picked and not used is given back."""
+        while not waiter.arrivals.empty():
+            arrival = waiter.arrivals.get_nowait()
             if isinstance(arrival, Slot):
                 self.give_back(arrival, 0.0, SlotUse.UNUSED)
 
--- a/src/foldloom/static_peers/placement/leased_slots.py
+++ b/src/foldloom/static_peers/placement/leased_slots.py
@@ -28,7 +28,7 @@
     SlotUse,
 )
 from foldloom.static_peers.placement.shards import shard_names
-from foldloom.static_peers.placement.slots import RESEND_MS, Slot, Want
+from foldloom.static_peers.placement.slots import RESEND_MS, Slot, SlotWaiter
 
 # Seconds between two checks for requests to send again. Not measured.
 _CHECK_S = 0.1
@@ -71,7 +71,7 @@
         self._manager_of = manager_of
         self._loads = loads
         self._ids = itertools.count(1)
-        self._wants: dict[int, Want] = {}
+        self._waiters: dict[int, SlotWaiter] = {}
         self._held: dict[int, Slot] = {}
         self._shards: tuple[int, dict[str, list[str]]] = (-1, {})
         self._shard_of: dict[str, str] = {}
@@ -80,31 +80,33 @@
         network.on(SlotGrant, self._on_grant)
         network.on(SlotRefusal, self._on_refusal)
 
-    def want(self, service: str, customer: str, deadline_ms: float, job_tasks: int) -> Want:
-        """Open a wish; nothing is asked yet."""
-        want = Want(next(self._ids), service, customer, deadline_ms, job_tasks)
-        self._wants[want.request_id] = want
-        return want
+    def open_waiter(
+        self, service: str, customer: str, deadline_ms: float, job_tasks: int
+    ) -> SlotWaiter:
+        """Begin to wait for slots; nothing is asked yet."""
+        waiter = SlotWaiter(next(self._ids), service, customer, deadline_ms, job_tasks)
+        self._waiters[waiter.request_id] = waiter
+        return waiter
 
-    def request(self, want: Want, count: int) -> None:
+    def request(self, waiter: SlotWaiter, count: int) -> None:
         """Ask for *count* more slots."""
-        if want.outstanding:
+        if waiter.outstanding:
             # One request at a time: a number that is sent again counts once.
-            self._send(SlotCancel(want.request_id), want.asked_of)
-            del self._wants[want.request_id]
-            want.request_id = next(self._ids)
-            self._wants[want.request_id] = want
-        want.outstanding += count
-        self._send_request(want)
-
-    def close(self, want: Want) -> None:
-        """End a wish: what still arrives goes back unused."""
-        self._wants.pop(want.request_id, None)
-        if want.outstanding:
-            self._send(SlotCancel(want.request_id), want.asked_of)
-            want.outstanding = 0
-        while not want.arrivals.empty():
-            arrival = want.arrivals.get_nowait()
+            self._send(SlotCancel(waiter.request_id), waiter.asked_of)
+            del self._waiters[waiter.request_id]
+            waiter.request_id = next(self._ids)
+            self._waiters[waiter.request_id] = waiter
+        waiter.outstanding += count
+        self._send_request(waiter)
+
+    def close(self, waiter: SlotWaiter) -> None:
+        """Wait no more: what still arrives goes back unused."""
+        self._waiters.pop(waiter.request_id, None)
+        if waiter.outstanding:
+            self._send(SlotCancel(waiter.request_id), waiter.asked_of)
+            waiter.outstanding = 0
+        while not waiter.arrivals.empty():
+            arrival = waiter.arrivals.get_nowait()
             if isinstance(arrival, Slot):
                 self.give_back(arrival, 0.0, SlotUse.UNUSED)
 
@@ -137,11 +139,11 @@
         if has_changed:
             self._unsettled_ms = now_ms + _UNSETTLED_MS
         limit_ms = _RESEND_UNSETTLED_MS if now_ms < self._unsettled_ms else RESEND_MS
-        for want in list(self._wants.values()):
-            is_stale = now_ms - want.touched_ms > limit_ms
-            is_moved = self._managers.get(want.shard) != want.asked_of
-            if want.outstanding and (is_stale or is_moved):
-                self._send_request(want)
+        for waiter in list(self._waiters.values()):
+            is_stale = now_ms - waiter.touched_ms > limit_ms
+            is_moved = self._managers.get(waiter.shard) != waiter.asked_of
+            if waiter.outstanding and (is_stale or is_moved):
+                self._send_request(waiter)
 
     def _shard_names(self) -> dict[str, list[str]]:
         config = self._config()
@@ -180,24 +182,24 @@
 
         return max(names, key=room)
 
-    def _send_request(self, want: Want) -> None:
+    def _send_request(self, waiter: SlotWaiter) -> None:
         now_ms = monotonic_ms()
-        want.shard = self._pick_shard()
-        want.asked_of = self._manager_of(want.shard)
-        want.touched_ms = now_ms
-        if not want.shard:
-            want.arrivals.put_nowait(SlotRefusal(want.request_id, "no-worker", RESEND_MS))
+        waiter.shard = self._pick_shard()
+        waiter.asked_of = self._manager_of(waiter.shard)
+        waiter.touched_ms = now_ms
+        if not waiter.shard:
+            waiter.arrivals.put_nowait(SlotRefusal(waiter.request_id, "no-worker", RESEND_MS))
             return
         message = SlotRequest(
-            want.request_id,
-            want.shard,
-            want.service,
-            want.customer,
-            want.outstanding,
-            int(want.deadline_ms - now_ms),
-            want.job_tasks,
+            waiter.request_id,
+            waiter.shard,
+            waiter.service,
+            waiter.customer,
+            waiter.outstanding,
+            int(waiter.deadline_ms - now_ms),
+            waiter.job_tasks,
         )
-        self._send(message, want.asked_of)
+        self._send(message, waiter.asked_of)
 
     def _send(self, message: object, box: str) -> None:
         if box:
@@ -205,26 +207,26 @@
 
     def _on_grant(self, _sender: str, message: SlotGrant) -> None:
         now_ms = monotonic_ms()
-        want = self._wants.get(message.request_id)
-        if want is None or want.outstanding == 0:
+        waiter = self._waiters.get(message.request_id)
+        if waiter is None or waiter.outstanding == 0:
             slot = Slot(message.lease_id, message.endpoint, "", "", now_ms, now_ms)
             self.give_back(slot, 0.0, SlotUse.UNUSED)
             return
-        want.outstanding -= 1
-        want.touched_ms = now_ms
+        waiter.outstanding -= 1
+        waiter.touched_ms = now_ms
         expires_ms = now_ms + message.ttl_ms - _SAFETY_MS
         slot = Slot(
-            message.lease_id, message.endpoint, want.service, want.customer, now_ms, expires_ms
+            message.lease_id, message.endpoint, waiter.service, waiter.customer, now_ms, expires_ms
         )
         self._held[slot.lease_id] = slot
-        want.arrivals.put_nowait(slot)
+        waiter.arrivals.put_nowait(slot)
 
     def _on_refusal(self, _sender: str, message: SlotRefusal) -> None:
-        want = self._wants.get(message.request_id)
-        if want is None or want.outstanding == 0:
+        waiter = self._waiters.get(message.request_id)
+        if waiter is None or waiter.outstanding == 0:
             return
-        want.outstanding = 0
-        want.arrivals.put_nowait(message)
+        waiter.outstanding = 0
+        waiter.arrivals.put_nowait(message)
 
     def _renew(self, now_ms: float) -> None:
         by_manager: dict[str, list[HeldSlot]] = {}
--- a/src/foldloom/static_peers/placement/slots.py
+++ b/src/foldloom/static_peers/placement/slots.py
@@ -37,8 +37,8 @@
     expires_ms: float
 
 
-class Want:
-    """A job's wish for slots; slots and a refusal come out of ``arrivals``.
+class SlotWaiter:
+    """A job that waits for slots; slots and a refusal come out of ``arrivals``.
 
     The job may put events of its own there, so as to wait at one place only.
 
@@ -68,14 +68,16 @@
 class SlotSource(Protocol):
     """What a job needs of either source."""
 
-    def want(self, service: str, customer: str, deadline_ms: float, job_tasks: int) -> Want:
-        """Open a wish; nothing is asked yet."""
+    def open_waiter(
+        self, service: str, customer: str, deadline_ms: float, job_tasks: int
+    ) -> SlotWaiter:
+        """Begin to wait for slots; nothing is asked yet."""
 
-    def request(self, want: Want, count: int) -> None:
+    def request(self, waiter: SlotWaiter, count: int) -> None:
         """Ask for *count* more slots."""
 
-    def close(self, want: Want) -> None:
-        """End a wish: what still arrives goes back unused."""
+    def close(self, waiter: SlotWaiter) -> None:
+        """Wait no more: what still arrives goes back unused."""
 
     def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
         """Give a slot back with the outcome of its task."""
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -426,14 +426,14 @@
         slots = LeasedSlots(
             _shard(config)._settings, network, Metrics(), lambda: config, lambda _shard: "b1", dict
         )
-        want = slots.want("s", "m1", 1e12, 1)
-        slots.request(want, 1)
+        waiter = slots.open_waiter("s", "m1", 1e12, 1)
+        slots.request(waiter, 1)
         slots._note_managers()
-        began = want.touched_ms
+        began = waiter.touched_ms
         slots.ask_again(began, has_changed=True)
         slots.ask_again(began + 300, has_changed=False)
         assert len(network.messages) == 2
-        want.touched_ms = began + 2_600
+        waiter.touched_ms = began + 2_600
         slots.ask_again(began + 3_000, has_changed=False)
         assert len(network.messages) == 2
         slots.ask_again(began + 6_000, has_changed=False)
