--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -41,8 +41,8 @@
 # Milliseconds for a commit. Not measured: chosen above several elections.
 _PROPOSE_TIMEOUT_MS = 5_000
 # Seconds between two attempts to open a data folder again whose disk failed. Not measured: chosen
-# because a full disk of the bench refuses writes for 6 s, and one
-# attempt costs a read and a write of the whole log.
+# because a full disk of the bench refuses writes for 6 s, and one attempt costs a read and a write
+# of the whole log.
 _REOPEN_INTERVAL_S = 1.0
 
 
--- a/src/foldloom/seed_discovery/owners/state.py
+++ b/src/foldloom/seed_discovery/owners/state.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
 """An owner's state: what it knows of runs and endpoints, and what it decides on each event.
 
-Owns the endpoints as candidates for work and the times of their reports; the rest belongs to the
-modules that it puts together: deliveries and admission, the lifecycle of runs, reports, recovery,
-stragglers, work stealing. Nothing here waits, sends or reads a clock: events
-come in as calls, and what must be done is popped from :attr:`OwnerState.actions`.
+Owns the endpoints as candidates for work and the times of their reports. Relies on the modules that
+own the rest: deliveries and admission, the lifecycle of runs, reports, recovery, stragglers, work
+stealing. Nothing here waits, sends or reads a clock: events come in as calls, and what must be done
+is popped from :attr:`OwnerState.actions`.
 """
 
 from __future__ import annotations
