--- a/src/foldloom/controllers/commands.py
+++ b/src/foldloom/controllers/commands.py
@@ -16,7 +16,7 @@
 
 
 class ConfirmCommand(msgspec.Struct, tag="confirm", array_like=True, frozen=True):
-    """Put intents in force if they still mean the changes that *digest* names."""
+    """Confirm intents if they still mean the changes that *digest* names."""
 
     command: str
     digest: str
@@ -67,7 +67,7 @@
 
 
 class PublishCommand(msgspec.Struct, tag="publish", array_like=True, frozen=True):
-    """Put a whole document in force if *version* is above the one held."""
+    """Publish a whole document if *version* is above the one held."""
 
     version: int
     document: bytes
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -304,7 +304,7 @@
             self._tasks.spawn(self._compact())
 
     def _resolve(self, index: int, answer: Answer) -> None:
-        """Give an applied entry's answer to whoever proposed it here."""
+        """Return an applied entry's answer to its proposer, if that is on this box."""
         if self._leadership is not None:
             self._leadership.resolve(index, answer)
 
--- a/src/foldloom/controllers/holder.py
+++ b/src/foldloom/controllers/holder.py
@@ -52,7 +52,7 @@
         return self._config
 
     def adopt(self, config: Config, change_sets: Sequence[ChangeSet] = ()) -> None:
-        """Put *config* in force if it is newer; *change_sets* lead to it, as far as known."""
+        """Adopt *config* if it is newer; *change_sets* lead to it, as far as known."""
         if config.version <= self._config.version:
             return
         if not change_sets or change_sets[0].version != self._config.version + 1:
--- a/src/foldloom/controllers/intents.py
+++ b/src/foldloom/controllers/intents.py
@@ -28,7 +28,7 @@
 
 
 class EndpointIntent(msgspec.Struct, tag_field="kind", tag="worker", forbid_unknown_fields=True):
-    """Let an endpoint join, or change it; it becomes active."""
+    """Add or change an endpoint; it becomes active."""
 
     name: str
     endpoint: str | UnsetType = UNSET
@@ -39,7 +39,7 @@
 class EndpointLeavingIntent(
     msgspec.Struct, tag_field="kind", tag="worker-leaving", forbid_unknown_fields=True
 ):
-    """Give an endpoint no new work."""
+    """Drain an endpoint."""
 
     name: str
 
@@ -62,7 +62,7 @@
 class BoxJoiningIntent(
     msgspec.Struct, tag_field="kind", tag="box-joining", forbid_unknown_fields=True
 ):
-    """Let a box hold claims."""
+    """Add a box to the claim replicas."""
 
     name: str
     zone: str
@@ -71,7 +71,7 @@
 class BoxLeavingIntent(
     msgspec.Struct, tag_field="kind", tag="box-leaving", forbid_unknown_fields=True
 ):
-    """Let a box hold no claims any more."""
+    """Remove a box from the claim replicas."""
 
     name: str
 
@@ -85,7 +85,7 @@
 class ControllerReplaceIntent(
     msgspec.Struct, tag_field="kind", tag="controller-replace", forbid_unknown_fields=True
 ):
-    """Put the controller ``new`` in the place of ``old``."""
+    """Replace the controller ``old`` by ``new``."""
 
     old: str
     new: str
--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -99,7 +99,7 @@
         return await future
 
     def resolve(self, index: int, answer: Answer) -> None:
-        """Give the applied entry's answer to whoever proposed it."""
+        """Resolve the proposal of the applied entry at *index* with its answer."""
         future = self._proposals.pop(index, None)
         if future is not None and not future.done():
             future.set_result(answer)
@@ -128,7 +128,7 @@
         return entry.log_index
 
     async def _flush(self) -> None:
-        """Make added entries durable, as many as there are at a time."""
+        """Write and sync added entries, all that have collected at a time (group commit)."""
         while True:
             await self._dirty.wait()
             self._dirty.clear()
--- a/src/foldloom/peers/connection.py
+++ b/src/foldloom/peers/connection.py
@@ -106,7 +106,7 @@
         ]
 
     def add(self, frame: Frame) -> bool:
-        """Let *frame* leave as soon as it can; return whether there is room for it."""
+        """Queue *frame*; return whether there is room for it."""
         if len(self._outbox) >= _OUTBOX_MAX:
             self._metrics.count("messages.dropped.outbox-full")
             return False
--- a/src/foldloom/seed_discovery/fleet/published.py
+++ b/src/foldloom/seed_discovery/fleet/published.py
@@ -54,7 +54,7 @@
         return self._publication.version
 
     def adopt(self, publication: Publication) -> None:
-        """Put *publication* in force if it is newer."""
+        """Adopt *publication* if it is newer."""
         if publication.version <= self._publication.version:
             return
         self._publication = publication
--- a/src/foldloom/seed_discovery/owners/deliveries.py
+++ b/src/foldloom/seed_discovery/owners/deliveries.py
@@ -49,7 +49,7 @@
         self._cancelled_ms: dict[tuple[HolderId, str], float] = {}
 
     def deliver(self, holder: HolderId, message: SubmitRuns, now_ms: float) -> None:
-        """Let *holder* want the runs of *message*."""
+        """Accept the runs of *message* for *holder*."""
         spec = _spec_of(message, now_ms)
         bound = recovery_bound(now_ms, message.old_right_ms, self._gone_after_ms)
         for order in message.orders:
@@ -86,7 +86,7 @@
         bound: RecoveryBound,
         now_ms: float,
     ) -> None:
-        """Let *holder* want a run of *task*; a run that is known already is attached to."""
+        """Accept a run of *task* for *holder*, or attach it to the run that is known already."""
         known = self._lifecycle.get(task)
         if known is not None:
             known.holders[holder] = max(order.delivery, known.holders.get(holder, 0))
--- a/src/foldloom/seed_discovery/owners/elector.py
+++ b/src/foldloom/seed_discovery/owners/elector.py
@@ -123,7 +123,7 @@
                 self._claim(witnesses.highest_token)
 
     def resign(self) -> str:
-        """Give the zone to another box before a planned stop; return who gets it, or ''."""
+        """Have another box own the zone before a planned stop; return which, or ''."""
         owner = self._owner
         if owner is None:
             return ""
--- a/src/foldloom/seed_discovery/owners/lifecycle.py
+++ b/src/foldloom/seed_discovery/owners/lifecycle.py
@@ -80,7 +80,7 @@
         self._tasks_of_job.setdefault(run.task.job_id, set()).add(run.task)
 
     def queue(self, run: Run, now_ms: float) -> None:
-        """Let *run*, which is on no endpoint, wait for room."""
+        """Queue *run*, which is on no endpoint."""
         run.enter(RunState.QUEUED, now_ms)
         self.waiting.add(run)
 
@@ -158,7 +158,7 @@
         self._actions.notify(NotifyAction(holder, end))
 
     def free_room(self, run: Run) -> None:
-        """Give back the room that *run* takes."""
+        """Release the room of *run*."""
         candidate = self._candidates.get(run.endpoint)
         if candidate is not None:
             candidate.room.release(run.task)
--- a/src/foldloom/seed_discovery/owners/orders.py
+++ b/src/foldloom/seed_discovery/owners/orders.py
@@ -81,7 +81,7 @@
 def _hold_back(
     candidates: Mapping[str, Candidate], endpoint: str, outcome: CallOutcome, now_ms: float
 ) -> None:
-    """Give an endpoint that refused a start no work for a while."""
+    """Pause an endpoint that refused a start."""
     candidate = candidates.get(endpoint)
     if candidate is None:
         return
--- a/src/foldloom/seed_discovery/owners/state.py
+++ b/src/foldloom/seed_discovery/owners/state.py
@@ -120,7 +120,7 @@
         return self.waiting.summaries(now_ms, OFFERED_GROUPS_MAX)
 
     def give_away(self, key: GroupId, runs: int, zone: str, now_ms: float) -> int:
-        """Give up to *runs* waiting runs of a group to another zone's owner; return how many."""
+        """Let another zone's owner steal up to *runs* waiting runs of a group; return how many."""
         group = self.waiting.get(key)
         if group is None:
             return 0
@@ -159,7 +159,7 @@
         self._lifecycle.speeds.forget(endpoint)
 
     def distrust(self, endpoint: str) -> None:
-        """Give an endpoint no more work until it has reported again."""
+        """Place nothing on an endpoint until it has reported again."""
         candidate = self._candidates.get(endpoint)
         if candidate is not None:
             candidate.is_trusted = False
--- a/src/foldloom/seed_discovery/owners/zone_owner.py
+++ b/src/foldloom/seed_discovery/owners/zone_owner.py
@@ -164,7 +164,7 @@
         self._state.note_load(heartbeat.owner.zone, heartbeat.load, monotonic_ms())
 
     def give_away(self, message: ClaimRuns) -> ClaimReply:
-        """Give waiting runs to another zone's owner."""
+        """Answer another zone's owner that steals waiting runs."""
         if self._is_closed:
             return ClaimReply(0)
         given = self._state.give_away(message.group, message.runs, message.zone, monotonic_ms())
--- a/src/foldloom/seed_discovery/scheduling/rooms.py
+++ b/src/foldloom/seed_discovery/scheduling/rooms.py
@@ -85,7 +85,7 @@
         self._free = minus(self._free, demand)
 
     def release(self, task: TaskId) -> None:
-        """Give back what *task* took, if anything."""
+        """Release the room of *task*, if it has any."""
         self._free = plus(self._free, self._charged.pop(task, _NOTHING))
 
     def reserve(self, number: int, demand: Demand, until_ms: float) -> None:
@@ -94,13 +94,13 @@
         self._free = minus(self._free, demand)
 
     def unreserve(self, number: int) -> None:
-        """Give back what is kept under *number*, if anything."""
+        """Release the reservation *number*, if there is one."""
         reserved = self._reserved.pop(number, None)
         if reserved is not None:
             self._free = plus(self._free, reserved.demand)
 
     def unreserve_expired(self, now_ms: float) -> None:
-        """Give back what was kept for too long."""
+        """Release reservations that were not used in time."""
         for number, reserved in list(self._reserved.items()):
             if now_ms >= reserved.until_ms:
                 self.unreserve(number)
--- a/src/foldloom/seed_discovery/scheduling/waiting.py
+++ b/src/foldloom/seed_discovery/scheduling/waiting.py
@@ -58,7 +58,7 @@
         return known
 
     def add(self, run: Run) -> None:
-        """Let *run* wait."""
+        """Queue *run*."""
         group = self.group(run)
         if run.task not in group.waiting:
             group.waiting[run.task] = run
--- a/src/foldloom/static_peers/claims/acquire.py
+++ b/src/foldloom/static_peers/claims/acquire.py
@@ -106,7 +106,7 @@
         return self._judge_loss(replicas, replies)
 
     def withdraw(self, submission: str, attempt: int) -> None:
-        """Give the claim back everywhere; only for a job that started nothing."""
+        """Withdraw the claim at every replica; only for a job that started nothing."""
         message = Withdraw(submission, self._network.incarnation, attempt)
         for box in self._service.replicas_of(submission).boxes:
             if box == self._settings.box:
--- a/src/foldloom/static_peers/claims/service.py
+++ b/src/foldloom/static_peers/claims/service.py
@@ -97,7 +97,7 @@
         return self._reply(judgement.vote, replicas, judgement.holders)
 
     def withdraw(self, coordinator: str, message: Withdraw) -> None:
-        """Take back *coordinator*'s claim."""
+        """Withdraw *coordinator*'s claim."""
         claim = Claim("", coordinator, message.incarnation, message.attempt)
         self._table.release(message.submission, claim, int(monotonic_ms()))
 
--- a/src/foldloom/static_peers/claims/table.py
+++ b/src/foldloom/static_peers/claims/table.py
@@ -85,7 +85,7 @@
         return Judgement(Vote.GRANTED, [])
 
     def release(self, submission: str, claim: Claim, now_ms: int) -> None:
-        """Take back *claim*, which its own coordinator withdrew, and remember that."""
+        """Drop *claim*, which its own coordinator withdrew, and remember that."""
         key = _life_key(submission, claim)
         known, _ = self._withdrawn.get(key, (-1, 0))
         attempt = max(known, claim.attempt)
--- a/src/foldloom/static_peers/entry/coordinator.py
+++ b/src/foldloom/static_peers/entry/coordinator.py
@@ -45,7 +45,7 @@
 
 
 class Coordinator:
-    """Take jobs at this box.
+    """Bring the jobs that arrive at this box to their answers.
 
     Args:
         settings: This box's settings.
--- a/src/foldloom/static_peers/entry/follow.py
+++ b/src/foldloom/static_peers/entry/follow.py
@@ -134,7 +134,7 @@
         return self._ended(submission, DEADLINE)
 
     async def pass_answers_to(self, successor: str) -> int:
-        """Give every kept answer to *successor*; return how many it took."""
+        """Send every kept answer to *successor*; return how many it accepted."""
         kept = self._jobs.done_responses()
         taken = 0
         for start in range(0, len(kept), _HANDOVER_CHUNK):
--- a/src/foldloom/static_peers/entry/http.py
+++ b/src/foldloom/static_peers/entry/http.py
@@ -67,7 +67,7 @@
         self.has_request = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection unless there are too many."""
+        """Accept the connection unless there are too many."""
         super().connection_made(transport)
         if not self._bounds.take_connection():
             transport.close()
--- a/src/foldloom/static_peers/entry_role.py
+++ b/src/foldloom/static_peers/entry_role.py
@@ -171,7 +171,7 @@
             await asyncio.sleep(_LAST_HEARTBEATS_STEP_S)
 
     async def _pass_answers_on(self) -> None:
-        """Give kept answers to another entry box, in the own availability zone if there is one."""
+        """Send kept answers to another entry box, in the own availability zone if there is one."""
         successors = [
             box
             for box in self._settings.entry_names
--- a/src/foldloom/static_peers/placement/direct_slots.py
+++ b/src/foldloom/static_peers/placement/direct_slots.py
@@ -67,5 +67,5 @@
                 self.give_back(arrival, 0.0, SlotUse.UNUSED)
 
     def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
-        """Give a slot back."""
+        """Return a slot."""
         self._local[slot.endpoint] = self._local.get(slot.endpoint, 1) - 1
--- a/src/foldloom/static_peers/placement/ejection.py
+++ b/src/foldloom/static_peers/placement/ejection.py
@@ -41,7 +41,7 @@
         return self._proven
 
     def follow(self, usable: set[str]) -> None:
-        """Take over which endpoints get work."""
+        """Use other endpoints: *usable* are those that get work."""
         self._usable = usable
 
     def is_ejected(self, endpoint: str) -> bool:
--- a/src/foldloom/static_peers/placement/health.py
+++ b/src/foldloom/static_peers/placement/health.py
@@ -55,7 +55,7 @@
         return now_ms >= self._conditions.get(endpoint, _WELL).ejected_until_ms
 
     def note_success(self, endpoint: str) -> bool:
-        """Take in a task that went well; return whether *endpoint* came back."""
+        """Note a task that went well; return whether *endpoint* is trusted again for it."""
         known = self._conditions.get(endpoint)
         if known is None:
             return False
@@ -70,7 +70,7 @@
         return False
 
     def note_failure(self, endpoint: str, endpoint_count: int, now_ms: float) -> bool:
-        """Take in a failure; return whether *endpoint* is ejected for it."""
+        """Note a failure; return whether *endpoint* is ejected for it."""
         known = self._conditions.get(endpoint, _WELL)
         failures = known.failures + 1
         self._conditions[endpoint] = known._replace(failures=failures, successes=0)
--- a/src/foldloom/static_peers/placement/lease_manager.py
+++ b/src/foldloom/static_peers/placement/lease_manager.py
@@ -97,7 +97,7 @@
         return dict(self._shards)
 
     def follow(self, config: Config, leaving: set[str], reachable_zones: set[str]) -> None:
-        """Take over or leave shards, and take the endpoints' states."""
+        """Begin or end to manage shards, and adopt the endpoints' states."""
         names = shard_names(config, self._settings.limits.lease_shard_endpoints)
         self._shard_of_endpoint = {
             endpoint: shard for shard, endpoints in names.items() for endpoint in endpoints
--- a/src/foldloom/static_peers/placement/leased_slots.py
+++ b/src/foldloom/static_peers/placement/leased_slots.py
@@ -111,7 +111,7 @@
                 self.give_back(arrival, 0.0, SlotUse.UNUSED)
 
     def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
-        """Give a slot back with the outcome of its task."""
+        """Return a slot with the outcome of its task."""
         self._held.pop(slot.lease_id, None)
         if use is SlotUse.UNUSED:
             self._metrics.count("messages.wasted.unused-slot")
--- a/src/foldloom/static_peers/placement/retries.py
+++ b/src/foldloom/static_peers/placement/retries.py
@@ -37,7 +37,7 @@
         self._tokens = min(_TOKENS_MAX, self._tokens + self._share)
 
     def spend(self) -> bool:
-        """Take one retry out of the budget; return whether there was one."""
+        """Spend one retry of the budget; return whether there was one."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/src/foldloom/static_peers/placement/shard.py
+++ b/src/foldloom/static_peers/placement/shard.py
@@ -103,7 +103,7 @@
         return events
 
     def set_endpoints(self, config: Config, names: list[str], usable: set[str]) -> None:
-        """Take the configuration: *names* are this shard's endpoints, *usable* get work."""
+        """Adopt the configuration: *names* are this shard's endpoints, *usable* get work."""
         self._bounds.follow(config)
         self._usable = usable.intersection(names)
         self._ejection.follow(self._usable)
@@ -140,7 +140,7 @@
         self._lend(reported_lease(held, coordinator, now_ms))
 
     def give_back(self, message: SlotReturn, now_ms: float) -> None:
-        """Take a slot back and learn from what came of it."""
+        """End the lease of a returned slot, and learn from the outcome of its task."""
         lease = self._leases.get(message.lease_id)
         if lease is not None:
             self._end(lease)
@@ -171,7 +171,7 @@
         self._views.refresh(now_ms)
 
     def match(self, now_ms: float) -> list[Grant]:
-        """Hand out slots to whoever is next, as long as that is better than to wait."""
+        """Grant slots to whoever is next, as long as that is better than to wait."""
         grants: list[Grant] = []
         while self._queue:
             grant = self._match_one(now_ms)
--- a/src/foldloom/static_peers/placement/slots.py
+++ b/src/foldloom/static_peers/placement/slots.py
@@ -80,4 +80,4 @@
         """Wait no more: what still arrives goes back unused."""
 
     def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
-        """Give a slot back with the outcome of its task."""
+        """Return a slot with the outcome of its task."""
