--- a/src/foldloom/logs.py
+++ b/src/foldloom/logs.py
@@ -59,7 +59,7 @@
         self._allowances: dict[str, _Allowance] = {}
 
     def admit(self, kind: str, now_s: float) -> int | None:
-        """Count an event of *kind*; return how many were left out before, ``None`` if this one is."""
+        """Count an event of *kind*; return how many were left out before, ``None`` if it is too."""
         known = self._allowances.get(kind, _Allowance(self._burst, now_s, 0))
         grown = known.events + (now_s - known.as_of_s) * self._per_s
         events = min(self._burst, grown)
