--- a/src/foldloom/seed_discovery/owners/admission.py
+++ b/src/foldloom/seed_discovery/owners/admission.py
@@ -19,7 +19,7 @@
     is_too_late,
     retry_after_ms,
 )
-from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.groups import Group
 from foldloom.seed_discovery.scheduling.sharing import GroupId
 from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
@@ -41,7 +41,7 @@
     """
 
     def __init__(
-        self, waiting: WaitingRuns, stealing: WorkStealing, candidates: Mapping[str, Candidate]
+        self, waiting: WaitingRuns, stealing: WorkStealing, candidates: Mapping[str, ZoneEndpoint]
     ) -> None:
         self._waiting = waiting
         self._stealing = stealing
@@ -71,7 +71,7 @@
         return expected_wait_ms(
             group,
             self._waiting.groups,
-            self._stealing.remote.claimable(now_ms),
+            self._stealing.remote.stealable(now_ms),
             self._room(now_ms),
             now_ms,
         )
--- a/src/foldloom/seed_discovery/owners/deliveries.py
+++ b/src/foldloom/seed_discovery/owners/deliveries.py
@@ -16,7 +16,7 @@
 from foldloom.seed_discovery.owners.recovery import recovery_bound
 from foldloom.seed_discovery.owners.reports import adopt_orphan
 from foldloom.seed_discovery.owners.stealing import WorkStealing
-from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.runs import HolderId, RecoveryBound, Run, RunSpec, RunState
 from foldloom.seed_discovery.scheduling.sharing import group_of
 
@@ -39,7 +39,7 @@
         self,
         lifecycle: RunLifecycle,
         stealing: WorkStealing,
-        candidates: Mapping[str, Candidate],
+        candidates: Mapping[str, ZoneEndpoint],
         gone_after_ms: float,
     ) -> None:
         self._lifecycle = lifecycle
--- a/src/foldloom/seed_discovery/owners/dispatch.py
+++ b/src/foldloom/seed_discovery/owners/dispatch.py
@@ -15,8 +15,8 @@
 from foldloom.seed_discovery.owners.messages import (
     CancelJob,
     Cancelled,
-    ClaimReply,
-    ClaimRuns,
+    StealReply,
+    StealRuns,
     SubmitReply,
     SubmitRuns,
     SubmitStatus,
@@ -43,7 +43,7 @@
         network.on(SubmitRuns, self._on_submit)
         network.on(CancelJob, self._on_cancel)
         network.on(WaitingGroups, self._on_waiting)
-        network.on(ClaimRuns, self._on_claim)
+        network.on(StealRuns, self._on_steal)
 
     def _on_submit(self, sender: str, message: SubmitRuns) -> SubmitReply:
         owner = self._owner()
@@ -63,11 +63,11 @@
         if owner is not None:
             owner.handle_offer(message)
 
-    def _on_claim(self, _sender: str, message: ClaimRuns) -> ClaimReply:
+    def _on_steal(self, _sender: str, message: StealRuns) -> StealReply:
         owner = self._owner()
         if owner is None:
-            return ClaimReply(0)
-        return owner.give_away(message)
+            return StealReply(0)
+        return owner.answer_steal(message)
 
     def _on_heartbeat_ack(self, sender: str, ack: HeartbeatAck) -> None:
         owner = self._owner()
--- a/src/foldloom/seed_discovery/owners/election.py
+++ b/src/foldloom/seed_discovery/owners/election.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""When a box may claim its zone's endpoints, and with which token: decisions only.
+"""When a box may acquire its zone's endpoints, and with which token: decisions only.
 
 Owns nothing. Relies on what witnesses answer and on the age of heartbeats.
 
 Endpoints obey the highest token that they have seen, so two owners at a time do no harm; they
-only take endpoints from each other. The rules here keep that from happening: a box claims only
+only take endpoints from each other. The rules here keep that from happening: a box acquires only
 when its owner has been silent, nobody whom it reaches has a recent heartbeat, and it reaches one
 at all.
 """
@@ -20,9 +20,9 @@
 # Bits of a token that a box draws at random: two boxes of a zone draw the same once in 262,144.
 _BOX_BITS = 18
 # Milliseconds by which each next candidate waits longer. Not measured: chosen so that the first has
-# claimed and sent a heartbeat before the next one acts.
+# acquired the zone and sent a heartbeat before the next one acts.
 _RANK_STEP_MS = 80.0
-# Milliseconds of silence after which a zone that never had an owner is claimed. Not measured:
+# Milliseconds of silence after which a zone that never had an owner is acquired. Not measured:
 # chosen above one heartbeat (100 ms), so that an owner that just began is noticed.
 _FIRST_PATIENCE_MS = 120.0
 
@@ -57,8 +57,8 @@
     return (silent_ms if has_known_owner else _FIRST_PATIENCE_MS) + rank * _RANK_STEP_MS
 
 
-def may_claim(witnesses: Witnesses, silent_ms: float) -> bool:
-    """Return whether a box whose owner is silent may claim the zone.
+def may_acquire(witnesses: Witnesses, silent_ms: float) -> bool:
+    """Return whether a box whose owner is silent may acquire the zone.
 
     A box that reaches nobody can't tell a dead owner from its own isolation, and must not
     take the endpoints from an owner that others still know.
--- a/src/foldloom/seed_discovery/owners/elector.py
+++ b/src/foldloom/seed_discovery/owners/elector.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""A box's part in who owns its zone: it follows the owner, asks witnesses, claims, steps down.
+"""A box's part in who owns its zone: it follows the owner, asks witnesses, acquires, steps down.
 
 Owns the newest owner that is known and, while this box owns the zone, the present term. Relies on
-owners' heartbeats and on the other boxes as witnesses; when to claim is decided in
+owners' heartbeats and on the other boxes as witnesses; when to acquire is decided in
 :mod:`foldloom.seed_discovery.owners.election`.
 """
 
@@ -27,7 +27,7 @@
 from foldloom.seed_discovery.fleet.view import FleetView
 from foldloom.seed_discovery.owners.election import (
     Witnesses,
-    may_claim,
+    may_acquire,
     new_box_bits,
     next_token,
     patience_ms,
@@ -48,7 +48,7 @@
 # Milliseconds after which refusals for a higher token are counted from 0 again. Not measured:
 # chosen so that a clock that went back does not make every later term start with a large step.
 _FENCED_FORGET_MS = 5_000.0
-# Refusals in a row after which the zone is claimed again only after the full patience. Not
+# Refusals in a row after which the zone is acquired again only after the full patience. Not
 # measured: chosen because the step to the next token has grown past any clock's error by then.
 _FENCED_MAX = 6
 
@@ -113,14 +113,14 @@
         return patience_ms(self._timings.owner_silent_ms, rank, bool(self._known.token))
 
     async def run(self) -> None:
-        """Claim the zone whenever its owner is gone, until cancelled."""
+        """Acquire the zone whenever its owner is gone, until cancelled."""
         while True:
             await asyncio.sleep(_CHECK_S)
             if not self._is_due():
                 continue
             witnesses = await self._ask_witnesses()
-            if self._is_due() and may_claim(witnesses, self._timings.owner_silent_ms):
-                self._claim(witnesses.highest_token)
+            if self._is_due() and may_acquire(witnesses, self._timings.owner_silent_ms):
+                self._acquire(witnesses.highest_token)
 
     def resign(self) -> str:
         """Have another box own the zone before a planned stop; return which, or ''."""
@@ -156,7 +156,7 @@
         PLACE_LOG.event("owner.fenced", endpoint=endpoint, token=owner.token)
         token = token_above(owner.token, self._fenced_count, self._box_bits)
         self._step_down()
-        # Another box may own the zone: its heartbeats will show. Else claim above its token.
+        # Another box may own the zone: its heartbeats will show. Else acquire it above its token.
         self._known = OwnerRecord(self._zone, token)
         self._heartbeat_ms = now_ms
         if self._fenced_count <= _FENCED_MAX:
@@ -188,11 +188,11 @@
                 box, OwnerQuery(self._zone), timeout_ms
             )
         except PeerUnreachableError:
-            # A witness that does not answer says nothing; at least one must (may_claim).
+            # A witness that does not answer says nothing; at least one must (may_acquire).
             return None
         return reply
 
-    def _claim(self, highest_token: int) -> None:
+    def _acquire(self, highest_token: int) -> None:
         highest = max(highest_token, self._known.token, self._view.owner_of(self._zone).token)
         token = next_token(highest, time.time(), self._box_bits)
         own = self._view.own
@@ -269,4 +269,4 @@
             return
         if message.owner.token < self._known.token or self._view.own.is_leaving:
             return
-        self._claim(message.owner.token)
+        self._acquire(message.owner.token)
--- a/src/foldloom/seed_discovery/owners/lifecycle.py
+++ b/src/foldloom/seed_discovery/owners/lifecycle.py
@@ -31,7 +31,7 @@
 from foldloom.seed_discovery.owners.actions import Actions, NotifyAction, StartAction, StopAction
 from foldloom.seed_discovery.owners.messages import EndCause, RunEnd
 from foldloom.seed_discovery.owners.tombstones import Tombstones
-from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.estimates import Estimates
 from foldloom.seed_discovery.scheduling.runs import HolderId, Run, RunState
 from foldloom.seed_discovery.scheduling.sharing import group_of
@@ -47,7 +47,7 @@
         actions: Takes what is to be carried out.
     """
 
-    def __init__(self, candidates: Mapping[str, Candidate], actions: Actions) -> None:
+    def __init__(self, candidates: Mapping[str, ZoneEndpoint], actions: Actions) -> None:
         self._candidates = candidates
         self._actions = actions
         self._runs: dict[TaskId, Run] = {}
@@ -94,7 +94,7 @@
         self.waiting.remove(run.task)
         run.attempt = attempt
         room = self._candidates[endpoint].room
-        # What was charged for it while nobody claimed it need not be what it takes.
+        # What was charged for it while no entry box had delivered it need not be what it takes.
         room.release(run.task)
         room.charge(run.task, run.spec.demand)
         run.enter(RunState.RUNNING, now_ms, endpoint)
--- a/src/foldloom/seed_discovery/owners/loads.py
+++ b/src/foldloom/seed_discovery/owners/loads.py
@@ -6,11 +6,11 @@
 from collections.abc import Iterable
 
 from foldloom.seed_discovery.fleet.messages import ZoneLoad
-from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
 
 
-def zone_load(candidates: Iterable[Candidate], waiting: WaitingRuns, now_ms: float) -> ZoneLoad:
+def zone_load(candidates: Iterable[ZoneEndpoint], waiting: WaitingRuns, now_ms: float) -> ZoneLoad:
     """Return the load of the endpoints that may be given work now.
 
     Args:
--- a/src/foldloom/seed_discovery/owners/messages.py
+++ b/src/foldloom/seed_discovery/owners/messages.py
@@ -199,7 +199,7 @@
     groups: list[GroupSummary]
 
 
-class ClaimRuns(NamedTuple):
+class StealRuns(NamedTuple):
     """An owner with free room asks another one for runs that wait, to steal them."""
 
     zone: str
@@ -207,7 +207,7 @@
     runs: int
 
 
-class ClaimReply(NamedTuple):
+class StealReply(NamedTuple):
     """How many runs their box is notified to deliver to the owner that asks."""
 
     runs: int
@@ -222,11 +222,13 @@
         RunsEnded,
         EndsNoted,
         WaitingGroups,
-        ClaimRuns,
-        ClaimReply,
+        StealRuns,
+        StealReply,
         SessionBegan,
         SessionNoted,
     ),
     start=100,
 ):
-    register(_kind, _type)
+    # The counters of sent messages keep the names that these two had before.
+    _label = {StealRuns: "ClaimRuns", StealReply: "ClaimReply"}.get(_type, "")
+    register(_kind, _type, _label)
--- a/src/foldloom/seed_discovery/owners/offers.py
+++ b/src/foldloom/seed_discovery/owners/offers.py
@@ -14,7 +14,7 @@
 from foldloom.seed_discovery.fleet.messages import OwnerRecord
 from foldloom.seed_discovery.owners.actions import StealAction
 from foldloom.seed_discovery.owners.context import OwnerContext
-from foldloom.seed_discovery.owners.messages import ClaimReply, ClaimRuns, WaitingGroups
+from foldloom.seed_discovery.owners.messages import StealReply, StealRuns, WaitingGroups
 from foldloom.seed_discovery.owners.state import OwnerState
 
 # Milliseconds that an owner waits for the reply of another zone's. Not measured: chosen because the
@@ -72,10 +72,10 @@
     async def steal(self, action: StealAction) -> None:
         """Ask another zone's owner for runs that wait there."""
         owner = self._view.owner_of(action.zone)
-        message = ClaimRuns(self._record.zone, action.group, len(action.reservations))
+        message = StealRuns(self._record.zone, action.group, len(action.reservations))
         granted = 0
         try:
-            reply: ClaimReply = await self._network.request(owner.box, message, _STEAL_TIMEOUT_MS)
+            reply: StealReply = await self._network.request(owner.box, message, _STEAL_TIMEOUT_MS)
             granted = reply.runs
         except PeerUnreachableError:
             # Runs that were given all the same are delivered here without a reservation.
--- a/src/foldloom/seed_discovery/owners/orders.py
+++ b/src/foldloom/seed_discovery/owners/orders.py
@@ -13,7 +13,7 @@
 from foldloom.seed_discovery.jobs.spec import RunId
 from foldloom.seed_discovery.owners.lifecycle import RunLifecycle
 from foldloom.seed_discovery.owners.messages import EndCause
-from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.runs import Run, RunState
 
 # Milliseconds without new work for an endpoint that refused a start for want of room: it frees
@@ -26,7 +26,7 @@
 
 def note_start(
     lifecycle: RunLifecycle,
-    candidates: Mapping[str, Candidate],
+    candidates: Mapping[str, ZoneEndpoint],
     run_id: RunId,
     endpoint: str,
     outcome: CallOutcome,
@@ -79,7 +79,7 @@
 
 
 def _hold_back(
-    candidates: Mapping[str, Candidate], endpoint: str, outcome: CallOutcome, now_ms: float
+    candidates: Mapping[str, ZoneEndpoint], endpoint: str, outcome: CallOutcome, now_ms: float
 ) -> None:
     """Pause an endpoint that refused a start."""
     candidate = candidates.get(endpoint)
--- a/src/foldloom/seed_discovery/owners/reports.py
+++ b/src/foldloom/seed_discovery/owners/reports.py
@@ -18,7 +18,7 @@
 from foldloom.seed_discovery.owners.lifecycle import RunLifecycle
 from foldloom.seed_discovery.owners.messages import EndCause
 from foldloom.seed_discovery.owners.tombstones import CAUSE_OF_KIND
-from foldloom.seed_discovery.scheduling.endpoints import Candidate, OrphanedRun
+from foldloom.seed_discovery.scheduling.endpoints import OrphanedRun, ZoneEndpoint
 from foldloom.seed_discovery.scheduling.runs import Run, RunState
 
 # Milliseconds. Not measured: chosen because entry boxes deliver what they have open to a new owner
@@ -72,7 +72,7 @@
 
 
 def reconcile(
-    lifecycle: RunLifecycle, candidate: Candidate, report: EndpointReport, now_ms: float
+    lifecycle: RunLifecycle, candidate: ZoneEndpoint, report: EndpointReport, now_ms: float
 ) -> None:
     """Bring what is known into line with a *report* of *candidate*."""
     for end in report.ended:
@@ -82,8 +82,10 @@
     _note_absent(lifecycle, candidate, present, report.asked_ms, now_ms)
 
 
-def orphans_to_stop(candidates: Mapping[str, Candidate], now_ms: float) -> list[tuple[str, RunId]]:
-    """Return the orphaned runs, by endpoint, that nobody has claimed for too long.
+def orphans_to_stop(
+    candidates: Mapping[str, ZoneEndpoint], now_ms: float
+) -> list[tuple[str, RunId]]:
+    """Return the orphaned runs, by endpoint, that no entry box has delivered for too long.
 
     Each is named again after the same time, until it is gone.
     """
@@ -97,7 +99,7 @@
 
 
 def adopt_orphan(
-    lifecycle: RunLifecycle, candidates: Mapping[str, Candidate], run: Run, now_ms: float
+    lifecycle: RunLifecycle, candidates: Mapping[str, ZoneEndpoint], run: Run, now_ms: float
 ) -> bool:
     """Adopt a run of the task that an endpoint lists already; return whether one does."""
     for endpoint, candidate in candidates.items():
@@ -108,13 +110,15 @@
     return False
 
 
-def _note_end(lifecycle: RunLifecycle, candidate: Candidate, end: EndedRun, now_ms: float) -> None:
+def _note_end(
+    lifecycle: RunLifecycle, candidate: ZoneEndpoint, end: EndedRun, now_ms: float
+) -> None:
     endpoint = candidate.record.endpoint
     task, attempt = end.run_id
     run = lifecycle.get(task)
     candidate.orphans.pop(task, None)
     if run is None:
-        lifecycle.tombstones.add_unclaimed(end, endpoint, now_ms)
+        lifecycle.tombstones.add_orphaned(end, endpoint, now_ms)
         return
     verdict = judge_end(run, end, endpoint)
     if verdict is ListedEnd.OUTDATED:
@@ -126,7 +130,7 @@
 
 
 def _note_present(
-    lifecycle: RunLifecycle, candidate: Candidate, present: set[RunId], now_ms: float
+    lifecycle: RunLifecycle, candidate: ZoneEndpoint, present: set[RunId], now_ms: float
 ) -> None:
     endpoint = candidate.record.endpoint
     for task, attempt in present:
@@ -139,7 +143,7 @@
 
 def _note_absent(
     lifecycle: RunLifecycle,
-    candidate: Candidate,
+    candidate: ZoneEndpoint,
     present: set[RunId],
     asked_ms: float,
     now_ms: float,
--- a/src/foldloom/seed_discovery/owners/state.py
+++ b/src/foldloom/seed_discovery/owners/state.py
@@ -30,7 +30,7 @@
 from foldloom.seed_discovery.owners.reports import orphans_to_stop, reconcile
 from foldloom.seed_discovery.owners.stealing import WorkStealing
 from foldloom.seed_discovery.owners.stragglers import is_overdue, is_stuck
-from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.placing import place
 from foldloom.seed_discovery.scheduling.ranking import Tier, tier_of
 from foldloom.seed_discovery.scheduling.runs import HolderId, Run, RunState
@@ -51,7 +51,7 @@
 
     def __init__(self, gone_after_ms: float) -> None:
         self._knows_all_endpoints = False
-        self._candidates: dict[str, Candidate] = {}
+        self._candidates: dict[str, ZoneEndpoint] = {}
         self._reported_ms: dict[str, float] = {}
         self.actions = Actions()
         self._lifecycle = RunLifecycle(self._candidates, self.actions)
@@ -62,7 +62,7 @@
         self._admission = Admission(self._lifecycle.waiting, self._stealing, self._candidates)
 
     @property
-    def candidates(self) -> dict[str, Candidate]:
+    def candidates(self) -> dict[str, ZoneEndpoint]:
         """The endpoints by id."""
         return self._candidates
 
@@ -119,7 +119,7 @@
         """Return the runs that wait here, for the owners of other zones."""
         return self.waiting.summaries(now_ms, OFFERED_GROUPS_MAX)
 
-    def give_away(self, key: GroupId, runs: int, zone: str, now_ms: float) -> int:
+    def release_stolen(self, key: GroupId, runs: int, zone: str, now_ms: float) -> int:
         """Let another zone's owner steal up to *runs* waiting runs of a group; return how many."""
         group = self.waiting.get(key)
         if group is None:
@@ -147,7 +147,7 @@
         """Know an endpoint, or a newer record of it."""
         known = self._candidates.get(record.endpoint)
         if known is None:
-            self._candidates[record.endpoint] = Candidate(record)
+            self._candidates[record.endpoint] = ZoneEndpoint(record)
             return
         known.follow(record)
 
--- a/src/foldloom/seed_discovery/owners/stealing.py
+++ b/src/foldloom/seed_discovery/owners/stealing.py
@@ -13,7 +13,7 @@
 
 from foldloom.seed_discovery.fleet.messages import ZoneLoad
 from foldloom.seed_discovery.owners.actions import StealAction
-from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.placing import Reservation
 from foldloom.seed_discovery.scheduling.sharing import VIEW_KEPT_MS, GroupId, RemoteGroups
 
@@ -32,7 +32,7 @@
         candidates: The endpoints by id.
     """
 
-    def __init__(self, candidates: Mapping[str, Candidate]) -> None:
+    def __init__(self, candidates: Mapping[str, ZoneEndpoint]) -> None:
         self._candidates = candidates
         self._loads: dict[str, _ReceivedLoad] = {}
         self._reservations: dict[GroupId, list[Reservation]] = {}
--- a/src/foldloom/seed_discovery/owners/tombstones.py
+++ b/src/foldloom/seed_discovery/owners/tombstones.py
@@ -76,7 +76,7 @@
             run.attempt, now_ms, None, has_started, deliveries | run.holders
         )
 
-    def add_unclaimed(self, end: EndedRun, endpoint: str, now_ms: float) -> None:
+    def add_orphaned(self, end: EndedRun, endpoint: str, now_ms: float) -> None:
         """Remember an end that no run waits for; a box may ask for the task later."""
         task, attempt = end.run_id
         known = self._by_task.get(task)
--- a/src/foldloom/seed_discovery/owners/zone_owner.py
+++ b/src/foldloom/seed_discovery/owners/zone_owner.py
@@ -29,8 +29,8 @@
 from foldloom.seed_discovery.owners.messages import (
     CancelJob,
     Cancelled,
-    ClaimReply,
-    ClaimRuns,
+    StealReply,
+    StealRuns,
     SubmitReply,
     SubmitRuns,
     SubmitStatus,
@@ -163,13 +163,15 @@
         """Note how loaded another zone is."""
         self._state.note_load(heartbeat.owner.zone, heartbeat.load, monotonic_ms())
 
-    def give_away(self, message: ClaimRuns) -> ClaimReply:
+    def answer_steal(self, message: StealRuns) -> StealReply:
         """Answer another zone's owner that steals waiting runs."""
         if self._is_closed:
-            return ClaimReply(0)
-        given = self._state.give_away(message.group, message.runs, message.zone, monotonic_ms())
+            return StealReply(0)
+        given = self._state.release_stolen(
+            message.group, message.runs, message.zone, monotonic_ms()
+        )
         self._act()
-        return ClaimReply(given)
+        return StealReply(given)
 
     def handle_heartbeat_ack(self, sender: str, ack: HeartbeatAck) -> None:
         """Renew the grant of a box that acknowledged a heartbeat."""
--- a/src/foldloom/seed_discovery/scheduling/endpoints.py
+++ b/src/foldloom/seed_discovery/scheduling/endpoints.py
@@ -14,7 +14,7 @@
 
 
 class OrphanedRun(NamedTuple):
-    """A run that an endpoint lists and that nobody has claimed yet.
+    """A run that an endpoint lists and that no entry box has delivered yet.
 
     Args:
         attempt: Which start of its task.
@@ -25,7 +25,7 @@
     noted_ms: float
 
 
-class Candidate:
+class ZoneEndpoint:
     """One endpoint.
 
     Args:
--- a/src/foldloom/seed_discovery/scheduling/placing.py
+++ b/src/foldloom/seed_discovery/scheduling/placing.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from foldloom.seed_discovery.jobs.spec import Demand, Placement
-from foldloom.seed_discovery.scheduling.endpoints import Candidate
+from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.groups import Group
 from foldloom.seed_discovery.scheduling.ranking import Rank, Tier, rank, speed_min
 from foldloom.seed_discovery.scheduling.runs import Run
@@ -83,7 +83,7 @@
 def place(
     waiting: WaitingRuns,
     remote: RemoteGroups,
-    candidates: Mapping[str, Candidate],
+    candidates: Mapping[str, ZoneEndpoint],
     speeds: EndpointSpeeds,
     now_ms: float,
 ) -> Placing:
@@ -92,7 +92,7 @@
     open_endpoints = [one for one in candidates.values() if one.is_open(now_ms)]
     if not open_endpoints:
         return result
-    own, others = waiting.groups, remote.claimable(now_ms)
+    own, others = waiting.groups, remote.stealable(now_ms)
     order = [_Next(rank(group, now_ms), False, n) for n, group in enumerate(own)]
     order += [_Next(group.rank, True, n) for n, group in enumerate(others)]
     full: set[_Kind] = set()
@@ -107,7 +107,7 @@
 def _place_own(
     group: Group,
     waiting: WaitingRuns,
-    open_endpoints: list[Candidate],
+    open_endpoints: list[ZoneEndpoint],
     speeds: EndpointSpeeds,
     full: set[_Kind],
     now_ms: float,
@@ -130,7 +130,7 @@
 
 def _steal(
     group: RemoteGroup,
-    open_endpoints: list[Candidate],
+    open_endpoints: list[ZoneEndpoint],
     speeds: EndpointSpeeds,
     full: set[_Kind],
     now_ms: float,
@@ -156,8 +156,8 @@
 
 
 def choose_endpoint(
-    kind: _Kind, group: GroupId, open_endpoints: Iterable[Candidate], speeds: EndpointSpeeds
-) -> Candidate | None:
+    kind: _Kind, group: GroupId, open_endpoints: Iterable[ZoneEndpoint], speeds: EndpointSpeeds
+) -> ZoneEndpoint | None:
     """Return the best endpoint with room, if any: near the data, fast, tightly filled."""
     fitting = [one for one in open_endpoints if _may_run(kind, group, one, speeds)]
     if not fitting:
@@ -165,7 +165,7 @@
     return max(fitting, key=lambda one: _preference(kind, one, speeds))
 
 
-def _may_run(kind: _Kind, group: GroupId, candidate: Candidate, speeds: EndpointSpeeds) -> bool:
+def _may_run(kind: _Kind, group: GroupId, candidate: ZoneEndpoint, speeds: EndpointSpeeds) -> bool:
     record = candidate.record
     if record.service != kind.service or not candidate.takes(kind.demand):
         return False
@@ -180,7 +180,7 @@
 
 
 def _preference(
-    kind: _Kind, candidate: Candidate, speeds: EndpointSpeeds
+    kind: _Kind, candidate: ZoneEndpoint, speeds: EndpointSpeeds
 ) -> tuple[bool, float, int, str]:
     rack = kind.placement.rack
     is_near = not rack or rack in candidate.record.labels
--- a/src/foldloom/seed_discovery/scheduling/rooms.py
+++ b/src/foldloom/seed_discovery/scheduling/rooms.py
@@ -89,7 +89,7 @@
         self._free = plus(self._free, self._charged.pop(task, _NOTHING))
 
     def reserve(self, number: int, demand: Demand, until_ms: float) -> None:
-        """Keep room for a run that is claimed elsewhere, under a *number* of the caller's."""
+        """Keep room for a run that is stolen elsewhere, under a *number* of the caller's."""
         self._reserved[number] = Reserved(demand, until_ms)
         self._free = minus(self._free, demand)
 
--- a/src/foldloom/seed_discovery/scheduling/sharing.py
+++ b/src/foldloom/seed_discovery/scheduling/sharing.py
@@ -4,7 +4,7 @@
 Owns the newest offer of each zone.
 
 Each owner serves its own zone's jobs first come by rank, and sees the first of what waits
-elsewhere in the same order. Where a group of another zone is next, it reserves room, claims runs
+elsewhere in the same order. Where a group of another zone is next, it reserves room, steals runs
 from their owner, and their box hands them in here.
 """
 
@@ -66,7 +66,7 @@
 
 
 class RemoteGroup:
-    """A group that waits in another zone, and how many of its runs were not claimed yet.
+    """A group that waits in another zone, and how many of its runs were not stolen yet.
 
     Args:
         zone: Where it waits.
@@ -93,7 +93,7 @@
         self._by_zone[zone] = [RemoteGroup(zone, one, now_ms) for one in summaries]
         self._received_ms[zone] = now_ms
 
-    def claimable(self, now_ms: float) -> list[RemoteGroup]:
+    def stealable(self, now_ms: float) -> list[RemoteGroup]:
         """Return the groups that were offered lately and have runs left to steal."""
         return [
             group
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -205,7 +205,7 @@
         """
         state = owner_with(endpoint("w1"))
         state.submit(_E1, _handed_over(1), 1.0)
-        assert state.give_away(self._GROUP, 1, "other", 2.0) == 1
+        assert state.release_stolen(self._GROUP, 1, "other", 2.0) == 1
         state.submit(_E1, _handed_over(1), 150.0)
         state.place(150.0)
         assert state.actions.pop_starts() == []
@@ -227,7 +227,7 @@
         """A run that another zone gave back is handed over anew, and starts."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, _handed_over(1), 1.0)
-        state.give_away(self._GROUP, 1, "other", 2.0)
+        state.release_stolen(self._GROUP, 1, "other", 2.0)
         state.submit(_E1, _handed_over(3), 10.0)
         state.place(10.0)
         assert len(state.actions.pop_starts()) == 1
@@ -236,7 +236,7 @@
         """A cancel after it tells the truth."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, _handed_over(1), 1.0)
-        state.give_away(self._GROUP, 1, "other", 2.0)
+        state.release_stolen(self._GROUP, 1, "other", 2.0)
         assert not state.cancel(_E1, _JOB, 3.0)
 
     def test_each_holder_has_its_own_number(self) -> None:
@@ -314,7 +314,7 @@
     def test_moved_after_a_run_that_was_not_told(self) -> None:
         """The same, given away to another zone's owner."""
         state = self._delivered_again_after_a_run()
-        assert state.give_away(GroupId(_JOB, 0, 0), 1, "b", 80.0) == 1
+        assert state.release_stolen(GroupId(_JOB, 0, 0), 1, "b", 80.0) == 1
         assert [end.has_started for _, end in ends_of(state)] == [True]
 
     def test_dropped_while_it_waits_after_a_start(self) -> None:
