--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -4,10 +4,9 @@
 Owns the inbound socket, the requests that wait for a reply, and the handlers. Relies on a
 connection to each peer, and on lives for the age of messages.
 
-Each box binds one ROUTER and connects one DEALER to every peer. Requests and replies both
-leave by the sender's own DEALER, so that one socket pair serves each direction. ZeroMQ
-queues silently and delivers after a cut heals; small high-water marks, ``IMMEDIATE`` and a
-time to live on every message keep old messages from having an effect.
+Each box binds one ROUTER and connects one DEALER to every peer, by which its requests and replies
+leave. ZeroMQ queues silently and delivers after a cut heals; small high-water marks, ``IMMEDIATE``
+and a time to live on every message keep old messages from having an effect.
 """
 
 from __future__ import annotations
