--- a/tests/test_boxes_controllers.py
+++ b/tests/test_boxes_controllers.py
@@ -326,6 +326,17 @@
         play(tmp_path, scenario)
 
 
+async def seconds_until_led(core: Core) -> float:
+    """Wait until a controller leads; return how long that took."""
+    began = asyncio.get_running_loop().time()
+
+    async def is_led() -> bool:
+        return core.leader() != 0
+
+    await until(is_led, "another leads")
+    return asyncio.get_running_loop().time() - began
+
+
 class TestHandover:
     """A planned stop of the leader."""
 
@@ -335,14 +346,8 @@
         async def scenario(core: Core) -> None:
             leader = core.leader()
             host = core.hosts.pop(leader)
-            began = asyncio.get_running_loop().time()
             stopping = asyncio.create_task(host.stop())
-
-            async def is_led() -> bool:
-                return core.leader() != 0
-
-            await until(is_led, "another leads")
-            assert asyncio.get_running_loop().time() - began < 0.5
+            assert await seconds_until_led(core) < 0.5
             await stopping
             await core.publish(2)
 
@@ -364,14 +369,8 @@
             monkeypatch.setattr(LogStorage, "sync", sync_slowly)
             publishing = asyncio.create_task(host.publish(2, b"2", _TIMEOUT_MS))
             await asyncio.sleep(_SLOW_SYNC_S / 2)
-            began = asyncio.get_running_loop().time()
             stopping = asyncio.create_task(host.stop())
-
-            async def is_led() -> bool:
-                return core.leader() != 0
-
-            await until(is_led, "another leads")
-            assert asyncio.get_running_loop().time() - began < 0.5
+            assert await seconds_until_led(core) < 0.5
             await asyncio.gather(publishing, stopping)
             assert await core.read() == b"2"
 
