--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -54,7 +54,7 @@
         "static_peers/claims/recovery.py",
         "return others <= self._copied_from",
         "return True",
-        _CLAIMS + "TestLostMemory::test_second_loss_before_recovery",
+        "tests/test_claims_recovery.py::TestVotingAgain::test_not_before_both_others_are_copied",
     ),
     Break(
         "second vote",
@@ -212,7 +212,7 @@
         "tests/test_placement.py::TestShares::test_flood_takes_no_more_than_its_share",
     ),
     Break(
-        "leaving workers are heard of",
+        "leaving endpoints are heard of",
         "static_peers/endpoints/platform.py",
         'if one.state == "leaving"',
         "if False",
@@ -226,7 +226,7 @@
         _PLACE + "TestLeavingEndpoints::test_by_confirmed_intent",
     ),
     Break(
-        "overdue tasks eject a worker",
+        "overdue tasks eject an endpoint",
         "static_peers/placement/ejection.py",
         'self._eject(endpoint, "its tasks are overdue", now_ms)',
         "pass",
