--- a/src/foldloom/seed_discovery/jobs/queues.py
+++ b/src/foldloom/seed_discovery/jobs/queues.py
@@ -50,11 +50,11 @@
 
     def __init__(self, version: int, queues: list[Queue]) -> None:
         self._version = version
-        self._by_host: dict[str, list[Queue]] = {}
+        self._queues_by_host: dict[str, list[Queue]] = {}
         for queue in queues:
-            self._by_host.setdefault(queue.host, []).append(queue)
-        for same_host in self._by_host.values():
-            same_host.sort(key=lambda queue: len(queue.path_prefix), reverse=True)
+            self._queues_by_host.setdefault(queue.host, []).append(queue)
+        for host_queues in self._queues_by_host.values():
+            host_queues.sort(key=lambda queue: len(queue.path_prefix), reverse=True)
 
     @property
     def version(self) -> int:
@@ -63,7 +63,7 @@
 
     def find(self, host: str, path: str) -> Queue | None:
         """Return the queue of *host* with the longest prefix of *path*, if any."""
-        for queue in self._by_host.get(host, ()):
+        for queue in self._queues_by_host.get(host, ()):
             if path.startswith(queue.path_prefix):
                 return queue
         return None
--- a/src/foldloom/seed_discovery/owners/admission.py
+++ b/src/foldloom/seed_discovery/owners/admission.py
@@ -15,15 +15,15 @@
 from foldloom.seed_discovery.owners.messages import SubmitReply, SubmitRuns, SubmitStatus
 from foldloom.seed_discovery.owners.stealing import WorkStealing
 from foldloom.seed_discovery.scheduling.admission import (
-    FITS_NOWHERE_RETRY_MS,
-    ZoneRoom,
+    UNPLACEABLE_RETRY_MS,
+    AvailableCapacity,
     expected_wait_ms,
-    fits_nowhere,
-    is_too_late,
+    is_unplaceable,
+    misses_objective,
     retry_after_ms,
 )
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
-from foldloom.seed_discovery.scheduling.groups import Group
+from foldloom.seed_discovery.scheduling.groups import RunGroup
 from foldloom.seed_discovery.scheduling.sharing import GroupId
 from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
 
@@ -56,7 +56,7 @@
         self._stealing = stealing
         self._candidates = candidates
         self._all_endpoints = all_endpoints
-        self._first_ms = 0.0
+        self._first_submission_ms = 0.0
 
     def judge(self, message: SubmitRuns, now_ms: float) -> SubmitReply:
         """Refuse a job that would have to wait for too long; its runs are queued already.
@@ -66,8 +66,8 @@
         """
         if not _is_first_delivery(message) or self._is_warming_up(now_ms):
             return _TAKEN
-        if self._fits_nowhere(message):
-            return SubmitReply(SubmitStatus.REFUSED, "fits nowhere", FITS_NOWHERE_RETRY_MS)
+        if self._is_unplaceable(message):
+            return SubmitReply(SubmitStatus.REFUSED, "fits nowhere", UNPLACEABLE_RETRY_MS)
         order = message.orders[0]
         if order.step:
             return _TAKEN
@@ -75,36 +75,38 @@
         if group is None or len(group.waiting) < len(message.orders):
             return _TAKEN
         wait_ms = self._expected_wait_ms(group, now_ms)
-        if not is_too_late(group, wait_ms, now_ms):
+        if not misses_objective(group, wait_ms, now_ms):
             return _TAKEN
         return SubmitReply(SubmitStatus.REFUSED, "overload", retry_after_ms(wait_ms))
 
-    def _fits_nowhere(self, message: SubmitRuns) -> bool:
+    def _is_unplaceable(self, message: SubmitRuns) -> bool:
         """Return whether no endpoint of any zone could run the tasks of *message*."""
-        own = [one.record for one in self._candidates.values()]
-        asked = (message.service, message.demand, message.placement.label)
+        own_load = [one.record for one in self._candidates.values()]
+        requirements = (message.service, message.demand, message.placement.label)
         # Most often one of the own zone could, and the others are not looked through.
-        return fits_nowhere(*asked, own) and fits_nowhere(*asked, self._all_endpoints())
+        return is_unplaceable(*requirements, own_load) and is_unplaceable(
+            *requirements, self._all_endpoints()
+        )
 
-    def _expected_wait_ms(self, group: Group, now_ms: float) -> float:
+    def _expected_wait_ms(self, group: RunGroup, now_ms: float) -> float:
         return expected_wait_ms(
             group,
             self._waiting.groups,
             self._stealing.remote.stealable(now_ms),
-            self._room(now_ms),
+            self._available_capacity(now_ms),
             now_ms,
         )
 
     def _is_warming_up(self, now_ms: float) -> bool:
-        if not self._first_ms:
-            self._first_ms = now_ms
-        return now_ms - self._first_ms < WARM_UP_MS
+        if not self._first_submission_ms:
+            self._first_submission_ms = now_ms
+        return now_ms - self._first_submission_ms < WARM_UP_MS
 
-    def _room(self, now_ms: float) -> ZoneRoom:
+    def _available_capacity(self, now_ms: float) -> AvailableCapacity:
         """Return the room of this zone and of those whose load is known."""
-        own = zone_load(self._candidates.values(), self._waiting, now_ms)
-        loads = [own, *self._stealing.loads(now_ms)]
-        return ZoneRoom(
+        own_load = zone_load(self._candidates.values(), self._waiting, now_ms)
+        loads = [own_load, *self._stealing.loads(now_ms)]
+        return AvailableCapacity(
             total_milli=sum(load.total_milli for load in loads),
             free_milli=sum(load.free_milli for load in loads),
             overdue_milli=sum(
--- a/src/foldloom/seed_discovery/owners/crash_records.py
+++ b/src/foldloom/seed_discovery/owners/crash_records.py
@@ -12,15 +12,15 @@
 from typing import NamedTuple
 
 from foldloom.seed_discovery.jobs.spec import TaskId
-from foldloom.seed_discovery.scheduling.crashes import CrashCount, Isolation, isolation_by
+from foldloom.seed_discovery.scheduling.crashes import CrashCount, Isolation, isolation_for
 
 # Milliseconds after its last crash for which a task is remembered: its caller may send it again.
-CRASHES_KEPT_MS = 60_000.0
+CRASH_RECORD_TTL_MS = 60_000.0
 
-_NONE = CrashCount()
+_NO_CRASHES = CrashCount()
 
 
-class _Record(NamedTuple):
+class _CrashRecord(NamedTuple):
     """What is known of one task, and when its last crash was noted."""
 
     crashes: CrashCount
@@ -31,7 +31,7 @@
     """The counts, those that were noted longest ago first."""
 
     def __init__(self) -> None:
-        self._by_task: dict[TaskId, _Record] = {}
+        self._by_task: dict[TaskId, _CrashRecord] = {}
         self._isolations: dict[TaskId, Isolation] = {}
 
     @property
@@ -41,19 +41,19 @@
 
     def count_of(self, task: TaskId) -> CrashCount:
         """Return how many endpoints have crashed under *task*."""
-        known = self._by_task.get(task)
-        return _NONE if known is None else known.crashes
+        record = self._by_task.get(task)
+        return _NO_CRASHES if record is None else record.crashes
 
-    def note_crash(self, tasks: Collection[TaskId], has_others: bool, now_ms: float) -> None:
+    def note_crash(self, tasks: Collection[TaskId], has_other_runs: bool, now_ms: float) -> None:
         """Note that an endpoint has crashed with *tasks* on it, and maybe with others."""
-        is_alone = len(tasks) == 1 and not has_others
+        ran_alone = len(tasks) == 1 and not has_other_runs
         for task in tasks:
-            self._keep(task, self.count_of(task).plus_one(is_alone), now_ms)
+            self._store(task, self.count_of(task).incremented(ran_alone), now_ms)
 
     def learn(self, task: TaskId, count: CrashCount, now_ms: float) -> None:
         """Learn from the box of a job what another owner has counted."""
         if count.crashes:
-            self._keep(task, self.count_of(task).joined(count), now_ms)
+            self._store(task, self.count_of(task).merged(count), now_ms)
 
     def clear(self, task: TaskId) -> None:
         """Forget the crashes of a task that has ended by itself: it did not cause them."""
@@ -61,14 +61,14 @@
         self._isolations.pop(task, None)
 
     def expire(self, now_ms: float) -> None:
-        """Forget what was noted more than ``CRASHES_KEPT_MS`` ago."""
+        """Forget what was noted more than ``CRASH_RECORD_TTL_MS`` ago."""
         while self._by_task:
             task = next(iter(self._by_task))
-            if now_ms - self._by_task[task].noted_ms < CRASHES_KEPT_MS:
+            if now_ms - self._by_task[task].noted_ms < CRASH_RECORD_TTL_MS:
                 return
             self.clear(task)
 
-    def _keep(self, task: TaskId, count: CrashCount, now_ms: float) -> None:
+    def _store(self, task: TaskId, count: CrashCount, now_ms: float) -> None:
         self._by_task.pop(task, None)
-        self._by_task[task] = _Record(count, now_ms)
-        self._isolations[task] = isolation_by(count)
+        self._by_task[task] = _CrashRecord(count, now_ms)
+        self._isolations[task] = isolation_for(count)
--- a/src/foldloom/seed_discovery/owners/crashed_endpoints.py
+++ b/src/foldloom/seed_discovery/owners/crashed_endpoints.py
@@ -37,12 +37,12 @@
         return
     candidate.has_crashed = True
     endpoint = candidate.record.endpoint
-    present = [lifecycle.get(task) for task in candidate.room.tasks]
-    runs = [run for run in present if run is not None and may_have_crashed(run, endpoint)]
+    allocated_runs = [lifecycle.get(task) for task in candidate.room.tasks]
+    runs = [run for run in allocated_runs if run is not None and may_have_crashed(run, endpoint)]
     tasks = [run.task for run in runs] + candidate.lapsed_tasks
     candidate.lapsed_tasks = []
     lifecycle.crashes.note_crash(tasks, bool(candidate.orphans), now_ms)
-    _log(endpoint, [(task, lifecycle.crashes.count_of(task)) for task in tasks])
+    _log_crash(endpoint, [(task, lifecycle.crashes.count_of(task)) for task in tasks])
     for run in runs:
         if is_given_up(lifecycle.crashes.count_of(run.task)):
             lifecycle.finish(run, EndCause.LAPSED, "", now_ms)
@@ -60,7 +60,7 @@
             lifecycle.finish(run, EndCause.LAPSED, "", now_ms)
 
 
-def _log(endpoint: str, counts: Iterable[tuple[TaskId, CrashCount]]) -> None:
+def _log_crash(endpoint: str, counts: Iterable[tuple[TaskId, CrashCount]]) -> None:
     """Log that *endpoint* has crashed, a line for each task that was on it."""
     for task, count in counts:
         ENDPOINT_LOG.event(
--- a/src/foldloom/seed_discovery/owners/late_starts.py
+++ b/src/foldloom/seed_discovery/owners/late_starts.py
@@ -21,18 +21,18 @@
 LATE_ORDER_MAX_MS = 12_000.0
 
 
-class _LateStart(NamedTuple):
+class _UnconfirmedStart(NamedTuple):
     """An order that may still be carried out.
 
     Args:
         noted_ms: When it was known to have got no answer; own monotonic clock.
         stop_sent_ms: When the present life was last ordered to stop its run.
-        is_stopped: Whether the present life has said that it does.
+        is_stop_confirmed: Whether the present life has said that it does.
     """
 
     noted_ms: float
     stop_sent_ms: float
-    is_stopped: bool = False
+    is_stop_confirmed: bool = False
 
 
 class LateStarts:
@@ -42,49 +42,51 @@
     """
 
     def __init__(self) -> None:
-        self._known: dict[StopAction, _LateStart] = {}
+        self._pending: dict[StopAction, _UnconfirmedStart] = {}
 
     def note(self, run_id: RunId, endpoint: str, now_ms: float) -> None:
         """Note an order that got no answer; its run is being stopped."""
         self._expire(now_ms)
-        self._known[StopAction(run_id, endpoint)] = _LateStart(now_ms, now_ms)
+        self._pending[StopAction(run_id, endpoint)] = _UnconfirmedStart(now_ms, now_ms)
 
     def note_stopped(self, run_id: RunId, endpoint: str) -> None:
         """Note that the present life of *endpoint* keeps the run from starting."""
         stop = StopAction(run_id, endpoint)
-        late = self._known.get(stop)
+        late = self._pending.get(stop)
         if late is not None:
-            self._known[stop] = late._replace(is_stopped=True)
+            self._pending[stop] = late._replace(is_stop_confirmed=True)
 
     def end_life(self, endpoint: str) -> None:
         """Note that whatever a life of *endpoint* was told, the next one does not know."""
-        for stop, late in self._known.items():
+        for stop, late in self._pending.items():
             if stop.endpoint == endpoint:
-                self._known[stop] = _LateStart(late.noted_ms, float("-inf"))
+                self._pending[stop] = _UnconfirmedStart(late.noted_ms, float("-inf"))
 
     def stops_due(
-        self, endpoints: Container[str], before_ms: float, now_ms: float
+        self, endpoints: Container[str], sent_before_ms: float, now_ms: float
     ) -> list[StopAction]:
-        """Return the stops that *endpoints* have not confirmed since *before_ms*, to be sent now.
+        """Return the stops due for retransmission to *endpoints*.
 
         Args:
             endpoints: The ids of those that answer now.
-            before_ms: One that was sent later may still be answered.
+            sent_before_ms: One that was sent later may still be answered.
             now_ms: Own monotonic clock.
         """
         self._expire(now_ms)
         due = [
             stop
-            for stop, late in self._known.items()
-            if stop.endpoint in endpoints and not late.is_stopped and late.stop_sent_ms < before_ms
+            for stop, late in self._pending.items()
+            if stop.endpoint in endpoints
+            and not late.is_stop_confirmed
+            and late.stop_sent_ms < sent_before_ms
         ]
         for stop in due:
-            self._known[stop] = self._known[stop]._replace(stop_sent_ms=now_ms)
+            self._pending[stop] = self._pending[stop]._replace(stop_sent_ms=now_ms)
         return due
 
     def _expire(self, now_ms: float) -> None:
         # In the order of their times.
-        for stop, late in list(self._known.items()):
+        for stop, late in list(self._pending.items()):
             if now_ms - late.noted_ms < LATE_ORDER_MAX_MS:
                 return
-            del self._known[stop]
+            del self._pending[stop]
--- a/src/foldloom/seed_discovery/owners/loads.py
+++ b/src/foldloom/seed_discovery/owners/loads.py
@@ -18,9 +18,9 @@
         waiting: The runs that wait for room there.
         now_ms: Own monotonic clock.
     """
-    in_use = [one.room for one in candidates if one.is_open(now_ms)]
+    eligible_rooms = [one.room for one in candidates if one.is_open(now_ms)]
     return ZoneLoad(
-        free_milli=sum(max(0, room.free.cpu_milli) for room in in_use),
-        total_milli=sum(room.capacity.cpu_milli for room in in_use),
+        free_milli=sum(max(0, room.free.cpu_milli) for room in eligible_rooms),
+        total_milli=sum(room.capacity.cpu_milli for room in eligible_rooms),
         queued_milli=waiting.cpu_milli,
     )
--- a/src/foldloom/seed_discovery/owners/offers.py
+++ b/src/foldloom/seed_discovery/owners/offers.py
@@ -25,7 +25,7 @@
 _OFFER_TTL_MS = 100
 # Seconds between two offers at least, to bound messages between zones, which cost, while a job's
 # objective is 60 ms and more.
-_OFFER_PAUSE_S = 0.003
+_OFFER_INTERVAL_MIN_S = 0.003
 
 
 class OfferSender:
@@ -57,17 +57,17 @@
 
     async def run(self) -> None:
         """Offer what waits soon after it changes, until cancelled; an empty offer once."""
-        has_offered = False
+        was_nonempty = False
         while True:
             await self._has_changed.wait()
             self._has_changed.clear()
             groups = self._state.offer(monotonic_ms())
-            if groups or has_offered:
+            if groups or was_nonempty:
                 message = WaitingGroups(self._record, groups)
                 for box in self.other_owners:
                     self._network.send(box, message, _OFFER_TTL_MS)
-            has_offered = bool(groups)
-            await asyncio.sleep(_OFFER_PAUSE_S)
+            was_nonempty = bool(groups)
+            await asyncio.sleep(_OFFER_INTERVAL_MIN_S)
 
     async def steal(self, action: StealAction) -> None:
         """Ask another zone's owner for runs that wait there."""
--- a/src/foldloom/seed_discovery/owners/started_jobs.py
+++ b/src/foldloom/seed_discovery/owners/started_jobs.py
@@ -19,17 +19,17 @@
 REMEMBERED_MS = 2_000.0
 # Milliseconds for which a job is remembered whose deadline is not known, since no box has delivered
 # it: twice the longest of the users' deadlines, 2.8 s, and some more.
-_UNKNOWN_KEPT_MS = 6_000.0
+_LISTED_JOB_TTL_MS = 6_000.0
 
 
-class _Known(NamedTuple):
+class _JobRecord(NamedTuple):
     """A job: until when it is remembered, and whether something of it may have been started."""
 
-    until_ms: float
+    expires_ms: float
     has_started: bool
 
 
-class _Due(NamedTuple):
+class _Expiry(NamedTuple):
     """When a job is looked at, to be forgotten."""
 
     at_ms: float
@@ -40,41 +40,41 @@
     """The list of one term."""
 
     def __init__(self) -> None:
-        self._known: dict[str, _Known] = {}
-        self._due: list[_Due] = []
+        self._jobs: dict[str, _JobRecord] = {}
+        self._expiries: list[_Expiry] = []
 
     def __contains__(self, job_id: str) -> bool:
         """Return whether something of the job was started, or may have been."""
-        known = self._known.get(job_id)
-        return known is not None and known.has_started
+        record = self._jobs.get(job_id)
+        return record is not None and record.has_started
 
     def note_delivered(self, job_id: str, deadline_ms: float) -> None:
         """Remember a job for one more box, which gives it up at *deadline_ms*; own clock."""
-        self._keep(job_id, deadline_ms + REMEMBERED_MS, has_started=False)
+        self._extend(job_id, deadline_ms + REMEMBERED_MS, has_started=False)
 
     def note(self, job_id: str, deadline_ms: float) -> None:
         """Note that something of a job that is given up at *deadline_ms* may be started."""
-        self._keep(job_id, deadline_ms + REMEMBERED_MS, has_started=True)
+        self._extend(job_id, deadline_ms + REMEMBERED_MS, has_started=True)
 
     def note_listed(self, job_id: str, now_ms: float) -> None:
         """Note a start that an endpoint lists, whether a box has delivered the job or not."""
-        self._keep(job_id, now_ms + _UNKNOWN_KEPT_MS, has_started=True)
+        self._extend(job_id, now_ms + _LISTED_JOB_TTL_MS, has_started=True)
 
     def expire(self, now_ms: float) -> None:
         """Forget the jobs whose time is over."""
-        while self._due and self._due[0].at_ms <= now_ms:
-            due = heapq.heappop(self._due)
-            until_ms = self._known[due.job_id].until_ms
-            if until_ms <= now_ms:
-                del self._known[due.job_id]
+        while self._expiries and self._expiries[0].at_ms <= now_ms:
+            expiry = heapq.heappop(self._expiries)
+            expires_ms = self._jobs[expiry.job_id].expires_ms
+            if expires_ms <= now_ms:
+                del self._jobs[expiry.job_id]
             else:
-                heapq.heappush(self._due, _Due(until_ms, due.job_id))
-
-    def _keep(self, job_id: str, until_ms: float, has_started: bool) -> None:
-        known = self._known.get(job_id)
-        if known is None:
-            heapq.heappush(self._due, _Due(until_ms, job_id))
-            known = _Known(until_ms, has_started)
-        self._known[job_id] = _Known(
-            max(known.until_ms, until_ms), known.has_started or has_started
+                heapq.heappush(self._expiries, _Expiry(expires_ms, expiry.job_id))
+
+    def _extend(self, job_id: str, expires_ms: float, has_started: bool) -> None:
+        record = self._jobs.get(job_id)
+        if record is None:
+            heapq.heappush(self._expiries, _Expiry(expires_ms, job_id))
+            record = _JobRecord(expires_ms, has_started)
+        self._jobs[job_id] = _JobRecord(
+            max(record.expires_ms, expires_ms), record.has_started or has_started
         )
--- a/src/foldloom/seed_discovery/owners/stealing.py
+++ b/src/foldloom/seed_discovery/owners/stealing.py
@@ -15,7 +15,7 @@
 from foldloom.seed_discovery.owners.actions import StealAction
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.placing import Reservation
-from foldloom.seed_discovery.scheduling.sharing import VIEW_KEPT_MS, GroupId, RemoteGroups
+from foldloom.seed_discovery.scheduling.sharing import REMOTE_VIEW_TTL_MS, GroupId, RemoteGroups
 
 
 class _ReceivedLoad(NamedTuple):
@@ -45,27 +45,27 @@
     def loads(self, now_ms: float) -> list[ZoneLoad]:
         """Return the loads of other zones that were received lately."""
         return [
-            known.load
-            for known in self._loads.values()
-            if now_ms - known.received_ms < VIEW_KEPT_MS
+            received.load
+            for received in self._loads.values()
+            if now_ms - received.received_ms < REMOTE_VIEW_TTL_MS
         ]
 
     def note_granted(self, action: StealAction, granted: int) -> None:
         """Keep room for as many runs as their owner gives, and free the rest."""
         self._reservations.setdefault(action.group, []).extend(action.reservations[:granted])
         for reservation in action.reservations[granted:]:
-            self._free(reservation)
+            self._cancel_reservation(reservation)
 
     def note_arrived(self, group: GroupId) -> None:
         """Free the room that was kept for a run of *group*, which has been delivered."""
         reservations = self._reservations.get(group)
         if not reservations:
             return
-        self._free(reservations.pop())
+        self._cancel_reservation(reservations.pop())
         if not reservations:
             del self._reservations[group]
 
-    def _free(self, reservation: Reservation) -> None:
+    def _cancel_reservation(self, reservation: Reservation) -> None:
         candidate = self._candidates.get(reservation.endpoint)
         if candidate is not None:
-            candidate.room.unreserve(reservation.number)
+            candidate.room.cancel_reservation(reservation.number)
--- a/src/foldloom/seed_discovery/owners/stragglers.py
+++ b/src/foldloom/seed_discovery/owners/stragglers.py
@@ -56,7 +56,7 @@
         if not is_overdue(ran_ms, group.expected_ms):
             continue
         lifecycle.speeds.note_overdue(run.endpoint, ran_ms, group.expected_ms)
-        if now_ms >= group.late_start_by():
+        if now_ms >= group.late_start_deadline_ms():
             continue
         if is_stuck(ran_ms, group.longest_plausible_ms, run.stopped_after_ms):
             run.stopped_after_ms = ran_ms
--- a/src/foldloom/seed_discovery/owners/tombstones.py
+++ b/src/foldloom/seed_discovery/owners/tombstones.py
@@ -16,7 +16,7 @@
 
 # Milliseconds: no message, order or lease lives longer than the longest of the users'
 # deadlines, 2.8 s, and twice that leaves a margin.
-TOMBSTONE_KEPT_MS = 6_000.0
+TOMBSTONE_TTL_MS = 6_000.0
 
 CAUSE_OF_KIND = {
     EndKind.DONE: EndCause.DONE,
@@ -60,24 +60,24 @@
 
     def add(self, run: Run, now_ms: float) -> None:
         """Remember a run that is known no more."""
-        before = self._by_task.pop(run.task, None)
-        deliveries = {} if before is None else before.deliveries
+        previous = self._by_task.pop(run.task, None)
+        deliveries = {} if previous is None else previous.deliveries
         self._by_task[run.task] = Tombstone(run.attempt, now_ms, None, deliveries | run.holders)
 
     def add_orphaned(self, end: EndedRun, endpoint: str, now_ms: float) -> None:
         """Remember an end that no run waits for; a box may ask for the task later."""
         task, attempt = end.run_id
-        known = self._by_task.get(task)
-        if known is not None and known.attempt >= attempt:
+        tombstone = self._by_task.get(task)
+        if tombstone is not None and tombstone.attempt >= attempt:
             return
         run_end = RunEnd(end.run_id, CAUSE_OF_KIND[end.how], endpoint, 0, end.checkpoint)
         self._by_task.pop(task, None)
         self._by_task[task] = Tombstone(attempt, now_ms, run_end, {})
 
     def expire(self, now_ms: float) -> None:
-        """Forget what is older than ``TOMBSTONE_KEPT_MS``."""
+        """Forget what is older than ``TOMBSTONE_TTL_MS``."""
         while self._by_task:
             task = next(iter(self._by_task))
-            if now_ms - self._by_task[task].ended_ms < TOMBSTONE_KEPT_MS:
+            if now_ms - self._by_task[task].ended_ms < TOMBSTONE_TTL_MS:
                 break
             del self._by_task[task]
--- a/src/foldloom/seed_discovery/scheduling/crashes.py
+++ b/src/foldloom/seed_discovery/scheduling/crashes.py
@@ -36,13 +36,13 @@
     crashes: int = 0
     alone: int = 0
 
-    def joined(self, other: CrashCount) -> CrashCount:
+    def merged(self, other: CrashCount) -> CrashCount:
         """Return what is known by either of two counts, which may count the same crashes."""
         return CrashCount(max(self.crashes, other.crashes), max(self.alone, other.alone))
 
-    def plus_one(self, is_alone: bool) -> CrashCount:
+    def incremented(self, ran_alone: bool) -> CrashCount:
         """Return the count after one more crash."""
-        return CrashCount(self.crashes + 1, self.alone + is_alone)
+        return CrashCount(self.crashes + 1, self.alone + ran_alone)
 
 
 class Isolation(IntEnum):
@@ -66,7 +66,7 @@
     return count.crashes >= _CRASHES_MAX
 
 
-def isolation_by(count: CrashCount) -> Isolation:
+def isolation_for(count: CrashCount) -> Isolation:
     """Return how a task is kept apart.
 
     After one crash it most often did nothing: an endpoint that crashes by itself has as many tasks
--- a/src/foldloom/seed_discovery/scheduling/endpoints.py
+++ b/src/foldloom/seed_discovery/scheduling/endpoints.py
@@ -10,7 +10,7 @@
 
 from foldloom.seed_discovery.endpoints.records import EndpointRecord, EndpointState
 from foldloom.seed_discovery.jobs.spec import Demand, TaskId
-from foldloom.seed_discovery.scheduling.rooms import Room, fits
+from foldloom.seed_discovery.scheduling.rooms import EndpointCapacity, fits
 
 
 class OrphanedRun(NamedTuple):
@@ -37,7 +37,7 @@
 
     def __init__(self, record: EndpointRecord) -> None:
         self.record = record
-        self.room = Room(record.capacity)
+        self.room = EndpointCapacity(record.capacity)
         self.is_trusted = False
         self.is_silent = False
         self.blocked_until_ms = 0.0
@@ -97,6 +97,6 @@
             and now_ms >= self.blocked_until_ms
         )
 
-    def takes(self, demand: Demand) -> bool:
+    def has_capacity_for(self, demand: Demand) -> bool:
         """Return whether it has room for *demand* now."""
         return fits(demand, self.room.free)
--- a/src/foldloom/seed_discovery/scheduling/placing.py
+++ b/src/foldloom/seed_discovery/scheduling/placing.py
@@ -16,11 +16,11 @@
 from foldloom.seed_discovery.jobs.spec import Demand, Placement, TaskId
 from foldloom.seed_discovery.scheduling.crashes import NO_ISOLATIONS, Isolation
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
-from foldloom.seed_discovery.scheduling.groups import Group
+from foldloom.seed_discovery.scheduling.groups import RunGroup
 from foldloom.seed_discovery.scheduling.ranking import Rank, Tier, rank, speed_min
 from foldloom.seed_discovery.scheduling.runs import Run
 from foldloom.seed_discovery.scheduling.sharing import (
-    RESERVED_MS,
+    RESERVATION_TTL_MS,
     GroupId,
     RemoteGroup,
     RemoteGroups,
@@ -32,7 +32,7 @@
 _reservation_numbers = itertools.count(1)
 
 
-class Placed(NamedTuple):
+class PlacedRun(NamedTuple):
     """A decision: *run* goes to *endpoint*."""
 
     run: Run
@@ -46,7 +46,7 @@
     number: int
 
 
-class Stolen(NamedTuple):
+class StolenRuns(NamedTuple):
     """A decision: runs of a group that waits in another zone are asked for, for room here."""
 
     zone: str
@@ -54,14 +54,14 @@
     reservations: list[Reservation]
 
 
-class Placing(NamedTuple):
+class PlacementRound(NamedTuple):
     """What one round decided."""
 
-    placed: list[Placed]
-    stolen: list[Stolen]
+    placed: list[PlacedRun]
+    stolen: list[StolenRuns]
 
 
-class _Kind(NamedTuple):
+class _Requirements(NamedTuple):
     """Runs that fit where any one of them fits.
 
     ``speed_min`` is how fast an endpoint must be for the job not to fall into a lower tier;
@@ -75,7 +75,7 @@
     isolation: Isolation = Isolation.NONE
 
 
-class _Places(NamedTuple):
+class _PlacementContext(NamedTuple):
     """Where runs may go now.
 
     Args:
@@ -92,11 +92,11 @@
         """Return how what runs on an endpoint is kept apart."""
         if not self.isolations:
             return Isolation.NONE
-        kept = [self.isolations.get(task, Isolation.NONE) for task in candidate.room.tasks]
-        return max(kept, default=Isolation.NONE)
+        levels = [self.isolations.get(task, Isolation.NONE) for task in candidate.room.tasks]
+        return max(levels, default=Isolation.NONE)
 
 
-class _Next(NamedTuple):
+class _QueuedGroup(NamedTuple):
     """A group in the order; the own ones come first where ranks are the same."""
 
     rank: Rank
@@ -111,36 +111,38 @@
     speeds: EndpointSpeeds,
     now_ms: float,
     isolations: Mapping[TaskId, Isolation] = NO_ISOLATIONS,
-) -> Placing:
+) -> PlacementRound:
     """Return who starts where now, and charge the room; the runs are taken out of the queue."""
-    result = Placing([], [])
-    open_endpoints = [one for one in candidates.values() if one.is_open(now_ms)]
-    if not open_endpoints:
+    result = PlacementRound([], [])
+    eligible_endpoints = [one for one in candidates.values() if one.is_open(now_ms)]
+    if not eligible_endpoints:
         return result
-    places = _Places(open_endpoints, speeds, isolations)
-    own, others = waiting.groups, remote.stealable(now_ms)
-    order = [_Next(rank(group, now_ms), False, n) for n, group in enumerate(own)]
-    order += [_Next(group.rank, True, n) for n, group in enumerate(others)]
-    full: set[_Kind] = set()
-    for _, is_remote, number in sorted(order):
+    places = _PlacementContext(eligible_endpoints, speeds, isolations)
+    own_groups, remote_groups = waiting.groups, remote.stealable(now_ms)
+    queued_groups = [
+        _QueuedGroup(rank(group, now_ms), False, n) for n, group in enumerate(own_groups)
+    ]
+    queued_groups += [_QueuedGroup(group.rank, True, n) for n, group in enumerate(remote_groups)]
+    exhausted: set[_Requirements] = set()
+    for _, is_remote, number in sorted(queued_groups):
         if is_remote:
-            _steal(others[number], places, full, now_ms, result.stolen)
+            _steal_group(remote_groups[number], places, exhausted, now_ms, result.stolen)
         else:
-            _place_own(own[number], waiting, places, full, now_ms, result.placed)
+            _place_group(own_groups[number], waiting, places, exhausted, now_ms, result.placed)
     return result
 
 
-def _place_own(
-    group: Group,
+def _place_group(
+    group: RunGroup,
     waiting: WaitingRuns,
-    places: _Places,
-    full: set[_Kind],
+    places: _PlacementContext,
+    exhausted: set[_Requirements],
     now_ms: float,
-    placed: list[Placed],
+    placed: list[PlacedRun],
 ) -> None:
     spec = group.spec
-    kind = _Kind(spec.service, spec.demand, spec.placement, speed_min(group, now_ms))
-    if kind in full:
+    kind = _Requirements(spec.service, spec.demand, spec.placement, speed_min(group, now_ms))
+    if kind in exhausted:
         return
     for run in list(group.waiting.values()):
         isolation = places.isolations.get(run.task, Isolation.NONE)
@@ -150,58 +152,62 @@
             continue
         if chosen is None:
             if not spec.placement.per_endpoint_max:
-                full.add(kind)
+                exhausted.add(kind)
             return
         chosen.room.charge(run.task, spec.demand)
         waiting.remove(run.task)
-        placed.append(Placed(run, chosen.record.endpoint))
+        placed.append(PlacedRun(run, chosen.record.endpoint))
 
 
-def _steal(
+def _steal_group(
     group: RemoteGroup,
-    places: _Places,
-    full: set[_Kind],
+    places: _PlacementContext,
+    exhausted: set[_Requirements],
     now_ms: float,
-    stolen: list[Stolen],
+    stolen: list[StolenRuns],
 ) -> None:
     summary = group.summary
-    kind = _Kind(summary.service, summary.demand, summary.placement, summary.speed_min)
+    kind = _Requirements(summary.service, summary.demand, summary.placement, summary.speed_min)
     # How many of its step an endpoint has is known only where all of the step is.
-    if kind in full or summary.tier == Tier.UNATTAINABLE or summary.placement.per_endpoint_max:
+    if kind in exhausted or summary.tier == Tier.UNATTAINABLE or summary.placement.per_endpoint_max:
         return
     reservations: list[Reservation] = []
-    while group.left > 0:
+    while group.remaining > 0:
         chosen = choose_endpoint(kind, summary.group, places)
         if chosen is None:
-            full.add(kind)
+            exhausted.add(kind)
             break
         number = next(_reservation_numbers)
-        chosen.room.reserve(number, summary.demand, now_ms + RESERVED_MS)
+        chosen.room.reserve(number, summary.demand, now_ms + RESERVATION_TTL_MS)
         reservations.append(Reservation(chosen.record.endpoint, number))
-        group.left -= 1
+        group.remaining -= 1
     if reservations:
-        stolen.append(Stolen(group.zone, summary.group, reservations))
+        stolen.append(StolenRuns(group.zone, summary.group, reservations))
 
 
-def choose_endpoint(kind: _Kind, group: GroupId, places: _Places) -> ZoneEndpoint | None:
+def choose_endpoint(
+    kind: _Requirements, group: GroupId, places: _PlacementContext
+) -> ZoneEndpoint | None:
     """Return the best endpoint with room, if any: near the data, fast, tightly filled.
 
     A task under which an endpoint has crashed goes to an idle one before that, and others go
     elsewhere than beside it.
     """
-    fitting = [one for one in places.endpoints if _may_run(kind, group, one, places)]
-    if not fitting:
+    eligible = [one for one in places.endpoints if _is_eligible(kind, group, one, places)]
+    if not eligible:
         return None
-    return max(fitting, key=lambda one: _preference(kind, one, places))
+    return max(eligible, key=lambda one: _score(kind, one, places))
 
 
-def _may_run(kind: _Kind, group: GroupId, candidate: ZoneEndpoint, places: _Places) -> bool:
+def _is_eligible(
+    kind: _Requirements, group: GroupId, candidate: ZoneEndpoint, places: _PlacementContext
+) -> bool:
     record, speeds = candidate.record, places.speeds
     if kind.isolation is Isolation.REQUIRED and not candidate.is_idle:
         return False
     if places.isolation_on(candidate) is Isolation.REQUIRED:
         return False
-    if record.service != kind.service or not candidate.takes(kind.demand):
+    if record.service != kind.service or not candidate.has_capacity_for(kind.demand):
         return False
     if speeds.speed_of(record.endpoint) < kind.speed_min:
         return False
@@ -213,14 +219,14 @@
     return candidate.room.count_of(group.job_id, group.step) < placement.per_endpoint_max
 
 
-def _preference(
-    kind: _Kind, candidate: ZoneEndpoint, places: _Places
+def _score(
+    kind: _Requirements, candidate: ZoneEndpoint, places: _PlacementContext
 ) -> tuple[bool, bool, float, int, str]:
     is_isolated = kind.isolation is not Isolation.NONE
-    is_apart = candidate.is_idle if is_isolated else not places.isolation_on(candidate)
+    meets_isolation = candidate.is_idle if is_isolated else not places.isolation_on(candidate)
     rack = kind.placement.rack
-    is_near = not rack or rack in candidate.record.labels
-    left = candidate.room.free.cpu_milli - kind.demand.cpu_milli
+    is_rack_local = not rack or rack in candidate.record.labels
+    cpu_left_milli = candidate.room.free.cpu_milli - kind.demand.cpu_milli
     endpoint = candidate.record.endpoint
     speed = round(places.speeds.speed_of(endpoint), 1)
-    return (is_apart, is_near, speed, -left, endpoint)
+    return (meets_isolation, is_rack_local, speed, -cpu_left_milli, endpoint)
--- a/src/foldloom/seed_discovery/scheduling/ranking.py
+++ b/src/foldloom/seed_discovery/scheduling/ranking.py
@@ -10,7 +10,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from foldloom.seed_discovery.scheduling.groups import Group
+from foldloom.seed_discovery.scheduling.groups import RunGroup
 
 # Share of the speed that a group needs by its estimate, below which an endpoint is left out: below
 # 1 because estimates are off by some tens of per cent.
@@ -31,15 +31,15 @@
     Args:
         tier: What its job can still earn.
         level: Among those of a tier.
-        by_ms: When it must start for its tier; own monotonic clock.
+        start_deadline_ms: When it must start for its tier; own monotonic clock.
     """
 
     tier: int
     level: int
-    by_ms: float
+    start_deadline_ms: float
 
 
-def rank(group: Group, now_ms: float) -> Rank:
+def rank(group: RunGroup, now_ms: float) -> Rank:
     """Return the place of *group* in the order at *now_ms*.
 
     On time goes before late; within a tier priority 0 goes before all others, since its tasks are
@@ -47,22 +47,26 @@
     behind longer ones; then who must start soonest.
     """
     tier = tier_of(group, now_ms)
-    by_ms = group.start_by() if tier is Tier.ON_TIME else group.late_start_by()
-    return Rank(tier, min(1, group.spec.priority), by_ms)
+    start_deadline_ms = (
+        group.on_time_start_deadline_ms()
+        if tier is Tier.ON_TIME
+        else group.late_start_deadline_ms()
+    )
+    return Rank(tier, min(1, group.spec.priority), start_deadline_ms)
 
 
-def tier_of(group: Group, now_ms: float) -> Tier:
+def tier_of(group: RunGroup, now_ms: float) -> Tier:
     """Return whether a group's job can still be on time, or late, or neither."""
-    if now_ms <= group.start_by():
+    if now_ms <= group.on_time_start_deadline_ms():
         return Tier.ON_TIME
-    return Tier.LATE if now_ms <= group.late_start_by() else Tier.UNATTAINABLE
+    return Tier.LATE if now_ms <= group.late_start_deadline_ms() else Tier.UNATTAINABLE
 
 
-def speed_min(group: Group, now_ms: float) -> float:
+def speed_min(group: RunGroup, now_ms: float) -> float:
     """Return how fast an endpoint must be for a group to stay in its tier.
 
     It is rounded to a tenth, so that groups that are alike fit where any of them fits.
     """
     is_on_time = tier_of(group, now_ms) is Tier.ON_TIME
-    tier_ms = group.on_time_ms if is_on_time else group.late_ms
-    return round(group.slowest(tier_ms, now_ms) * _SPEED_TOLERANCE, 1)
+    tier_deadline_ms = group.on_time_deadline_ms if is_on_time else group.late_ms
+    return round(group.speed_needed(tier_deadline_ms, now_ms) * _SPEED_TOLERANCE, 1)
--- a/src/foldloom/seed_discovery/scheduling/rooms.py
+++ b/src/foldloom/seed_discovery/scheduling/rooms.py
@@ -7,10 +7,10 @@
 
 from foldloom.seed_discovery.jobs.spec import Demand, TaskId
 
-_NOTHING = Demand(0, 0, 0)
+_ZERO_DEMAND = Demand(0, 0, 0)
 
 
-def plus(left: Demand, right: Demand) -> Demand:
+def add_demand(left: Demand, right: Demand) -> Demand:
     """Return both together."""
     return Demand(
         left.cpu_milli + right.cpu_milli,
@@ -19,7 +19,7 @@
     )
 
 
-def minus(left: Demand, right: Demand) -> Demand:
+def subtract_demand(left: Demand, right: Demand) -> Demand:
     """Return *left* without *right*."""
     return Demand(
         left.cpu_milli - right.cpu_milli,
@@ -37,14 +37,14 @@
     )
 
 
-class Reserved(NamedTuple):
+class CapacityReservation(NamedTuple):
     """Room that is kept until ``until_ms``."""
 
     demand: Demand
     until_ms: float
 
 
-class Room:
+class EndpointCapacity:
     """One endpoint's capacity and what is charged to it.
 
     Args:
@@ -53,8 +53,8 @@
 
     def __init__(self, capacity: Demand) -> None:
         self._capacity = capacity
-        self._charged: dict[TaskId, Demand] = {}
-        self._reserved: dict[int, Reserved] = {}
+        self._allocated: dict[TaskId, Demand] = {}
+        self._reservations_by_number: dict[int, CapacityReservation] = {}
         self._free = capacity
 
     @property
@@ -70,41 +70,41 @@
     @property
     def tasks(self) -> list[TaskId]:
         """The tasks that are charged."""
-        return list(self._charged)
+        return list(self._allocated)
 
     def set_capacity(self, capacity: Demand) -> None:
         """Change the capacity; what is charged stays."""
-        self._free = plus(minus(self._free, self._capacity), capacity)
+        self._free = add_demand(subtract_demand(self._free, self._capacity), capacity)
         self._capacity = capacity
 
     def charge(self, task: TaskId, demand: Demand) -> None:
         """Charge room for *task*; a second time changes nothing."""
-        if task in self._charged:
+        if task in self._allocated:
             return
-        self._charged[task] = demand
-        self._free = minus(self._free, demand)
+        self._allocated[task] = demand
+        self._free = subtract_demand(self._free, demand)
 
     def release(self, task: TaskId) -> None:
         """Release the room of *task*, if it has any."""
-        self._free = plus(self._free, self._charged.pop(task, _NOTHING))
+        self._free = add_demand(self._free, self._allocated.pop(task, _ZERO_DEMAND))
 
     def reserve(self, number: int, demand: Demand, until_ms: float) -> None:
         """Keep room for a run that is stolen elsewhere, under a *number* of the caller's."""
-        self._reserved[number] = Reserved(demand, until_ms)
-        self._free = minus(self._free, demand)
+        self._reservations_by_number[number] = CapacityReservation(demand, until_ms)
+        self._free = subtract_demand(self._free, demand)
 
-    def unreserve(self, number: int) -> None:
+    def cancel_reservation(self, number: int) -> None:
         """Release the reservation *number*, if there is one."""
-        reserved = self._reserved.pop(number, None)
+        reserved = self._reservations_by_number.pop(number, None)
         if reserved is not None:
-            self._free = plus(self._free, reserved.demand)
+            self._free = add_demand(self._free, reserved.demand)
 
     def unreserve_expired(self, now_ms: float) -> None:
         """Release reservations that were not used in time."""
-        for number, reserved in list(self._reserved.items()):
+        for number, reserved in list(self._reservations_by_number.items()):
             if now_ms >= reserved.until_ms:
-                self.unreserve(number)
+                self.cancel_reservation(number)
 
     def count_of(self, job_id: str, step: int) -> int:
         """Return how many tasks of a job's step are charged."""
-        return sum(1 for task in self._charged if task.job_id == job_id and task.step == step)
+        return sum(1 for task in self._allocated if task.job_id == job_id and task.step == step)
--- a/src/foldloom/seed_discovery/scheduling/sharing.py
+++ b/src/foldloom/seed_discovery/scheduling/sharing.py
@@ -17,10 +17,10 @@
 
 # Milliseconds for which what another zone's owner said is acted on: three of its heartbeats (100
 # ms), which carry its load.
-VIEW_KEPT_MS = 300.0
+REMOTE_VIEW_TTL_MS = 300.0
 # Milliseconds for which room is kept for a stolen run: above the 30 ms for which the request waits
 # for its reply, plus the box's delivery over two hops between zones (0.5 ms each).
-RESERVED_MS = 40.0
+RESERVATION_TTL_MS = 40.0
 
 
 class GroupId(NamedTuple):
@@ -46,7 +46,7 @@
         placement: Where they may run.
         tier: Its tier.
         level: Its level in the tier.
-        by_in_ms: In how long it must start.
+        start_within_ms: In how long it must start.
         waiting: How many of its runs wait.
         cpu_ms: How much processor they will take, in core milliseconds.
         speed_min: How fast an endpoint must be for the job to stay in its tier.
@@ -58,7 +58,7 @@
     placement: Placement
     tier: int
     level: int
-    by_in_ms: int
+    start_within_ms: int
     waiting: int
     cpu_ms: int
     speed_min: float = 0.0
@@ -76,28 +76,28 @@
     def __init__(self, zone: str, summary: GroupSummary, received_ms: float) -> None:
         self.zone = zone
         self.summary = summary
-        self.rank = Rank(summary.tier, summary.level, received_ms + summary.by_in_ms)
-        self.left = summary.waiting
+        self.rank = Rank(summary.tier, summary.level, received_ms + summary.start_within_ms)
+        self.remaining = summary.waiting
 
 
 class RemoteGroups:
     """What waits in the other zones."""
 
     def __init__(self) -> None:
-        self._by_zone: dict[str, list[RemoteGroup]] = {}
+        self._groups_by_zone: dict[str, list[RemoteGroup]] = {}
         self._received_ms: dict[str, float] = {}
 
     def note_offer(self, zone: str, summaries: list[GroupSummary], now_ms: float) -> None:
         """Note what waits in a zone, in place of what its owner offered before."""
-        self._by_zone[zone] = [RemoteGroup(zone, one, now_ms) for one in summaries]
+        self._groups_by_zone[zone] = [RemoteGroup(zone, one, now_ms) for one in summaries]
         self._received_ms[zone] = now_ms
 
     def stealable(self, now_ms: float) -> list[RemoteGroup]:
         """Return the groups that were offered lately and have runs left to steal."""
         return [
             group
-            for zone, groups in self._by_zone.items()
-            if now_ms - self._received_ms[zone] < VIEW_KEPT_MS
+            for zone, groups in self._groups_by_zone.items()
+            if now_ms - self._received_ms[zone] < REMOTE_VIEW_TTL_MS
             for group in groups
-            if group.left > 0
+            if group.remaining > 0
         ]
--- a/tests/test_crashing_task.py
+++ b/tests/test_crashing_task.py
@@ -27,7 +27,7 @@
 _CALLERS = 3
 
 
-async def _call(
+async def _submit_until_over(
     system: PlatformSystem, entry: str, numbers: itertools.count[int], is_over: asyncio.Event
 ) -> list[Answer]:
     """Hand short jobs in, one after the other, and return the answers."""
@@ -38,11 +38,13 @@
     return answers
 
 
-async def _hand_in(system: PlatformSystem, crash_ms: int) -> tuple[Answer, list[Answer]]:
+async def _submit_crashing_job(
+    system: PlatformSystem, crash_ms: int
+) -> tuple[Answer, list[Answer]]:
     """Hand the crashing job in beside the callers; return its answer and theirs."""
     numbers, is_over = itertools.count(1), asyncio.Event()
     callers = [
-        asyncio.create_task(_call(system, system.entries[n], numbers, is_over))
+        asyncio.create_task(_submit_until_over(system, system.entries[n], numbers, is_over))
         for n in range(_CALLERS)
     ]
     await asyncio.sleep(0.5)
@@ -68,7 +70,7 @@
         """Its job fails before its deadline, and its neighbours are completed, every one."""
 
         async def scenario(system: PlatformSystem) -> None:
-            answer, others = await _hand_in(system, crash_ms)
+            answer, others = await _submit_crashing_job(system, crash_ms)
             assert (answer.status, answer.fields) == (200, {"state": "failed"})
             assert _crashes(system) <= _CRASHES_MAX
             assert [one.status for one in others] == [200] * len(others)
@@ -79,7 +81,7 @@
         """The same job again, at another box of the zone, crashes nothing more."""
 
         async def scenario(system: PlatformSystem) -> None:
-            first, _ = await _hand_in(system, crash_ms)
+            first, _ = await _submit_crashing_job(system, crash_ms)
             crashes = _crashes(system)
             again = await system.submit("e1", _CRASHING, crashing_steps(crash_ms))
             assert first.fields == again.fields == {"state": "failed"}
--- a/tests/test_owners_admission.py
+++ b/tests/test_owners_admission.py
@@ -14,7 +14,7 @@
 _NOW_MS = 10_000.0
 
 
-def _urgent() -> SubmitRuns:
+def _urgent_job() -> SubmitRuns:
     """Return a job of one task that should start within some hundred milliseconds."""
     return submission(objective=Objective(0, 1.6, 60, 0), deadline_ms=1_500)
 
@@ -35,7 +35,7 @@
         state = _warm_owner()
         for name in ("w1", "w2"):
             state.distrust(name)
-        assert state.submit(_E1, _urgent(), _NOW_MS).status is SubmitStatus.TAKEN
+        assert state.submit(_E1, _urgent_job(), _NOW_MS).status is SubmitStatus.TAKEN
         state.report(EndpointReport("w1", (), (), _NOW_MS + 20.0), _NOW_MS + 25.0)
         state.place(_NOW_MS + 25.0)
         assert [start.endpoint for start in state.actions.pop_starts()] == ["w1"]
@@ -45,7 +45,7 @@
         state = _warm_owner()
         for name in ("w1", "w2"):
             state.note_silent(name)
-        reply = state.submit(_E1, _urgent(), _NOW_MS)
+        reply = state.submit(_E1, _urgent_job(), _NOW_MS)
         assert (reply.status, reply.retry_after_ms) == (SubmitStatus.REFUSED, 2_000)
 
     def test_one_of_them_is_overdue(self) -> None:
@@ -53,4 +53,4 @@
         state = _warm_owner()
         state.note_silent("w1")
         state.distrust("w2")
-        assert state.submit(_E1, _urgent(), _NOW_MS).status is SubmitStatus.TAKEN
+        assert state.submit(_E1, _urgent_job(), _NOW_MS).status is SubmitStatus.TAKEN
--- a/tests/test_owners_crashed_endpoints.py
+++ b/tests/test_owners_crashed_endpoints.py
@@ -12,7 +12,7 @@
 )
 from foldloom.seed_discovery.endpoints.records import EndpointState
 from foldloom.seed_discovery.jobs.spec import Demand, RunId, TaskId
-from foldloom.seed_discovery.owners.crash_records import CRASHES_KEPT_MS, CrashRecords
+from foldloom.seed_discovery.owners.crash_records import CRASH_RECORD_TTL_MS, CrashRecords
 from foldloom.seed_discovery.owners.messages import EndCause, RunEnd
 from foldloom.seed_discovery.owners.state import OwnerState
 from foldloom.seed_discovery.scheduling.crashes import CrashCount, Isolation
@@ -28,10 +28,10 @@
 def _hand_in(state: OwnerState, now_ms: float, job_id: str = _JOB, tasks: int = 1) -> list[str]:
     """Hand a job of small tasks in and have it started; return where its tasks are."""
     state.submit(_E1, submission(tasks, job_id=job_id, demand=_SMALL), now_ms)
-    return _start_waiting(state, now_ms)
+    return _place_and_start(state, now_ms)
 
 
-def _start_waiting(state: OwnerState, now_ms: float) -> list[str]:
+def _place_and_start(state: OwnerState, now_ms: float) -> list[str]:
     """Have what waits started, and return where."""
     state.place(now_ms)
     starts = state.actions.pop_starts()
@@ -40,7 +40,7 @@
     return [start.endpoint for start in starts]
 
 
-def _deliver_again(state: OwnerState, end: RunEnd, now_ms: float) -> None:
+def _deliver_next_attempt(state: OwnerState, end: RunEnd, now_ms: float) -> None:
     """Deliver the next attempt of a run that has ended, as its entry box does."""
     message = submission(job_id=end.run_id.task.job_id, demand=_SMALL)
     order = message.orders[0]._replace(
@@ -72,8 +72,8 @@
         state.report(EndpointReport("w1", (), (), 800.0, 1), 801.0)
         state.begin_life("w1", 5_000.0)
         state.report(EndpointReport("w1", (), (), 5_001.0, 2), 5_002.0)
-        _deliver_again(state, RunEnd(RunId(_TASK, 1), EndCause.LAPSED), 5_003.0)
-        assert _start_waiting(state, 5_003.0) == ["w1"]
+        _deliver_next_attempt(state, RunEnd(RunId(_TASK, 1), EndCause.LAPSED), 5_003.0)
+        assert _place_and_start(state, 5_003.0) == ["w1"]
         assert [end.crashes for end in _crash(state, "w1", 5_100.0)] == [CrashCount(1, 1)]
 
     def test_a_lapse_before_the_next_life_does(self) -> None:
@@ -84,8 +84,8 @@
         state.note_lapsed("w2", 700.0)
         ((_, end),) = ends_of(state)
         state.begin_life("w2", 3_000.0)
-        _deliver_again(state, end, 3_001.0)
-        assert _start_waiting(state, 3_001.0) == ["w1"]
+        _deliver_next_attempt(state, end, 3_001.0)
+        assert _place_and_start(state, 3_001.0) == ["w1"]
         assert [end.crashes for end in _crash(state, "w1", 3_100.0)] == [CrashCount(2, 2)]
 
     def test_once_a_life(self) -> None:
@@ -113,7 +113,7 @@
         (start,) = state.actions.pop_starts()
         state.note_start(start.run_id, start.endpoint, CallOutcome.NO_LISTENER, 11.0)
         state.note_crashed(start.endpoint, 12.0)
-        assert _start_waiting(state, 12.0) == [{"w1": "w2", "w2": "w1"}[start.endpoint]]
+        assert _place_and_start(state, 12.0) == [{"w1": "w2", "w2": "w1"}[start.endpoint]]
         assert not state.actions.pop_stops()
         assert [end.crashes for end in _crash(state, "w1", 20.0)] in ([CrashCount(1, 1)], [])
 
@@ -128,7 +128,7 @@
         state.note_lapsed("w1", 700.0)
         state.begin_life("w1", 3_000.0)
         state.report(EndpointReport("w1", (), (), 3_001.0), 3_002.0)
-        assert _start_waiting(state, 3_002.0) == ["w1"]
+        assert _place_and_start(state, 3_002.0) == ["w1"]
         assert [end.crashes for end in _crash(state, "w1", 3_100.0)] == [CrashCount(2, 2)]
 
 
@@ -141,8 +141,8 @@
         assert set(_hand_in(state, 10.0, tasks=3)) == {"w5"}
         for end in _crash(state, "w5", 20.0):
             assert end.crashes == CrashCount(1, 0)
-            _deliver_again(state, end, 700.0)
-        placed = _start_waiting(state, 700.0)
+            _deliver_next_attempt(state, end, 700.0)
+        placed = _place_and_start(state, 700.0)
         assert len(set(placed)) == 3
         (fresh,) = _hand_in(state, 701.0, job_id=_OTHER)
         assert fresh not in placed
@@ -153,8 +153,8 @@
         _hand_in(state, 10.0)
         (end,) = _crash(state, "w2", 20.0)
         assert _hand_in(state, 30.0, job_id=_OTHER) == ["w1"]
-        _deliver_again(state, end, 700.0)
-        assert _start_waiting(state, 700.0) == ["w1"]
+        _deliver_next_attempt(state, end, 700.0)
+        assert _place_and_start(state, 700.0) == ["w1"]
 
     def test_after_two_crashes_it_waits(self) -> None:
         """It starts on an idle endpoint, and nothing starts beside it."""
@@ -166,7 +166,7 @@
             # Both on one: the other endpoints are busy with something else.
             for other in set(state.candidates) - {name}:
                 state.distrust(other)
-            assert _start_waiting(state, now_ms) == [name, name]
+            assert _place_and_start(state, now_ms) == [name, name]
             for other in set(state.candidates) - {"w2", "w3"}:
                 state.report(EndpointReport(other, (), (), now_ms), now_ms)
             ends = _crash(state, name, now_ms + 10.0)
@@ -175,17 +175,17 @@
         assert [end.crashes for end in ends] == [CrashCount(2, 0)] * 2
         _hand_in(state, 1_900.0, job_id=_OTHER)
         for end in ends:
-            _deliver_again(state, end, 2_000.0)
-        assert _start_waiting(state, 2_000.0) == []
+            _deliver_next_attempt(state, end, 2_000.0)
+        assert _place_and_start(state, 2_000.0) == []
         ended = EndedRun(1, RunId(TaskId(_OTHER, 0, 0, 0), 1), EndKind.DONE)
         state.report(EndpointReport("w1", (), (ended,), 2_100.0), 2_101.0)
-        assert _start_waiting(state, 2_101.0) == ["w1"]
+        assert _place_and_start(state, 2_101.0) == ["w1"]
         assert _hand_in(state, 2_102.0, job_id="2" * 16) == []
 
     def test_it_ends_once(self) -> None:
         """Then it is like any other again, also if it is handed in anew."""
         records = CrashRecords()
-        records.note_crash([_TASK], has_others=True, now_ms=1.0)
+        records.note_crash([_TASK], has_other_runs=True, now_ms=1.0)
         assert records.isolations == {_TASK: Isolation.PREFERRED}
         records.clear(_TASK)
         assert records.count_of(_TASK) == CrashCount()
@@ -200,8 +200,8 @@
         state = owner_with(endpoint("w1"), endpoint("w2"))
         _hand_in(state, 10.0, tasks=2)
         first = _crash(state, "w2", 20.0)
-        _deliver_again(state, first[0], 700.0)
-        assert _start_waiting(state, 700.0) == ["w1"]
+        _deliver_next_attempt(state, first[0], 700.0)
+        assert _place_and_start(state, 700.0) == ["w1"]
         state.note_silent("w1")
         state.note_crashed("w1", 750.0)
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount(2, 1)]
@@ -211,20 +211,20 @@
         state = owner_with(endpoint("w1"))
         order = submission().orders[0]._replace(crashes=CrashCount(2, 1))
         state.submit(_E1, submission(orders=[order]), 10.0)
-        assert _start_waiting(state, 10.0) == []
+        assert _place_and_start(state, 10.0) == []
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount(2, 1)]
         # Now the owner knows, whatever another box says.
         state.submit(_E1, submission(), 2_000.0)
-        assert _start_waiting(state, 2_000.0) == []
+        assert _place_and_start(state, 2_000.0) == []
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount(2, 1)]
 
     def test_it_is_remembered_for_a_while(self) -> None:
         """Its caller may send it again for some seconds; then nothing is kept of it."""
         records = CrashRecords()
-        records.note_crash([_TASK], has_others=False, now_ms=1.0)
-        records.expire(CRASHES_KEPT_MS)
+        records.note_crash([_TASK], has_other_runs=False, now_ms=1.0)
+        records.expire(CRASH_RECORD_TTL_MS)
         assert records.count_of(_TASK) == CrashCount(1, 1)
-        records.expire(CRASHES_KEPT_MS + 1.0)
+        records.expire(CRASH_RECORD_TTL_MS + 1.0)
         assert records.count_of(_TASK) == CrashCount()
 
     def test_a_run_of_another_owner(self) -> None:
--- a/tests/test_resized_endpoints.py
+++ b/tests/test_resized_endpoints.py
@@ -35,20 +35,22 @@
     return body
 
 
-async def _stay_busy(system: PlatformSystem, numbers: itertools.count[int], until_s: float) -> int:
+async def _sustain_load(
+    system: PlatformSystem, numbers: itertools.count[int], until_s: float
+) -> int:
     """Hand jobs in until then; return the most that any endpoint had in use meanwhile."""
 
     async def call(entry: str) -> None:
         while time.monotonic() < until_s:
             await system.submit(entry, next(numbers), _body(4))
 
-    most = 0
+    peak_milli = 0
     callers = [asyncio.create_task(call(system.entries[n % 3])) for n in range(_CALLERS)]
     while time.monotonic() < until_s:
-        most = max(most, *(one.used_milli for one in system.endpoints))
+        peak_milli = max(peak_milli, *(one.used_milli for one in system.endpoints))
         await asyncio.sleep(0.005)
     await asyncio.gather(*callers)
-    return most
+    return peak_milli
 
 
 class TestUnderLoad:
@@ -62,9 +64,9 @@
             for cpu_milli in (_SMALL_MILLI, CAPACITY["cpu"], _SMALL_MILLI, CAPACITY["cpu"]):
                 for one in system.endpoints:
                     one.cpu_milli = cpu_milli
-                most = await _stay_busy(system, numbers, time.monotonic() + _BUSY_S)
+                peak_milli = await _sustain_load(system, numbers, time.monotonic() + _BUSY_S)
             assert [one.overfilled for one in system.endpoints] == [[], []]
-            assert most > CAPACITY["cpu"] - _TASK_MILLI
+            assert peak_milli > CAPACITY["cpu"] - _TASK_MILLI
 
         play(scenario, tmp_path)
 
@@ -137,8 +139,8 @@
         room.reserve(1, Demand(6_800, 64, 0), 1_000.0)
         room.reserve(2, Demand(6_800, 64, 0), 1_000.0)
         state.follow_endpoint(endpoint("w1", 7_000))
-        room.unreserve(1)
-        assert not state.candidates["w1"].takes(Demand(6_800, 64, 0))
-        room.unreserve(2)
-        assert state.candidates["w1"].takes(Demand(6_800, 64, 0))
+        room.cancel_reservation(1)
+        assert not state.candidates["w1"].has_capacity_for(Demand(6_800, 64, 0))
+        room.cancel_reservation(2)
+        assert state.candidates["w1"].has_capacity_for(Demand(6_800, 64, 0))
         assert room.free == Demand(7_000, 32_000, 0)
--- a/tests/test_scheduling_crashes.py
+++ b/tests/test_scheduling_crashes.py
@@ -9,7 +9,7 @@
     CrashCount,
     Isolation,
     is_given_up,
-    isolation_by,
+    isolation_for,
 )
 
 
@@ -41,7 +41,7 @@
         """Never before a crash, if it can be had after one, always after two."""
         counts = [CrashCount(), CrashCount(1, 1), CrashCount(2, 0)]
         kept = [Isolation.NONE, Isolation.PREFERRED, Isolation.REQUIRED]
-        assert [isolation_by(count) for count in counts] == kept
+        assert [isolation_for(count) for count in counts] == kept
 
 
 class TestCrashCount:
@@ -49,4 +49,4 @@
 
     def test_joined(self) -> None:
         """The same crash may be in both, so they are not added up."""
-        assert CrashCount(2, 0).joined(CrashCount(1, 1)) == CrashCount(2, 1)
+        assert CrashCount(2, 0).merged(CrashCount(1, 1)) == CrashCount(2, 1)
--- a/tests/test_scheduling_groups.py
+++ b/tests/test_scheduling_groups.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 from foldloom.seed_discovery.jobs.spec import Demand, Placement
-from foldloom.seed_discovery.scheduling.groups import LATE_FACTOR, Group
+from foldloom.seed_discovery.scheduling.groups import LATE_FACTOR, RunGroup
 from foldloom.seed_discovery.scheduling.ranking import Tier, tier_of
 from foldloom.seed_discovery.scheduling.runs import RunSpec
 
@@ -37,17 +37,17 @@
         Seen in tests/test_platform_system.py: a job of 300 ms tasks was given up 0.8 s after
         its arrival, since jobs of 20 ms had come before it on the same queue.
         """
-        group = Group(_spec(estimate_ms=300), expected_ms=80.0)
+        group = RunGroup(_spec(estimate_ms=300), expected_ms=80.0)
         assert group.late_ms == LATE_FACTOR * (1.6 * 300 + 60)
         assert tier_of(group, 800.0) == Tier.LATE
         assert tier_of(group, 1_700.0) == Tier.UNATTAINABLE
 
     def test_a_guess_that_is_too_short(self) -> None:
         """What the queue's other jobs took counts where the caller says less."""
-        group = Group(_spec(estimate_ms=10), expected_ms=300.0)
+        group = RunGroup(_spec(estimate_ms=10), expected_ms=300.0)
         assert group.late_ms == LATE_FACTOR * (1.6 * 300 + 60)
 
     def test_never_beyond_the_deadline(self) -> None:
         """Nobody waits for an answer after it."""
-        group = Group(_spec(estimate_ms=9_000), expected_ms=300.0)
+        group = RunGroup(_spec(estimate_ms=9_000), expected_ms=300.0)
         assert group.late_ms == 10_000.0
