--- a/src/foldloom/seed_discovery/scheduling/__init__.py
+++ b/src/foldloom/seed_discovery/scheduling/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""Which run goes to which endpoint, and when: decisions without sockets."""
+"""Placement and ordering of runs on endpoints, without I/O."""
--- a/src/foldloom/seed_discovery/scheduling/crashes.py
+++ b/src/foldloom/seed_discovery/scheduling/crashes.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""Tasks under which endpoints have crashed: whether they start again, and beside what.
+"""Crash limits and isolation of tasks whose endpoints have crashed.
 
-Owns nothing: types and decisions. A task may crash each endpoint that starts it, and what else runs
-there dies with it. So a task whose endpoint has crashed starts next on an endpoint of its own,
-where that can be had: it harms nobody then, and if that one crashes too, the task did it. The other
-tasks that were there end once and are like any others again.
+Stateless. A task can crash every endpoint that starts it, which also ends the other runs there.
+After a crash, each task that ran on the endpoint is isolated: it starts on an idle endpoint where
+possible, so that another crash affects no other task and identifies the cause. A task that then
+ends normally is scheduled without isolation again.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 
 from foldloom.seed_discovery.jobs.spec import TaskId
 
-# Endpoints that may crash under a task before it is given up, whatever ran beside it.
+# Endpoint crashes after which a task is not started again.
 _CRASHES_MAX = 3
-# The same if one of them ran nothing else.
+# The same if the task was the only one on at least one of these endpoints.
 _CRASHES_MAX_ALONE = 2
 
 
 class CrashCount(NamedTuple):
-    """How many endpoints have crashed under one task.
+    """Number of confirmed endpoint crashes during runs of one task.
 
-    A crash is certain: the endpoint's port refuses connections, or another life answers there. A
-    lease that lapsed in silence is none; the endpoint may be cut off.
+    A crash is confirmed when the endpoint's port refuses connections or another incarnation
+    answers there. The expiry of a lease alone is no crash: the endpoint may be partitioned.
 
     Args:
-        crashes: All of them.
-        alone: Those that ran nothing else.
+        crashes: All crashes.
+        alone: Crashes in which the task was the only one on the endpoint.
     """
 
     crashes: int = 0
     alone: int = 0
 
     def merged(self, other: CrashCount) -> CrashCount:
-        """Return what is known by either of two counts, which may count the same crashes."""
+        """Return the maximum of two counts, which may include the same crashes."""
         return CrashCount(max(self.crashes, other.crashes), max(self.alone, other.alone))
 
     def incremented(self, ran_alone: bool) -> CrashCount:
@@ -46,31 +46,31 @@
 
 
 class Isolation(IntEnum):
-    """How a task is kept apart from others on its endpoint."""
+    """Isolation of a task from other tasks on its endpoint."""
 
     NONE = 0
     PREFERRED = 1
-    """It starts beside others only where no endpoint is idle, and they beside it."""
+    """The task shares an endpoint with other tasks only if there is no alternative."""
     REQUIRED = 2
-    """It starts on an idle endpoint, and nothing beside it."""
+    """The task starts on an idle endpoint, and no other task is placed there."""
 
 
 NO_ISOLATIONS: Mapping[TaskId, Isolation] = MappingProxyType({})
-"""No task is kept apart."""
+"""No task is isolated."""
 
 
 def is_given_up(count: CrashCount) -> bool:
-    """Return whether a task may not start again, after which its job has failed."""
+    """Return whether a task has reached its crash limit and must not start again."""
     if count.alone and count.crashes >= _CRASHES_MAX_ALONE:
         return True
     return count.crashes >= _CRASHES_MAX
 
 
 def isolation_for(count: CrashCount) -> Isolation:
-    """Return how a task is kept apart.
+    """Return the isolation for a crash count.
 
-    After one crash it most often did nothing: an endpoint that crashes by itself has as many tasks
-    on it. After two it did, or ran twice beside the one that did.
+    After a single crash most of the affected tasks are not its cause, so isolation is only
+    preferred. After two crashes it is required.
     """
     if not count.crashes:
         return Isolation.NONE
--- a/src/foldloom/seed_discovery/scheduling/endpoints.py
+++ b/src/foldloom/seed_discovery/scheduling/endpoints.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The endpoints of a zone as placement sees them: room, trust, orphaned runs.
-
-Owns the room of each endpoint. Relies on its record and on the owner's link to it.
-"""
+"""State of a zone's endpoints for placement: capacity, eligibility and orphaned runs."""
 
 from __future__ import annotations
 
@@ -14,11 +11,11 @@
 
 
 class OrphanedRun(NamedTuple):
-    """A run that an endpoint lists and that no entry box has delivered yet.
+    """A run that an endpoint reports and that no entry box has submitted to this owner.
 
     Args:
-        attempt: Which start of its task.
-        noted_ms: When it was first seen, or when it was last ordered to stop.
+        attempt: The attempt of its task.
+        noted_ms: When it was first reported, or when the last stop order was sent.
     """
 
     attempt: int
@@ -26,13 +23,13 @@
 
 
 class ZoneEndpoint:
-    """One endpoint.
+    """An endpoint as a candidate for placement.
 
-    ``has_crashed``: whether its present life is known to be over; ``lapsed_tasks``: what was there
-    when its leases lapsed in silence, after which it may turn out to have crashed.
+    ``has_crashed`` is set once the present incarnation is known to have ended; ``lapsed_tasks``
+    are the tasks whose leases expired before such a crash was confirmed.
 
     Args:
-        record: What it says of itself.
+        record: Its newest record.
     """
 
     def __init__(self, record: EndpointRecord) -> None:
@@ -47,26 +44,26 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether it has not said that it leaves."""
+        """Whether it is not draining."""
         return self.record.state is EndpointState.READY
 
     @property
     def is_overdue(self) -> bool:
-        """Whether it gets no work only because an answer of its is late."""
+        """Whether it is ineligible only because its report is overdue."""
         return self.is_ready and not self.is_trusted and not self.is_silent and not self.has_crashed
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing runs there, as far as is known."""
+        """Whether it has no known runs."""
         return not self.room.tasks and not self.orphans
 
     def follow(self, record: EndpointRecord) -> None:
-        """Adopt a newer record of the same life."""
+        """Apply a newer record of the same incarnation."""
         self.record = record
         self.room.set_capacity(record.capacity)
 
     def begin_life(self) -> None:
-        """Forget what holds for one life only; the room of its runs is kept until it reports."""
+        """Reset the state of the previous incarnation; allocations stay until the next report."""
         self.is_trusted = False
         self.is_silent = False
         self.blocked_until_ms = 0.0
@@ -74,21 +71,22 @@
         self.note_alive()
 
     def note_alive(self) -> None:
-        """Note that its present life has answered, so that nothing has crashed it before."""
+        """Clear the crash state: the present incarnation has answered."""
         self.has_crashed = False
         self.lapsed_tasks = []
 
     def is_described(self, born_ms: int) -> bool:
-        """Return whether the record is of the life born at *born_ms*, as far as either says.
+        """Return whether the record covers the incarnation started at *born_ms*.
 
-        Before its first heartbeat, a life's capacity and whether it takes work are not known.
+        True if the record has no start time. The capacity and state of an incarnation are unknown
+        until its first heartbeat.
         """
         return not self.record.born_ms or self.record.born_ms >= born_ms
 
     def is_open(self, now_ms: float) -> bool:
-        """Return whether it may be given work now.
+        """Return whether runs may be placed on it now.
 
-        While it runs what no box has delivered to this owner, its free room is not known.
+        Its free capacity is unknown while it has orphaned runs.
         """
         return (
             self.is_trusted
@@ -98,5 +96,5 @@
         )
 
     def has_capacity_for(self, demand: Demand) -> bool:
-        """Return whether it has room for *demand* now."""
+        """Return whether its free capacity covers *demand*."""
         return fits(demand, self.room.free)
--- a/src/foldloom/seed_discovery/scheduling/estimates.py
+++ b/src/foldloom/seed_discovery/scheduling/estimates.py
@@ -1,27 +1,25 @@
 # SPDX-License-Identifier: MIT
-"""How long a task will take, from its job's rough guess and what its queue's jobs took.
+"""Estimates of task durations from callers' estimates and earlier tasks of the same queue.
 
-Owns what was learned of each queue. Means and variances are exponentially weighted, of logarithms.
+Means and variances are exponentially weighted, of logarithms.
 """
 
 from __future__ import annotations
 
 import math
 
-# Weight of a new task in the means, to follow a change within some 20 tasks.
+# Weight of a new task: the means follow a change within about 20 tasks.
 _EWMA_WEIGHT_MIN = 0.05
-# The first tasks weigh 1 / (this + their count), which meets _WEIGHT: 1 / _WEIGHT.
+# The weight of the first tasks is 1 / (_WARM_UP_RUNS + their count).
 _WARM_UP_RUNS = 20
-# Variance of logarithms that is assumed at first: guesses are off by 40% (0.4 squared), as the
-# users' site files say.
+# Initial variance of logarithms, for an error of about 40%.
 _INITIAL_VARIANCE = 0.16
-# Least variance of logarithms (5%, squared), so that neither a guess nor a mean that was right for
-# a while gets all the weight.
+# Minimum variance of logarithms, so that neither estimate gets all the weight.
 _VARIANCE_MIN = 0.0025
 
 
 class _QueueStatistics:
-    """A queue's work in logarithms: mean, spread, and how far guesses were off."""
+    """Logarithmic statistics of a queue's task durations and of the error of callers' estimates."""
 
     __slots__ = ("bias", "guess_variance", "mean", "runs", "variance")
 
@@ -34,16 +32,16 @@
 
 
 class Estimates:
-    """Expected work of tasks, in milliseconds on an endpoint of speed 1.
+    """Estimated task durations by queue, in milliseconds on an endpoint of speed 1.
 
-    A guess and the queue's mean are weighed by how far each has been off.
+    The caller's estimate and the queue's mean are weighted by their inverse variance.
     """
 
     def __init__(self) -> None:
         self._queues: dict[str, _QueueStatistics] = {}
 
     def expected_ms(self, queue: str, caller_estimate_ms: float) -> float:
-        """Return how long a task of *queue* with this guess is expected to take."""
+        """Return the estimated duration of a task of *queue*."""
         statistics = self._queues.get(queue)
         if statistics is None:
             return max(1.0, caller_estimate_ms)
@@ -57,7 +55,7 @@
         )
 
     def note(self, queue: str, caller_estimate_ms: float, work_ms: float) -> None:
-        """Learn from a task that took *work_ms*."""
+        """Update the statistics with a finished task that took *work_ms*."""
         if work_ms <= 0:
             return
         log_work = math.log(work_ms)
--- a/src/foldloom/seed_discovery/scheduling/groups.py
+++ b/src/foldloom/seed_discovery/scheduling/groups.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The runs of one step of one job, and by when they must start.
-
-Owns the runs that wait, and the step's duration as estimated from its finished tasks.
-"""
+"""Groups: the runs of one step of one job, with their estimated durations and start deadlines."""
 
 from __future__ import annotations
 
@@ -11,25 +8,23 @@
 from foldloom.seed_discovery.jobs.spec import TaskId
 from foldloom.seed_discovery.scheduling.runs import Run, RunSpec
 
-# Times its objective, until which a job earns anything: the users' rule for late answers.
+# Multiple of its objective after which a job's result is worthless.
 LATE_FACTOR = 3.0
-# By how much the longest task of a step exceeds the mean, for each doubling of the count of tasks:
-# for the spread of 0.15 between tasks of a step in the users' site files.
+# Excess of a step's longest task over the mean, for each doubling of the number of tasks.
 _SKEW_PER_DOUBLING = 0.08
-# Milliseconds from a task's end to the caller's answer: three one-way delays to clients (3 ms) and
-# a hop within the zone.
+# Latency from a task's end to the client's answer, including network hops.
 _ANSWER_MS = 10.0
-# Weight of the tasks of the step that are done against the estimate for its queue, because tasks of
-# one step are much more alike than jobs of one queue.
+# Weight of the step's own finished tasks against the estimate for the queue: tasks of one step
+# are more alike than jobs of one queue.
 _STEP_WEIGHT = 0.7
 
 
 class RunGroup:
-    """A step's runs that wait, and what is known of how long they take.
+    """The queued runs of a step and the estimated duration of its tasks.
 
     Args:
-        spec: What the runs share.
-        expected_ms: How long one task is expected to take on an endpoint of speed 1.
+        spec: The specification that the runs share.
+        expected_ms: Initial estimate of a task's duration on an endpoint of speed 1.
     """
 
     def __init__(self, spec: RunSpec, expected_ms: float) -> None:
@@ -42,7 +37,7 @@
 
     @property
     def expected_ms(self) -> float:
-        """How long a task is expected to take, best known from finished tasks of the same step."""
+        """Estimated duration of a task, refined by finished tasks of the step."""
         if not self._finished_count:
             return self._expected_ms
         step_log_mean = self._finished_log_sum / self._finished_count
@@ -51,20 +46,20 @@
 
     @property
     def longest_ms(self) -> float:
-        """How long the longest of its tasks is expected to take."""
+        """Estimated duration of the step's longest task."""
         return self.expected_ms * (1 + _SKEW_PER_DOUBLING * math.log2(max(1, self.spec.tasks)))
 
     @property
     def longest_plausible_ms(self) -> float:
-        """How long the longest of its tasks takes by what was learned or by its caller's guess.
+        """The larger of the estimated longest duration and the caller's estimate.
 
-        A queue may mix long jobs with short ones: its mean says little of the long ones.
+        The mean of a queue underestimates long jobs if the queue mixes them with short ones.
         """
         return max(self.longest_ms, float(self.spec.estimate_ms))
 
     @property
     def objective_ms(self) -> float:
-        """How soon after its arrival the job should be answered."""
+        """The job's latency objective, from its arrival."""
         return self._objective_ms(self.longest_ms)
 
     def _objective_ms(self, longest_ms: float) -> float:
@@ -73,15 +68,14 @@
 
     @property
     def on_time_deadline_ms(self) -> float:
-        """Until when the job is on time."""
+        """When the job must end to meet its objective."""
         return self.spec.began_ms + self.objective_ms
 
     @property
     def late_ms(self) -> float:
-        """Until when the job earns anything.
+        """When the job's result becomes worthless.
 
-        By the caller's own guess where that is longer: a queue may mix long jobs with short
-        ones, and a job that is given up wrongly is lost.
+        Uses the caller's estimate if it is larger, since a job that is given up too early is lost.
         """
         objective_ms = max(self.objective_ms, self._objective_ms(self.spec.estimate_ms))
         latest_ms = self.spec.began_ms + LATE_FACTOR * objective_ms
@@ -89,29 +83,29 @@
 
     @property
     def waiting_cpu_ms(self) -> float:
-        """How much processor its waiting tasks will take, in core milliseconds."""
+        """Estimated CPU time of the queued tasks, in core milliseconds."""
         return len(self.waiting) * self.expected_ms * self.spec.demand.cpu_milli / 1_000
 
     def speed_needed(self, tier_deadline_ms: float, now_ms: float) -> float:
-        """Return the speed that a task starting now needs to end by *tier_deadline_ms*.
+        """Return the minimum endpoint speed for a task that starts now to end in time.
 
         Args:
-            tier_deadline_ms: Until when the job must be answered; own clock.
-            now_ms: The time.
+            tier_deadline_ms: When the job must be answered; the owner's own clock.
+            now_ms: The current time.
         """
         left_ms = tier_deadline_ms - _ANSWER_MS - now_ms
         return self.longest_ms / left_ms if left_ms > 0 else math.inf
 
     def on_time_start_deadline_ms(self, speed: float = 1.0) -> float:
-        """Return until when a task on an endpoint of *speed* may start and the job be on time."""
+        """Return the latest start on an endpoint of *speed* that meets the objective."""
         return self.on_time_deadline_ms - _ANSWER_MS - self.longest_ms / speed
 
     def late_start_deadline_ms(self, speed: float = 1.0) -> float:
-        """Return until when a task may start for the job to earn anything."""
+        """Return the latest start on an endpoint of *speed* for a result that is still of use."""
         return self.late_ms - _ANSWER_MS - self.longest_ms / speed
 
     def note_done(self, work_ms: float) -> None:
-        """Learn from one of its tasks, which took *work_ms* on an endpoint of speed 1."""
+        """Record the duration of a finished task, in milliseconds on an endpoint of speed 1."""
         if work_ms > 0:
             self._finished_log_sum += math.log(work_ms)
             self._finished_count += 1
--- a/src/foldloom/seed_discovery/scheduling/placing.py
+++ b/src/foldloom/seed_discovery/scheduling/placing.py
@@ -1,10 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Which waiting run goes to which endpoint now, and which runs of other zones to steal.
+"""Placement of queued runs on endpoints, and selection of runs to steal from other zones.
 
-Owns the numbers of reservations. Relies on the order
-(:mod:`foldloom.seed_discovery.scheduling.ranking`), the endpoints' rooms and speeds, and what other
-zones offer. Runs are considered in order; each goes to the endpoint with room that is near its
-data, fast, and left with the least room.
+Groups are served by :mod:`foldloom.seed_discovery.scheduling.ranking`. Each run is placed on the
+best endpoint with free capacity, by isolation, rack locality, speed and tightest fit.
 """
 
 from __future__ import annotations
@@ -33,21 +31,21 @@
 
 
 class PlacedRun(NamedTuple):
-    """A decision: *run* goes to *endpoint*."""
+    """A run and the endpoint it is placed on."""
 
     run: Run
     endpoint: str
 
 
 class Reservation(NamedTuple):
-    """Room that is kept on an endpoint, under a number."""
+    """Capacity reserved on an endpoint, identified by a number."""
 
     endpoint: str
     number: int
 
 
 class StolenRuns(NamedTuple):
-    """A decision: runs of a group that waits in another zone are asked for, for room here."""
+    """Runs to steal from a group of another zone, one for each reservation."""
 
     zone: str
     group: GroupId
@@ -55,17 +53,16 @@
 
 
 class PlacementRound(NamedTuple):
-    """What one round decided."""
+    """The decisions of one placement round."""
 
     placed: list[PlacedRun]
     stolen: list[StolenRuns]
 
 
 class _Requirements(NamedTuple):
-    """Runs that fit where any one of them fits.
+    """Requirements of a run on its endpoint; runs with equal requirements are interchangeable.
 
-    ``speed_min`` is how fast an endpoint must be for the job not to fall into a lower tier;
-    ``isolation`` how the run is kept apart.
+    ``speed_min`` is the minimum speed for the job to stay in its tier.
     """
 
     service: str
@@ -76,12 +73,12 @@
 
 
 class _PlacementContext(NamedTuple):
-    """Where runs may go now.
+    """Inputs that are the same for all runs of a round.
 
     Args:
-        endpoints: Those that may be given work.
-        speeds: How fast they are.
-        isolations: How tasks under which endpoints have crashed are kept apart from others.
+        endpoints: Endpoints eligible for placement.
+        speeds: Relative speeds of the endpoints.
+        isolations: Isolation of tasks whose endpoints have crashed.
     """
 
     endpoints: list[ZoneEndpoint]
@@ -89,7 +86,7 @@
     isolations: Mapping[TaskId, Isolation]
 
     def isolation_on(self, candidate: ZoneEndpoint) -> Isolation:
-        """Return how what runs on an endpoint is kept apart."""
+        """Return the strictest isolation among the tasks on an endpoint."""
         if not self.isolations:
             return Isolation.NONE
         levels = [self.isolations.get(task, Isolation.NONE) for task in candidate.room.tasks]
@@ -97,11 +94,11 @@
 
 
 class _QueuedGroup(NamedTuple):
-    """A group in the order; the own ones come first where ranks are the same."""
+    """A group in serving order; the zone's own groups come first at equal rank."""
 
     rank: Rank
     is_remote: bool
-    number: int
+    position: int
 
 
 def place(
@@ -112,23 +109,27 @@
     now_ms: float,
     isolations: Mapping[TaskId, Isolation] = NO_ISOLATIONS,
 ) -> PlacementRound:
-    """Return who starts where now, and charge the room; the runs are taken out of the queue."""
+    """Place queued runs, allocate their capacity and remove them from the queue."""
     result = PlacementRound([], [])
-    eligible_endpoints = [one for one in candidates.values() if one.is_open(now_ms)]
+    eligible_endpoints = [
+        candidate for candidate in candidates.values() if candidate.is_open(now_ms)
+    ]
     if not eligible_endpoints:
         return result
     places = _PlacementContext(eligible_endpoints, speeds, isolations)
     own_groups, remote_groups = waiting.groups, remote.stealable(now_ms)
     queued_groups = [
-        _QueuedGroup(rank(group, now_ms), False, n) for n, group in enumerate(own_groups)
+        _QueuedGroup(rank(group, now_ms), False, index) for index, group in enumerate(own_groups)
+    ]
+    queued_groups += [
+        _QueuedGroup(group.rank, True, index) for index, group in enumerate(remote_groups)
     ]
-    queued_groups += [_QueuedGroup(group.rank, True, n) for n, group in enumerate(remote_groups)]
     exhausted: set[_Requirements] = set()
-    for _, is_remote, number in sorted(queued_groups):
+    for _, is_remote, position in sorted(queued_groups):
         if is_remote:
-            _steal_group(remote_groups[number], places, exhausted, now_ms, result.stolen)
+            _steal_group(remote_groups[position], places, exhausted, now_ms, result.stolen)
         else:
-            _place_group(own_groups[number], waiting, places, exhausted, now_ms, result.placed)
+            _place_group(own_groups[position], waiting, places, exhausted, now_ms, result.placed)
     return result
 
 
@@ -141,18 +142,22 @@
     placed: list[PlacedRun],
 ) -> None:
     spec = group.spec
-    kind = _Requirements(spec.service, spec.demand, spec.placement, speed_min(group, now_ms))
-    if kind in exhausted:
+    requirements = _Requirements(
+        spec.service, spec.demand, spec.placement, speed_min(group, now_ms)
+    )
+    if requirements in exhausted:
         return
     for run in list(group.waiting.values()):
         isolation = places.isolations.get(run.task, Isolation.NONE)
-        chosen = choose_endpoint(kind._replace(isolation=isolation), group_of(run.task), places)
+        chosen = choose_endpoint(
+            requirements._replace(isolation=isolation), group_of(run.task), places
+        )
         if chosen is None and isolation is Isolation.REQUIRED:
-            # The others of its step may do with less than an idle endpoint.
+            # Other runs of the step may not need an idle endpoint.
             continue
         if chosen is None:
             if not spec.placement.per_endpoint_max:
-                exhausted.add(kind)
+                exhausted.add(requirements)
             return
         chosen.room.charge(run.task, spec.demand)
         waiting.remove(run.task)
@@ -167,15 +172,21 @@
     stolen: list[StolenRuns],
 ) -> None:
     summary = group.summary
-    kind = _Requirements(summary.service, summary.demand, summary.placement, summary.speed_min)
-    # How many of its step an endpoint has is known only where all of the step is.
-    if kind in exhausted or summary.tier == Tier.UNATTAINABLE or summary.placement.per_endpoint_max:
+    requirements = _Requirements(
+        summary.service, summary.demand, summary.placement, summary.speed_min
+    )
+    # The number of the step's tasks per endpoint is known only in the zone that has all of them.
+    if (
+        requirements in exhausted
+        or summary.tier == Tier.UNATTAINABLE
+        or summary.placement.per_endpoint_max
+    ):
         return
     reservations: list[Reservation] = []
     while group.remaining > 0:
-        chosen = choose_endpoint(kind, summary.group, places)
+        chosen = choose_endpoint(requirements, summary.group, places)
         if chosen is None:
-            exhausted.add(kind)
+            exhausted.add(requirements)
             break
         number = next(_reservation_numbers)
         chosen.room.reserve(number, summary.demand, now_ms + RESERVATION_TTL_MS)
@@ -186,32 +197,37 @@
 
 
 def choose_endpoint(
-    kind: _Requirements, group: GroupId, places: _PlacementContext
+    requirements: _Requirements, group: GroupId, places: _PlacementContext
 ) -> ZoneEndpoint | None:
-    """Return the best endpoint with room, if any: near the data, fast, tightly filled.
+    """Return the best endpoint with free capacity, if any.
 
-    A task under which an endpoint has crashed goes to an idle one before that, and others go
-    elsewhere than beside it.
+    An isolated task prefers an idle endpoint; others prefer one without isolated tasks.
     """
-    eligible = [one for one in places.endpoints if _is_eligible(kind, group, one, places)]
+    eligible = [
+        candidate
+        for candidate in places.endpoints
+        if _is_eligible(requirements, group, candidate, places)
+    ]
     if not eligible:
         return None
-    return max(eligible, key=lambda one: _score(kind, one, places))
+    return max(eligible, key=lambda candidate: _score(requirements, candidate, places))
 
 
 def _is_eligible(
-    kind: _Requirements, group: GroupId, candidate: ZoneEndpoint, places: _PlacementContext
+    requirements: _Requirements, group: GroupId, candidate: ZoneEndpoint, places: _PlacementContext
 ) -> bool:
     record, speeds = candidate.record, places.speeds
-    if kind.isolation is Isolation.REQUIRED and not candidate.is_idle:
+    if requirements.isolation is Isolation.REQUIRED and not candidate.is_idle:
         return False
     if places.isolation_on(candidate) is Isolation.REQUIRED:
         return False
-    if record.service != kind.service or not candidate.has_capacity_for(kind.demand):
+    if record.service != requirements.service or not candidate.has_capacity_for(
+        requirements.demand
+    ):
         return False
-    if speeds.speed_of(record.endpoint) < kind.speed_min:
+    if speeds.speed_of(record.endpoint) < requirements.speed_min:
         return False
-    placement = kind.placement
+    placement = requirements.placement
     if placement.label and placement.label not in record.labels:
         return False
     if not placement.per_endpoint_max:
@@ -220,13 +236,13 @@
 
 
 def _score(
-    kind: _Requirements, candidate: ZoneEndpoint, places: _PlacementContext
+    requirements: _Requirements, candidate: ZoneEndpoint, places: _PlacementContext
 ) -> tuple[bool, bool, float, int, str]:
-    is_isolated = kind.isolation is not Isolation.NONE
+    is_isolated = requirements.isolation is not Isolation.NONE
     meets_isolation = candidate.is_idle if is_isolated else not places.isolation_on(candidate)
-    rack = kind.placement.rack
+    rack = requirements.placement.rack
     is_rack_local = not rack or rack in candidate.record.labels
-    cpu_left_milli = candidate.room.free.cpu_milli - kind.demand.cpu_milli
+    cpu_left_milli = candidate.room.free.cpu_milli - requirements.demand.cpu_milli
     endpoint = candidate.record.endpoint
     speed = round(places.speeds.speed_of(endpoint), 1)
     return (meets_isolation, is_rack_local, speed, -cpu_left_milli, endpoint)
--- a/src/foldloom/seed_discovery/scheduling/ranking.py
+++ b/src/foldloom/seed_discovery/scheduling/ranking.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""In which order waiting groups are served, and how fast an endpoint each of them needs.
+"""Serving order of queued groups and the minimum endpoint speed of each.
 
-Owns nothing; decisions only. On time goes before late, and what can earn nothing any more goes
-last; how the order was compared with others is in docs/design/scheduling.md.
+Groups that can meet their objective go first, groups whose result would be worthless last.
 """
 
 from __future__ import annotations
@@ -12,13 +11,13 @@
 
 from foldloom.seed_discovery.scheduling.groups import RunGroup
 
-# Share of the speed that a group needs by its estimate, below which an endpoint is left out: below
-# 1 because estimates are off by some tens of per cent.
+# Share of the estimated minimum speed below which an endpoint is excluded; below 1 to allow for
+# estimation errors.
 _SPEED_TOLERANCE = 0.75
 
 
 class Tier(IntEnum):
-    """What a group's job can still earn; lower tiers are served first."""
+    """Attainable outcome of a group's job; lower tiers are served first."""
 
     ON_TIME = 0
     LATE = 1
@@ -26,12 +25,12 @@
 
 
 class Rank(NamedTuple):
-    """A group's place in the order: the least comes first.
+    """A group's sort key in the serving order, smallest first.
 
     Args:
-        tier: What its job can still earn.
-        level: Among those of a tier.
-        start_deadline_ms: When it must start for its tier; own monotonic clock.
+        tier: The attainable outcome of its job.
+        level: Priority level within the tier.
+        start_deadline_ms: Latest start for its tier; own monotonic clock.
     """
 
     tier: int
@@ -40,11 +39,10 @@
 
 
 def rank(group: RunGroup, now_ms: float) -> Rank:
-    """Return the place of *group* in the order at *now_ms*.
+    """Return the rank of *group* at *now_ms*.
 
-    On time goes before late; within a tier priority 0 goes before all others, since its tasks are
-    the shortest and a job of many of them needs room for all at nearly once, which it seldom gets
-    behind longer ones; then who must start soonest.
+    Within a tier, priority 0 goes before all others: its tasks are the shortest, and a job of many
+    of them needs capacity for all at nearly the same time. Then the earliest start deadline wins.
     """
     tier = tier_of(group, now_ms)
     start_deadline_ms = (
@@ -56,16 +54,16 @@
 
 
 def tier_of(group: RunGroup, now_ms: float) -> Tier:
-    """Return whether a group's job can still be on time, or late, or neither."""
+    """Return the best outcome that the group's job can still attain."""
     if now_ms <= group.on_time_start_deadline_ms():
         return Tier.ON_TIME
     return Tier.LATE if now_ms <= group.late_start_deadline_ms() else Tier.UNATTAINABLE
 
 
 def speed_min(group: RunGroup, now_ms: float) -> float:
-    """Return how fast an endpoint must be for a group to stay in its tier.
+    """Return the minimum endpoint speed for a group to stay in its tier.
 
-    It is rounded to a tenth, so that groups that are alike fit where any of them fits.
+    Rounded to a tenth, so that similar groups have equal requirements.
     """
     is_on_time = tier_of(group, now_ms) is Tier.ON_TIME
     tier_deadline_ms = group.on_time_deadline_ms if is_on_time else group.late_ms
--- a/src/foldloom/seed_discovery/scheduling/rooms.py
+++ b/src/foldloom/seed_discovery/scheduling/rooms.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How much of an endpoint is taken, and kept for runs that are to come. Owns both."""
+"""Allocations and reservations of one endpoint's capacity."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def add_demand(left: Demand, right: Demand) -> Demand:
-    """Return both together."""
+    """Return the sum of two demands."""
     return Demand(
         left.cpu_milli + right.cpu_milli,
         left.memory_mb + right.memory_mb,
@@ -20,7 +20,7 @@
 
 
 def subtract_demand(left: Demand, right: Demand) -> Demand:
-    """Return *left* without *right*."""
+    """Return *left* minus *right*."""
     return Demand(
         left.cpu_milli - right.cpu_milli,
         left.memory_mb - right.memory_mb,
@@ -29,7 +29,7 @@
 
 
 def fits(demand: Demand, free: Demand) -> bool:
-    """Return whether *demand* finds room in *free*."""
+    """Return whether *free* covers *demand* in every resource."""
     return (
         demand.cpu_milli <= free.cpu_milli
         and demand.memory_mb <= free.memory_mb
@@ -38,17 +38,17 @@
 
 
 class CapacityReservation(NamedTuple):
-    """Room that is kept until ``until_ms``."""
+    """Capacity reserved until ``until_ms``."""
 
     demand: Demand
     until_ms: float
 
 
 class EndpointCapacity:
-    """One endpoint's capacity and what is charged to it.
+    """An endpoint's capacity, allocations and reservations.
 
     Args:
-        capacity: All of it.
+        capacity: The total capacity.
     """
 
     def __init__(self, capacity: Demand) -> None:
@@ -59,52 +59,52 @@
 
     @property
     def capacity(self) -> Demand:
-        """All of it."""
+        """The total capacity."""
         return self._capacity
 
     @property
     def free(self) -> Demand:
-        """What is not charged; negative where more was charged than there is."""
+        """Capacity neither allocated nor reserved; negative if overcommitted."""
         return self._free
 
     @property
     def tasks(self) -> list[TaskId]:
-        """The tasks that are charged."""
+        """The tasks with an allocation."""
         return list(self._allocated)
 
     def set_capacity(self, capacity: Demand) -> None:
-        """Change the capacity; what is charged stays."""
+        """Change the total capacity; allocations and reservations stay."""
         self._free = add_demand(subtract_demand(self._free, self._capacity), capacity)
         self._capacity = capacity
 
     def charge(self, task: TaskId, demand: Demand) -> None:
-        """Charge room for *task*; a second time changes nothing."""
+        """Allocate capacity to *task*; no effect if it already has an allocation."""
         if task in self._allocated:
             return
         self._allocated[task] = demand
         self._free = subtract_demand(self._free, demand)
 
     def release(self, task: TaskId) -> None:
-        """Release the room of *task*, if it has any."""
+        """Release the allocation of *task*, if any."""
         self._free = add_demand(self._free, self._allocated.pop(task, _ZERO_DEMAND))
 
     def reserve(self, number: int, demand: Demand, until_ms: float) -> None:
-        """Keep room for a run that is stolen elsewhere, under a *number* of the caller's."""
+        """Reserve capacity for a run to be stolen, under the caller's *number*."""
         self._reservations_by_number[number] = CapacityReservation(demand, until_ms)
         self._free = subtract_demand(self._free, demand)
 
     def cancel_reservation(self, number: int) -> None:
-        """Release the reservation *number*, if there is one."""
+        """Cancel the reservation *number*, if it exists."""
         reserved = self._reservations_by_number.pop(number, None)
         if reserved is not None:
             self._free = add_demand(self._free, reserved.demand)
 
     def unreserve_expired(self, now_ms: float) -> None:
-        """Release reservations that were not used in time."""
+        """Cancel expired reservations."""
         for number, reserved in list(self._reservations_by_number.items()):
             if now_ms >= reserved.until_ms:
                 self.cancel_reservation(number)
 
     def count_of(self, job_id: str, step: int) -> int:
-        """Return how many tasks of a job's step are charged."""
+        """Return the number of a step's tasks with an allocation."""
         return sum(1 for task in self._allocated if task.job_id == job_id and task.step == step)
--- a/src/foldloom/seed_discovery/scheduling/runs.py
+++ b/src/foldloom/seed_discovery/scheduling/runs.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What an owner knows of one task's present run. The lifecycle of runs changes it.
-
-Owns nothing: types only.
-"""
+"""State of a task's present run at its owner."""
 
 from __future__ import annotations
 
@@ -13,14 +10,14 @@
 
 
 class HolderId(NamedTuple):
-    """A box's life that has a session: it is notified of how its runs end."""
+    """An incarnation of a box with a session; it is notified when its runs end."""
 
     box: str
     life: int
 
 
 class RunState(Enum):
-    """Where a run is."""
+    """Lifecycle state of a run."""
 
     RECOVERING = "recovering"
     QUEUED = "queued"
@@ -30,23 +27,23 @@
 
 
 class RunSpec(NamedTuple):
-    """What is the same for all runs of one step of a job.
+    """Attributes shared by all runs of one step of a job.
 
     Args:
         job_id: The job.
-        queue: Where it was handed in.
-        service: Whose endpoints run it.
-        text: What its tasks are given.
-        demand: What each takes.
-        placement: Where they may run.
-        priority: 0 comes first.
-        estimate_ms: How long one is expected to take.
-        began_ms: When the job arrived; the owner's own clock.
-        stretch: The job should end this times its longest chain after that, ...
+        queue: The queue of the job.
+        service: The service whose endpoints run it.
+        text: Input of the tasks.
+        demand: Resource demand of each task.
+        placement: Placement constraints.
+        priority: 0 is the highest.
+        estimate_ms: The caller's estimate of a task's duration.
+        began_ms: Arrival of the job; the owner's own clock.
+        stretch: The job's objective is this factor times its critical path, ...
         slack_ms: ... plus this.
-        other_ms: How long the chain's other steps take.
-        tasks: How many tasks the step has.
-        deadline_ms: When it is given up.
+        other_ms: Estimated duration of the other steps on the critical path.
+        tasks: Number of tasks of the step.
+        deadline_ms: When the job is given up.
     """
 
     job_id: str
@@ -66,19 +63,19 @@
 
 
 class Run:
-    """The present run of one task; at most one of a task is known to an owner.
+    """The present run of a task; an owner has at most one for each task.
 
-    ``began_ms`` is when this owner ordered the start (0: an earlier owner did);
-    ``stop_known_ms`` when the endpoint confirmed an order to stop (0: not yet);
-    ``stopped_after_ms`` how long the attempt before had run that was stopped as stuck (0: none
-    was); ``holders`` who wants it, each with its newest delivery of the run.
+    ``began_ms`` is when this owner sent the start order (0: an earlier owner did);
+    ``stop_known_ms`` when the endpoint confirmed a stop order (0: not yet);
+    ``stopped_after_ms`` the run time of the previous attempt if it was stopped as stuck (0: it was
+    not); ``holders`` the boxes that want the run, each with its newest delivery of it.
 
     Args:
         task: The task.
-        attempt: Counts the task's starts, from 1.
-        spec: What it shares with the other tasks of its step.
-        state: Where it is.
-        since_ms: Since when it is in that state.
+        attempt: Number of the attempt, from 1.
+        spec: Attributes shared by all runs of the step.
+        state: Lifecycle state.
+        since_ms: When it entered that state.
     """
 
     __slots__ = (
@@ -118,7 +115,7 @@
         return RunId(self.task, self.attempt)
 
     def enter(self, state: RunState, now_ms: float, endpoint: str = "") -> None:
-        """Go to *state*; *endpoint* is where it is from then on."""
+        """Change to *state* on *endpoint*, empty if the run is on none."""
         if state is RunState.STARTING:
             self.began_ms = now_ms
         elif state is RunState.QUEUED:
@@ -130,11 +127,11 @@
 
 
 class RecoveryBound(NamedTuple):
-    """Until when a run that an earlier owner may have started must be looked for.
+    """When the search for a run that an earlier owner may have started can end.
 
     Args:
-        reports_after_ms: If it runs, reports that were asked for after this time list it.
-        lost_at_ms: By then its lease has lapsed on any endpoint.
+        reports_after_ms: A running run is listed in reports requested after this time.
+        lost_at_ms: By this time its lease has expired on every endpoint.
     """
 
     reports_after_ms: float
--- a/src/foldloom/seed_discovery/scheduling/sharing.py
+++ b/src/foldloom/seed_discovery/scheduling/sharing.py
@@ -1,11 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""What waits in other zones, as their owners offer it, to be stolen for room that is free here.
+"""Queued groups of other zones, as offered by their owners for work stealing.
 
-Owns the newest offer of each zone.
-
-Each owner serves its own zone's jobs first come by rank, and sees the first of what waits
-elsewhere in the same order. Where a group of another zone is next, it reserves room, steals runs
-from their owner, and their box hands them in here.
+Each owner serves its zone's jobs by rank and receives the first groups of the other zones' queues.
+If a remote group is next in order, the owner reserves capacity and asks for its runs; their entry
+box then submits them here.
 """
 
 from __future__ import annotations
@@ -15,16 +13,14 @@
 from foldloom.seed_discovery.jobs.spec import Demand, Placement, TaskId
 from foldloom.seed_discovery.scheduling.ranking import Rank
 
-# Milliseconds for which what another zone's owner said is acted on: three of its heartbeats (100
-# ms), which carry its load.
+# Validity of another owner's offer or load: three of its 100 ms heartbeats.
 REMOTE_VIEW_TTL_MS = 300.0
-# Milliseconds for which room is kept for a stolen run: above the 30 ms for which the request waits
-# for its reply, plus the box's delivery over two hops between zones (0.5 ms each).
+# Longer than the 30 ms timeout of a steal request plus the delivery by the entry box.
 RESERVATION_TTL_MS = 40.0
 
 
 class GroupId(NamedTuple):
-    """One step of one time of one job."""
+    """One step of one repetition of a job."""
 
     job_id: str
     repeat: int
@@ -32,24 +28,24 @@
 
 
 def group_of(task: TaskId) -> GroupId:
-    """Return the group that *task* belongs to."""
+    """Return the group of *task*."""
     return GroupId(task.job_id, task.repeat, task.step)
 
 
 class GroupSummary(NamedTuple):
-    """A group that waits in another zone.
+    """A queued group of another zone.
 
     Args:
-        group: Which.
-        service: Whose endpoints run it.
-        demand: What each task takes.
-        placement: Where they may run.
+        group: Its id.
+        service: The service whose endpoints run it.
+        demand: Resource demand of each task.
+        placement: Placement constraints.
         tier: Its tier.
-        level: Its level in the tier.
-        start_within_ms: In how long it must start.
-        waiting: How many of its runs wait.
-        cpu_ms: How much processor they will take, in core milliseconds.
-        speed_min: How fast an endpoint must be for the job to stay in its tier.
+        level: Its priority level within the tier.
+        start_within_ms: Time left until its start deadline.
+        waiting: Number of queued runs.
+        cpu_ms: Estimated CPU time of the queued runs, in core milliseconds.
+        speed_min: Minimum endpoint speed for the job to stay in its tier.
     """
 
     group: GroupId
@@ -65,12 +61,12 @@
 
 
 class RemoteGroup:
-    """A group that waits in another zone, and how many of its runs were not stolen yet.
+    """A queued group of another zone and the number of its runs not yet requested.
 
     Args:
-        zone: Where it waits.
-        summary: What its owner offered.
-        received_ms: When it was offered; own monotonic clock.
+        zone: The zone that it is queued in.
+        summary: The offer of the zone's owner.
+        received_ms: When the offer arrived; own monotonic clock.
     """
 
     def __init__(self, zone: str, summary: GroupSummary, received_ms: float) -> None:
@@ -81,19 +77,19 @@
 
 
 class RemoteGroups:
-    """What waits in the other zones."""
+    """The newest offer of each other zone."""
 
     def __init__(self) -> None:
         self._groups_by_zone: dict[str, list[RemoteGroup]] = {}
         self._received_ms: dict[str, float] = {}
 
     def note_offer(self, zone: str, summaries: list[GroupSummary], now_ms: float) -> None:
-        """Note what waits in a zone, in place of what its owner offered before."""
+        """Replace a zone's offer."""
         self._groups_by_zone[zone] = [RemoteGroup(zone, one, now_ms) for one in summaries]
         self._received_ms[zone] = now_ms
 
     def stealable(self, now_ms: float) -> list[RemoteGroup]:
-        """Return the groups that were offered lately and have runs left to steal."""
+        """Return the groups of unexpired offers that have runs left to steal."""
         return [
             group
             for zone, groups in self._groups_by_zone.items()
--- a/src/foldloom/seed_discovery/scheduling/speeds.py
+++ b/src/foldloom/seed_discovery/scheduling/speeds.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""How fast each endpoint is, learned from how long its runs take.
+"""Relative endpoint speeds, estimated from run durations.
 
-Owns what was learned of each endpoint: an exponentially weighted mean of logarithms.
+Keeps an exponentially weighted mean of logarithms for each endpoint.
 """
 
 from __future__ import annotations
@@ -9,23 +9,19 @@
 import math
 import statistics
 
-# Weight of a new run in an endpoint's mean, to follow an endpoint that turned slow within some ten
-# runs.
+# Weight of a new run: the mean follows a slowed endpoint within about ten runs.
 _EWMA_WEIGHT = 0.1
-# In logarithms (a factor of 1.5): by how much a run that goes on must exceed the expected time
-# beyond what it tells, because guesses are off by 40%.
+# Allowance for estimation errors (a factor of 1.5) in the lower bound from an unfinished run.
 _OVERDUE_LOG_MARGIN = 0.4
-# Runs after which the middle endpoint is determined anew: about the number of endpoints at the
-# users' size, so that each has run something in between.
+# Runs between two updates of the median.
 _RUNS_PER_MEDIAN = 25
 
 
 class EndpointSpeeds:
-    """Speeds relative to the middle endpoint: 2.0 takes half as long.
+    """Speeds relative to the median endpoint: at 2.0 a run takes half as long.
 
-    Each run is compared with how long it was expected to take on an endpoint of speed 1; that is
-    rough, so many runs are averaged, in logarithms. Since expectations are learned from speeds
-    and speeds from expectations, the middle endpoint is held at 1: else both would drift.
+    Each run is compared with its expected duration at speed 1. The median is held at speed 1:
+    durations are estimated from speeds and speeds from durations, so both would drift otherwise.
     """
 
     def __init__(self) -> None:
@@ -34,12 +30,12 @@
         self._run_count = 0
 
     def speed_of(self, endpoint: str) -> float:
-        """Return the speed of *endpoint*; 1.0 while nothing is known."""
+        """Return the speed of *endpoint*; 1.0 if unknown."""
         mean = self._mean_log_ratios.get(endpoint)
         return 1.0 if mean is None else math.exp(self._median - mean)
 
     def note(self, endpoint: str, ran_ms: float, expected_ms: float) -> None:
-        """Learn from a run that was done."""
+        """Update the speed with a finished run."""
         if ran_ms <= 0 or expected_ms <= 0:
             return
         log_ratio = math.log(ran_ms / expected_ms)
@@ -50,7 +46,7 @@
             self._median = statistics.median(self._mean_log_ratios.values())
 
     def note_overdue(self, endpoint: str, ran_ms: float, expected_ms: float) -> None:
-        """Learn from a run that has taken *ran_ms* and goes on: it is at least so slow."""
+        """Lower the speed to the upper bound given by an unfinished run of age *ran_ms*."""
         if ran_ms <= 0 or expected_ms <= 0:
             return
         lower_bound = math.log(ran_ms / expected_ms) - _OVERDUE_LOG_MARGIN + self._median
@@ -58,5 +54,5 @@
             self._mean_log_ratios[endpoint] = lower_bound
 
     def forget(self, endpoint: str) -> None:
-        """Forget an endpoint that is gone."""
+        """Remove an endpoint."""
         self._mean_log_ratios.pop(endpoint, None)
--- a/src/foldloom/seed_discovery/scheduling/waiting.py
+++ b/src/foldloom/seed_discovery/scheduling/waiting.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Runs that wait for room, by group.
-
-Owns the groups of which any run is here, waiting or not.
-"""
+"""Queue of runs waiting for capacity, by group."""
 
 from __future__ import annotations
 
@@ -15,10 +12,10 @@
 
 
 class WaitingRuns:
-    """The groups that have runs here, waiting or not, and the runs of them that wait.
+    """The groups with any run at this owner, and their queued runs.
 
     Args:
-        estimates: How long tasks take.
+        estimates: Estimates of task durations.
     """
 
     def __init__(self, estimates: Estimates) -> None:
@@ -35,20 +32,20 @@
 
     @property
     def groups(self) -> list[RunGroup]:
-        """The groups with runs that wait."""
+        """The groups with queued runs."""
         return [group for group in self._groups.values() if group.waiting]
 
     @property
     def cpu_milli(self) -> int:
-        """How much processor all that wait ask for, in thousandths of cores."""
+        """CPU demand of all queued runs, in thousandths of a core."""
         return sum(len(group.waiting) * group.spec.demand.cpu_milli for group in self.groups)
 
     def get(self, key: GroupId) -> RunGroup | None:
-        """Return the group *key*, if any run of it is here."""
+        """Return the group *key*, or ``None`` if it has no runs here."""
         return self._groups.get(key)
 
     def group(self, run: Run) -> RunGroup:
-        """Return the group of *run*, a new one if it is the first of its group."""
+        """Return the group of *run*, created on first use."""
         key = group_of(run.task)
         known = self._groups.get(key)
         if known is None:
@@ -58,26 +55,26 @@
         return known
 
     def add(self, run: Run) -> None:
-        """Queue *run*."""
+        """Queue *run*; no effect if it is queued already."""
         group = self.group(run)
         if run.task not in group.waiting:
             group.waiting[run.task] = run
             self._waiting_count += 1
 
     def remove(self, task: TaskId) -> None:
-        """Remove a run, if it waits."""
+        """Remove the run of *task* from the queue, if present."""
         group = self._groups.get(group_of(task))
         if group is not None and group.waiting.pop(task, None) is not None:
             self._waiting_count -= 1
 
     def forget(self, key: GroupId) -> None:
-        """Forget a group of which nothing is here any more."""
+        """Remove a group that has no runs left."""
         group = self._groups.pop(key, None)
         if group is not None:
             self._waiting_count -= len(group.waiting)
 
     def summaries(self, now_ms: float, limit: int) -> list[GroupSummary]:
-        """Return the first groups in order, for the owners of other zones."""
+        """Return summaries of the first *limit* queued groups in serving order."""
         ranked = sorted((rank(group, now_ms), key) for key, group in self._waiting_items())
         summaries = []
         for group_rank, key in ranked[:limit]:
