--- a/src/foldloom/seed_discovery/jobs/__init__.py
+++ b/src/foldloom/seed_discovery/jobs/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""Jobs of steps: checked, run and answered."""
+"""Job and queue types."""
--- a/src/foldloom/seed_discovery/jobs/queues.py
+++ b/src/foldloom/seed_discovery/jobs/queues.py
@@ -1,9 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Queues: where jobs are handed in, and how a request finds its own.
-
-Owns nothing: types, and the match of a request to a queue. Relies on the published document for
-the queues.
-"""
+"""Queues, and the mapping of requests to queues."""
 
 from __future__ import annotations
 
@@ -11,17 +7,17 @@
 
 
 class Queue(NamedTuple):
-    """One queue of jobs.
+    """A job queue.
 
     Args:
         name: Its name.
-        host: The host name that requests carry.
-        path_prefix: What their path begins with.
+        host: Host name of its requests.
+        path_prefix: Path prefix of its requests.
         service: The service whose endpoints run its tasks.
-        priority: 0 comes first.
-        attempts_max: How many failed runs of one task fail its job.
-        timeout_ms: How long a request may take if it doesn't say so itself.
-        stretch: The objective of a job is this times its longest chain of work, ...
+        priority: 0 is the highest.
+        attempts_max: Failed runs of one task after which its job fails.
+        timeout_ms: Request timeout if the request sets none.
+        stretch: A job's objective is this factor times its critical path, ...
         slack_ms: ... plus this.
     """
 
@@ -36,15 +32,15 @@
     slack_ms: int = 0
 
     def objective_ms(self, longest_ms: float) -> float:
-        """Return how soon a job whose longest chain takes *longest_ms* should end."""
+        """Return the latency objective of a job with a critical path of *longest_ms*."""
         return self.stretch * longest_ms + self.slack_ms
 
 
 class QueueTable:
-    """The queues of one version of the configuration.
+    """The queues of one configuration version.
 
     Args:
-        version: The operator's number.
+        version: The operator's version number.
         queues: All queues.
     """
 
@@ -58,11 +54,11 @@
 
     @property
     def version(self) -> int:
-        """The operator's number of this configuration."""
+        """The operator's version number of the configuration."""
         return self._version
 
     def find(self, host: str, path: str) -> Queue | None:
-        """Return the queue of *host* with the longest prefix of *path*, if any."""
+        """Return the queue of *host* with the longest prefix of *path*, or ``None``."""
         for queue in self._queues_by_host.get(host, ()):
             if path.startswith(queue.path_prefix):
                 return queue
--- a/src/foldloom/seed_discovery/jobs/spec.py
+++ b/src/foldloom/seed_discovery/jobs/spec.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Jobs as they are handed in: steps of tasks, what each task needs, and where it may run.
-
-Owns nothing: types only.
-"""
+"""Job specifications: steps, tasks, resource demand and placement constraints."""
 
 from __future__ import annotations
 
@@ -10,11 +7,11 @@
 
 
 class Demand(NamedTuple):
-    """What one task takes of an endpoint.
+    """Resources of one task or endpoint.
 
     Args:
         cpu_milli: Thousandths of a core.
-        memory_mb: Megabytes.
+        memory_mb: Memory in megabytes.
         gpus: Whole accelerators.
     """
 
@@ -24,12 +21,12 @@
 
 
 class Placement(NamedTuple):
-    """Where a step's tasks may run.
+    """Placement constraints of a step's tasks.
 
     Args:
-        label: A label that the endpoint must have; empty for any.
-        rack: The rack that holds the data; empty for none.
-        per_endpoint_max: At most so many of the step's tasks on one endpoint; 0 for no bound.
+        label: Label that the endpoint must have; empty for any.
+        rack: Label of the preferred rack, which holds the data; empty for none.
+        per_endpoint_max: Maximum number of the step's tasks on one endpoint; 0 for no limit.
     """
 
     label: str = ""
@@ -38,14 +35,14 @@
 
 
 class Step(NamedTuple):
-    """Tasks that are alike.
+    """A step: tasks with equal demand and placement.
 
     Args:
-        tasks: How many tasks.
-        demand: What each takes.
-        estimate_ms: A rough guess of how long one takes.
-        depends_on: Numbers of the steps that must be done before.
-        placement: Where its tasks may run.
+        tasks: Number of tasks.
+        demand: Resource demand of each task.
+        estimate_ms: Estimated duration of a task.
+        depends_on: Numbers of the steps that must finish first.
+        placement: Placement constraints of its tasks.
     """
 
     tasks: int
@@ -56,11 +53,11 @@
 
 
 class Job(NamedTuple):
-    """A checked job that need not be kept: it is answered once it has ended.
+    """A validated job that is kept in memory only and answered when it ends.
 
     Args:
-        job_id: The caller's id, the same when it is sent again.
-        spec: What its tasks are given.
+        job_id: The caller's id; the same if the job is submitted again.
+        spec: Input of its tasks.
         steps: The steps, in the order of their numbers.
     """
 
@@ -70,13 +67,13 @@
 
 
 class TaskId(NamedTuple):
-    """One task of a job.
+    """Id of a task.
 
     Args:
         job_id: The job.
-        repeat: Which time of a job that runs several times, from 0.
-        step: The step's number, from 0.
-        position: The task's place in its step, from 0.
+        repeat: The repetition of a job that runs several times, from 0.
+        step: Number of the step, from 0.
+        position: Index of the task in its step, from 0.
     """
 
     job_id: str
@@ -86,13 +83,13 @@
 
 
 class RunId(NamedTuple):
-    """One start of a task; ``attempt`` rises from 1."""
+    """One attempt of a task; ``attempt`` counts from 1."""
 
     task: TaskId
     attempt: int
 
     @property
     def text(self) -> str:
-        """The run as logs name it: job, repeat, step, position, attempt."""
+        """The run in log format: job, repetition, step, position, attempt."""
         job_id, repeat, step, position = self.task
         return f"{job_id}.{repeat}.{step}.{position}#{self.attempt}"
--- a/src/foldloom/seed_discovery/owners/admission.py
+++ b/src/foldloom/seed_discovery/owners/admission.py
@@ -1,9 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Whether an owner takes a job or refuses it at once.
+"""Admission of jobs by the owner of a zone.
 
-Owns the time of the term's first job. Relies on the queue, the endpoints' rooms and the loads of
-other zones, which it is given; how long a job is expected to wait and when that is too long is
-decided in :mod:`foldloom.seed_discovery.scheduling.admission`.
+Collects the inputs for :mod:`foldloom.seed_discovery.scheduling.admission`, which decides.
 """
 
 from __future__ import annotations
@@ -27,22 +25,21 @@
 from foldloom.seed_discovery.scheduling.sharing import GroupId
 from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
 
-# Milliseconds after a term's first job in which none is refused: endpoints answer the first look
-# within their call's 250 ms, or twice that if the first look is lost.
+# Time from a term's first job during which no job is rejected: covers two polls of the endpoints
+# with their timeout of 250 ms.
 WARM_UP_MS = 500.0
 
 _TAKEN = SubmitReply(SubmitStatus.TAKEN)
 
 
 class Admission:
-    """Admission of one owner's term.
+    """Admission in one owner's term.
 
     Args:
-        waiting: The runs that wait here.
-        stealing: What waits elsewhere, and how loaded other zones are.
-        candidates: The endpoints by id.
-        all_endpoints: Returns the endpoints of all zones, to which runs may be moved; none while
-            they may not all be known.
+        waiting: The queued runs of the zone.
+        stealing: Queued groups and loads of other zones.
+        candidates: The zone's endpoints by id.
+        all_endpoints: Returns the endpoints of all zones; none while the list may be incomplete.
     """
 
     def __init__(
@@ -59,10 +56,10 @@
         self._first_submission_ms = 0.0
 
     def judge(self, message: SubmitRuns, now_ms: float) -> SubmitReply:
-        """Refuse a job that would have to wait for too long; its runs are queued already.
+        """Accept or reject a submission whose runs are queued already.
 
-        Only what begins is refused: not what was taken once, no later step, and nothing while
-        endpoints may not have reported yet.
+        Only the first delivery of a job's first step can be rejected for overload, and nothing is
+        rejected during the warm-up of a term.
         """
         if not _is_first_delivery(message) or self._is_warming_up(now_ms):
             return _TAKEN
@@ -81,10 +78,10 @@
 
     def _is_unplaceable(self, message: SubmitRuns) -> bool:
         """Return whether no endpoint of any zone could run the tasks of *message*."""
-        own_load = [one.record for one in self._candidates.values()]
+        own_records = [candidate.record for candidate in self._candidates.values()]
         requirements = (message.service, message.demand, message.placement.label)
-        # Most often one of the own zone could, and the others are not looked through.
-        return is_unplaceable(*requirements, own_load) and is_unplaceable(
+        # Other zones are checked only if no endpoint of the own zone fits.
+        return is_unplaceable(*requirements, own_records) and is_unplaceable(
             *requirements, self._all_endpoints()
         )
 
@@ -103,7 +100,7 @@
         return now_ms - self._first_submission_ms < WARM_UP_MS
 
     def _available_capacity(self, now_ms: float) -> AvailableCapacity:
-        """Return the room of this zone and of those whose load is known."""
+        """Return the capacity of this zone and of the zones with a recent load report."""
         own_load = zone_load(self._candidates.values(), self._waiting, now_ms)
         loads = [own_load, *self._stealing.loads(now_ms)]
         return AvailableCapacity(
--- a/src/foldloom/seed_discovery/owners/crash_records.py
+++ b/src/foldloom/seed_discovery/owners/crash_records.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The tasks under which endpoints have crashed in one owner's term.
+"""Crash counts of tasks in one owner's term.
 
-Owns their counts, until the task has ended once or the time is over for which a caller may send its
-job again. Relies on the owner's state for what was on an endpoint that crashed. Another owner knows
-what the entry box of the job tells it.
+A count is removed when the task ends normally or after ``CRASH_RECORD_TTL_MS``. A new owner learns
+the counts from the jobs' entry boxes.
 """
 
 from __future__ import annotations
@@ -14,21 +13,21 @@
 from foldloom.seed_discovery.jobs.spec import TaskId
 from foldloom.seed_discovery.scheduling.crashes import CrashCount, Isolation, isolation_for
 
-# Milliseconds after its last crash for which a task is remembered: its caller may send it again.
+# Kept this long after the task's last crash, since its caller may submit it again.
 CRASH_RECORD_TTL_MS = 60_000.0
 
 _NO_CRASHES = CrashCount()
 
 
 class _CrashRecord(NamedTuple):
-    """What is known of one task, and when its last crash was noted."""
+    """A task's crash count and the time of its last update."""
 
     crashes: CrashCount
     noted_ms: float
 
 
 class CrashRecords:
-    """The counts, those that were noted longest ago first."""
+    """Crash counts and isolation by task, least recently updated first."""
 
     def __init__(self) -> None:
         self._by_task: dict[TaskId, _CrashRecord] = {}
@@ -36,32 +35,32 @@
 
     @property
     def isolations(self) -> Mapping[TaskId, Isolation]:
-        """How the tasks are kept apart under which an endpoint has crashed."""
+        """Isolation of the tasks with recorded crashes."""
         return self._isolations
 
     def count_of(self, task: TaskId) -> CrashCount:
-        """Return how many endpoints have crashed under *task*."""
+        """Return the number of endpoint crashes during runs of *task*."""
         record = self._by_task.get(task)
         return _NO_CRASHES if record is None else record.crashes
 
     def note_crash(self, tasks: Collection[TaskId], has_other_runs: bool, now_ms: float) -> None:
-        """Note that an endpoint has crashed with *tasks* on it, and maybe with others."""
+        """Count a crash of an endpoint with *tasks*, and with other runs if *has_other_runs*."""
         ran_alone = len(tasks) == 1 and not has_other_runs
         for task in tasks:
             self._store(task, self.count_of(task).incremented(ran_alone), now_ms)
 
     def learn(self, task: TaskId, count: CrashCount, now_ms: float) -> None:
-        """Learn from the box of a job what another owner has counted."""
+        """Merge the count that the job's entry box received from another owner."""
         if count.crashes:
             self._store(task, self.count_of(task).merged(count), now_ms)
 
     def clear(self, task: TaskId) -> None:
-        """Forget the crashes of a task that has ended by itself: it did not cause them."""
+        """Remove the count of *task*, which has ended normally."""
         self._by_task.pop(task, None)
         self._isolations.pop(task, None)
 
     def expire(self, now_ms: float) -> None:
-        """Forget what was noted more than ``CRASH_RECORD_TTL_MS`` ago."""
+        """Remove counts last updated more than ``CRASH_RECORD_TTL_MS`` ago."""
         while self._by_task:
             task = next(iter(self._by_task))
             if now_ms - self._by_task[task].noted_ms < CRASH_RECORD_TTL_MS:
--- a/src/foldloom/seed_discovery/owners/crashed_endpoints.py
+++ b/src/foldloom/seed_discovery/owners/crashed_endpoints.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What the crash of an endpoint means for the tasks that were on it.
+"""Handling of endpoint crashes for the tasks that ran there.
 
-Owns nothing: the decisions are plain functions, and what they decide is carried out on the
-lifecycle of runs, which has the counts. A crash counts once it is certain, also if the leases there
-had lapsed in silence before; an endpoint that answers again as the same life has not crashed.
+A crash counts once it is confirmed, even if the endpoint's leases expired before. An endpoint has
+not crashed if the same incarnation answers again.
 """
 
 from __future__ import annotations
@@ -20,18 +19,18 @@
 
 
 def may_have_crashed(run: Run, endpoint: str) -> bool:
-    """Return whether *run* may have crashed *endpoint*: it was there, or its order got no answer.
+    """Return whether *run* was on *endpoint* or its start order there is unconfirmed.
 
-    An order whose answer is still awaited found nobody listening, most likely.
+    A run whose start order still awaits its answer most likely never reached the endpoint.
     """
     return run.endpoint == endpoint and run.state in (RunState.RUNNING, RunState.STOPPING)
 
 
 def note_crash(lifecycle: RunLifecycle, candidate: ZoneEndpoint, now_ms: float) -> None:
-    """Count a crash of *candidate* for what was on it; end what is given up for it.
+    """Count a crash of *candidate* for its tasks and end the runs that reach their crash limit.
 
-    One that had said it would leave has crashed under nothing. The runs that are not given up end
-    once their leases have lapsed.
+    No effect if the crash is counted already or the endpoint was draining. The other runs end when
+    their leases expire.
     """
     if candidate.has_crashed or not candidate.is_ready:
         return
@@ -49,7 +48,7 @@
 
 
 def give_up_crashing(lifecycle: RunLifecycle, message: SubmitRuns, now_ms: float) -> None:
-    """Learn of crashes from the box of a job; end what has crashed too many endpoints already."""
+    """Merge the crash counts of a submission and end its queued runs at their crash limit."""
     for order in message.orders:
         task = TaskId(message.job_id, message.repeat, order.step, order.position)
         lifecycle.crashes.learn(task, order.crashes, now_ms)
@@ -61,7 +60,7 @@
 
 
 def _log_crash(endpoint: str, counts: Iterable[tuple[TaskId, CrashCount]]) -> None:
-    """Log that *endpoint* has crashed, a line for each task that was on it."""
+    """Log the crash of *endpoint*, one line for each of its tasks."""
     for task, count in counts:
         ENDPOINT_LOG.event(
             "endpoint.crashed",
--- a/src/foldloom/seed_discovery/owners/loads.py
+++ b/src/foldloom/seed_discovery/owners/loads.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How loaded the endpoints of a zone are. Owns nothing."""
+"""CPU load of a zone."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def zone_load(candidates: Iterable[ZoneEndpoint], waiting: WaitingRuns, now_ms: float) -> ZoneLoad:
-    """Return the load of the endpoints that may be given work now.
+    """Return the load of the endpoints that are eligible for placement now.
 
     Args:
         candidates: All endpoints of the zone.
-        waiting: The runs that wait for room there.
+        waiting: The queued runs of the zone.
         now_ms: Own monotonic clock.
     """
     eligible_rooms = [one.room for one in candidates if one.is_open(now_ms)]
--- a/src/foldloom/seed_discovery/owners/offers.py
+++ b/src/foldloom/seed_discovery/owners/offers.py
@@ -1,9 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What an owner sends to the owners of other zones: its waiting work, and requests to steal theirs.
-
-Owns the note that the queue has changed since it was last offered. Relies on the owner's state for
-what waits, and on the view of the other boxes for who owns which zone.
-"""
+"""Work stealing messages to other owners: offers of queued groups and requests for theirs."""
 
 from __future__ import annotations
 
@@ -17,24 +13,21 @@
 from foldloom.seed_discovery.owners.messages import StealReply, StealRuns, WaitingGroups
 from foldloom.seed_discovery.owners.state import OwnerState
 
-# Milliseconds that an owner waits for the reply of another zone's, because the room reserved for
-# the runs is kept for 40 ms (RESERVED_MS), which must be longer.
+# Below RESERVATION_TTL_MS, for which capacity is reserved for the stolen runs.
 _STEAL_TIMEOUT_MS = 30
-# Milliseconds for which an offer is of use; the next one replaces it: a third of the time for which
-# other owners act on it (VIEW_KEPT_MS).
+# A third of REMOTE_VIEW_TTL_MS, for which the receiver acts on an offer.
 _OFFER_TTL_MS = 100
-# Seconds between two offers at least, to bound messages between zones, which cost, while a job's
-# objective is 60 ms and more.
+# Bounds the message rate between zones.
 _OFFER_INTERVAL_MIN_S = 0.003
 
 
 class OfferSender:
-    """Offer waiting runs to other zones, and steal theirs, for one owner's term.
+    """Sends offers and steal requests in one owner's term.
 
     Args:
         record: The owner.
         state: The owner's state.
-        context: The peers, the other boxes, and counters.
+        context: Network, view of the fleet, and metrics.
     """
 
     def __init__(self, record: OwnerRecord, state: OwnerState, context: OwnerContext) -> None:
@@ -52,11 +45,11 @@
         return [owner.box for owner in owners if owner.zone != self._record.zone]
 
     def note_changed(self) -> None:
-        """Note that what waits may have changed."""
+        """Schedule an offer: the queue may have changed."""
         self._has_changed.set()
 
     async def run(self) -> None:
-        """Offer what waits soon after it changes, until cancelled; an empty offer once."""
+        """Send offers after queue changes until cancelled; skip repeated empty offers."""
         was_nonempty = False
         while True:
             await self._has_changed.wait()
@@ -70,7 +63,7 @@
             await asyncio.sleep(_OFFER_INTERVAL_MIN_S)
 
     async def steal(self, action: StealAction) -> None:
-        """Ask another zone's owner for runs that wait there."""
+        """Request runs from another zone's owner."""
         owner = self._view.owner_of(action.zone)
         message = StealRuns(self._record.zone, action.group, len(action.reservations))
         granted = 0
@@ -78,7 +71,7 @@
             reply: StealReply = await self._network.request(owner.box, message, _STEAL_TIMEOUT_MS)
             granted = reply.runs
         except PeerUnreachableError:
-            # Runs that were given all the same are delivered here without a reservation.
+            # Runs granted all the same are submitted here without a reservation.
             self._metrics.count("claims.unanswered")
         self._metrics.count("runs.claimed", granted)
         self._state.note_stolen(action, granted)
--- a/src/foldloom/seed_discovery/owners/started_jobs.py
+++ b/src/foldloom/seed_discovery/owners/started_jobs.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: MIT
-"""The jobs that were delivered to an owner in its term, and which of them it has started.
+"""Jobs submitted to an owner in its term, and whether any of their runs may have started.
 
-Owns that list. It is the one memory by which an owner says that nothing of a job was started. A
-job counts as started before the order to start leaves, when an endpoint lists a run or an end of
-it, and when a box delivers what an earlier owner may have started. It stays for ``REMEMBERED_MS``
-beyond the latest deadline of the boxes that delivered it, whatever becomes of its runs, of their
-sessions and of its tombstones. A box believes no word that it handles later than that.
+The owner's statement that no run of a job has started rests on this list alone. A job counts as
+started before its first start order is sent, when an endpoint reports a run or an end of it, and
+when a box submits a run that an earlier owner may have started. It is kept until ``REMEMBERED_MS``
+after the latest deadline of the boxes that submitted it, independently of its runs, sessions and
+tombstones. Boxes ignore statements that they process later than that.
 """
 
 from __future__ import annotations
@@ -13,55 +13,52 @@
 import heapq
 from typing import NamedTuple
 
-# Milliseconds beyond a job's deadline for which it is remembered, so that a box that is late by a
-# second still gets an answer of use. How late a box can be has no bound: it checks by its own clock
-# whether it may still believe the owner.
+# How long a job is kept after its deadline, so that a delayed box still gets a valid answer.
 REMEMBERED_MS = 2_000.0
-# Milliseconds for which a job is remembered whose deadline is not known, since no box has delivered
-# it: twice the longest of the users' deadlines, 2.8 s, and some more.
+# How long a job is kept that no box has submitted and whose deadline is therefore unknown.
 _LISTED_JOB_TTL_MS = 6_000.0
 
 
 class _JobRecord(NamedTuple):
-    """A job: until when it is remembered, and whether something of it may have been started."""
+    """When a job is removed, and whether any of its runs may have started."""
 
     expires_ms: float
     has_started: bool
 
 
 class _Expiry(NamedTuple):
-    """When a job is looked at, to be forgotten."""
+    """When a job is next checked for removal."""
 
     at_ms: float
     job_id: str
 
 
 class StartedJobs:
-    """The list of one term."""
+    """The jobs of one term."""
 
     def __init__(self) -> None:
         self._jobs: dict[str, _JobRecord] = {}
         self._expiries: list[_Expiry] = []
 
     def __contains__(self, job_id: str) -> bool:
-        """Return whether something of the job was started, or may have been."""
+        """Return whether any run of the job may have started."""
         record = self._jobs.get(job_id)
         return record is not None and record.has_started
 
     def note_delivered(self, job_id: str, deadline_ms: float) -> None:
-        """Remember a job for one more box, which gives it up at *deadline_ms*; own clock."""
+        """Record a submission by a box that gives the job up at *deadline_ms*; own clock."""
         self._extend(job_id, deadline_ms + REMEMBERED_MS, has_started=False)
 
     def note(self, job_id: str, deadline_ms: float) -> None:
-        """Note that something of a job that is given up at *deadline_ms* may be started."""
+        """Record a job with a run that may start; the job is given up at *deadline_ms*."""
         self._extend(job_id, deadline_ms + REMEMBERED_MS, has_started=True)
 
     def note_listed(self, job_id: str, now_ms: float) -> None:
-        """Note a start that an endpoint lists, whether a box has delivered the job or not."""
+        """Record a job with a run or end reported by an endpoint."""
         self._extend(job_id, now_ms + _LISTED_JOB_TTL_MS, has_started=True)
 
     def expire(self, now_ms: float) -> None:
-        """Forget the jobs whose time is over."""
+        """Remove expired jobs."""
         while self._expiries and self._expiries[0].at_ms <= now_ms:
             expiry = heapq.heappop(self._expiries)
             expires_ms = self._jobs[expiry.job_id].expires_ms
--- a/src/foldloom/seed_discovery/owners/stealing.py
+++ b/src/foldloom/seed_discovery/owners/stealing.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Work stealing between zones: what waits elsewhere, and room that is kept for it here.
+"""Work stealing from other zones: their offers and loads, and capacity reserved for their runs.
 
-Owns what other zones' owners have said of their queues and load, and the reservations of runs that
-were asked for. Relies on the endpoints' rooms, which it is given. An owner with free room asks the
-owner of another zone for runs that are next in order; their entry box then delivers them here.
+An owner with free capacity requests runs from the owner of another zone; the runs' entry box then
+submits them here.
 """
 
 from __future__ import annotations
@@ -19,17 +18,17 @@
 
 
 class _ReceivedLoad(NamedTuple):
-    """How loaded another zone is, and when its owner said so."""
+    """Load of another zone and the time it was received."""
 
     load: ZoneLoad
     received_ms: float
 
 
 class WorkStealing:
-    """The thief's side of work stealing.
+    """The requesting side of work stealing.
 
     Args:
-        candidates: The endpoints by id.
+        candidates: The zone's endpoints by id.
     """
 
     def __init__(self, candidates: Mapping[str, ZoneEndpoint]) -> None:
@@ -39,11 +38,11 @@
         self.remote = RemoteGroups()
 
     def note_load(self, zone: str, load: ZoneLoad, now_ms: float) -> None:
-        """Note how loaded another zone is: runs may be moved to its room."""
+        """Record the load of another zone."""
         self._loads[zone] = _ReceivedLoad(load, now_ms)
 
     def loads(self, now_ms: float) -> list[ZoneLoad]:
-        """Return the loads of other zones that were received lately."""
+        """Return the unexpired loads of other zones."""
         return [
             received.load
             for received in self._loads.values()
@@ -51,13 +50,13 @@
         ]
 
     def note_granted(self, action: StealAction, granted: int) -> None:
-        """Keep room for as many runs as their owner gives, and free the rest."""
+        """Keep a reservation for each granted run and cancel the rest."""
         self._reservations.setdefault(action.group, []).extend(action.reservations[:granted])
         for reservation in action.reservations[granted:]:
             self._cancel_reservation(reservation)
 
     def note_arrived(self, group: GroupId) -> None:
-        """Free the room that was kept for a run of *group*, which has been delivered."""
+        """Cancel the reservation for a run of *group* that has been submitted here."""
         reservations = self._reservations.get(group)
         if not reservations:
             return
--- a/src/foldloom/seed_discovery/owners/tombstones.py
+++ b/src/foldloom/seed_discovery/owners/tombstones.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Tombstones of tasks that an owner knows no run of any more.
+"""Tombstones of tasks without a present run at their owner.
 
-Owns what is remembered of them for some seconds. A tombstone keeps a late or repeated message
-from starting a task again, and lets a later start count on from the attempts before it.
+A tombstone prevents a delayed or duplicate message from starting the task again, and keeps its last
+attempt number for a later start.
 """
 
 from __future__ import annotations
@@ -14,8 +14,7 @@
 from foldloom.seed_discovery.owners.messages import EndCause, RunEnd
 from foldloom.seed_discovery.scheduling.runs import HolderId, Run
 
-# Milliseconds: no message, order or lease lives longer than the longest of the users'
-# deadlines, 2.8 s, and twice that leaves a margin.
+# Twice the longest expected request deadline plus a margin, to cover delayed messages.
 TOMBSTONE_TTL_MS = 6_000.0
 
 CAUSE_OF_KIND = {
@@ -29,13 +28,13 @@
 
 
 class Tombstone(NamedTuple):
-    """What is remembered of a task.
+    """Record of a task's last run.
 
     Args:
-        attempt: Its last start.
-        ended_ms: When that ended or was dropped; own monotonic clock.
-        end: How it ended, if an endpoint listed the end before any box asked for the task.
-        deliveries: Each box's newest delivery of it.
+        attempt: The last attempt.
+        ended_ms: When it ended or was dropped; own monotonic clock.
+        end: Its end, if an endpoint reported it before any box submitted the task.
+        deliveries: The newest delivery by each box.
     """
 
     attempt: int
@@ -44,28 +43,28 @@
     deliveries: dict[HolderId, int]
 
     def covers(self, holder: HolderId, delivery: int) -> bool:
-        """Return whether a delivery is a late copy of one whose runs are over."""
+        """Return whether *delivery* is a duplicate of one whose runs have ended."""
         return 0 < delivery <= self.deliveries.get(holder, 0)
 
 
 class Tombstones:
-    """The tombstones of one owner, the oldest first."""
+    """The tombstones of one owner, oldest first."""
 
     def __init__(self) -> None:
         self._by_task: dict[TaskId, Tombstone] = {}
 
     def get(self, task: TaskId) -> Tombstone | None:
-        """Return the tombstone of *task*, if it is remembered."""
+        """Return the tombstone of *task*, or ``None``."""
         return self._by_task.get(task)
 
     def add(self, run: Run, now_ms: float) -> None:
-        """Remember a run that is known no more."""
+        """Add a tombstone for a run that is removed."""
         previous = self._by_task.pop(run.task, None)
         deliveries = {} if previous is None else previous.deliveries
         self._by_task[run.task] = Tombstone(run.attempt, now_ms, None, deliveries | run.holders)
 
     def add_orphaned(self, end: EndedRun, endpoint: str, now_ms: float) -> None:
-        """Remember an end that no run waits for; a box may ask for the task later."""
+        """Add a tombstone for the end of an orphaned run; a box may submit the task later."""
         task, attempt = end.run_id
         tombstone = self._by_task.get(task)
         if tombstone is not None and tombstone.attempt >= attempt:
@@ -75,7 +74,7 @@
         self._by_task[task] = Tombstone(attempt, now_ms, run_end, {})
 
     def expire(self, now_ms: float) -> None:
-        """Forget what is older than ``TOMBSTONE_TTL_MS``."""
+        """Remove tombstones older than ``TOMBSTONE_TTL_MS``."""
         while self._by_task:
             task = next(iter(self._by_task))
             if now_ms - self._by_task[task].ended_ms < TOMBSTONE_TTL_MS:
