--- a/src/foldloom/seed_discovery/owners/loads.py
+++ b/src/foldloom/seed_discovery/owners/loads.py
@@ -18,9 +18,9 @@
         waiting: The queued runs of the zone.
         now_ms: Own monotonic clock.
     """
-    eligible_rooms = [one.room for one in candidates if one.is_open(now_ms)]
+    eligible_capacities = [one.room for one in candidates if one.is_open(now_ms)]
     return ZoneLoad(
-        free_milli=sum(max(0, room.free.cpu_milli) for room in eligible_rooms),
-        total_milli=sum(room.capacity.cpu_milli for room in eligible_rooms),
+        free_milli=sum(max(0, capacity.free.cpu_milli) for capacity in eligible_capacities),
+        total_milli=sum(capacity.capacity.cpu_milli for capacity in eligible_capacities),
         queued_milli=waiting.cpu_milli,
     )
--- a/tests/test_crashing_task.py
+++ b/tests/test_crashing_task.py
@@ -1,14 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""A task that crashes each endpoint that starts it, which is back after some seconds.
+"""A task that crashes every endpoint that starts it; the endpoints restart after some seconds.
 
-Seen: one such task crashed an endpoint after the other until its deadline and was answered 504,
-after which its caller sends it again. Work is placed on one endpoint until it is full, so the
-neighbours of the task crashed with it, were placed anew beside it, and crashed again: for 3 s next
-to no job of other callers was completed, and some were answered 504.
-
-Cause: nothing counted crashes. A run that was lost with its endpoint was started again whatever had
-become of it, with no bound but the deadline, and beside whatever ran elsewhere. The logs had
-``run.retried cause=lapsed failures=0`` once for each endpoint; ``endpoint.crashed`` counts now.
+Guards against unlimited restarts of such a task, which crash the runs beside it again and again.
 """
 
 from __future__ import annotations
@@ -22,7 +15,7 @@
 from platform_system import Answer, PlatformSystem, crashing_steps, job_id, play, steps
 
 _CRASHING = 9_000
-# Endpoints that may crash under a task before it is given up.
+# Endpoint crashes after which a task is given up.
 _CRASHES_MAX = 3
 _CALLERS = 3
 
@@ -30,7 +23,7 @@
 async def _submit_until_over(
     system: PlatformSystem, entry: str, numbers: itertools.count[int], is_over: asyncio.Event
 ) -> list[Answer]:
-    """Hand short jobs in, one after the other, and return the answers."""
+    """Submit short jobs one after the other; return the answers."""
     answers = []
     while not is_over.is_set():
         body = steps(2, ms=50, estimate_ms=500, cpu_milli=2_000)
@@ -41,7 +34,7 @@
 async def _submit_crashing_job(
     system: PlatformSystem, crash_ms: int
 ) -> tuple[Answer, list[Answer]]:
-    """Hand the crashing job in beside the callers; return its answer and theirs."""
+    """Submit the crashing job during a load of short jobs; return its answer and theirs."""
     numbers, is_over = itertools.count(1), asyncio.Event()
     callers = [
         asyncio.create_task(_submit_until_over(system, system.entries[n], numbers, is_over))
@@ -64,10 +57,10 @@
 
 @pytest.mark.parametrize("crash_ms", [0, 30])
 class TestCrashingTask:
-    """The endpoint crashes before it answers the order, or soon after."""
+    """The endpoint crashes before it answers the start order, or soon after."""
 
     def test_it_is_given_up(self, tmp_path: Path, crash_ms: int) -> None:
-        """Its job fails before its deadline, and its neighbours are completed, every one."""
+        """The job fails before its deadline, and every other job completes."""
 
         async def scenario(system: PlatformSystem) -> None:
             answer, others = await _submit_crashing_job(system, crash_ms)
@@ -78,7 +71,7 @@
         play(scenario, tmp_path, endpoints=6)
 
     def test_handed_in_again(self, tmp_path: Path, crash_ms: int) -> None:
-        """The same job again, at another box of the zone, crashes nothing more."""
+        """Submitting the job again to another box of the zone causes no more crashes."""
 
         async def scenario(system: PlatformSystem) -> None:
             first, _ = await _submit_crashing_job(system, crash_ms)
--- a/tests/test_jobs_queues.py
+++ b/tests/test_jobs_queues.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How a request finds its queue."""
+"""Mapping of requests to queues."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 class TestFind:
-    """Host and longest prefix."""
+    """Lookup by host and longest path prefix."""
 
     def test_longest_prefix(self) -> None:
-        """The longest prefix of the path wins, whatever the order."""
+        """The longest prefix of the path wins, whatever the order of the queues."""
         found = _TABLE.find("h", "/a/b/1")
         assert found is not None
         assert found.name == "long"
 
     def test_host(self) -> None:
-        """The same path under another host is another queue."""
+        """Queues of different hosts may have the same path prefix."""
         found = _TABLE.find("g", "/a/b/1")
         assert found is not None
         assert found.name == "other"
@@ -37,9 +37,9 @@
 
 
 class TestObjective:
-    """How soon a job should end."""
+    """The latency objective of a job."""
 
     def test_stretch_and_slack(self) -> None:
-        """The longest chain is stretched, then the slack is added."""
+        """The critical path is multiplied by the stretch, then the slack is added."""
         queue = Queue("q", "h", "/", "svc", stretch=1.6, slack_ms=60)
         assert queue.objective_ms(100.0) == 220.0
--- a/tests/test_owners_admission.py
+++ b/tests/test_owners_admission.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which jobs an owner refuses at once while its endpoints do not answer."""
+"""Admission while endpoints are overdue or unresponsive."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def _urgent_job() -> SubmitRuns:
-    """Return a job of one task that should start within some hundred milliseconds."""
+    """Return a job of one task with a start deadline of some hundred milliseconds."""
     return submission(objective=Objective(0, 1.6, 60, 0), deadline_ms=1_500)
 
 
 def _warm_owner() -> OwnerState:
-    """Return an owner of two endpoints whose term has warmed up."""
+    """Return an owner of two endpoints after the warm-up of its term."""
     state = owner_with(endpoint("w1"), endpoint("w2"))
     state.submit(_E1, submission(job_id="1" * 16, demand=Demand(1, 1, 0)), 1.0)
     state.cancel(_E1, "1" * 16, 2.0)
@@ -28,10 +28,10 @@
 
 
 class TestOverdue:
-    """Every answer is overdue at once, as on a box that was late to look."""
+    """All reports are overdue at once, as after a delay of the owner itself."""
 
     def test_a_job_waits_for_the_next_answer(self) -> None:
-        """It is taken, and starts with that answer."""
+        """The job is accepted and starts with the next report."""
         state = _warm_owner()
         for name in ("w1", "w2"):
             state.distrust(name)
@@ -41,7 +41,7 @@
         assert [start.endpoint for start in state.actions.pop_starts()] == ["w1"]
 
     def test_silent_ones_are_not_waited_for(self) -> None:
-        """A poll of each got no answer: the job is refused, and told when to come back."""
+        """The job is rejected with a retry delay if every endpoint missed a poll."""
         state = _warm_owner()
         for name in ("w1", "w2"):
             state.note_silent(name)
@@ -49,7 +49,7 @@
         assert (reply.status, reply.retry_after_ms) == (SubmitStatus.REFUSED, 2_000)
 
     def test_one_of_them_is_overdue(self) -> None:
-        """The others are silent: it waits for that one."""
+        """The job is accepted if at least one endpoint is only overdue."""
         state = _warm_owner()
         state.note_silent("w1")
         state.distrust("w2")
--- a/tests/test_owners_crashed_endpoints.py
+++ b/tests/test_owners_crashed_endpoints.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Endpoints that crash under tasks: what counts as a crash, who starts where, who is given up."""
+"""Endpoint crashes during tasks: counting, isolation and crash limit."""
 
 from __future__ import annotations
 
@@ -25,14 +25,16 @@
 _TASK = TaskId(_JOB, 0, 0, 0)
 
 
-def _hand_in(state: OwnerState, now_ms: float, job_id: str = _JOB, tasks: int = 1) -> list[str]:
-    """Hand a job of small tasks in and have it started; return where its tasks are."""
+def _submit_and_start(
+    state: OwnerState, now_ms: float, job_id: str = _JOB, tasks: int = 1
+) -> list[str]:
+    """Submit a job of small tasks and start it; return the endpoints of its tasks."""
     state.submit(_E1, submission(tasks, job_id=job_id, demand=_SMALL), now_ms)
     return _place_and_start(state, now_ms)
 
 
 def _place_and_start(state: OwnerState, now_ms: float) -> list[str]:
-    """Have what waits started, and return where."""
+    """Place queued runs and confirm their starts; return their endpoints."""
     state.place(now_ms)
     starts = state.actions.pop_starts()
     for start in starts:
@@ -41,7 +43,7 @@
 
 
 def _deliver_next_attempt(state: OwnerState, end: RunEnd, now_ms: float) -> None:
-    """Deliver the next attempt of a run that has ended, as its entry box does."""
+    """Submit the next attempt of a run that has ended, as its entry box does."""
     message = submission(job_id=end.run_id.task.job_id, demand=_SMALL)
     order = message.orders[0]._replace(
         position=end.run_id.task.position,
@@ -51,8 +53,8 @@
     state.submit(_E1, message._replace(orders=[order]), now_ms)
 
 
-def _crash(state: OwnerState, name: str, now_ms: float) -> list[RunEnd]:
-    """Have an endpoint crash and its leases lapse; return the ends, in the order of tasks."""
+def _crash_endpoint(state: OwnerState, name: str, now_ms: float) -> list[RunEnd]:
+    """Crash an endpoint and expire its leases; return the run ends by run id."""
     state.note_silent(name)
     state.note_crashed(name, now_ms)
     state.note_lapsed(name, now_ms + 650.0)
@@ -60,12 +62,12 @@
 
 
 class TestWhatCounts:
-    """A crash is certain."""
+    """Only confirmed crashes count."""
 
     def test_a_silent_lapse_does_not(self) -> None:
-        """An endpoint that was cut off and answers again has not crashed."""
+        """An endpoint that answers again after its leases expired has not crashed."""
         state = owner_with(endpoint("w1"))
-        _hand_in(state, 10.0)
+        _submit_and_start(state, 10.0)
         state.note_silent("w1")
         state.note_lapsed("w1", 700.0)
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount()]
@@ -74,24 +76,24 @@
         state.report(EndpointReport("w1", (), (), 5_001.0, 2), 5_002.0)
         _deliver_next_attempt(state, RunEnd(RunId(_TASK, 1), EndCause.LAPSED), 5_003.0)
         assert _place_and_start(state, 5_003.0) == ["w1"]
-        assert [end.crashes for end in _crash(state, "w1", 5_100.0)] == [CrashCount(1, 1)]
+        assert [end.crashes for end in _crash_endpoint(state, "w1", 5_100.0)] == [CrashCount(1, 1)]
 
     def test_a_lapse_before_the_next_life_does(self) -> None:
-        """A machine that lost power is silent; its next life shows that it had crashed."""
+        """A new incarnation confirms a crash after the leases expired, as after a power failure."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
-        _hand_in(state, 10.0)
+        _submit_and_start(state, 10.0)
         state.note_silent("w2")
         state.note_lapsed("w2", 700.0)
         ((_, end),) = ends_of(state)
         state.begin_life("w2", 3_000.0)
         _deliver_next_attempt(state, end, 3_001.0)
         assert _place_and_start(state, 3_001.0) == ["w1"]
-        assert [end.crashes for end in _crash(state, "w1", 3_100.0)] == [CrashCount(2, 2)]
+        assert [end.crashes for end in _crash_endpoint(state, "w1", 3_100.0)] == [CrashCount(2, 2)]
 
     def test_once_a_life(self) -> None:
-        """A port that refuses again and again, and then the next life, are one crash."""
+        """Repeated refused connections and the next incarnation are one crash."""
         state = owner_with(endpoint("w1"))
-        _hand_in(state, 10.0)
+        _submit_and_start(state, 10.0)
         for now_ms in (20.0, 70.0, 170.0):
             state.note_crashed("w1", now_ms)
         state.begin_life("w1", 200.0)
@@ -99,14 +101,14 @@
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount(1, 1)]
 
     def test_an_endpoint_that_leaves(self) -> None:
-        """It ends, as it has said: no task did that."""
+        """The end of a draining endpoint is no crash."""
         state = owner_with(endpoint("w1"))
-        _hand_in(state, 10.0)
+        _submit_and_start(state, 10.0)
         state.follow_endpoint(endpoint("w1", state=EndpointState.DRAINING))
-        assert [end.crashes for end in _crash(state, "w1", 20.0)] == [CrashCount()]
+        assert [end.crashes for end in _crash_endpoint(state, "w1", 20.0)] == [CrashCount()]
 
     def test_a_start_that_found_nobody(self) -> None:
-        """The run was never there: it starts elsewhere at once, and nothing is counted."""
+        """A run whose start order met no listener starts elsewhere at once and is not counted."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
         state.submit(_E1, submission(), 10.0)
         state.place(10.0)
@@ -115,10 +117,13 @@
         state.note_crashed(start.endpoint, 12.0)
         assert _place_and_start(state, 12.0) == [{"w1": "w2", "w2": "w1"}[start.endpoint]]
         assert not state.actions.pop_stops()
-        assert [end.crashes for end in _crash(state, "w1", 20.0)] in ([CrashCount(1, 1)], [])
+        assert [end.crashes for end in _crash_endpoint(state, "w1", 20.0)] in (
+            [CrashCount(1, 1)],
+            [],
+        )
 
     def test_a_start_without_an_answer(self) -> None:
-        """The endpoint crashed before it answered: the run may have done it."""
+        """A run whose start order got no answer is counted."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(), 10.0)
         state.place(10.0)
@@ -129,61 +134,61 @@
         state.begin_life("w1", 3_000.0)
         state.report(EndpointReport("w1", (), (), 3_001.0), 3_002.0)
         assert _place_and_start(state, 3_002.0) == ["w1"]
-        assert [end.crashes for end in _crash(state, "w1", 3_100.0)] == [CrashCount(2, 2)]
+        assert [end.crashes for end in _crash_endpoint(state, "w1", 3_100.0)] == [CrashCount(2, 2)]
 
 
 class TestNeighbours:
-    """What ran beside the task that did it."""
+    """Isolation of the tasks that ran on a crashed endpoint."""
 
     def test_each_starts_by_itself(self) -> None:
-        """Three tasks of one endpoint go to three others, and new work elsewhere."""
+        """Three tasks of one endpoint start on three others, and a new job on none of these."""
         state = owner_with(*(endpoint(f"w{n}") for n in range(1, 6)))
-        assert set(_hand_in(state, 10.0, tasks=3)) == {"w5"}
-        for end in _crash(state, "w5", 20.0):
+        assert set(_submit_and_start(state, 10.0, tasks=3)) == {"w5"}
+        for end in _crash_endpoint(state, "w5", 20.0):
             assert end.crashes == CrashCount(1, 0)
             _deliver_next_attempt(state, end, 700.0)
-        placed = _place_and_start(state, 700.0)
-        assert len(set(placed)) == 3
-        (fresh,) = _hand_in(state, 701.0, job_id=_OTHER)
-        assert fresh not in placed
+        placed_on = _place_and_start(state, 700.0)
+        assert len(set(placed_on)) == 3
+        (new_job_endpoint,) = _submit_and_start(state, 701.0, job_id=_OTHER)
+        assert new_job_endpoint not in placed_on
 
     def test_beside_others_where_none_is_idle(self) -> None:
-        """After one crash it does not wait for an idle endpoint."""
+        """After one crash a task shares an endpoint if none is idle."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
-        _hand_in(state, 10.0)
-        (end,) = _crash(state, "w2", 20.0)
-        assert _hand_in(state, 30.0, job_id=_OTHER) == ["w1"]
+        _submit_and_start(state, 10.0)
+        (end,) = _crash_endpoint(state, "w2", 20.0)
+        assert _submit_and_start(state, 30.0, job_id=_OTHER) == ["w1"]
         _deliver_next_attempt(state, end, 700.0)
         assert _place_and_start(state, 700.0) == ["w1"]
 
     def test_after_two_crashes_it_waits(self) -> None:
-        """It starts on an idle endpoint, and nothing starts beside it."""
+        """After two crashes a task waits for an idle endpoint and does not share it."""
         state = owner_with(*(endpoint(f"w{n}") for n in (1, 2, 3)))
         for name, now_ms in (("w3", 10.0), ("w2", 1_000.0)):
             message = submission(2, job_id=_JOB, demand=_SMALL)
             orders = [order._replace(attempt=int(now_ms)) for order in message.orders]
             state.submit(_E1, message._replace(orders=orders), now_ms)
-            # Both on one: the other endpoints are busy with something else.
+            # Place both on one endpoint: no other is eligible.
             for other in set(state.candidates) - {name}:
                 state.distrust(other)
             assert _place_and_start(state, now_ms) == [name, name]
             for other in set(state.candidates) - {"w2", "w3"}:
                 state.report(EndpointReport(other, (), (), now_ms), now_ms)
-            ends = _crash(state, name, now_ms + 10.0)
+            ends = _crash_endpoint(state, name, now_ms + 10.0)
             if name == "w3":
                 state.report(EndpointReport("w2", (), (), 900.0), 901.0)
         assert [end.crashes for end in ends] == [CrashCount(2, 0)] * 2
-        _hand_in(state, 1_900.0, job_id=_OTHER)
+        _submit_and_start(state, 1_900.0, job_id=_OTHER)
         for end in ends:
             _deliver_next_attempt(state, end, 2_000.0)
         assert _place_and_start(state, 2_000.0) == []
-        ended = EndedRun(1, RunId(TaskId(_OTHER, 0, 0, 0), 1), EndKind.DONE)
-        state.report(EndpointReport("w1", (), (ended,), 2_100.0), 2_101.0)
+        other_end = EndedRun(1, RunId(TaskId(_OTHER, 0, 0, 0), 1), EndKind.DONE)
+        state.report(EndpointReport("w1", (), (other_end,), 2_100.0), 2_101.0)
         assert _place_and_start(state, 2_101.0) == ["w1"]
-        assert _hand_in(state, 2_102.0, job_id="2" * 16) == []
+        assert _submit_and_start(state, 2_102.0, job_id="2" * 16) == []
 
     def test_it_ends_once(self) -> None:
-        """Then it is like any other again, also if it is handed in anew."""
+        """A normal end removes the task's crash count and isolation."""
         records = CrashRecords()
         records.note_crash([_TASK], has_other_runs=True, now_ms=1.0)
         assert records.isolations == {_TASK: Isolation.PREFERRED}
@@ -193,13 +198,13 @@
 
 
 class TestGivenUp:
-    """The task that did it."""
+    """Tasks at their crash limit."""
 
     def test_at_once(self) -> None:
-        """Alone on a second endpoint that crashes, it ends before the leases there lapse."""
+        """A task alone on a second crashed endpoint ends before the leases there expire."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
-        _hand_in(state, 10.0, tasks=2)
-        first = _crash(state, "w2", 20.0)
+        _submit_and_start(state, 10.0, tasks=2)
+        first = _crash_endpoint(state, "w2", 20.0)
         _deliver_next_attempt(state, first[0], 700.0)
         assert _place_and_start(state, 700.0) == ["w1"]
         state.note_silent("w1")
@@ -207,19 +212,19 @@
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount(2, 1)]
 
     def test_handed_in_again(self) -> None:
-        """It does not start; its box is told the count, by which the job fails."""
+        """A task at its limit does not start; the crash count is returned to its box."""
         state = owner_with(endpoint("w1"))
         order = submission().orders[0]._replace(crashes=CrashCount(2, 1))
         state.submit(_E1, submission(orders=[order]), 10.0)
         assert _place_and_start(state, 10.0) == []
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount(2, 1)]
-        # Now the owner knows, whatever another box says.
+        # The owner keeps the count when a submission carries none.
         state.submit(_E1, submission(), 2_000.0)
         assert _place_and_start(state, 2_000.0) == []
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount(2, 1)]
 
     def test_it_is_remembered_for_a_while(self) -> None:
-        """Its caller may send it again for some seconds; then nothing is kept of it."""
+        """Counts expire after ``CRASH_RECORD_TTL_MS``."""
         records = CrashRecords()
         records.note_crash([_TASK], has_other_runs=False, now_ms=1.0)
         records.expire(CRASH_RECORD_TTL_MS)
@@ -228,9 +233,9 @@
         assert records.count_of(_TASK) == CrashCount()
 
     def test_a_run_of_another_owner(self) -> None:
-        """Beside a run that no box has delivered here, nobody was alone."""
+        """A task beside an orphaned run was not alone."""
         state = owner_with(endpoint("w1"))
-        _hand_in(state, 10.0)
+        _submit_and_start(state, 10.0)
         orphan = ActiveRun(RunId(TaskId(_OTHER, 0, 0, 0), 1))
         state.report(EndpointReport("w1", (ActiveRun(RunId(_TASK, 1)), orphan), (), 20.0), 21.0)
-        assert [end.crashes for end in _crash(state, "w1", 30.0)] == [CrashCount(1, 0)]
+        assert [end.crashes for end in _crash_endpoint(state, "w1", 30.0)] == [CrashCount(1, 0)]
--- a/tests/test_owners_started_jobs.py
+++ b/tests/test_owners_started_jobs.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What an owner remembers of the jobs that it has started something of."""
+"""An owner's list of jobs with started runs."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from foldloom.seed_discovery.owners.started_jobs import StartedJobs
 
 _JOB, _OTHER = "a" * 16, "b" * 16
-# Far beyond any margin that is added to a job's deadline.
+# Longer than any margin added to a job's deadline.
 _LONG_MS = 60_000.0
 
 
 class TestStartedJobs:
-    """A start is remembered until nobody can ask for it any more."""
+    """A started job is listed as long as a box may ask for it."""
 
     def test_others_are_not_in_it(self) -> None:
-        """Only what was noted."""
+        """Only recorded jobs are listed."""
         known = StartedJobs()
         known.note(_JOB, 1_500.0)
         assert _JOB in known
         assert _OTHER not in known
 
     def test_until_after_the_deadline(self) -> None:
-        """However long that is, and not for ever."""
+        """A job is kept until some time after its deadline, then removed."""
         known = StartedJobs()
         known.note(_JOB, _LONG_MS)
         known.expire(_LONG_MS + 500.0)
@@ -31,14 +31,14 @@
         assert _JOB not in known
 
     def test_for_as_long_as_a_box_believes_it(self) -> None:
-        """A box that is late, for whatever reason, believes its owner no longer than that."""
+        """A job is kept as long as a delayed box accepts the owner's statement."""
         known = StartedJobs()
         known.note(_JOB, 0.0)
         known.expire(BELIEVED_MS)
         assert _JOB in known
 
     def test_delivered_and_not_started(self) -> None:
-        """A job that only waits is not in it, but its deadline counts for a later start."""
+        """A queued job is not listed, but its deadline extends the record of a later start."""
         known = StartedJobs()
         known.note_delivered(_JOB, _LONG_MS)
         assert _JOB not in known
@@ -47,7 +47,7 @@
         assert _JOB in known
 
     def test_a_later_note_prolongs(self) -> None:
-        """The same id handed in again has a later deadline; an earlier one shortens nothing."""
+        """A later deadline of the same job extends its record; an earlier one has no effect."""
         known = StartedJobs()
         known.note(_JOB, 1_500.0)
         known.note(_JOB, _LONG_MS)
@@ -58,7 +58,7 @@
         assert _JOB not in known
 
     def test_listed_by_an_endpoint(self) -> None:
-        """Its deadline is not known; it stays longer than any of the users' deadlines, 2.8 s."""
+        """A job with an unknown deadline is kept longer than any expected request deadline."""
         known = StartedJobs()
         known.note_listed(_JOB, 100.0)
         known.expire(2_900.0)
--- a/tests/test_resized_endpoints.py
+++ b/tests/test_resized_endpoints.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Endpoints whose capacity shrinks and grows while they run, and that do not guard it."""
+"""Endpoints whose capacity changes at run time and that do not enforce it themselves."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 _TASK_MILLI = 2_000
 _SMALL_MILLI = 5_000
 _CALLERS = 8
-# Seconds in which callers keep the endpoints busy after each change.
+# Duration of the load after each change.
 _BUSY_S = SHRUNK_KNOWN_S + 1.5
 
 
@@ -38,7 +38,7 @@
 async def _sustain_load(
     system: PlatformSystem, numbers: itertools.count[int], until_s: float
 ) -> int:
-    """Hand jobs in until then; return the most that any endpoint had in use meanwhile."""
+    """Submit jobs until *until_s*; return the peak CPU use of any endpoint in millicores."""
 
     async def call(entry: str) -> None:
         while time.monotonic() < until_s:
@@ -54,10 +54,10 @@
 
 
 class TestUnderLoad:
-    """Two endpoints with work for more than both."""
+    """Two endpoints under more load than they can run."""
 
     def test_shrinks_and_grows(self, tmp_path: Path) -> None:
-        """No start takes one over its capacity, and what it grows by is used again."""
+        """No endpoint is overcommitted after it shrinks, and added capacity is used."""
 
         async def scenario(system: PlatformSystem) -> None:
             numbers = itertools.count(1)
@@ -72,14 +72,14 @@
 
 
 class TestFitsNowhere:
-    """A job whose tasks are larger than any endpoint is now."""
+    """A job whose tasks exceed the present capacity of every endpoint."""
 
     def test_refused_at_once(self, tmp_path: Path) -> None:
-        """It is told when to come back, and is completed once an endpoint has grown again."""
+        """The job is rejected with a retry delay, and completes after an endpoint has grown."""
 
         async def scenario(system: PlatformSystem) -> None:
             large = steps(1, estimate_ms=500, cpu_milli=_SMALL_MILLI + 1)
-            # A box knows all endpoints only some seconds after its start.
+            # A box has the complete list of endpoints only some seconds after its start.
             await asyncio.sleep(3.0)
             for one in system.endpoints:
                 one.cpu_milli = _SMALL_MILLI
@@ -107,21 +107,21 @@
         ],
     )
     def test_other_zones(self, known: list[Any], label: str, expected: SubmitStatus) -> None:
-        """Endpoints of other zones count, by capacity and label; of none known, nothing is said."""
+        """Endpoints of other zones count by service, capacity and label."""
         state = OwnerState(750.0, lambda: known)
         state.follow_endpoint(endpoint("w1", 3_000))
         state.report(EndpointReport("w1", (), (), 0.0), 1.0)
-        # Nothing is refused while the term warms up.
+        # Starts the warm-up, which is over before the next submission.
         state.submit(_E1, submission(job_id="1" * 16, demand=Demand(1, 1, 0)), 1.0)
         message = submission(placement=Placement(label))
         assert state.submit(_E1, message, 10_000.0).status is expected
 
 
 class TestRoom:
-    """What an owner counts."""
+    """Allocations and reservations of a resized endpoint."""
 
     def test_what_is_being_stopped_counts(self) -> None:
-        """After it has shrunk, a run that is stopped keeps its room until its end is known."""
+        """After a shrink, a run being stopped keeps its allocation until its end is reported."""
         state = owner_with(endpoint("w1", 14_000))
         state.submit(_E1, submission(2), 10.0)
         state.place(10.0)
@@ -133,7 +133,7 @@
         assert state.actions.pop_starts() == []
 
     def test_room_kept_for_other_zones_runs(self) -> None:
-        """What was reserved before it shrank is not charged twice, nor given to more than fits."""
+        """A reservation made before a shrink is counted once and not given to other runs."""
         state = owner_with(endpoint("w1", 14_000))
         room = state.candidates["w1"].room
         room.reserve(1, Demand(6_800, 64, 0), 1_000.0)
--- a/tests/test_scheduling_crashes.py
+++ b/tests/test_scheduling_crashes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which tasks start again after crashes, and how they are kept apart."""
+"""Crash limits and isolation of tasks whose endpoints have crashed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TestIsGivenUp:
-    """No task is given up before two endpoints have crashed, and none starts after three."""
+    """A task is given up after two crashes at the earliest and after three at the latest."""
 
     @pytest.mark.parametrize(
         ("count", "expected"),
@@ -30,23 +30,23 @@
         ],
     )
     def test_by_crashes(self, count: CrashCount, expected: bool) -> None:
-        """Two are enough if the task was alone at one of them."""
+        """Two crashes reach the limit if the task was alone in one of them."""
         assert is_given_up(count) is expected
 
 
 class TestIsolationBy:
-    """How a task is kept apart."""
+    """Isolation by crash count."""
 
     def test_by_crashes(self) -> None:
-        """Never before a crash, if it can be had after one, always after two."""
+        """Isolation is preferred after one crash and required after two."""
         counts = [CrashCount(), CrashCount(1, 1), CrashCount(2, 0)]
         kept = [Isolation.NONE, Isolation.PREFERRED, Isolation.REQUIRED]
         assert [isolation_for(count) for count in counts] == kept
 
 
 class TestCrashCount:
-    """Counts of two owners."""
+    """Merging the counts of two owners."""
 
     def test_joined(self) -> None:
-        """The same crash may be in both, so they are not added up."""
+        """Crashes that both owners counted are not added up."""
         assert CrashCount(2, 0).merged(CrashCount(1, 1)) == CrashCount(2, 1)
--- a/tests/test_scheduling_groups.py
+++ b/tests/test_scheduling_groups.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Until when a job is worth anything."""
+"""Deadlines after which a job's result is worthless."""
 
 from __future__ import annotations
 
@@ -29,13 +29,12 @@
 
 
 class TestLate:
-    """When a job can't earn anything any more."""
+    """The late deadline of a group."""
 
     def test_a_long_job_in_a_queue_of_short_ones(self) -> None:
-        """What its caller says counts where the queue's other jobs say less.
+        """The caller's estimate applies if it exceeds the queue's.
 
-        Seen in tests/test_platform_system.py: a job of 300 ms tasks was given up 0.8 s after
-        its arrival, since jobs of 20 ms had come before it on the same queue.
+        Guards against giving up a long job early because short jobs preceded it in its queue.
         """
         group = RunGroup(_spec(estimate_ms=300), expected_ms=80.0)
         assert group.late_ms == LATE_FACTOR * (1.6 * 300 + 60)
@@ -43,11 +42,11 @@
         assert tier_of(group, 1_700.0) == Tier.UNATTAINABLE
 
     def test_a_guess_that_is_too_short(self) -> None:
-        """What the queue's other jobs took counts where the caller says less."""
+        """The queue's estimate applies if it exceeds the caller's."""
         group = RunGroup(_spec(estimate_ms=10), expected_ms=300.0)
         assert group.late_ms == LATE_FACTOR * (1.6 * 300 + 60)
 
     def test_never_beyond_the_deadline(self) -> None:
-        """Nobody waits for an answer after it."""
+        """The request deadline limits the late deadline."""
         group = RunGroup(_spec(estimate_ms=9_000), expected_ms=300.0)
         assert group.late_ms == 10_000.0
