--- a/src/foldloom/seed_discovery/scheduling/rooms.py
+++ b/src/foldloom/seed_discovery/scheduling/rooms.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How much of an endpoint is taken, and kept for runs that are to come. Owns both."""
+"""Allocations and reservations of one endpoint's capacity."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from foldloom.seed_discovery.jobs.spec import Demand, TaskId
 
-_NOTHING = Demand(0, 0, 0)
+_ZERO_DEMAND = Demand(0, 0, 0)
 
 
-def plus(left: Demand, right: Demand) -> Demand:
-    """Return both together."""
+def add_demand(left: Demand, right: Demand) -> Demand:
+    """Return the sum of two demands."""
     return Demand(
         left.cpu_milli + right.cpu_milli,
         left.memory_mb + right.memory_mb,
@@ -19,8 +19,8 @@
     )
 
 
-def minus(left: Demand, right: Demand) -> Demand:
-    """Return *left* without *right*."""
+def subtract_demand(left: Demand, right: Demand) -> Demand:
+    """Return *left* minus *right*."""
     return Demand(
         left.cpu_milli - right.cpu_milli,
         left.memory_mb - right.memory_mb,
@@ -29,7 +29,7 @@
 
 
 def fits(demand: Demand, free: Demand) -> bool:
-    """Return whether *demand* finds room in *free*."""
+    """Return whether *free* covers *demand* in every resource."""
     return (
         demand.cpu_milli <= free.cpu_milli
         and demand.memory_mb <= free.memory_mb
@@ -37,74 +37,74 @@
     )
 
 
-class Reserved(NamedTuple):
-    """Room that is kept until ``until_ms``."""
+class CapacityReservation(NamedTuple):
+    """Capacity reserved until ``until_ms``."""
 
     demand: Demand
     until_ms: float
 
 
-class Room:
-    """One endpoint's capacity and what is charged to it.
+class EndpointCapacity:
+    """An endpoint's capacity, allocations and reservations.
 
     Args:
-        capacity: All of it.
+        capacity: The total capacity.
     """
 
     def __init__(self, capacity: Demand) -> None:
         self._capacity = capacity
-        self._charged: dict[TaskId, Demand] = {}
-        self._reserved: dict[int, Reserved] = {}
+        self._allocated: dict[TaskId, Demand] = {}
+        self._reservations_by_number: dict[int, CapacityReservation] = {}
         self._free = capacity
 
     @property
     def capacity(self) -> Demand:
-        """All of it."""
+        """The total capacity."""
         return self._capacity
 
     @property
     def free(self) -> Demand:
-        """What is not charged; negative where more was charged than there is."""
+        """Capacity neither allocated nor reserved; negative if overcommitted."""
         return self._free
 
     @property
     def tasks(self) -> list[TaskId]:
-        """The tasks that are charged."""
-        return list(self._charged)
+        """The tasks with an allocation."""
+        return list(self._allocated)
 
     def set_capacity(self, capacity: Demand) -> None:
-        """Change the capacity; what is charged stays."""
-        self._free = plus(minus(self._free, self._capacity), capacity)
+        """Change the total capacity; allocations and reservations stay."""
+        self._free = add_demand(subtract_demand(self._free, self._capacity), capacity)
         self._capacity = capacity
 
     def charge(self, task: TaskId, demand: Demand) -> None:
-        """Charge room for *task*; a second time changes nothing."""
-        if task in self._charged:
+        """Allocate capacity to *task*; no effect if it already has an allocation."""
+        if task in self._allocated:
             return
-        self._charged[task] = demand
-        self._free = minus(self._free, demand)
+        self._allocated[task] = demand
+        self._free = subtract_demand(self._free, demand)
 
     def release(self, task: TaskId) -> None:
-        """Release the room of *task*, if it has any."""
-        self._free = plus(self._free, self._charged.pop(task, _NOTHING))
+        """Release the allocation of *task*, if any."""
+        self._free = add_demand(self._free, self._allocated.pop(task, _ZERO_DEMAND))
 
     def reserve(self, number: int, demand: Demand, until_ms: float) -> None:
-        """Keep room for a run that is stolen elsewhere, under a *number* of the caller's."""
-        self._reserved[number] = Reserved(demand, until_ms)
-        self._free = minus(self._free, demand)
+        """Reserve capacity for a run to be stolen, under the caller's *number*."""
+        self._reservations_by_number[number] = CapacityReservation(demand, until_ms)
+        self._free = subtract_demand(self._free, demand)
 
-    def unreserve(self, number: int) -> None:
-        """Release the reservation *number*, if there is one."""
-        reserved = self._reserved.pop(number, None)
+    def cancel_reservation(self, number: int) -> None:
+        """Cancel the reservation *number*, if it exists."""
+        reserved = self._reservations_by_number.pop(number, None)
         if reserved is not None:
-            self._free = plus(self._free, reserved.demand)
+            self._free = add_demand(self._free, reserved.demand)
 
     def unreserve_expired(self, now_ms: float) -> None:
-        """Release reservations that were not used in time."""
-        for number, reserved in list(self._reserved.items()):
+        """Cancel expired reservations."""
+        for number, reserved in list(self._reservations_by_number.items()):
             if now_ms >= reserved.until_ms:
-                self.unreserve(number)
+                self.cancel_reservation(number)
 
     def count_of(self, job_id: str, step: int) -> int:
-        """Return how many tasks of a job's step are charged."""
-        return sum(1 for task in self._charged if task.job_id == job_id and task.step == step)
+        """Return the number of a step's tasks with an allocation."""
+        return sum(1 for task in self._allocated if task.job_id == job_id and task.step == step)
--- a/src/foldloom/seed_discovery/scheduling/speeds.py
+++ b/src/foldloom/seed_discovery/scheduling/speeds.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""How fast each endpoint is, learned from how long its runs take.
+"""Relative endpoint speeds, estimated from run durations.
 
-Owns what was learned of each endpoint: an exponentially weighted mean of logarithms.
+Keeps an exponentially weighted mean of logarithms for each endpoint.
 """
 
 from __future__ import annotations
@@ -9,54 +9,50 @@
 import math
 import statistics
 
-# Weight of a new run in an endpoint's mean, to follow an endpoint that turned slow within some ten
-# runs.
-_WEIGHT = 0.1
-# In logarithms (a factor of 1.5): by how much a run that goes on must exceed the expected time
-# beyond what it tells, because guesses are off by 40%.
-_OVERDUE_MARGIN = 0.4
-# Runs after which the middle endpoint is determined anew: about the number of endpoints at the
-# users' size, so that each has run something in between.
-_NOTES_PER_CENTRE = 25
+# Weight of a new run: the mean follows a slowed endpoint within about ten runs.
+_EWMA_WEIGHT = 0.1
+# Allowance for estimation errors (a factor of 1.5) in the lower bound from an unfinished run.
+_OVERDUE_LOG_MARGIN = 0.4
+# Runs between two updates of the median.
+_RUNS_PER_MEDIAN = 25
 
 
 class EndpointSpeeds:
-    """Speeds relative to the middle endpoint: 2.0 takes half as long.
+    """Speeds relative to the median endpoint: at 2.0 a run takes half as long.
 
-    Each run is compared with how long it was expected to take on an endpoint of speed 1; that is
-    rough, so many runs are averaged, in logarithms. Since expectations are learned from speeds
-    and speeds from expectations, the middle endpoint is held at 1: else both would drift.
+    Each run is compared with its expected duration at speed 1. The median is held at speed 1:
+    durations are estimated from speeds and speeds from durations, so both would drift otherwise.
     """
 
     def __init__(self) -> None:
-        self._log_by_endpoint: dict[str, float] = {}
-        self._centre = 0.0
-        self._notes = 0
+        self._mean_log_ratios: dict[str, float] = {}
+        self._median = 0.0
+        self._run_count = 0
 
     def speed_of(self, endpoint: str) -> float:
-        """Return the speed of *endpoint*; 1.0 while nothing is known."""
-        known = self._log_by_endpoint.get(endpoint)
-        return 1.0 if known is None else math.exp(self._centre - known)
+        """Return the speed of *endpoint*; 1.0 if unknown."""
+        mean = self._mean_log_ratios.get(endpoint)
+        return 1.0 if mean is None else math.exp(self._median - mean)
 
     def note(self, endpoint: str, ran_ms: float, expected_ms: float) -> None:
-        """Learn from a run that was done."""
+        """Update the speed with a finished run."""
         if ran_ms <= 0 or expected_ms <= 0:
             return
-        ratio = math.log(ran_ms / expected_ms)
-        known = self._log_by_endpoint.get(endpoint, self._centre)
-        self._log_by_endpoint[endpoint] = known + _WEIGHT * (ratio + self._centre - known)
-        self._notes += 1
-        if self._notes % _NOTES_PER_CENTRE == 0:
-            self._centre = statistics.median(self._log_by_endpoint.values())
+        log_ratio = math.log(ran_ms / expected_ms)
+        mean = self._mean_log_ratios.get(endpoint, self._median)
+        self._mean_log_ratios[endpoint] = mean + _EWMA_WEIGHT * (log_ratio + self._median - mean)
+        self._run_count += 1
+        if self._run_count % _RUNS_PER_MEDIAN == 0:
+            self._median = statistics.median(self._mean_log_ratios.values())
 
     def note_overdue(self, endpoint: str, ran_ms: float, expected_ms: float) -> None:
-        """Learn from a run that has taken *ran_ms* and goes on: it is at least so slow."""
+        """Lower the speed to the upper bound given by an unfinished run of age *ran_ms*."""
         if ran_ms <= 0 or expected_ms <= 0:
             return
-        at_least = math.log(ran_ms / expected_ms) - _OVERDUE_MARGIN + self._centre
-        if at_least > self._log_by_endpoint.get(endpoint, self._centre):
-            self._log_by_endpoint[endpoint] = at_least
+        lower_bound = math.log(ran_ms / expected_ms) - _OVERDUE_LOG_MARGIN + self._median
+        if lower_bound > self._mean_log_ratios.get(endpoint, self._median):
+            self._mean_log_ratios[endpoint] = lower_bound
 
     def forget(self, endpoint: str) -> None:
-        """Forget an endpoint that is gone."""
-        self._log_by_endpoint.pop(endpoint, None)
+        """Remove an endpoint."""
+        self._mean_log_ratios.pop(endpoint, None)
--- a/src/foldloom/seed_discovery/scheduling/waiting.py
+++ b/src/foldloom/seed_discovery/scheduling/waiting.py
@@ -1,29 +1,26 @@
 # SPDX-License-Identifier: MIT
-"""Runs that wait for room, by group.
-
-Owns the groups of which any run is here, waiting or not.
-"""
+"""Queue of runs waiting for capacity, by group."""
 
 from __future__ import annotations
 
 from foldloom.seed_discovery.jobs.spec import TaskId
 from foldloom.seed_discovery.scheduling.estimates import Estimates
-from foldloom.seed_discovery.scheduling.groups import Group
+from foldloom.seed_discovery.scheduling.groups import RunGroup
 from foldloom.seed_discovery.scheduling.ranking import rank, speed_min
 from foldloom.seed_discovery.scheduling.runs import Run
 from foldloom.seed_discovery.scheduling.sharing import GroupId, GroupSummary, group_of
 
 
 class WaitingRuns:
-    """The groups that have runs here, waiting or not, and the runs of them that wait.
+    """The groups with any run at this owner, and their queued runs.
 
     Args:
-        estimates: How long tasks take.
+        estimates: Estimates of task durations.
     """
 
     def __init__(self, estimates: Estimates) -> None:
         self._estimates = estimates
-        self._groups: dict[GroupId, Group] = {}
+        self._groups: dict[GroupId, RunGroup] = {}
         self._waiting_count = 0
 
     def __len__(self) -> int:
@@ -34,62 +31,62 @@
         return group is not None and task in group.waiting
 
     @property
-    def groups(self) -> list[Group]:
-        """The groups with runs that wait."""
+    def groups(self) -> list[RunGroup]:
+        """The groups with queued runs."""
         return [group for group in self._groups.values() if group.waiting]
 
     @property
     def cpu_milli(self) -> int:
-        """How much processor all that wait ask for, in thousandths of cores."""
+        """CPU demand of all queued runs, in thousandths of a core."""
         return sum(len(group.waiting) * group.spec.demand.cpu_milli for group in self.groups)
 
-    def get(self, key: GroupId) -> Group | None:
-        """Return the group *key*, if any run of it is here."""
+    def get(self, key: GroupId) -> RunGroup | None:
+        """Return the group *key*, or ``None`` if it has no runs here."""
         return self._groups.get(key)
 
-    def group(self, run: Run) -> Group:
-        """Return the group of *run*, a new one if it is the first of its group."""
+    def group(self, run: Run) -> RunGroup:
+        """Return the group of *run*, created on first use."""
         key = group_of(run.task)
         known = self._groups.get(key)
         if known is None:
             expected_ms = self._estimates.expected_ms(run.spec.queue, run.spec.estimate_ms)
-            known = Group(run.spec, expected_ms)
+            known = RunGroup(run.spec, expected_ms)
             self._groups[key] = known
         return known
 
     def add(self, run: Run) -> None:
-        """Queue *run*."""
+        """Queue *run*; no effect if it is queued already."""
         group = self.group(run)
         if run.task not in group.waiting:
             group.waiting[run.task] = run
             self._waiting_count += 1
 
     def remove(self, task: TaskId) -> None:
-        """Remove a run, if it waits."""
+        """Remove the run of *task* from the queue, if present."""
         group = self._groups.get(group_of(task))
         if group is not None and group.waiting.pop(task, None) is not None:
             self._waiting_count -= 1
 
     def forget(self, key: GroupId) -> None:
-        """Forget a group of which nothing is here any more."""
+        """Remove a group that has no runs left."""
         group = self._groups.pop(key, None)
         if group is not None:
             self._waiting_count -= len(group.waiting)
 
-    def summaries(self, now_ms: float, most: int) -> list[GroupSummary]:
-        """Return the first groups in order, for the owners of other zones."""
+    def summaries(self, now_ms: float, limit: int) -> list[GroupSummary]:
+        """Return summaries of the first *limit* queued groups in serving order."""
         ranked = sorted((rank(group, now_ms), key) for key, group in self._waiting_items())
         summaries = []
-        for place, key in ranked[:most]:
+        for group_rank, key in ranked[:limit]:
             group = self._groups[key]
             summary = GroupSummary(
                 key,
                 group.spec.service,
                 group.spec.demand,
                 group.spec.placement,
-                place.tier,
-                place.level,
-                int(place.by_ms - now_ms),
+                group_rank.tier,
+                group_rank.level,
+                int(group_rank.start_deadline_ms - now_ms),
                 len(group.waiting),
                 int(group.waiting_cpu_ms),
                 speed_min(group, now_ms),
@@ -97,5 +94,5 @@
             summaries.append(summary)
         return summaries
 
-    def _waiting_items(self) -> list[tuple[GroupId, Group]]:
+    def _waiting_items(self) -> list[tuple[GroupId, RunGroup]]:
         return [(key, group) for key, group in self._groups.items() if group.waiting]
