--- a/src/foldloom/seed_discovery/owners/client.py
+++ b/src/foldloom/seed_discovery/owners/client.py
@@ -62,8 +62,10 @@
         self._timings = timings
         # Drawn, so that an end which was meant for an earlier life of this box ends no run here.
         self._deliveries = itertools.count(1 + secrets.randbits(_DELIVERY_BITS))
-        self._home = OwnerConnection(view.own.zone, view, network, timings, self._deliveries)
-        self._connections: dict[str, OwnerConnection] = {view.own.zone: self._home}
+        self._own_zone_connection = OwnerConnection(
+            view.own.zone, view, network, timings, self._deliveries
+        )
+        self._connections: dict[str, OwnerConnection] = {view.own.zone: self._own_zone_connection}
         self._cancels = Cancels(
             self._connections, view.own.zone, network, gone_after_ms(timings.endpoint_lease_ms)
         )
@@ -101,7 +103,9 @@
         await self._cancels.wait_ended(job.job_id)
         while (connection := self._choose()) is None:
             await asyncio.sleep(_OWNER_CHECK_S)
-        return await connection.submit(self._batch(connection, job, template), orders)
+        return await connection.submit(
+            self._find_or_create_batch(connection, job, template), orders
+        )
 
     async def give_up(self, job: OpenJob) -> bool:
         """Cancel a job everywhere; return whether any run of it may have started."""
@@ -144,13 +148,16 @@
 
     def _choose(self) -> OwnerConnection | None:
         """Return the own zone's owner unless it is silent, else the one with the most room."""
-        lost_ms = self._timings.owner_silent_ms
-        if self._home.silent_ms < lost_ms and self._home.load.total_milli:
-            return self._home
+        silent_max_ms = self._timings.owner_silent_ms
+        if (
+            self._own_zone_connection.silent_ms < silent_max_ms
+            and self._own_zone_connection.load.total_milli
+        ):
+            return self._own_zone_connection
         reachable = [
             connection
             for connection in self._connections.values()
-            if connection.silent_ms < lost_ms
+            if connection.silent_ms < silent_max_ms
         ]
         return max(
             reachable,
@@ -158,8 +165,10 @@
             default=None,
         )
 
-    def _batch(self, connection: OwnerConnection, job: OpenJob, template: SubmitRuns) -> Batch:
-        for batch in connection.batches_of(job):
+    def _find_or_create_batch(
+        self, connection: OwnerConnection, job: OpenJob, template: SubmitRuns
+    ) -> Batch:
+        for batch in connection.batches_of_job(job):
             if batch.template == template:
                 return batch
         return Batch(job, template)
@@ -167,7 +176,7 @@
     def _on_session(self, _sender: str, message: SessionBegan) -> SessionNoted:
         connection = self._connections.get(message.zone)
         if connection is not None and connection.owner.token == message.token:
-            connection.reopen()
+            connection.redeliver_all()
         return SessionNoted()
 
     def _on_ends(self, _sender: str, message: RunsEnded) -> EndsNoted:
@@ -178,12 +187,12 @@
         return EndsNoted()
 
     def _take_end(self, connection: OwnerConnection, end: RunEnd, token: int) -> None:
-        for batch in connection.batches_with(end.run_id.task.job_id):
+        for batch in connection.batches_by_id(end.run_id.task.job_id):
             order = batch.close(end, token)
             if order is None:
                 continue
             if end.cause is EndCause.MOVED:
-                self._tasks.spawn(self._move(batch, order, end.moved_to))
+                self._tasks.spawn(self._redeliver_moved(batch, order, end.moved_to))
             else:
                 batch.job.ends.put_nowait(end)
             return
@@ -197,7 +206,7 @@
             delivery=end.delivery,
         )
 
-    async def _move(self, batch: Batch, order: RunOrder, zone: str) -> None:
+    async def _redeliver_moved(self, batch: Batch, order: RunOrder, zone: str) -> None:
         """Deliver a run that its owner gave away to another zone's owner."""
         moved = order._replace(is_moved=True, is_resumed=False)
         connection = self._connections.get(zone)
@@ -215,5 +224,5 @@
             run=order.attempt,
             zone=connection.zone,
         )
-        target = self._batch(connection, batch.job, batch.template)
+        target = self._find_or_create_batch(connection, batch.job, batch.template)
         await connection.submit(target, [moved])
--- a/src/foldloom/seed_discovery/owners/connection.py
+++ b/src/foldloom/seed_discovery/owners/connection.py
@@ -34,7 +34,7 @@
 REPLY_TIMEOUT_MS = 150
 # Seconds until runs are delivered again to a box that says it does not own the zone: below an
 # owner's heartbeat (100 ms), which names the owner.
-_NOT_OWNER_PAUSE_S = 0.02
+_NOT_OWNER_BACKOFF_S = 0.02
 
 
 class LostRun(NamedTuple):
@@ -93,7 +93,7 @@
         now_ms = monotonic_ms()
         self._end_lapsed_grant(now_ms)
         is_new = heartbeat.owner.token != self._owner.token
-        old_right_ms = self._grant.right_left_ms(now_ms)
+        old_right_ms = self._grant.session_left_ms(now_ms)
         self._owner = heartbeat.owner
         self.load = heartbeat.load
         ack = HeartbeatAck(
@@ -103,15 +103,15 @@
         self._grant.renew(now_ms)
         self._has_owner.set()
         if is_new:
-            self._resume(old_right_ms)
+            self._redeliver_to_new_owner(old_right_ms)
 
-    def batches_with(self, job_id: str) -> list[Batch]:
+    def batches_by_id(self, job_id: str) -> list[Batch]:
         """Return what is open under an id in this zone, of whichever submission of it."""
         return self._batches.get(job_id, [])
 
-    def batches_of(self, job: OpenJob) -> list[Batch]:
+    def batches_of_job(self, job: OpenJob) -> list[Batch]:
         """Return what is open of a job in this zone."""
-        return [batch for batch in self.batches_with(job.job_id) if batch.job is job]
+        return [batch for batch in self.batches_by_id(job.job_id) if batch.job is job]
 
     def pop_lost(self) -> list[LostRun]:
         """Return and drop the runs of an owner whose grant has lapsed; all of them have ended."""
@@ -121,7 +121,7 @@
 
     async def submit(self, batch: Batch, orders: list[RunOrder]) -> SubmitReply:
         """Deliver *orders*; return once the owner has taken or refused them."""
-        orders = self._numbered(orders)
+        orders = self._with_delivery_number(orders)
         batch.add(orders)
         batches = self._batches.setdefault(batch.job.job_id, [])
         if batch not in batches:
@@ -130,7 +130,7 @@
 
     def withdraw(self, job: OpenJob) -> Withdrawal | None:
         """Want nothing of *job* any more; return what is known of its runs here, if it has any."""
-        batches = self.batches_of(job)
+        batches = self.batches_of_job(job)
         if not batches:
             return None
         self._forget(batches)
@@ -142,7 +142,7 @@
             return False
         return not self._grant.has_lapsed(monotonic_ms())
 
-    def reopen(self) -> None:
+    def redeliver_all(self) -> None:
         """Deliver everything open to the same owner again: it has dropped it meanwhile."""
         for batches in self._batches.values():
             for batch in batches:
@@ -150,9 +150,9 @@
                 orders = [order._replace(is_moved=True) for order in batch.orders]
                 if not orders:
                     continue
-                orders = self._numbered(orders)
+                orders = self._with_delivery_number(orders)
                 batch.add(orders)
-                self._tasks.spawn(self._send_again(batch, orders, 0.0, "renewed session"))
+                self._tasks.spawn(self._redeliver(batch, orders, 0.0, "renewed session"))
 
     def _end_lapsed_grant(self, now_ms: float) -> None:
         """Take everything for ended that the owner held, if its grant has lapsed."""
@@ -184,17 +184,17 @@
 
     def _forget(self, batches: list[Batch]) -> None:
         job_id = batches[0].job.job_id
-        left = [batch for batch in self.batches_with(job_id) if batch not in batches]
+        left = [batch for batch in self.batches_by_id(job_id) if batch not in batches]
         if left:
             self._batches[job_id] = left
         else:
             del self._batches[job_id]
 
-    def _numbered(self, orders: list[RunOrder]) -> list[RunOrder]:
+    def _with_delivery_number(self, orders: list[RunOrder]) -> list[RunOrder]:
         delivery = next(self._deliveries)
         return [order._replace(delivery=delivery) for order in orders]
 
-    def _resume(self, old_right_ms: float) -> None:
+    def _redeliver_to_new_owner(self, old_right_ms: float) -> None:
         """Deliver everything open to a new owner, which finds out whether it runs already."""
         for batches in self._batches.values():
             for batch in batches:
@@ -202,9 +202,9 @@
                 if not orders:
                     continue
                 batch.add(orders)
-                self._tasks.spawn(self._send_again(batch, orders, old_right_ms, "new owner"))
+                self._tasks.spawn(self._redeliver(batch, orders, old_right_ms, "new owner"))
 
-    async def _send_again(
+    async def _redeliver(
         self, batch: Batch, orders: list[RunOrder], right_ms: float, why: str
     ) -> None:
         reply = await self._send(batch, orders, right_ms)
@@ -222,19 +222,19 @@
 
     async def _send(self, batch: Batch, orders: list[RunOrder], old_right_ms: float) -> SubmitReply:
         """Send until an owner answers for it; one of a newer owner ends an older one's."""
-        sent_to = 0
-        right_end_ms = monotonic_ms() + old_right_ms
+        sent_token = 0
+        old_right_end_ms = monotonic_ms() + old_right_ms
         while True:
             await self._has_owner.wait()
             owner = self._owner
-            if sent_to and owner.token != sent_to:
+            if sent_token and owner.token != sent_token:
                 # Everything open was delivered to the new owner already.
                 return SubmitReply(SubmitStatus.TAKEN)
             still_open = [order for order in orders if batch.is_open(order)]
             if not still_open:
                 return SubmitReply(SubmitStatus.TAKEN)
-            sent_to = owner.token
-            left_ms = max(0.0, right_end_ms - monotonic_ms())
+            sent_token = owner.token
+            left_ms = max(0.0, old_right_end_ms - monotonic_ms())
             message = batch.message(owner.token, still_open, left_ms)
             batch.note_sent(still_open, owner.token)
             try:
@@ -246,4 +246,4 @@
                 continue
             if reply.status is not SubmitStatus.NOT_OWNER:
                 return reply
-            await asyncio.sleep(_NOT_OWNER_PAUSE_S)
+            await asyncio.sleep(_NOT_OWNER_BACKOFF_S)
--- a/src/foldloom/seed_discovery/owners/election.py
+++ b/src/foldloom/seed_discovery/owners/election.py
@@ -16,7 +16,7 @@
 
 # Milliseconds of the time of day in one step of a token's upper part: below the time in which two
 # owners of a zone can follow each other.
-_TICK_MS = 100
+_TOKEN_STEP_MS = 100
 # Bits of a token that a box draws at random: two boxes of a zone draw the same once in 262,144.
 _BOX_BITS = 18
 # Milliseconds by which each next candidate waits longer, so that the first has acquired the zone
@@ -24,10 +24,10 @@
 _RANK_STEP_MS = 80.0
 # Milliseconds of silence after which a zone that never had an owner is acquired: above one
 # heartbeat (100 ms), so that an owner that just began is noticed.
-_FIRST_PATIENCE_MS = 120.0
+_FIRST_ELECTION_DELAY_MS = 120.0
 
 
-class Witnesses(NamedTuple):
+class WitnessAnswers(NamedTuple):
     """What the other boxes say of an owner.
 
     Args:
@@ -44,7 +44,7 @@
     highest_token: int
 
 
-def rank_of(box: str, candidates: list[str]) -> int:
+def candidate_rank(box: str, candidates: list[str]) -> int:
     """Return the place of *box* in the order in which candidates step in."""
     return sorted(candidates).index(box) if box in candidates else len(candidates)
 
@@ -54,10 +54,10 @@
 
     One that never knew an owner has nothing to wait for: the witnesses would know.
     """
-    return (silent_ms if has_known_owner else _FIRST_PATIENCE_MS) + rank * _RANK_STEP_MS
+    return (silent_ms if has_known_owner else _FIRST_ELECTION_DELAY_MS) + rank * _RANK_STEP_MS
 
 
-def may_acquire(witnesses: Witnesses, silent_ms: float) -> bool:
+def may_acquire(witnesses: WitnessAnswers, silent_ms: float) -> bool:
     """Return whether a box whose owner is silent may acquire the zone.
 
     A box that reaches nobody can't tell a dead owner from its own isolation, and must not
@@ -75,7 +75,7 @@
     The upper part rises and begins at the time of day, so that a zone whose boxes have all
     forgotten their tokens still goes above them; the lower part is the box's own.
     """
-    rising = max((highest_known >> _BOX_BITS) + 1, int(time_of_day_s * 1_000) // _TICK_MS)
+    rising = max((highest_known >> _BOX_BITS) + 1, int(time_of_day_s * 1_000) // _TOKEN_STEP_MS)
     return (rising << _BOX_BITS) | box_bits
 
 
--- a/src/foldloom/seed_discovery/owners/elector.py
+++ b/src/foldloom/seed_discovery/owners/elector.py
@@ -26,12 +26,12 @@
 )
 from foldloom.seed_discovery.fleet.view import FleetView
 from foldloom.seed_discovery.owners.election import (
-    Witnesses,
+    WitnessAnswers,
+    candidate_rank,
     may_acquire,
     new_box_bits,
     next_token,
     patience_ms,
-    rank_of,
     token_above,
 )
 from foldloom.seed_discovery.owners.zone_owner import ZoneOwner
@@ -47,7 +47,7 @@
 _OWNER_QUERY_TIMEOUT_MS = 30
 # Milliseconds after which refusals for a higher token are counted from 0 again, so that a clock
 # that went back does not make every later term start with a large step.
-_FENCED_FORGET_MS = 5_000.0
+_FENCED_COUNT_RESET_MS = 5_000.0
 # Refusals in a row after which the zone is acquired again only after the full patience, because the
 # step to the next token has grown past any clock's error by then.
 _FENCED_MAX = 6
@@ -109,7 +109,7 @@
             # The silent owner itself needs no place in the order.
             if box == own or not (box == self._known.box or self._view.is_leaving(box))
         ]
-        rank = rank_of(own, candidates)
+        rank = candidate_rank(own, candidates)
         return patience_ms(self._timings.owner_silent_ms, rank, bool(self._known.token))
 
     async def run(self) -> None:
@@ -118,7 +118,7 @@
             await asyncio.sleep(_CHECK_S)
             if not self._is_due():
                 continue
-            witnesses = await self._ask_witnesses()
+            witnesses = await self._query_witnesses()
             if self._is_due() and may_acquire(witnesses, self._timings.owner_silent_ms):
                 self._acquire(witnesses.highest_token)
 
@@ -149,7 +149,7 @@
         if owner is None:
             return
         now_ms = monotonic_ms()
-        if now_ms - self._fenced_ms > _FENCED_FORGET_MS:
+        if now_ms - self._fenced_ms > _FENCED_COUNT_RESET_MS:
             self._fenced_count = 0
         self._fenced_ms = now_ms
         self._fenced_count += 1
@@ -167,16 +167,19 @@
             return False
         return self.silent_ms >= self.patience_ms
 
-    async def _ask_witnesses(self) -> Witnesses:
+    async def _query_witnesses(self) -> WitnessAnswers:
         own = self._view.own.box
         others = [box for box in self._view.entries_of(self._zone) if box != own]
         asked = [*others, *self._view.controllers]
         answers = await asyncio.gather(*(self._request(box) for box in asked))
-        given = [answer for answer in answers if answer is not None]
-        silences = [float(answer.silent_ms) for answer in given if answer.silent_ms >= 0]
-        tokens = [answer.owner.token for answer in given]
-        return Witnesses(
-            len(asked), len(given), min(silences, default=None), max([self._known.token, *tokens])
+        received = [answer for answer in answers if answer is not None]
+        silences_ms = [float(answer.silent_ms) for answer in received if answer.silent_ms >= 0]
+        tokens = [answer.owner.token for answer in received]
+        return WitnessAnswers(
+            len(asked),
+            len(received),
+            min(silences_ms, default=None),
+            max([self._known.token, *tokens]),
         )
 
     async def _request(self, box: str) -> OwnerAnswer | None:
--- a/src/foldloom/seed_discovery/owners/endpoint_link.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_link.py
@@ -29,9 +29,9 @@
 _POLL_WAIT_MS = 200
 # Seconds to the next poll after one without an answer, doubled up to the maximum, because an
 # endpoint that restarts is back within a second, and should be found soon.
-_RETRY_S = 0.05
+_BACKOFF_MIN_S = 0.05
 # The longest such pause.
-_RETRY_MAX_S = 0.4
+_BACKOFF_MAX_S = 0.4
 # Milliseconds beyond the wait after which an unanswered call costs the endpoint new work: well
 # above a round trip in the zone.
 SUSPECT_AFTER_MS = 80
@@ -61,7 +61,7 @@
     EARLIER = "earlier"
 
 
-def judge_answer(answer_born_ms: int, born_ms: int, has_answered: bool) -> Answerer:
+def classify_answer(answer_born_ms: int, born_ms: int, has_answered: bool) -> Answerer:
     """Return which life an answer is from.
 
     The endpoint's id does not tell: it answers orders to any life that has had its id. Its answer
@@ -119,7 +119,7 @@
         calls: How endpoints are called.
         owner: Takes what the endpoint reports.
         born_ms: When this life was born; 0 if it has not said.
-        follows_another: Whether this owner gave orders to the life before.
+        replaces_previous: Whether this owner gave orders to the life before.
     """
 
     def __init__(
@@ -129,7 +129,7 @@
         calls: EndpointCalls,
         owner: LinkOwner,
         born_ms: int = 0,
-        follows_another: bool = False,
+        replaces_previous: bool = False,
     ) -> None:
         self.record = record
         self.clock = EndpointClock()
@@ -140,7 +140,9 @@
         self._owner = owner
         # Orders that were meant for the life before and reached this one have their leases cut to
         # the longest, whatever its clock reads.
-        self._misled_until_ms = self.answered_ms + terms.longest_real_ms if follows_another else 0.0
+        self._misled_until_ms = (
+            self.answered_ms + terms.longest_real_ms if replaces_previous else 0.0
+        )
         self._last_sequence = 0
         self._has_just_answered = False
         self._is_silent = False
@@ -159,7 +161,7 @@
 
     def answerer(self, answer_born_ms: int) -> Answerer:
         """Return which life an answer is from; its birth is 0 if it does not say."""
-        return judge_answer(answer_born_ms, self.born_ms, self.clock.is_known)
+        return classify_answer(answer_born_ms, self.born_ms, self.clock.is_known)
 
     def order_until(self, now_ms: float) -> int:
         """Return the end of a new lease, by the endpoint's clock; 0 while that is not known."""
@@ -183,7 +185,7 @@
 
     async def run(self) -> None:
         """Poll again and again until the endpoint's life is over or the owner's term ends."""
-        pause_s = _RETRY_S
+        pause_s = _BACKOFF_MIN_S
         while True:
             sent_ms = monotonic_ms()
             order = self._next_order(sent_ms)
@@ -194,10 +196,10 @@
                 self._owner.note_next_life(self.record.endpoint, reply.born_ms)
                 return
             if reply.outcome is CallOutcome.DONE and answerer is Answerer.THIS:
-                pause_s = _RETRY_S
+                pause_s = _BACKOFF_MIN_S
                 self._handle_reply(reply, sent_ms)
                 if not order.wait_ms and not renews_next:
-                    await self._pause(_RETRY_S)
+                    await self._pause(_BACKOFF_MIN_S)
                 continue
             if reply.outcome is CallOutcome.FENCED:
                 self._owner.note_fenced(self.record.endpoint)
@@ -208,7 +210,7 @@
             else:
                 self._note_silent(reply)
             await self._pause(pause_s)
-            pause_s = min(pause_s * 2, _RETRY_MAX_S)
+            pause_s = min(pause_s * 2, _BACKOFF_MAX_S)
 
     async def _pause(self, pause_s: float) -> None:
         self._has_just_answered = False
--- a/src/foldloom/seed_discovery/owners/endpoint_links.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_links.py
@@ -25,7 +25,7 @@
 
 # Milliseconds without an answer after which an endpoint is dropped from the catalog; it reports
 # itself if it lives: ten of the users' heartbeats (1,500 ms).
-_FORGET_SILENT_MS = 15_000.0
+_SILENT_REMOVAL_MS = 15_000.0
 
 
 class EndpointLinks:
@@ -65,7 +65,7 @@
         for task in self._tasks.values():
             task.cancel()
 
-    def follow_catalog(self, now_ms: float) -> None:
+    def sync_with_catalog(self, now_ms: float) -> None:
         """Open links to endpoints that came, and close those to endpoints that are gone.
 
         A farewell does not say of which life it is. So a life that has said its birth, and runs
@@ -89,14 +89,14 @@
                 self._state.follow_endpoint(record)
                 link.record = record
         for endpoint in [one for one in self._links if one not in records]:
-            if self._is_over(endpoint):
+            if self._has_ended(endpoint):
                 self._close(endpoint, now_ms)
                 continue
             gone = self._catalog.get(endpoint)
             if gone is not None:
                 self._state.follow_endpoint(gone)
 
-    def _is_over(self, endpoint: str) -> bool:
+    def _has_ended(self, endpoint: str) -> bool:
         """Return whether nothing runs any more on an endpoint that the catalog says is gone."""
         link = self._links[endpoint]
         return not link.born_ms or link.is_over or self._state.candidates[endpoint].is_idle
@@ -107,14 +107,14 @@
         if link is not None and link.answerer(born_ms) is Answerer.NEXT:
             self._replace(link, link.record, born_ms, "answer")
 
-    def judge_silent(self, now_ms: float) -> None:
+    def check_silent_endpoints(self, now_ms: float) -> None:
         """Note lapsed endpoints, and forget those that have been silent for long."""
         for endpoint, link in self._links.items():
             if link.has_lapsed(now_ms):
                 silent_ms = int(now_ms - link.answered_ms)
                 ENDPOINT_LOG.event("endpoint.lapsed", endpoint=endpoint, silent_ms=silent_ms)
                 self._state.note_lapsed(endpoint, now_ms)
-            if link.is_silent and now_ms - link.answered_ms > _FORGET_SILENT_MS:
+            if link.is_silent and now_ms - link.answered_ms > _SILENT_REMOVAL_MS:
                 self._catalog.forget(endpoint)
 
     def _replace(
@@ -132,7 +132,7 @@
         # The task of the link before ends by itself if it is what has called.
         if self._tasks[record.endpoint] is not asyncio.current_task():
             self._tasks[record.endpoint].cancel()
-        self._open(EndpointLink(record, *self._parts, born_ms, follows_another=True))
+        self._open(EndpointLink(record, *self._parts, born_ms, replaces_previous=True))
 
     def _open(self, link: EndpointLink) -> None:
         endpoint = link.record.endpoint
--- a/src/foldloom/seed_discovery/owners/grant.py
+++ b/src/foldloom/seed_discovery/owners/grant.py
@@ -18,7 +18,7 @@
 from foldloom.settings import TimingSettings
 
 
-def longest_silence_ms(timings: TimingSettings) -> float:
+def grant_timeout_ms(timings: TimingSettings) -> float:
     """Return after how long without a heartbeat an owner's grant has lapsed, in milliseconds."""
     return timings.session_ms + gone_after_ms(timings.endpoint_lease_ms)
 
@@ -32,7 +32,7 @@
 
     def __init__(self, timings: TimingSettings) -> None:
         self._session_ms = float(timings.session_ms)
-        self._silence_max_ms = longest_silence_ms(timings)
+        self._grant_timeout_ms = grant_timeout_ms(timings)
         self._heartbeat_ms = -1e12
         self._number = 0
 
@@ -41,13 +41,13 @@
         """Which grant this is; each one that lapsed is followed by the next number."""
         return self._number
 
-    def right_left_ms(self, now_ms: float) -> float:
+    def session_left_ms(self, now_ms: float) -> float:
         """Return for how much longer the owner may start runs of this box."""
         return max(0.0, self._session_ms - self.silent_ms(now_ms))
 
     def has_lapsed(self, now_ms: float) -> bool:
         """Return whether everything that the owner ran for this box has ended for certain."""
-        return self.silent_ms(now_ms) >= self._silence_max_ms
+        return self.silent_ms(now_ms) >= self._grant_timeout_ms
 
     def silent_ms(self, now_ms: float) -> float:
         """Return milliseconds since a heartbeat of the owner was handled."""
--- a/src/foldloom/seed_discovery/owners/heartbeats.py
+++ b/src/foldloom/seed_discovery/owners/heartbeats.py
@@ -17,7 +17,7 @@
 
 # Entry boxes in all zones up to which heartbeats go to all of them, to bound the messages of large
 # fleets (docs/CAPACITY.md).
-_ALL_ENTRIES_MAX = 64
+_BROADCAST_ENTRIES_MAX = 64
 
 
 class HeartbeatSender:
@@ -53,14 +53,14 @@
                 self._context.published_version(),
                 self._load(),
             )
-            for box in self._receivers():
+            for box in self._recipients():
                 self._context.network.send(box, heartbeat, timings.owner_silent_ms)
             await asyncio.sleep(timings.owner_heartbeat_ms / 1_000)
 
-    def _receivers(self) -> list[str]:
+    def _recipients(self) -> list[str]:
         """Return all entry boxes, or while they are too many, those of the own zone."""
         view = self._context.view
         entries = view.entries
-        if len(entries) > _ALL_ENTRIES_MAX:
+        if len(entries) > _BROADCAST_ENTRIES_MAX:
             entries = view.entries_of(self._record.zone)
         return list(dict.fromkeys([*entries, *self._other_owners(), *view.controllers]))
--- a/src/foldloom/seed_discovery/owners/lease.py
+++ b/src/foldloom/seed_discovery/owners/lease.py
@@ -11,14 +11,14 @@
 from __future__ import annotations
 
 # Share by which an endpoint's clock may run slow: the bound that the users' platform gives.
-CLOCK_SLOW_SHARE = 0.02
+CLOCK_DRIFT_MAX = 0.02
 # Milliseconds for which a lease is still renewed while an order to stop is not confirmed: twice the
 # 50 ms that a stop takes at most on the users' platform.
 STOP_OVERDUE_MS = 100.0
 # Milliseconds beyond a lease's end before it counts as lapsed: for timers that fire late on a busy
 # box.
 LAPSE_MARGIN_MS = 40.0
-_RATE_MIN = 1.0 - CLOCK_SLOW_SHARE
+_CLOCK_RATE_MIN = 1.0 - CLOCK_DRIFT_MAX
 
 
 class EndpointClock:
@@ -49,7 +49,7 @@
 
     def reads_at_least(self, now_ms: float) -> float:
         """Return a time that the endpoint's clock has passed by *now_ms* for certain."""
-        return self._clock_ms + (now_ms - self._received_ms) * _RATE_MIN
+        return self._clock_ms + (now_ms - self._received_ms) * _CLOCK_RATE_MIN
 
     def order_until(self, now_ms: float, lease_ms: float) -> int:
         """Return the end of a lease that lasts at most *lease_ms* from now; remember it."""
@@ -59,12 +59,12 @@
 
     def lapses_by(self) -> float:
         """Return when, by the own clock, every lease ordered so far has ended for certain."""
-        return self._received_ms + max(0.0, self._until_ms - self._clock_ms) / _RATE_MIN
+        return self._received_ms + max(0.0, self._until_ms - self._clock_ms) / _CLOCK_RATE_MIN
 
 
-def longest_real_ms(lease_ms: float) -> float:
+def max_real_duration_ms(lease_ms: float) -> float:
     """Return how long a lease of *lease_ms* lasts at most while the endpoint's clock is slow."""
-    return lease_ms / _RATE_MIN
+    return lease_ms / _CLOCK_RATE_MIN
 
 
 def gone_after_ms(lease_ms: float) -> float:
@@ -73,4 +73,4 @@
     The owner orders it to stop at once. While that is not confirmed it renews the endpoint's
     lease for ``STOP_OVERDUE_MS`` more at most.
     """
-    return STOP_OVERDUE_MS + longest_real_ms(lease_ms) + LAPSE_MARGIN_MS
+    return STOP_OVERDUE_MS + max_real_duration_ms(lease_ms) + LAPSE_MARGIN_MS
--- a/src/foldloom/seed_discovery/owners/sessions.py
+++ b/src/foldloom/seed_discovery/owners/sessions.py
@@ -23,7 +23,7 @@
 # so that a busy box is not sent twice.
 _ACK_TIMEOUT_MS = 150
 # Ends in one message, to bound a message after a cut to some tens of kilobytes.
-_ENDS_AT_ONCE = 200
+_ENDS_PER_MESSAGE_MAX = 200
 
 
 class Session:
@@ -41,11 +41,11 @@
         self, holder: HolderId, zone: str, token: int, network: PeerNetwork, is_renewed: bool
     ) -> None:
         self.holder = holder
-        self.right_until_ms = 0.0
+        self.expires_ms = 0.0
         self._zone = zone
         self._token = token
         self._network = network
-        self._is_renewed = is_renewed
+        self._must_announce = is_renewed
         self._ends: list[RunEnd] = []
         self._has_ends = asyncio.Event()
 
@@ -56,17 +56,17 @@
 
     async def run(self) -> None:
         """Send ends, each until it is acknowledged, until cancelled."""
-        while self._is_renewed:
+        while self._must_announce:
             try:
                 message = SessionBegan(self._zone, self._token)
                 await self._network.request(self.holder.box, message, _ACK_TIMEOUT_MS)
-                self._is_renewed = False
+                self._must_announce = False
             except PeerUnreachableError:
                 # Sent again at once: nothing else may be sent before it is acknowledged.
                 continue
         while True:
             await self._has_ends.wait()
-            ends = self._ends[:_ENDS_AT_ONCE]
+            ends = self._ends[:_ENDS_PER_MESSAGE_MAX]
             try:
                 notice = RunsEnded(self._zone, ends, self._token)
                 await self._network.request(self.holder.box, notice, _ACK_TIMEOUT_MS)
@@ -78,7 +78,7 @@
                 self._has_ends.clear()
 
 
-class EndedRight(NamedTuple):
+class LapsedSession(NamedTuple):
     """A right that is over since ``ended_ms``, own clock."""
 
     holder: HolderId
@@ -107,24 +107,24 @@
     def has_right(self, holder: HolderId, now_ms: float) -> bool:
         """Return whether runs of *holder* may be started and kept now."""
         session = self._sessions.get(holder)
-        return session is not None and now_ms < session.right_until_ms
+        return session is not None and now_ms < session.expires_ms
 
     def has_other(self, box: str, now_ms: float) -> bool:
         """Return whether any box but *box* grants its right now."""
         return any(
-            holder.box != box and now_ms < session.right_until_ms
+            holder.box != box and now_ms < session.expires_ms
             for holder, session in self._sessions.items()
         )
 
-    def is_outdated(self, holder: HolderId, heartbeat_sent_ms: float) -> bool:
+    def is_stale_ack(self, holder: HolderId, heartbeat_sent_ms: float) -> bool:
         """Return whether an acknowledgement is of a life of its box that is over.
 
         It was held up on its way: another life has acknowledged a newer heartbeat by now. Taken for
         the present life's, it would end that one's session without a word to it.
         """
-        right_until_ms = heartbeat_sent_ms + self._session_ms
+        expires_ms = heartbeat_sent_ms + self._session_ms
         return any(
-            one.box == holder.box and one != holder and session.right_until_ms > right_until_ms
+            one.box == holder.box and one != holder and session.expires_ms > expires_ms
             for one, session in self._sessions.items()
         )
 
@@ -136,7 +136,7 @@
             session = Session(holder, self._zone, self._token, self._network, is_renewed)
             self._sessions[holder] = session
             self._tasks[holder] = asyncio.create_task(session.run())
-        session.right_until_ms = max(session.right_until_ms, heartbeat_sent_ms + self._session_ms)
+        session.expires_ms = max(session.expires_ms, heartbeat_sent_ms + self._session_ms)
 
     def queue_end(self, holder: HolderId, end: RunEnd) -> None:
         """Queue an end for *holder*; one without a session is gone."""
@@ -144,18 +144,18 @@
         if session is not None:
             session.queue_end(end)
 
-    def end_lapsed(self, now_ms: float) -> list[EndedRight]:
+    def end_lapsed(self, now_ms: float) -> list[LapsedSession]:
         """End the sessions whose right is over and return whose, and when it was over."""
         lapsed = [
-            EndedRight(holder, session.right_until_ms)
+            LapsedSession(holder, session.expires_ms)
             for holder, session in self._sessions.items()
-            if now_ms >= session.right_until_ms
+            if now_ms >= session.expires_ms
         ]
         self._end(right.holder for right in lapsed)
         self._lapsed.update(right.holder for right in lapsed)
         return lapsed
 
-    def end_other_lives(self, holder: HolderId) -> list[HolderId]:
+    def end_other_incarnations(self, holder: HolderId) -> list[HolderId]:
         """End the sessions of earlier lives of a box and return them."""
         self._lapsed = {one for one in self._lapsed if one.box != holder.box or one == holder}
         earlier = [one for one in self._sessions if one.box == holder.box and one != holder]
--- a/src/foldloom/seed_discovery/owners/zone_owner.py
+++ b/src/foldloom/seed_discovery/owners/zone_owner.py
@@ -3,7 +3,8 @@
 
 Owns one term: the state of runs, the sessions of boxes, the links to endpoints, and the tasks that
 send heartbeats, offers and orders. Relies on the box's parts in an :class:`OwnerContext`. A message
-or a report changes the state; what the state then decides is carried out by :meth:`ZoneOwner._act`.
+or a report changes the state; the resulting actions are carried out by
+:meth:`ZoneOwner._execute_actions`.
 """
 
 from __future__ import annotations
@@ -26,7 +27,11 @@
 from foldloom.seed_discovery.owners.endpoint_link import LeaseTerms
 from foldloom.seed_discovery.owners.endpoint_links import EndpointLinks
 from foldloom.seed_discovery.owners.heartbeats import HeartbeatSender
-from foldloom.seed_discovery.owners.lease import STOP_OVERDUE_MS, gone_after_ms, longest_real_ms
+from foldloom.seed_discovery.owners.lease import (
+    STOP_OVERDUE_MS,
+    gone_after_ms,
+    max_real_duration_ms,
+)
 from foldloom.seed_discovery.owners.messages import (
     CancelJob,
     Cancelled,
@@ -49,10 +54,10 @@
 _TICK_S = 0.02
 # Milliseconds after which an order to stop is sent again: below the call's time-out of 250 ms,
 # since a stopped run's lease is not renewed until the stop is confirmed.
-_STOP_REPEAT_MS = 100.0
+_STOP_RETRANSMISSION_MS = 100.0
 # Milliseconds of life after which a box knows every endpoint that the owner before it knew, by
 # the users' heartbeats: each endpoint reports every 1,500 ms, so in this time at least once.
-_CATALOG_TRUSTED_MS = 3_000.0
+_CATALOG_COMPLETE_AFTER_MS = 3_000.0
 
 
 class ZoneOwner:
@@ -80,8 +85,8 @@
         terms = LeaseTerms(
             record.token,
             lease_ms,
-            longest_real_ms(lease_ms),
-            longest_real_ms(timings.endpoint_lease_max_ms),
+            max_real_duration_ms(lease_ms),
+            max_real_duration_ms(timings.endpoint_lease_max_ms),
         )
         self._links = EndpointLinks(
             record.zone, self._state, context.catalog, terms, context.calls, self
@@ -148,7 +153,7 @@
             return SubmitReply(SubmitStatus.NOT_OWNER, "no session")
         reply = self._state.submit(holder, message, now_ms)
         log_delivery(self._record, sender, message, reply, self.load)
-        self._act()
+        self._execute_actions()
         return reply
 
     def cancel(self, sender: str, message: CancelJob) -> Cancelled:
@@ -162,7 +167,7 @@
         known = self._state.cancel(holder, message.job_id, monotonic_ms(), message.delivery)
         has_started = known or not is_asked
         log_cancel(self._record, sender, message, has_started)
-        self._act()
+        self._execute_actions()
         return Cancelled(has_started)
 
     async def follow_endpoints(self, endpoints: Container[str]) -> None:
@@ -174,7 +179,7 @@
         """
         if self._is_closed:
             return
-        self._links.follow_catalog(monotonic_ms())
+        self._links.sync_with_catalog(monotonic_ms())
         await self._orders.wait_for_starts(endpoints)
 
     def handle_offer(self, message: WaitingGroups) -> None:
@@ -182,7 +187,7 @@
         if self._is_closed or message.owner.zone == self._record.zone:
             return
         self._state.note_offer(message.owner.zone, message.groups, monotonic_ms())
-        self._act()
+        self._execute_actions()
 
     def note_load(self, heartbeat: OwnerHeartbeat) -> None:
         """Note how loaded another zone is."""
@@ -195,7 +200,7 @@
         given = self._state.release_stolen(
             message.group, message.runs, message.zone, monotonic_ms()
         )
-        self._act()
+        self._execute_actions()
         return StealReply(given)
 
     def handle_heartbeat_ack(self, sender: str, ack: HeartbeatAck) -> None:
@@ -203,10 +208,10 @@
         if ack.token != self.token or self._is_closed:
             return
         holder = HolderId(sender, self._network.known_incarnation(sender))
-        if self._sessions.is_outdated(holder, ack.heartbeat_sent_ms):
+        if self._sessions.is_stale_ack(holder, ack.heartbeat_sent_ms):
             return
         now_ms = monotonic_ms()
-        for earlier in self._sessions.end_other_lives(holder):
+        for earlier in self._sessions.end_other_incarnations(holder):
             self._state.end_session(earlier, now_ms)
         self._sessions.grant(holder, ack.heartbeat_sent_ms)
 
@@ -225,7 +230,7 @@
             return
         self._metrics.count("workers.looks")
         self._state.report(report, now_ms)
-        self._act()
+        self._execute_actions()
 
     def note_overdue(self, endpoint: str, call: str) -> None:
         """Note that an answer of *endpoint* is overdue: until it has answered it gets no work."""
@@ -242,7 +247,7 @@
         """Note that nothing listens any more where *endpoint* did."""
         if not self._is_closed:
             self._state.note_crashed(endpoint, monotonic_ms())
-            self._act()
+            self._execute_actions()
 
     def note_life_over(self, endpoint: str, born_ms: int) -> None:
         """Note that the life of *endpoint* born at *born_ms* is over for certain."""
@@ -261,25 +266,25 @@
 
     def _all_endpoints(self) -> list[EndpointRecord]:
         """Return the endpoints of all zones, none while some may not have been heard of yet."""
-        if self._context.catalog_age_ms() <= _CATALOG_TRUSTED_MS:
+        if self._context.catalog_age_ms() <= _CATALOG_COMPLETE_AFTER_MS:
             return []
         return self._context.catalog.records
 
     async def _tick(self) -> None:
         while True:
             now_ms = monotonic_ms()
-            if self._context.catalog_age_ms() > _CATALOG_TRUSTED_MS:
+            if self._context.catalog_age_ms() > _CATALOG_COMPLETE_AFTER_MS:
                 self._state.trust_catalog()
-            self._links.follow_catalog(now_ms)
+            self._links.sync_with_catalog(now_ms)
             self._end_lapsed_sessions(now_ms)
             # Somebody else may own the zone by now, and reach an endpoint that is silent here: it
             # would keep what this owner takes for lapsed (tests/models/owners_model.py).
             if not self.is_isolated:
-                self._links.judge_silent(now_ms)
+                self._links.check_silent_endpoints(now_ms)
             self._state.tick(now_ms)
-            for stop in self._state.stops_to_repeat(now_ms - _STOP_REPEAT_MS, now_ms):
+            for stop in self._state.stops_to_repeat(now_ms - _STOP_RETRANSMISSION_MS, now_ms):
                 self._tasks.spawn(self._orders.stop(stop))
-            self._act()
+            self._execute_actions()
             await asyncio.sleep(_TICK_S)
 
     def _end_lapsed_sessions(self, now_ms: float) -> None:
@@ -292,7 +297,7 @@
             )
             self._state.end_session(right.holder, right.ended_ms)
 
-    def _act(self) -> None:
+    def _execute_actions(self) -> None:
         """Carry out what the state has decided."""
         if self._is_closed:
             return
@@ -300,7 +305,7 @@
         for stop in self._state.actions.pop_stops():
             self._tasks.spawn(self._orders.stop(stop))
         for start in self._state.actions.pop_starts():
-            self._orders.begin_start(start, self._act)
+            self._orders.begin_start(start, self._execute_actions)
         for steal in self._state.actions.pop_steals():
             self._tasks.spawn(self._offers.steal(steal))
         for action in self._state.actions.pop_notifications():
--- a/tests/test_owners_client.py
+++ b/tests/test_owners_client.py
@@ -38,7 +38,7 @@
 # The shortest right and lease: all that an owner held is gone for certain after 142 ms of silence.
 _SHORT = TimingSettings(session_ms=1, endpoint_lease_ms=1)
 # Seconds for which a box stands still: longer than that.
-_STANDS_STILL_S = 0.3
+_PAUSE_S = 0.3
 
 
 class FakeNetwork:
@@ -96,7 +96,7 @@
         template: SubmitRuns = submission(job_id=_JOB)
         return await self.client.submit(self.job, template, [RunOrder(0, 0, run)])
 
-    def handed_over(self) -> int:
+    def last_delivery(self) -> int:
         """Return the number of the newest handing over."""
         message = [one for one in self.network.asked if isinstance(one, SubmitRuns)][-1]
         return int(message.orders[0].delivery)
@@ -122,17 +122,17 @@
             rig.beat(1)
             rig.beat(2, _OTHER)
             await rig.submit()
-            first = rig.handed_over()
+            first = rig.last_delivery()
             rig.end(EndCause.MOVED, moved_to=_OTHER, has_started=False, delivery=first)
             await asyncio.sleep(0.01)
-            second = rig.handed_over()
+            second = rig.last_delivery()
             rig.end(EndCause.MOVED, _OTHER, moved_to=_HOME, has_started=False, delivery=second)
             await asyncio.sleep(0.01)
-            third = rig.handed_over()
+            third = rig.last_delivery()
             assert first < second < third
             rig.end(EndCause.MOVED, moved_to=_OTHER, has_started=False, delivery=first)
             await asyncio.sleep(0.01)
-            assert rig.handed_over() == third
+            assert rig.last_delivery() == third
             rig.end(EndCause.DONE, delivery=third)
             assert rig.ends.get_nowait().cause is EndCause.DONE
 
@@ -146,7 +146,7 @@
             for life in (before, rig):
                 life.beat(1)
                 await life.submit()
-            rig.end(EndCause.UNATTAINABLE, has_started=False, delivery=before.handed_over())
+            rig.end(EndCause.UNATTAINABLE, has_started=False, delivery=before.last_delivery())
             assert rig.ends.empty()
 
         _run(play())
@@ -162,10 +162,10 @@
             rig = Rig()
             rig.beat(1)
             await rig.submit()
-            first = rig.handed_over()
+            first = rig.last_delivery()
             rig.network.handlers[SessionBegan]("10.0.0.1:1", SessionBegan(_HOME, 1))
             await asyncio.sleep(0.01)
-            assert rig.handed_over() > first
+            assert rig.last_delivery() > first
             assert rig.network.asked[-1].orders[0].is_moved
 
         _run(play())
@@ -177,10 +177,10 @@
             rig = Rig()
             rig.beat(2)
             await rig.submit()
-            first = rig.handed_over()
+            first = rig.last_delivery()
             rig.network.handlers[SessionBegan]("10.0.0.1:1", SessionBegan(_HOME, 1))
             await asyncio.sleep(0.01)
-            assert rig.handed_over() == first
+            assert rig.last_delivery() == first
 
         _run(play())
 
@@ -199,14 +199,14 @@
             rig.beat(1)
             rig.network.is_reachable = False
             rig.network.answers_after_s = 0.01
-            delivering = asyncio.create_task(rig.submit())
-            watching = asyncio.create_task(rig.client.run())
+            submission_task = asyncio.create_task(rig.submit())
+            watch_task = asyncio.create_task(rig.client.run())
             assert (await asyncio.wait_for(rig.ends.get(), 5.0)).cause is EndCause.LOST
-            watching.cancel()
+            watch_task.cancel()
             asked = len(rig.network.asked)
-            await asyncio.wait([delivering], timeout=0.1)
+            await asyncio.wait([submission_task], timeout=0.1)
             assert len(rig.network.asked) == asked
-            delivering.cancel()
+            submission_task.cancel()
 
         _run(play())
 
@@ -217,12 +217,12 @@
             rig = Rig(_SHORT)
             rig.beat(1)
             await rig.submit()
-            time.sleep(_STANDS_STILL_S)
-            watching = asyncio.create_task(rig.client.run())
+            time.sleep(_PAUSE_S)
+            watch_task = asyncio.create_task(rig.client.run())
             for _ in range(20):
                 rig.beat(1)
                 await asyncio.sleep(0.01)
-            watching.cancel()
+            watch_task.cancel()
             assert rig.ends.get_nowait().cause is EndCause.LOST
             assert rig.ends.empty()
 
@@ -244,7 +244,7 @@
             rig.client.forget(first)
             rig.job = second
             await rig.submit()
-            newest = rig.handed_over()
+            newest = rig.last_delivery()
             await asyncio.sleep(0.05)
             cancels = [one for one in rig.network.asked if isinstance(one, CancelJob)]
             assert [one.delivery < newest for one in cancels] == [True]
@@ -288,13 +288,13 @@
             rig = Rig()
             rig.beat(1)
             rig.network.is_reachable = False
-            connection = rig.client._home
+            connection = rig.client._own_zone_connection
             connection._has_owner.clear()
-            delivering = asyncio.create_task(rig.submit())
+            submission_task = asyncio.create_task(rig.submit())
             await asyncio.sleep(0.01)
             assert not await rig.client.give_up(rig.job)
             assert rig.network.asked == []
-            delivering.cancel()
+            submission_task.cancel()
 
         _run(play())
 
@@ -317,9 +317,9 @@
             rig = Rig(TimingSettings(session_ms=1, endpoint_lease_ms=1))
             rig.beat(1)
             await rig.submit()
-            watching = asyncio.create_task(rig.client.run())
+            watch_task = asyncio.create_task(rig.client.run())
             end = await asyncio.wait_for(rig.ends.get(), 5.0)
-            watching.cancel()
+            watch_task.cancel()
             assert end.cause is EndCause.LOST
             assert await rig.client.give_up(rig.job)
 
@@ -384,11 +384,11 @@
             await rig.submit()
             time.sleep(0.3)
             # In the first step both only begin; in the second one the loss comes first.
-            watching = asyncio.create_task(rig.client.run())
+            watch_task = asyncio.create_task(rig.client.run())
             giving_up = asyncio.create_task(rig.client.give_up(rig.job))
             rig.network.has_started = True
             assert await giving_up
-            watching.cancel()
+            watch_task.cancel()
 
         monkeypatch.setattr("foldloom.seed_discovery.owners.client._LOST_CHECK_S", 0)
         _run(play())
@@ -403,7 +403,7 @@
             rig = Rig(_SHORT)
             rig.beat(1)
             await rig.submit()
-            time.sleep(_STANDS_STILL_S)
+            time.sleep(_PAUSE_S)
             rig.beat(1)
             assert await rig.client.give_up(rig.job)
 
@@ -420,7 +420,7 @@
             giving_up = asyncio.create_task(rig.client.give_up(rig.job))
             while not isinstance(rig.network.asked[-1], CancelJob):
                 await asyncio.sleep(0)
-            time.sleep(_STANDS_STILL_S)
+            time.sleep(_PAUSE_S)
             rig.beat(1)
             assert await giving_up
 
@@ -467,9 +467,9 @@
             await rig.submit()
             rig.end(EndCause.MOVED, moved_to=_OTHER, has_started=False)
             await asyncio.sleep(0.01)
-            watching = asyncio.create_task(rig.client.run())
+            watch_task = asyncio.create_task(rig.client.run())
             assert (await asyncio.wait_for(rig.ends.get(), 5.0)).cause is EndCause.LOST
-            watching.cancel()
+            watch_task.cancel()
             rig.beat(1)
             await rig.submit(2)
             assert await rig.client.give_up(rig.job)
@@ -495,12 +495,12 @@
             )
             rig.network.handlers[RunsEnded]("10.0.0.1:1", RunsEnded(_HOME, [done, moved]))
             await asyncio.sleep(0.01)
-            watching = asyncio.create_task(rig.client.run())
+            watch_task = asyncio.create_task(rig.client.run())
             for _ in range(100):
                 # The other zone's owner is heard all the time.
                 rig.beat(2, _OTHER)
                 await asyncio.sleep(0.005)
-            watching.cancel()
+            watch_task.cancel()
             assert await rig.client.give_up(rig.job)
 
         _run(play())
--- a/tests/test_owners_election.py
+++ b/tests/test_owners_election.py
@@ -4,11 +4,11 @@
 from __future__ import annotations
 
 from foldloom.seed_discovery.owners.election import (
-    Witnesses,
+    WitnessAnswers,
+    candidate_rank,
     may_acquire,
     next_token,
     patience_ms,
-    rank_of,
     token_above,
 )
 
@@ -20,23 +20,23 @@
 
     def test_nobody_hears_the_owner(self) -> None:
         """All who answer have not heard it for long."""
-        assert may_acquire(Witnesses(3, 2, 450.0, 7), _SILENT_MS)
+        assert may_acquire(WitnessAnswers(3, 2, 450.0, 7), _SILENT_MS)
 
     def test_somebody_hears_the_owner(self) -> None:
         """One who hears it is enough: only this box does not."""
-        assert not may_acquire(Witnesses(3, 2, 80.0, 7), _SILENT_MS)
+        assert not may_acquire(WitnessAnswers(3, 2, 80.0, 7), _SILENT_MS)
 
     def test_isolated(self) -> None:
         """A box that reaches nobody does not take the endpoints from an owner that lives."""
-        assert not may_acquire(Witnesses(3, 0, None, 7), _SILENT_MS)
+        assert not may_acquire(WitnessAnswers(3, 0, None, 7), _SILENT_MS)
 
     def test_alone(self) -> None:
         """A box that is the only one there is may claim."""
-        assert may_acquire(Witnesses(0, 0, None, 0), _SILENT_MS)
+        assert may_acquire(WitnessAnswers(0, 0, None, 0), _SILENT_MS)
 
     def test_never_heard(self) -> None:
         """At the first start nobody has heard an owner."""
-        assert may_acquire(Witnesses(2, 2, None, 0), _SILENT_MS)
+        assert may_acquire(WitnessAnswers(2, 2, None, 0), _SILENT_MS)
 
 
 class TestOrder:
@@ -45,7 +45,7 @@
     def test_rank_and_patience(self) -> None:
         """The first in order waits least."""
         boxes = ["10.0.0.2:1", "10.0.0.1:1"]
-        assert [rank_of(box, boxes) for box in sorted(boxes)] == [0, 1]
+        assert [candidate_rank(box, boxes) for box in sorted(boxes)] == [0, 1]
         assert patience_ms(_SILENT_MS, 0, True) < patience_ms(_SILENT_MS, 1, True)
 
     def test_first_start(self) -> None:
--- a/tests/test_owners_elector.py
+++ b/tests/test_owners_elector.py
@@ -48,10 +48,10 @@
 class _Network:
     """Peers of which some do not answer; it keeps who was asked and for how long."""
 
-    def __init__(self, silent: set[str], heard_ms: int) -> None:
+    def __init__(self, silent: set[str], silent_ms: int) -> None:
         self.asked: dict[str, float] = {}
         self._silent = silent
-        self._heard_ms = heard_ms
+        self._silent_ms = silent_ms
 
     def on(self, _kind: type, _handler: Callable[..., Any]) -> None:
         """Take no messages."""
@@ -65,14 +65,14 @@
         if box in self._silent:
             await asyncio.sleep(timeout_ms / 1_000)
             raise PeerUnreachableError
-        return OwnerAnswer(OwnerRecord(message.zone, 5), self._heard_ms)
+        return OwnerAnswer(OwnerRecord(message.zone, 5), self._silent_ms)
 
 
 class _Rig:
     """Box 2 of a zone whose owner is box 1."""
 
-    def __init__(self, silent: set[str], heard_ms: int) -> None:
-        self.network = _Network(silent, heard_ms)
+    def __init__(self, silent: set[str], silent_ms: int) -> None:
+        self.network = _Network(silent, silent_ms)
         self.view = FleetView(_record(2), [])
         reply = JoinReply([_CONTROLLER], [_record(1), _record(2), _record(3)], [], 0, 1, 0, [])
         self.view.note_controller(_CONTROLLER, reply, monotonic_ms())
--- a/tests/test_owners_endpoint_link.py
+++ b/tests/test_owners_endpoint_link.py
@@ -25,17 +25,17 @@
     Answerer,
     EndpointLink,
     LeaseTerms,
-    judge_answer,
+    classify_answer,
 )
 from foldloom.seed_discovery.owners.endpoint_links import EndpointLinks
-from foldloom.seed_discovery.owners.lease import LAPSE_MARGIN_MS, longest_real_ms
+from foldloom.seed_discovery.owners.lease import LAPSE_MARGIN_MS, max_real_duration_ms
 from foldloom.seed_discovery.owners.messages import EndCause
 from foldloom.seed_discovery.owners.state import OwnerState
 from models.virtual_time import VirtualTimeLoop, run_in_virtual_time
 from test_owners_state import ends_of, start_one
 
 _LEASE_MS = 600.0
-_TERMS = LeaseTerms(5, _LEASE_MS, longest_real_ms(_LEASE_MS), longest_real_ms(1_000.0))
+_TERMS = LeaseTerms(5, _LEASE_MS, max_real_duration_ms(_LEASE_MS), max_real_duration_ms(1_000.0))
 _ENDPOINT = EndpointRecord("w1", "svc", "w1:1", "z", Demand(16_000, 32_000, 0))
 # A poll that is under way when the endpoint falls silent may still renew the lease.
 _POLL_S = 0.5
@@ -49,7 +49,7 @@
         self.reports: list[EndpointReport] = []
         self.lives: list[int] = []
         self.overdue: list[str] = []
-        self.silences = 0
+        self.silent_count = 0
 
     def may_renew(self, _endpoint: str, _now_ms: float) -> bool:
         """Agree."""
@@ -65,7 +65,7 @@
 
     def note_silent(self, endpoint: str) -> None:
         """Count it."""
-        self.silences += 1
+        self.silent_count += 1
 
     def note_life_over(self, endpoint: str, born_ms: int) -> None:
         """Do nothing."""
@@ -99,13 +99,13 @@
         return PollReply(CallOutcome.DONE, clock_ms, self.active, self.ended, born_ms=self.born_ms)
 
 
-async def _play_link(owner: _Owner, calls: _Calls, play_s: float = 1.0) -> bool:
+async def _run_link(owner: _Owner, calls: _Calls, run_s: float = 1.0) -> bool:
     """Let a link to the life ``_BORN_MS`` run for a while; return whether it still does."""
     endpoint_calls: Any = calls
     record = _ENDPOINT._replace(born_ms=_BORN_MS)
     link = EndpointLink(record, _TERMS, endpoint_calls, owner, _BORN_MS)
     task = asyncio.create_task(link.run())
-    await asyncio.sleep(play_s)
+    await asyncio.sleep(run_s)
     is_running = not task.done()
     task.cancel()
     return is_running
@@ -117,16 +117,16 @@
     def test_a_later_one_answers(self) -> None:
         """The owner is notified of it, and the link to the life before ends."""
         owner = _Owner()
-        assert not run_in_virtual_time(_play_link(owner, _Calls(_BORN_MS + 1)), VirtualTimeLoop())
+        assert not run_in_virtual_time(_run_link(owner, _Calls(_BORN_MS + 1)), VirtualTimeLoop())
         assert owner.lives == [_BORN_MS + 1]
         assert owner.reports == []
 
     def test_an_earlier_one_answers(self) -> None:
         """What it lists says nothing of the present one, which counts as silent meanwhile."""
         owner = _Owner()
-        assert run_in_virtual_time(_play_link(owner, _Calls(_BORN_MS - 1)), VirtualTimeLoop())
+        assert run_in_virtual_time(_run_link(owner, _Calls(_BORN_MS - 1)), VirtualTimeLoop())
         assert owner.reports == []
-        assert owner.silences
+        assert owner.silent_count
 
     @pytest.mark.parametrize(
         ("answer_ms", "born_ms", "has_answered", "answerer"),
@@ -145,13 +145,13 @@
         self, answer_ms: int, born_ms: int, has_answered: bool, answerer: Answerer
     ) -> None:
         """One that says its birth follows one that answered without."""
-        assert judge_answer(answer_ms, born_ms, has_answered) is answerer
+        assert classify_answer(answer_ms, born_ms, has_answered) is answerer
 
     @pytest.mark.parametrize("born_ms", [_BORN_MS, 0])
     def test_this_one_answers(self, born_ms: int) -> None:
         """An answer that does not say is of the life that is known."""
         owner = _Owner()
-        assert run_in_virtual_time(_play_link(owner, _Calls(born_ms)), VirtualTimeLoop())
+        assert run_in_virtual_time(_run_link(owner, _Calls(born_ms)), VirtualTimeLoop())
         assert owner.reports[0].born_ms == _BORN_MS
 
     def test_ends_are_kept_for_whoever_answers_next(self) -> None:
@@ -160,7 +160,7 @@
         calls.ended = (EndedRun(7, RunId(TaskId("0" * 16, 0, 0, 0), 1), EndKind.DONE),)
 
         async def play() -> None:
-            link = asyncio.create_task(_play_link(_Owner(), calls, 3.0))
+            link = asyncio.create_task(_run_link(_Owner(), calls, 3.0))
             await asyncio.sleep(1.0)
             assert calls.polls[-1].last_sequence == 7
             calls.is_silent = True
@@ -179,7 +179,9 @@
         calls.is_silent = True
 
         async def play() -> float:
-            link = EndpointLink(_ENDPOINT, _TERMS, calls, _Owner(), _BORN_MS, follows_another=True)
+            link = EndpointLink(
+                _ENDPOINT, _TERMS, calls, _Owner(), _BORN_MS, replaces_previous=True
+            )
             task = asyncio.create_task(link.run())
             began_ms = monotonic_ms()
             while not link.has_lapsed(monotonic_ms()):
@@ -232,8 +234,8 @@
     async def follow(self, for_s: float) -> None:
         """Follow the catalog for a while, as an owner's tick does."""
         for _ in range(int(for_s / 0.02)):
-            self.links.follow_catalog(monotonic_ms())
-            self.links.judge_silent(monotonic_ms())
+            self.links.sync_with_catalog(monotonic_ms())
+            self.links.check_silent_endpoints(monotonic_ms())
             await asyncio.sleep(0.02)
 
     async def run_one(self) -> RunId:
@@ -295,7 +297,7 @@
             before = world.links.get("w1")
             leaving = world.record._replace(born_ms=_BORN_MS + 1, state=EndpointState.DRAINING)
             world.catalog.merge(leaving, monotonic_ms())
-            world.links.follow_catalog(monotonic_ms())
+            world.links.sync_with_catalog(monotonic_ms())
             link = world.links.get("w1")
             assert link is not None
             assert link is not before
@@ -402,8 +404,8 @@
         owner = _Owner()
         calls = _Calls(_BORN_MS)
         calls.is_silent = True
-        run_in_virtual_time(_play_link(owner, calls, 0.1), VirtualTimeLoop())
-        assert (owner.overdue, owner.silences) == (["poll"], 0)
+        run_in_virtual_time(_run_link(owner, calls, 0.1), VirtualTimeLoop())
+        assert (owner.overdue, owner.silent_count) == (["poll"], 0)
 
     def test_it_is_renewed_once_it_answers(self) -> None:
         """The first answer after a silence is followed by a poll that renews the lease."""
--- a/tests/test_owners_grant.py
+++ b/tests/test_owners_grant.py
@@ -3,12 +3,12 @@
 
 from __future__ import annotations
 
-from foldloom.seed_discovery.owners.grant import Grant, longest_silence_ms
+from foldloom.seed_discovery.owners.grant import Grant, grant_timeout_ms
 from foldloom.settings import TimingSettings
 
 _TIMINGS = TimingSettings()
 _HEARTBEAT_MS = 1_000.0
-_LAPSES_MS = _HEARTBEAT_MS + longest_silence_ms(_TIMINGS)
+_LAPSES_MS = _HEARTBEAT_MS + grant_timeout_ms(_TIMINGS)
 
 
 class TestGrant:
@@ -18,14 +18,14 @@
         """An owner that was never heard has no right."""
         grant = Grant(_TIMINGS)
         assert grant.has_lapsed(0.0)
-        assert grant.right_left_ms(0.0) == 0.0
+        assert grant.session_left_ms(0.0) == 0.0
 
     def test_lapses_after_the_right_and_every_lease(self) -> None:
         """The right is over before that; what runs under a lease is not."""
         grant = Grant(_TIMINGS)
         grant.renew(_HEARTBEAT_MS)
-        assert grant.right_left_ms(_HEARTBEAT_MS + 100.0) == _TIMINGS.session_ms - 100.0
-        assert grant.right_left_ms(_HEARTBEAT_MS + _TIMINGS.session_ms) == 0.0
+        assert grant.session_left_ms(_HEARTBEAT_MS + 100.0) == _TIMINGS.session_ms - 100.0
+        assert grant.session_left_ms(_HEARTBEAT_MS + _TIMINGS.session_ms) == 0.0
         assert _HEARTBEAT_MS + _TIMINGS.session_ms + _TIMINGS.endpoint_lease_ms < _LAPSES_MS
         assert not grant.has_lapsed(_LAPSES_MS - 1.0)
         assert grant.has_lapsed(_LAPSES_MS)
--- a/tests/test_owners_lease.py
+++ b/tests/test_owners_lease.py
@@ -6,9 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from foldloom.seed_discovery.owners.lease import CLOCK_SLOW_SHARE, EndpointClock, gone_after_ms
+from foldloom.seed_discovery.owners.lease import CLOCK_DRIFT_MAX, EndpointClock, gone_after_ms
 
-_rates = st.floats(min_value=1.0 - CLOCK_SLOW_SHARE, max_value=1.0)
+_rates = st.floats(min_value=1.0 - CLOCK_DRIFT_MAX, max_value=1.0)
 _delays = st.floats(min_value=0.0, max_value=300.0)
 
 
--- a/tests/test_owners_renewed_session.py
+++ b/tests/test_owners_renewed_session.py
@@ -47,12 +47,12 @@
 _SETTLE_S = 1.0
 # Seconds that a box stands still: longer than a session (0.4) and than a start is of any use,
 # shorter than a lease on an endpoint (0.6), after which runs end there by themselves.
-_STANDS_STILL_S = 0.5
+_PAUSE_S = 0.5
 # Milliseconds of a task: a start is too late for it after 170 ms + 3.8 times a guess that is 84 at
 # most.
 _TASK_MS = 60.0
 # Seconds that a message of a crowded box to itself waits: longer than it takes to stop a run.
-_OWN_MESSAGE_WAITS_S = 0.03
+_OWN_MESSAGE_DELAY_S = 0.03
 _NEVER_MS = 1e5
 # Seconds after which a task of _TASK_MS may start in these plays, so that it runs at its deadline
 # without having been stopped as stuck.
@@ -61,20 +61,20 @@
 _DEADLINE_S = 1.44
 # Seconds before its deadline at which the box stands still: less than the 0.05 from one check for
 # lapsed grants to the next, so that the deadline may be due before that check.
-_STILL_BEFORE_S = 0.025
+_PAUSE_BEFORE_DEADLINE_S = 0.025
 # Seconds that it stands still: an owner forgets a start 2.0 after the deadline.
-_STILL_BEYOND_MEMORY_S = 2.2
+_LONG_PAUSE_S = 2.2
 # Seconds between two heartbeats of an owner.
 _HEARTBEAT_S = 0.1
 # Seconds before its next heartbeat is due at which the box stands still. The check may be due in
 # between, or not.
-_DUE_AFTER_S = [0.0005, 0.001, 0.002, 0.005, 0.02, 0.04, 0.08]
+_HEARTBEAT_DUE_AFTER_S = [0.0005, 0.001, 0.002, 0.005, 0.02, 0.04, 0.08]
 _CLOCK_RATE = 0.98
 _OWN_TTL_MS = 1_000
 
 
 @pytest.fixture(autouse=True)
-def _all_lines_are_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def _unlimited_log_events(monkeypatch: pytest.MonkeyPatch) -> None:
     """Other tests of this process may have used up the rate of an event."""
     monkeypatch.setattr("foldloom.logs._LIMITS", EventLimits())
 
@@ -160,22 +160,22 @@
         pairs = {(one, other) for one in zones for other in zones if zones[one] != zones[other]}
         self.world.conditions.cuts |= pairs
 
-    async def box_stands_still(self) -> None:
+    async def pause_box(self) -> None:
         """Have nobody hear of the job's box for a while, and the box of nobody."""
         others = [one for one in [*self.world.boxes, "c1"] if one != self.box]
         pairs = {(self.box, one) for one in others} | {(one, self.box) for one in others}
         self.world.conditions.cuts |= pairs
-        await asyncio.sleep(_STANDS_STILL_S)
+        await asyncio.sleep(_PAUSE_S)
         self.world.conditions.cuts -= pairs
 
-    def crowd(self) -> None:
+    def delay_own_messages(self) -> None:
         """Have what the job's box sends itself wait, as behind other work."""
         network = self.world.boxes[self.box].network
         send = network.send
 
         def send_late(box: str, message: Any, ttl_ms: float = _OWN_TTL_MS) -> None:
             if box == self.box:
-                self.loop.call_later(_OWN_MESSAGE_WAITS_S, send, box, message, ttl_ms)
+                self.loop.call_later(_OWN_MESSAGE_DELAY_S, send, box, message, ttl_ms)
             else:
                 send(box, message, ttl_ms)
 
@@ -246,13 +246,13 @@
                 yield f"answered: {fields['reason']}"
 
 
-def _run(scene: Callable[[Play], Coroutine[Any, Any, None]]) -> None:
+def _run(scenario: Callable[[Play], Coroutine[Any, Any, None]]) -> None:
     loop = VirtualTimeLoop()
     # Tokens have random digits.
     random.seed(_SEED)
 
     async def play() -> None:
-        await scene(Play(loop))
+        await scenario(Play(loop))
 
     run_in_virtual_time(play(), loop)
 
@@ -263,9 +263,9 @@
     def test_ends_that_were_never_acknowledged(self) -> None:
         """The owner of the box's own zone has both runs done, and queues the ends in vain."""
 
-        async def scene(play: Play) -> None:
+        async def scenario(play: Play) -> None:
             await play.settle(is_own=False)
-            answer = await play.answer(2, play.box_stands_still)
+            answer = await play.answer(2, play.pause_box)
             assert play.steps == [
                 "run ended: done",
                 "session ended",
@@ -275,16 +275,16 @@
             ]
             assert answer.may_have_run
 
-        _run(scene)
+        _run(scenario)
 
     def test_of_another_zone(self) -> None:
         """The same where the own zone has no room, and the other one's owner took the job."""
 
-        async def scene(play: Play) -> None:
+        async def scenario(play: Play) -> None:
             await play.settle(is_own=False)
             play.cut_from_endpoints(ZONES[0])
             await asyncio.sleep(_SETTLE_S)
-            answer = await play.answer(2, play.box_stands_still)
+            answer = await play.answer(2, play.pause_box)
             starts = play.world.starts[_JOB]
             zones = {record.endpoint: record.zone for record in play.world.records}
             assert {zones[start.endpoint] for start in starts} == {ZONES[1]}
@@ -297,7 +297,7 @@
             ]
             assert answer.may_have_run
 
-        _run(scene)
+        _run(scenario)
 
 
 class TestBoxThatOwnsItsZone:
@@ -306,13 +306,13 @@
     def test_stopped_before_it_is_delivered_again(self) -> None:
         """It goes on crowded: the stop is through before its own heartbeat comes to its turn."""
 
-        async def scene(play: Play) -> None:
+        async def scenario(play: Play) -> None:
             play.make_tasks_endless()
             await play.settle(is_own=True)
 
             async def late() -> None:
-                play.crowd()
-                play.loop.stand_still(_STANDS_STILL_S)
+                play.delay_own_messages()
+                play.loop.stand_still(_PAUSE_S)
 
             answer = await play.answer(1, late)
             assert play.steps == [
@@ -325,12 +325,12 @@
             assert play.stopped == [_FIRST_RUN]
             assert answer.may_have_run
 
-        _run(scene)
+        _run(scenario)
 
     def test_waits_again_after_a_stop(self) -> None:
         """The answer to its start was lost, so it was stopped; no endpoint took it since."""
 
-        async def scene(play: Play) -> None:
+        async def scenario(play: Play) -> None:
             play.make_tasks_endless()
             await play.settle(is_own=True)
             play.cut_zones()
@@ -338,7 +338,7 @@
 
             async def late() -> None:
                 await asyncio.sleep(0.05)
-                play.loop.stand_still(_STANDS_STILL_S)
+                play.loop.stand_still(_PAUSE_S)
 
             answer = await play.answer(1, late)
             assert play.steps == [
@@ -351,7 +351,7 @@
             assert play.stopped == [_FIRST_RUN]
             assert answer.may_have_run
 
-        _run(scene)
+        _run(scenario)
 
 
 class TestAllIsDueAtOnce:
@@ -361,26 +361,26 @@
     deadline are due at one moment, in the order in which they were set.
     """
 
-    @pytest.mark.parametrize("due_after_s", _DUE_AFTER_S)
+    @pytest.mark.parametrize("due_after_s", _HEARTBEAT_DUE_AFTER_S)
     def test_in_any_order(self, due_after_s: float) -> None:
         """Whether the heartbeat or the deadline comes before the check."""
 
-        async def scene(play: Play) -> None:
+        async def scenario(play: Play) -> None:
             play.make_tasks_endless()
             await play.settle(is_own=True)
             play.cut_zones()
             await play.own_heartbeat()
-            lead_s = _DEADLINE_S - _STILL_BEFORE_S
+            lead_s = _DEADLINE_S - _PAUSE_BEFORE_DEADLINE_S
             await asyncio.sleep((-due_after_s - lead_s) % _HEARTBEAT_S)
-            still_at_s = play.loop.time() + lead_s
+            pause_at_s = play.loop.time() + lead_s
             play.delay_starts()
 
             async def late() -> None:
-                await asyncio.sleep(still_at_s - play.loop.time())
-                play.loop.stand_still(_STILL_BEYOND_MEMORY_S)
+                await asyncio.sleep(pause_at_s - play.loop.time())
+                play.loop.stand_still(_LONG_PAUSE_S)
 
             answer = await play.answer(1, late)
             assert "answered: deadline" in play.steps
             assert answer.may_have_run
 
-        _run(scene)
+        _run(scenario)
