--- a/src/foldloom/seed_discovery/owners/election.py
+++ b/src/foldloom/seed_discovery/owners/election.py
@@ -1,12 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""When a box may acquire its zone's endpoints, and with which token: decisions only.
+"""The rules for when a box may acquire its zone, and with which fencing token.
 
-Owns nothing. Relies on what witnesses answer and on the age of heartbeats.
-
-Endpoints obey the highest token that they have seen, so two owners at a time do no harm; they
-only take endpoints from each other. The rules here keep that from happening: a box acquires only
-when its owner has been silent, nobody whom it reaches has a recent heartbeat, and it reaches one
-at all.
+Endpoints obey the highest token that they have seen, so two owners at a time are safe but take
+endpoints from each other. To avoid that, a box acquires its zone only if it has had no heartbeat
+for the silence timeout, at least one witness answers, and no witness has a recent heartbeat.
 """
 
 from __future__ import annotations
@@ -14,28 +11,24 @@
 import random
 from typing import NamedTuple
 
-# Milliseconds of the time of day in one step of a token's upper part: below the time in which two
-# owners of a zone can follow each other.
+# Wall-clock time per step of a token's upper part; below the time between two terms of a zone.
 _TOKEN_STEP_MS = 100
-# Bits of a token that a box draws at random: two boxes of a zone draw the same once in 262,144.
+# Random bits per box in a token's lower part.
 _BOX_BITS = 18
-# Milliseconds by which each next candidate waits longer, so that the first has acquired the zone
-# and sent a heartbeat before the next one acts.
+# Extra delay per candidate rank: enough to acquire the zone and send a heartbeat.
 _RANK_STEP_MS = 80.0
-# Milliseconds of silence after which a zone that never had an owner is acquired: above one
-# heartbeat (100 ms), so that an owner that just began is noticed.
+# Silence timeout while no owner is known; above one heartbeat interval.
 _FIRST_ELECTION_DELAY_MS = 120.0
 
 
 class WitnessAnswers(NamedTuple):
-    """What the other boxes say of an owner.
+    """Combined answers of the witnesses about an owner.
 
     Args:
-        asked: How many were asked.
-        answered: How many answered.
-        least_silent_ms: How long ago the newest heartbeat reached any of them; ``None`` if
-            none ever did.
-        highest_token: The highest token that any of them knows.
+        asked: Number of witnesses queried.
+        answered: Number of witnesses that answered.
+        least_silent_ms: Age of the newest heartbeat at any of them; ``None`` without one.
+        highest_token: Highest token known to this box or any of them.
     """
 
     asked: int
@@ -45,14 +38,14 @@
 
 
 def candidate_rank(box: str, candidates: list[str]) -> int:
-    """Return the place of *box* in the order in which candidates step in."""
+    """Return the rank of *box* among the candidates, 0 first."""
     return sorted(candidates).index(box) if box in candidates else len(candidates)
 
 
 def patience_ms(silent_ms: float, rank: int, has_known_owner: bool) -> float:
-    """Return for how long an owner must be silent before the candidate at *rank* acts.
+    """Return the silence timeout of the candidate at *rank*.
 
-    One that never knew an owner has nothing to wait for: the witnesses would know.
+    It is short while no owner is known, because witnesses would report one.
     """
     return (silent_ms if has_known_owner else _FIRST_ELECTION_DELAY_MS) + rank * _RANK_STEP_MS
 
@@ -60,8 +53,7 @@
 def may_acquire(witnesses: WitnessAnswers, silent_ms: float) -> bool:
     """Return whether a box whose owner is silent may acquire the zone.
 
-    A box that reaches nobody can't tell a dead owner from its own isolation, and must not
-    take the endpoints from an owner that others still know.
+    A box that gets no answer from any witness may be isolated itself, so it must not acquire.
     """
     if witnesses.asked and not witnesses.answered:
         return False
@@ -70,23 +62,23 @@
 
 
 def next_token(highest_known: int, time_of_day_s: float, box_bits: int) -> int:
-    """Return a token above *highest_known* that no other box makes.
+    """Return a token above *highest_known*, unique to this box.
 
-    The upper part rises and begins at the time of day, so that a zone whose boxes have all
-    forgotten their tokens still goes above them; the lower part is the box's own.
+    The upper part rises and is at least the wall-clock time, so that tokens rise even if all boxes
+    of a zone lost them; the lower part is the box's own.
     """
     rising = max((highest_known >> _BOX_BITS) + 1, int(time_of_day_s * 1_000) // _TOKEN_STEP_MS)
     return (rising << _BOX_BITS) | box_bits
 
 
 def token_above(refused: int, tries: int, box_bits: int) -> int:
-    """Return a token after an endpoint refused *refused* for a higher one that nobody knows of.
+    """Return the next token after an endpoint refused *refused* for a higher, unknown one.
 
-    The step doubles with each of *tries*: after a clock that went back, few steps are enough.
+    The step doubles with each of *tries*, so that few are needed after a clock was set back.
     """
     return (((refused >> _BOX_BITS) + (1 << min(tries + 3, 20))) << _BOX_BITS) | box_bits
 
 
 def new_box_bits() -> int:
-    """Return the lower part of this process's tokens."""
+    """Return random bits for the lower part of this process's tokens."""
     return random.getrandbits(_BOX_BITS)
--- a/src/foldloom/seed_discovery/owners/elector.py
+++ b/src/foldloom/seed_discovery/owners/elector.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""A box's part in who owns its zone: it follows the owner, asks witnesses, acquires, steps down.
+"""Owner election of a zone: follows the owner, queries witnesses, acquires, steps down.
 
-Owns the newest owner that is known and, while this box owns the zone, the present term. Relies on
-owners' heartbeats and on the other boxes as witnesses; when to acquire is decided in
+Holds the newest known owner and, while this box owns the zone, the current term. The rules are in
 :mod:`foldloom.seed_discovery.owners.election`.
 """
 
@@ -37,31 +36,27 @@
 from foldloom.seed_discovery.owners.zone_owner import ZoneOwner
 from foldloom.settings import TimingSettings
 
-# Seconds between two checks of the owner's silence: small against 400 ms.
+# Small against the silence timeout of an owner.
 _CHECK_S = 0.03
-# Milliseconds for which witnesses may answer: far above a round trip between zones; an owner is
-# lost that long more if one is dead.
+# Well above a round trip between zones; a dead witness delays the election by this.
 _QUERY_TIMEOUT_MS = 120
-# Milliseconds for which the silent owner itself may answer: 120 before commit 7c966ad, which
-# measured 675 ms without an owner; since then 444 to 527 ms in five runs on loopback.
+# Shorter for the silent owner itself, which is most likely dead.
 _OWNER_QUERY_TIMEOUT_MS = 30
-# Milliseconds after which refusals for a higher token are counted from 0 again, so that a clock
-# that went back does not make every later term start with a large step.
+# The count of fencing refusals restarts after this time, so that later token steps are small again.
 _FENCED_COUNT_RESET_MS = 5_000.0
-# Refusals in a row after which the zone is acquired again only after the full patience, because the
-# step to the next token has grown past any clock's error by then.
+# After more refusals in a row, the full silence timeout applies before acquiring again.
 _FENCED_MAX = 6
 
 
 class Elector:
-    """Follow, or be, the owner of this box's zone.
+    """Follows the owner of this box's zone, or acquires the zone when the owner is gone.
 
     Args:
         view: The other boxes.
-        network: The peers.
-        timings: Intervals and bounds.
-        make_owner: Makes the owner of a new term.
-        on_heartbeat: Called with each heartbeat of an owner.
+        network: Connections to the other boxes.
+        timings: Intervals and timeouts.
+        make_owner: Creates the owner of a new term.
+        on_heartbeat: Called with each accepted heartbeat of an owner.
     """
 
     def __init__(
@@ -91,7 +86,7 @@
 
     @property
     def owner(self) -> ZoneOwner | None:
-        """The present term of owning, if this box owns its zone."""
+        """The current term, if this box owns its zone."""
         return self._owner
 
     @property
@@ -101,19 +96,19 @@
 
     @property
     def patience_ms(self) -> float:
-        """For how long the owner must be silent before this box acts."""
+        """Silence timeout after which this box tries to acquire the zone."""
         own = self._view.own.box
         candidates = [
             box
             for box in self._view.entries_of(self._zone)
-            # The silent owner itself needs no place in the order.
+            # The silent owner itself gets no rank.
             if box == own or not (box == self._known.box or self._view.is_leaving(box))
         ]
         rank = candidate_rank(own, candidates)
         return patience_ms(self._timings.owner_silent_ms, rank, bool(self._known.token))
 
     async def run(self) -> None:
-        """Acquire the zone whenever its owner is gone, until cancelled."""
+        """Acquire the zone whenever its owner is gone; runs until cancelled."""
         while True:
             await asyncio.sleep(_CHECK_S)
             if not self._is_due():
@@ -123,7 +118,7 @@
                 self._acquire(witnesses.highest_token)
 
     def resign(self) -> str:
-        """Have another box own the zone before a planned stop; return which, or ''."""
+        """Hand the zone to another box before a planned stop; return its name, or ''."""
         owner = self._owner
         if owner is None:
             return ""
@@ -140,11 +135,11 @@
         return successors[0]
 
     def close(self) -> None:
-        """Stop owning."""
+        """Give up the zone."""
         self._step_down()
 
     def note_fenced(self, endpoint: str) -> None:
-        """Note that an endpoint has seen a higher token than this owner's."""
+        """Step down after an endpoint refused this owner's token for a higher one."""
         owner = self._owner
         if owner is None:
             return
@@ -156,7 +151,7 @@
         PLACE_LOG.event("owner.fenced", endpoint=endpoint, token=owner.token)
         token = token_above(owner.token, self._fenced_count, self._box_bits)
         self._step_down()
-        # Another box may own the zone: its heartbeats will show. Else acquire it above its token.
+        # Another owner would show by its heartbeats; without one, acquire with a higher token.
         self._known = OwnerRecord(self._zone, token)
         self._heartbeat_ms = now_ms
         if self._fenced_count <= _FENCED_MAX:
@@ -183,7 +178,7 @@
         )
 
     async def _request(self, box: str) -> OwnerAnswer | None:
-        # The owner is silent already; most often it is dead, and waiting for it costs starts.
+        # The owner is most likely dead, and starts are delayed while waiting for it.
         is_owner = box == self._known.box
         timeout_ms = _OWNER_QUERY_TIMEOUT_MS if is_owner else _QUERY_TIMEOUT_MS
         try:
@@ -191,7 +186,7 @@
                 box, OwnerQuery(self._zone), timeout_ms
             )
         except PeerUnreachableError:
-            # A witness that does not answer says nothing; at least one must (may_acquire).
+            # may_acquire() requires at least one answer.
             return None
         return reply
 
@@ -222,7 +217,7 @@
         self._owner = None
 
     def handle_heartbeat(self, sender: str, heartbeat: OwnerHeartbeat) -> None:
-        """Handle a heartbeat of any zone's owner; notify an outdated one of the higher token."""
+        """Handle a heartbeat from any zone; notify an outdated owner of the higher token."""
         self._view.note_box(heartbeat.record, monotonic_ms())
         if heartbeat.owner.zone != self._zone:
             self._handle_other_zone(heartbeat)
--- a/src/foldloom/seed_discovery/owners/grant.py
+++ b/src/foldloom/seed_discovery/owners/grant.py
@@ -1,15 +1,14 @@
 # SPDX-License-Identifier: MIT
-"""The right that an entry box gives one zone's owner, as the box itself knows it.
+"""An entry box's grant to one zone's owner to run the box's tasks, by the box's clock.
 
-Owns when the right was renewed last, and how often it has lapsed. Relies on the box's clock alone:
-the owner counts from when it sent the heartbeat, so its right is over earlier than known here.
+The owner counts its session from the sending of the heartbeat, so the session ends there earlier
+than by the count of the box.
 
-Whatever the owner runs for the box has ended once the right has lapsed and every lease that it gave
-is over. A heartbeat that is handled after that begins another grant and revives nothing, also if
-nothing else has noticed the lapse yet: a box that stood still may hear first what has waited in its
-sockets. A box that stands still again and again keeps its grant as long as a heartbeat is handled
-between; for how long it believes its owner is bound by its own clock instead
-(:mod:`foldloom.seed_discovery.owners.batches`).
+All runs of the box have ended once the session and then every lease given by the owner have lapsed.
+A heartbeat handled after that begins the next grant, even if the lapse was not detected yet: after
+a process pause, heartbeats buffered in the sockets may be handled first. A box that pauses
+repeatedly keeps its grant while it handles heartbeats in between;
+:mod:`foldloom.seed_discovery.owners.batches` then limits how long it trusts the owner's answers.
 """
 
 from __future__ import annotations
@@ -19,15 +18,15 @@
 
 
 def grant_timeout_ms(timings: TimingSettings) -> float:
-    """Return after how long without a heartbeat an owner's grant has lapsed, in milliseconds."""
+    """Return the time without a heartbeat after which a grant has lapsed, in milliseconds."""
     return timings.session_ms + gone_after_ms(timings.endpoint_lease_ms)
 
 
 class Grant:
-    """One box's grants to the owner of one zone, of which one is in force at a time.
+    """The consecutive grants of one box to the owner of one zone.
 
     Args:
-        timings: How long a right and a lease last.
+        timings: Session and lease times.
     """
 
     def __init__(self, timings: TimingSettings) -> None:
@@ -38,25 +37,25 @@
 
     @property
     def number(self) -> int:
-        """Which grant this is; each one that lapsed is followed by the next number."""
+        """Number of the current grant; rises by one with each lapse."""
         return self._number
 
     def session_left_ms(self, now_ms: float) -> float:
-        """Return for how much longer the owner may start runs of this box."""
+        """Return how much longer the owner may start runs of this box, in milliseconds."""
         return max(0.0, self._session_ms - self.silent_ms(now_ms))
 
     def has_lapsed(self, now_ms: float) -> bool:
-        """Return whether everything that the owner ran for this box has ended for certain."""
+        """Return whether all runs that the owner started for this box have certainly ended."""
         return self.silent_ms(now_ms) >= self._grant_timeout_ms
 
     def silent_ms(self, now_ms: float) -> float:
-        """Return milliseconds since a heartbeat of the owner was handled."""
+        """Return the milliseconds since the newest heartbeat of the owner was handled."""
         return now_ms - self._heartbeat_ms
 
     def renew(self, heartbeat_ms: float) -> None:
-        """Note a heartbeat of the owner that was handled at *heartbeat_ms*."""
+        """Renew the grant for a heartbeat handled at *heartbeat_ms*."""
         self._heartbeat_ms = heartbeat_ms
 
     def end(self) -> None:
-        """Begin the next grant: nothing that was delivered under this one is known any more."""
+        """Begin the next grant; deliveries under this one are no longer valid."""
         self._number += 1
--- a/src/foldloom/seed_discovery/owners/heartbeats.py
+++ b/src/foldloom/seed_discovery/owners/heartbeats.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""An owner's heartbeats: who gets them, and what they carry.
+"""The heartbeats of an owner.
 
-Owns nothing. A box acknowledges each heartbeat of its zone's owner, which grants it the right to
-run the box's tasks for the session time; boxes of other zones and controllers learn from them who
-owns the zone and how loaded it is.
+Entry boxes acknowledge each heartbeat, which renews the owner's session with them. Heartbeats also
+announce the owner and the load of its zone to other zones and to controllers.
 """
 
 from __future__ import annotations
@@ -15,18 +14,17 @@
 from foldloom.seed_discovery.fleet.messages import OwnerHeartbeat, OwnerRecord, ZoneLoad
 from foldloom.seed_discovery.owners.context import OwnerContext
 
-# Entry boxes in all zones up to which heartbeats go to all of them, to bound the messages of large
-# fleets (docs/CAPACITY.md).
+# With more entry boxes, heartbeats go to the own zone's only (docs/CAPACITY.md).
 _BROADCAST_ENTRIES_MAX = 64
 
 
 class HeartbeatSender:
-    """Send the heartbeats of one owner's term.
+    """Sends the heartbeats of one owner's term.
 
     Args:
         record: The owner.
-        context: The peers, the other boxes, and intervals.
-        load: Returns how loaded the zone is.
+        context: Components of the box.
+        load: Returns the load of the zone.
         other_owners: Returns the boxes that own the other zones.
     """
 
@@ -43,7 +41,7 @@
         self._other_owners = other_owners
 
     async def run(self) -> None:
-        """Send a heartbeat each interval, until cancelled."""
+        """Send a heartbeat per interval until cancelled."""
         timings = self._context.timings
         while True:
             heartbeat = OwnerHeartbeat(
@@ -58,7 +56,10 @@
             await asyncio.sleep(timings.owner_heartbeat_ms / 1_000)
 
     def _recipients(self) -> list[str]:
-        """Return all entry boxes, or while they are too many, those of the own zone."""
+        """Return the boxes to send to: entry boxes, owners of other zones and controllers.
+
+        Above ``_BROADCAST_ENTRIES_MAX`` entry boxes, only those of the own zone are included.
+        """
         view = self._context.view
         entries = view.entries
         if len(entries) > _BROADCAST_ENTRIES_MAX:
--- a/src/foldloom/seed_discovery/owners/sessions.py
+++ b/src/foldloom/seed_discovery/owners/sessions.py
@@ -1,11 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""The rights that boxes grant an owner, and the ends that each is still to be notified of.
+"""An owner's sessions with entry boxes, and the run ends still to be sent to each box.
 
-Owns one session for each life of a box that acknowledges heartbeats.
-
-A box acknowledges each heartbeat of its owner with the heartbeat's sending time. The owner may
-run that box's tasks for the session time from then on, by its own clock. The box, counting
-from when it sent the acknowledgement, knows a later time at which that right has ended for certain.
+There is one session per incarnation of a box. A box acknowledges each heartbeat with the
+heartbeat's sending time; by its own clock, the owner may run the box's tasks for the session time
+from then on. The box counts from its acknowledgement, so by its count the session ends later.
 """
 
 from __future__ import annotations
@@ -19,22 +17,21 @@
 from foldloom.seed_discovery.owners.messages import RunEnd, RunsEnded, SessionBegan
 from foldloom.seed_discovery.scheduling.runs import HolderId
 
-# Milliseconds until a message without a reply is sent again: far above a round trip between zones,
-# so that a busy box is not sent twice.
+# Retransmission timeout: well above a round trip between zones.
 _ACK_TIMEOUT_MS = 150
-# Ends in one message, to bound a message after a cut to some tens of kilobytes.
+# Bounds the first message after a partition to some tens of kilobytes.
 _ENDS_PER_MESSAGE_MAX = 200
 
 
 class Session:
-    """One box's grant.
+    """The session with one incarnation of a box.
 
     Args:
-        holder: The box's life.
+        holder: The box and its incarnation.
         zone: The owner's zone.
         token: The owner's token.
-        network: The peers.
-        is_renewed: Whether a right of the same life has lapsed before.
+        network: Connections to the other boxes.
+        is_renewed: Whether an earlier session with the same incarnation has lapsed.
     """
 
     def __init__(
@@ -50,19 +47,19 @@
         self._has_ends = asyncio.Event()
 
     def queue_end(self, end: RunEnd) -> None:
-        """Queue an end for the box."""
+        """Queue a run's end for sending to the box."""
         self._ends.append(end)
         self._has_ends.set()
 
     async def run(self) -> None:
-        """Send ends, each until it is acknowledged, until cancelled."""
+        """Send queued ends with retransmission, after announcing a renewed session."""
         while self._must_announce:
             try:
                 message = SessionBegan(self._zone, self._token)
                 await self._network.request(self.holder.box, message, _ACK_TIMEOUT_MS)
                 self._must_announce = False
             except PeerUnreachableError:
-                # Sent again at once: nothing else may be sent before it is acknowledged.
+                # Retransmit at once: no end may be sent before the acknowledgement.
                 continue
         while True:
             await self._has_ends.wait()
@@ -71,7 +68,7 @@
                 notice = RunsEnded(self._zone, ends, self._token)
                 await self._network.request(self.holder.box, notice, _ACK_TIMEOUT_MS)
             except PeerUnreachableError:
-                # Sent again until the session ends, with what has come meanwhile.
+                # Retransmit, together with ends queued in the meantime.
                 continue
             del self._ends[: len(ends)]
             if not self._ends:
@@ -79,7 +76,7 @@
 
 
 class LapsedSession(NamedTuple):
-    """A right that is over since ``ended_ms``, own clock."""
+    """A session that lapsed at ``ended_ms`` by the owner's clock."""
 
     holder: HolderId
     ended_ms: float
@@ -91,8 +88,8 @@
     Args:
         zone: The owner's zone.
         token: The owner's token.
-        network: The peers.
-        session_ms: How long an acknowledgement grants the right.
+        network: Connections to the other boxes.
+        session_ms: Session time from the sending of an acknowledged heartbeat.
     """
 
     def __init__(self, zone: str, token: int, network: PeerNetwork, session_ms: float) -> None:
@@ -105,22 +102,21 @@
         self._lapsed: set[HolderId] = set()
 
     def has_right(self, holder: HolderId, now_ms: float) -> bool:
-        """Return whether runs of *holder* may be started and kept now."""
+        """Return whether the session with *holder* is in force."""
         session = self._sessions.get(holder)
         return session is not None and now_ms < session.expires_ms
 
     def has_other(self, box: str, now_ms: float) -> bool:
-        """Return whether any box but *box* grants its right now."""
+        """Return whether a session with any box other than *box* is in force."""
         return any(
             holder.box != box and now_ms < session.expires_ms
             for holder, session in self._sessions.items()
         )
 
     def is_stale_ack(self, holder: HolderId, heartbeat_sent_ms: float) -> bool:
-        """Return whether an acknowledgement is of a life of its box that is over.
+        """Return whether another incarnation of the box has acknowledged a newer heartbeat.
 
-        It was held up on its way: another life has acknowledged a newer heartbeat by now. Taken for
-        the present life's, it would end that one's session without a word to it.
+        Such a delayed acknowledgement must not end the session of the current incarnation.
         """
         expires_ms = heartbeat_sent_ms + self._session_ms
         return any(
@@ -129,7 +125,7 @@
         )
 
     def grant(self, holder: HolderId, heartbeat_sent_ms: float) -> None:
-        """Renew the grant of a box that acknowledged the heartbeat sent at *heartbeat_sent_ms*."""
+        """Begin or renew the session for the heartbeat sent at *heartbeat_sent_ms*."""
         session = self._sessions.get(holder)
         if session is None:
             is_renewed = holder in self._lapsed
@@ -139,31 +135,31 @@
         session.expires_ms = max(session.expires_ms, heartbeat_sent_ms + self._session_ms)
 
     def queue_end(self, holder: HolderId, end: RunEnd) -> None:
-        """Queue an end for *holder*; one without a session is gone."""
+        """Queue a run's end for *holder*; dropped if there is no session."""
         session = self._sessions.get(holder)
         if session is not None:
             session.queue_end(end)
 
     def end_lapsed(self, now_ms: float) -> list[LapsedSession]:
-        """End the sessions whose right is over and return whose, and when it was over."""
+        """End and return the sessions that have lapsed."""
         lapsed = [
             LapsedSession(holder, session.expires_ms)
             for holder, session in self._sessions.items()
             if now_ms >= session.expires_ms
         ]
-        self._end(right.holder for right in lapsed)
-        self._lapsed.update(right.holder for right in lapsed)
+        self._end(session.holder for session in lapsed)
+        self._lapsed.update(session.holder for session in lapsed)
         return lapsed
 
     def end_other_incarnations(self, holder: HolderId) -> list[HolderId]:
-        """End the sessions of earlier lives of a box and return them."""
+        """End the sessions with other incarnations of the box and return their holders."""
         self._lapsed = {one for one in self._lapsed if one.box != holder.box or one == holder}
         earlier = [one for one in self._sessions if one.box == holder.box and one != holder]
         self._end(earlier)
         return earlier
 
     def close(self) -> None:
-        """End all."""
+        """End all sessions."""
         self._end(list(self._sessions))
 
     def _end(self, holders: Iterable[HolderId]) -> None:
--- a/src/foldloom/seed_discovery/owners/zone_owner.py
+++ b/src/foldloom/seed_discovery/owners/zone_owner.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""The owner of a zone's endpoints while this box holds the token: it alone calls them.
+"""One term of owning a zone's endpoints; only the owner sends calls to them.
 
-Owns one term: the state of runs, the sessions of boxes, the links to endpoints, and the tasks that
-send heartbeats, offers and orders. Relies on the box's parts in an :class:`OwnerContext`. A message
-or a report changes the state; the resulting actions are carried out by
-:meth:`ZoneOwner._execute_actions`.
+Holds the state of runs, the sessions of boxes, the links to endpoints, and the tasks that send
+heartbeats, offers and orders. Messages and reports change the state;
+:meth:`ZoneOwner._execute_actions` carries out the resulting actions. The box's components come in
+an :class:`OwnerContext`.
 """
 
 from __future__ import annotations
@@ -49,14 +49,11 @@
 from foldloom.seed_discovery.scheduling.runs import HolderId
 from foldloom.tasks import TaskSet
 
-# Seconds between two ticks: a fifth of the 100 ms after which the shortest of the bounds that a
-# tick watches (STOP_OVERDUE_MS) has passed.
+# Well below STOP_OVERDUE_MS, the shortest timeout that a tick checks.
 _TICK_S = 0.02
-# Milliseconds after which an order to stop is sent again: below the call's time-out of 250 ms,
-# since a stopped run's lease is not renewed until the stop is confirmed.
+# Below the call's timeout, because an unconfirmed stop blocks the renewal of the endpoint's lease.
 _STOP_RETRANSMISSION_MS = 100.0
-# Milliseconds of life after which a box knows every endpoint that the owner before it knew, by
-# the users' heartbeats: each endpoint reports every 1,500 ms, so in this time at least once.
+# Age at which the catalog counts as complete: two heartbeat intervals of an endpoint.
 _CATALOG_COMPLETE_AFTER_MS = 3_000.0
 
 
@@ -65,8 +62,8 @@
 
     Args:
         record: This owner: zone, token, box.
-        context: The parts of the box that it relies on.
-        on_fenced: Called when an endpoint has seen a higher token.
+        context: Components of the box.
+        on_fenced: Called with an endpoint that has seen a higher token.
     """
 
     def __init__(
@@ -113,30 +110,30 @@
 
     @property
     def state(self) -> OwnerState:
-        """The runs and endpoints."""
+        """State of runs and endpoints."""
         return self._state
 
     @property
     def load(self) -> ZoneLoad:
-        """How loaded the endpoints in use are."""
+        """Load of the endpoints in use."""
         return self._state.load(monotonic_ms())
 
     @property
     def is_isolated(self) -> bool:
-        """Whether other entry boxes are known and none of them grants its right any more."""
+        """Whether there are other entry boxes but a session with none of them."""
         own = self._view.own.box
         if self._view.entries == [own]:
             return False
         return not self._sessions.has_other(own, monotonic_ms())
 
     def start(self) -> None:
-        """Poll every endpoint and begin to send heartbeats."""
+        """Start polling endpoints and sending heartbeats and offers."""
         self._tasks.spawn(self._heartbeats.run())
         self._tasks.spawn(self._tick())
         self._tasks.spawn(self._offers.run())
 
     def close(self) -> None:
-        """End all tasks; whoever owns the zone next adopts what runs."""
+        """Cancel all tasks; runs in progress are left to the next owner."""
         self._is_closed = True
         self._sessions.close()
         self._orders.close()
@@ -144,7 +141,7 @@
         self._tasks.cancel()
 
     def submit(self, sender: str, message: SubmitRuns) -> SubmitReply:
-        """Handle a delivery of runs by *sender*."""
+        """Handle a delivery of runs from *sender*."""
         holder = HolderId(sender, self._network.known_incarnation(sender))
         now_ms = monotonic_ms()
         if message.token != self.token or self._is_closed:
@@ -157,10 +154,10 @@
         return reply
 
     def cancel(self, sender: str, message: CancelJob) -> Cancelled:
-        """Drop what *sender* wants of a job; say whether any of it may have started.
+        """Cancel a job of *sender*; reply whether any run of it may have started.
 
-        This term knows nothing of what an earlier one on this box has started, so it says "not
-        started" only to a box that has delivered the job to it.
+        The reply is "not started" only if the job was delivered to this term, since the starts of
+        earlier terms on this box are not recorded here.
         """
         holder = HolderId(sender, self._network.known_incarnation(sender))
         is_asked = message.token in (0, self.token)
@@ -171,11 +168,10 @@
         return Cancelled(has_started)
 
     async def follow_endpoints(self, endpoints: Container[str]) -> None:
-        """Adopt what the catalog says of *endpoints*; return once no start is on its way there.
+        """Apply the catalog at once and wait until no start is in flight to *endpoints*.
 
-        A draining endpoint is answered after that. While this was left to the next tick, one or two
-        tasks reached it after its answer in 8 of 24 runs of 200 jobs, beside a load of 45 on 8
-        cores.
+        A draining endpoint's report is answered after that, so that no task reaches the endpoint
+        once it has the answer.
         """
         if self._is_closed:
             return
@@ -183,18 +179,18 @@
         await self._orders.wait_for_starts(endpoints)
 
     def handle_offer(self, message: WaitingGroups) -> None:
-        """Handle what another zone offers; there may be room for it here."""
+        """Handle another zone's offer of waiting runs."""
         if self._is_closed or message.owner.zone == self._record.zone:
             return
         self._state.note_offer(message.owner.zone, message.groups, monotonic_ms())
         self._execute_actions()
 
     def note_load(self, heartbeat: OwnerHeartbeat) -> None:
-        """Note how loaded another zone is."""
+        """Record the load of another zone."""
         self._state.note_load(heartbeat.owner.zone, heartbeat.load, monotonic_ms())
 
     def answer_steal(self, message: StealRuns) -> StealReply:
-        """Answer another zone's owner that steals waiting runs."""
+        """Handle a work-stealing request from another zone's owner."""
         if self._is_closed:
             return StealReply(0)
         given = self._state.release_stolen(
@@ -204,7 +200,7 @@
         return StealReply(given)
 
     def handle_heartbeat_ack(self, sender: str, ack: HeartbeatAck) -> None:
-        """Renew the grant of a box that acknowledged a heartbeat."""
+        """Renew the session of a box that acknowledged a heartbeat."""
         if ack.token != self.token or self._is_closed:
             return
         holder = HolderId(sender, self._network.known_incarnation(sender))
@@ -218,8 +214,8 @@
     def may_renew(self, endpoint: str, now_ms: float) -> bool:
         """Return whether the lease of *endpoint* may be renewed.
 
-        A run that should have stopped long ago and is still listed must not live on by it.
-        Rights are looked at here too: after a freeze this may come before any tick.
+        It may not while a stop is overdue there, so that the run ends with the lease. Lapsed
+        sessions are ended here too, because after a process pause this may run before any tick.
         """
         self._end_lapsed_sessions(now_ms)
         return not self._state.has_overdue_stop(endpoint, now_ms - STOP_OVERDUE_MS)
@@ -233,39 +229,39 @@
         self._execute_actions()
 
     def note_overdue(self, endpoint: str, call: str) -> None:
-        """Note that an answer of *endpoint* is overdue: until it has answered it gets no work."""
+        """Exclude *endpoint*, whose answer is overdue, from placement until it answers."""
         candidate = self._state.candidates.get(endpoint)
         if candidate is not None and candidate.is_trusted:
             ENDPOINT_LOG.event("endpoint.suspected", endpoint=endpoint, call=call)
             self._state.distrust(endpoint)
 
     def note_silent(self, endpoint: str) -> None:
-        """Note that *endpoint* does not answer."""
+        """Handle a failed poll of *endpoint*."""
         self._state.note_silent(endpoint)
 
     def note_crashed(self, endpoint: str) -> None:
-        """Note that nothing listens any more where *endpoint* did."""
+        """Handle a crash of *endpoint*: nothing listens at its address any more."""
         if not self._is_closed:
             self._state.note_crashed(endpoint, monotonic_ms())
             self._execute_actions()
 
     def note_life_over(self, endpoint: str, born_ms: int) -> None:
-        """Note that the life of *endpoint* born at *born_ms* is over for certain."""
+        """Handle the certain end of the incarnation of *endpoint* born at *born_ms*."""
         ENDPOINT_LOG.event("endpoint.life_over", endpoint=endpoint, born_ms=born_ms)
         self.note_crashed(endpoint)
         self._context.catalog.end_life(endpoint, born_ms, monotonic_ms())
 
     def note_next_life(self, endpoint: str, born_ms: int) -> None:
-        """Note that *endpoint* answers as a life born at *born_ms*, later than the known one."""
+        """Handle an answer of a later incarnation of *endpoint*, born at *born_ms*."""
         if not self._is_closed:
             self._links.begin_life(endpoint, born_ms)
 
     def note_fenced(self, endpoint: str) -> None:
-        """Note that *endpoint* has seen a higher token."""
+        """Report that *endpoint* has seen a higher token."""
         self._on_fenced(endpoint)
 
     def _all_endpoints(self) -> list[EndpointRecord]:
-        """Return the endpoints of all zones, none while some may not have been heard of yet."""
+        """Return the endpoints of all zones; none while the catalog may be incomplete."""
         if self._context.catalog_age_ms() <= _CATALOG_COMPLETE_AFTER_MS:
             return []
         return self._context.catalog.records
@@ -277,8 +273,8 @@
                 self._state.trust_catalog()
             self._links.sync_with_catalog(now_ms)
             self._end_lapsed_sessions(now_ms)
-            # Somebody else may own the zone by now, and reach an endpoint that is silent here: it
-            # would keep what this owner takes for lapsed (tests/models/owners_model.py).
+            # While isolated, another box may own the zone and renew the leases of endpoints that
+            # are silent here, so none counts as lapsed (tests/models/owners_model.py).
             if not self.is_isolated:
                 self._links.check_silent_endpoints(now_ms)
             self._state.tick(now_ms)
@@ -288,17 +284,17 @@
             await asyncio.sleep(_TICK_S)
 
     def _end_lapsed_sessions(self, now_ms: float) -> None:
-        """Stop the runs of boxes whose right is over, counted from when it was over."""
-        for right in self._sessions.end_lapsed(now_ms):
+        """Stop the runs of boxes whose session has lapsed, as of the time it lapsed."""
+        for session in self._sessions.end_lapsed(now_ms):
             ENDPOINT_LOG.event(
                 "session.ended",
-                sender=right.holder.box,
-                over_for_ms=int(now_ms - right.ended_ms),
+                sender=session.holder.box,
+                over_for_ms=int(now_ms - session.ended_ms),
             )
-            self._state.end_session(right.holder, right.ended_ms)
+            self._state.end_session(session.holder, session.ended_ms)
 
     def _execute_actions(self) -> None:
-        """Carry out what the state has decided."""
+        """Place runs and carry out the actions that the state has queued."""
         if self._is_closed:
             return
         self._state.place(monotonic_ms())
