--- a/src/foldloom/seed_discovery/owners/client.py
+++ b/src/foldloom/seed_discovery/owners/client.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""An entry box's side of the owners: which one gets a job's runs, and where their ends go.
+"""An entry box's client for the owners of all zones: delivers runs and receives their ends.
 
-Owns the connections to the owners of all zones. Relies on the view of the other boxes and on
-owners' heartbeats; whether a job that is given up may have run is decided in
+Holds a connection per zone. Whether a cancelled job may have run is decided in
 :mod:`foldloom.seed_discovery.owners.withdrawal`.
 """
 
@@ -37,30 +36,28 @@
 from foldloom.settings import TimingSettings
 from foldloom.tasks import TaskSet
 
-# Seconds between two checks for owners that fell silent: small against the 1.2 s of silence after
-# which their work has ended.
+# Interval of checks for lapsed grants; small against the time after which a grant lapses.
 _LOST_CHECK_S = 0.05
-# Bits of the number of a life's first delivery: two lives won't share numbers, and all fit 64 bits.
+# Random bits of the first delivery number, so that incarnations do not share numbers; fits 64 bits.
 _DELIVERY_BITS = 48
-# Seconds between two checks for an owner that can take a run: small against the 60 ms and more of a
-# job's objective.
+# Interval of checks for a reachable owner; small against a job's response-time objective.
 _OWNER_CHECK_S = 0.01
 
 
 class OwnerClient:
-    """Talk to the owners of all zones, first of all to that of the own one.
+    """Client for the owners of all zones; prefers the owner of the own zone.
 
     Args:
         view: The other boxes.
-        network: The peers.
-        timings: Intervals and bounds.
+        network: Connections to the other boxes.
+        timings: Intervals and timeouts.
     """
 
     def __init__(self, view: FleetView, network: PeerNetwork, timings: TimingSettings) -> None:
         self._view = view
         self._network = network
         self._timings = timings
-        # Drawn, so that an end which was meant for an earlier life of this box ends no run here.
+        # Random start, so that ends sent to an earlier incarnation of this box match no run here.
         self._deliveries = itertools.count(1 + secrets.randbits(_DELIVERY_BITS))
         self._own_zone_connection = OwnerConnection(
             view.own.zone, view, network, timings, self._deliveries
@@ -75,11 +72,11 @@
 
     @property
     def silent_ms(self) -> float:
-        """Milliseconds since a heartbeat of any owner that could take a job."""
+        """Milliseconds since the newest heartbeat of any owner."""
         return min(connection.silent_ms for connection in self._connections.values())
 
     def handle_heartbeat(self, heartbeat: OwnerHeartbeat, published_version: int) -> None:
-        """Handle a heartbeat of any zone's owner."""
+        """Handle a heartbeat from the owner of any zone."""
         connection = self._connections.get(heartbeat.owner.zone)
         if connection is None:
             connection = OwnerConnection(
@@ -89,29 +86,29 @@
         connection.handle_heartbeat(heartbeat, published_version)
 
     async def run(self) -> None:
-        """End the runs of silent owners, once they have ended for certain, until cancelled."""
+        """Report the runs of owners whose grant has lapsed as lost; runs until cancelled."""
         while True:
             await asyncio.sleep(_LOST_CHECK_S)
             for connection in self._connections.values():
                 for run in connection.pop_lost():
-                    self._end_lost(connection, run)
+                    self._report_lost(connection, run)
 
     async def submit(
         self, job: OpenJob, template: SubmitRuns, orders: list[RunOrder]
     ) -> SubmitReply:
-        """Deliver runs of *job* where they can run, once there is an owner; return its reply."""
+        """Deliver runs of *job* to an owner, waiting for one if necessary; return its reply."""
         await self._cancels.wait_ended(job.job_id)
-        while (connection := self._choose()) is None:
+        while (connection := self._select_connection()) is None:
             await asyncio.sleep(_OWNER_CHECK_S)
         return await connection.submit(
             self._find_or_create_batch(connection, job, template), orders
         )
 
     async def give_up(self, job: OpenJob) -> bool:
-        """Cancel a job everywhere; return whether any run of it may have started."""
+        """Cancel a job in all zones; return whether any run of it may have started."""
         withdrawals = self._withdraw(job)
         is_known = job.may_have_started
-        # Until the owners have answered: the wait for them may be cut short by a deadline.
+        # Assumed until the owners have answered, since a deadline may cancel the wait.
         job.may_have_started = True
         answers = await self._cancels.ask(withdrawals)
         log_verdict(withdrawals, answers)
@@ -119,21 +116,21 @@
         return job.may_have_started
 
     def forget(self, job: OpenJob) -> None:
-        """Cancel a job, and wait for nobody."""
+        """Cancel a job without waiting for the owners."""
         self._cancels.begin(self._withdraw(job))
 
     def _withdraw(self, job: OpenJob) -> list[Withdrawal]:
-        """Want nothing of *job* any more; return what is known of it in each zone.
+        """Drop the batches of *job* in all zones and return the withdrawals.
 
-        All of it is taken in one step: what a lost owner held is dropped at any moment, and a start
-        would be missed between a look at what is known and another at what is open.
+        This must not await: the batches of a lost owner may be dropped at any suspension point, and
+        the record of a start would be missed.
         """
         job.is_wanted = False
         withdrawn = (connection.withdraw(job) for connection in self._connections.values())
         return [withdrawal for withdrawal in withdrawn if withdrawal is not None]
 
-    def _end_lost(self, connection: OwnerConnection, run: LostRun) -> None:
-        """End a run of whose end its silent owner will never notify this box."""
+    def _report_lost(self, connection: OwnerConnection, run: LostRun) -> None:
+        """Report a run as lost whose owner's grant has lapsed."""
         batch, order = run
         PLACE_LOG.event(
             "run.lost",
@@ -146,8 +143,8 @@
         )
         batch.job.ends.put_nowait(RunEnd(RunId(batch.task(order), order.attempt), EndCause.LOST))
 
-    def _choose(self) -> OwnerConnection | None:
-        """Return the own zone's owner unless it is silent, else the one with the most room."""
+    def _select_connection(self) -> OwnerConnection | None:
+        """Return the own zone's owner if usable, else the one with the most free capacity."""
         silent_max_ms = self._timings.owner_silent_ms
         if (
             self._own_zone_connection.silent_ms < silent_max_ms
@@ -183,10 +180,10 @@
         connection = self._connections.get(message.zone)
         for end in message.ends:
             if connection is not None:
-                self._take_end(connection, end, message.token or connection.owner.token)
+                self._handle_end(connection, end, message.token or connection.owner.token)
         return EndsNoted()
 
-    def _take_end(self, connection: OwnerConnection, end: RunEnd, token: int) -> None:
+    def _handle_end(self, connection: OwnerConnection, end: RunEnd, token: int) -> None:
         for batch in connection.batches_by_id(end.run_id.task.job_id):
             order = batch.close(end, token)
             if order is None:
@@ -207,13 +204,13 @@
         )
 
     async def _redeliver_moved(self, batch: Batch, order: RunOrder, zone: str) -> None:
-        """Deliver a run that its owner gave away to another zone's owner."""
+        """Deliver a run that was moved to the owner of another zone."""
         moved = order._replace(is_moved=True, is_resumed=False)
         connection = self._connections.get(zone)
         if connection is None or connection.silent_ms >= self._timings.owner_silent_ms:
             connection = None
         while connection is None and batch.job.is_wanted:
-            connection = self._choose()
+            connection = self._select_connection()
             await asyncio.sleep(_OWNER_CHECK_S)
         if connection is None or not batch.job.is_wanted:
             return
--- a/src/foldloom/seed_discovery/owners/connection.py
+++ b/src/foldloom/seed_discovery/owners/connection.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""An entry box's connection to the owner of one zone: runs delivered, a new owner, a lapsed grant.
+"""An entry box's connection to the owner of one zone.
 
-Owns the batches delivered to this owner and the grant that it was given. Relies on the owner's
-heartbeats; when they stop, runs are taken for ended only after the grant has lapsed for certain.
+Holds the batches delivered to the owner and the grant given to it. When the owner's heartbeats
+stop, its runs count as ended only after the grant has lapsed.
 """
 
 from __future__ import annotations
@@ -30,29 +30,28 @@
 from foldloom.settings import TimingSettings
 from foldloom.tasks import TaskSet
 
-# Milliseconds until a message without a reply is sent again: far above a round trip between zones.
+# Retransmission timeout: well above a round trip between zones.
 REPLY_TIMEOUT_MS = 150
-# Seconds until runs are delivered again to a box that says it does not own the zone: below an
-# owner's heartbeat (100 ms), which names the owner.
+# Back-off after a NOT_OWNER reply; below the heartbeat interval of owners.
 _NOT_OWNER_BACKOFF_S = 0.02
 
 
 class LostRun(NamedTuple):
-    """A run of whose end its owner will never notify this box."""
+    """A run that ended with its owner's grant, without a notification."""
 
     batch: Batch
     order: RunOrder
 
 
 class OwnerConnection:
-    """The connection to one zone's owner, whoever that is at the time.
+    """The connection to the current owner of one zone.
 
     Args:
         zone: The zone.
         view: The other boxes.
-        network: The peers.
-        timings: Intervals and bounds.
-        deliveries: Numbers of deliveries; they rise.
+        network: Connections to the other boxes.
+        timings: Intervals and timeouts.
+        deliveries: Source of rising delivery numbers.
     """
 
     def __init__(
@@ -77,7 +76,7 @@
 
     @property
     def owner(self) -> OwnerRecord:
-        """The owner that runs are delivered to."""
+        """The owner to which runs are delivered."""
         return self._owner
 
     @property
@@ -86,10 +85,10 @@
         return self._grant.silent_ms(monotonic_ms())
 
     def handle_heartbeat(self, heartbeat: OwnerHeartbeat, published_version: int) -> None:
-        """Grant the owner its right; deliver everything open to a new one."""
+        """Acknowledge a heartbeat and renew the grant; deliver open runs to a new owner."""
         if heartbeat.owner.token < self._owner.token:
             return
-        # Read once: a box that stands still while it handles this must find out afterwards.
+        # Read once, so that a process pause during this call still counts as silence afterwards.
         now_ms = monotonic_ms()
         self._end_lapsed_grant(now_ms)
         is_new = heartbeat.owner.token != self._owner.token
@@ -106,21 +105,21 @@
             self._redeliver_to_new_owner(old_right_ms)
 
     def batches_by_id(self, job_id: str) -> list[Batch]:
-        """Return what is open under an id in this zone, of whichever submission of it."""
+        """Return the open batches of all submissions with this id in this zone."""
         return self._batches.get(job_id, [])
 
     def batches_of_job(self, job: OpenJob) -> list[Batch]:
-        """Return what is open of a job in this zone."""
+        """Return the open batches of one job in this zone."""
         return [batch for batch in self.batches_by_id(job.job_id) if batch.job is job]
 
     def pop_lost(self) -> list[LostRun]:
-        """Return and drop the runs of an owner whose grant has lapsed; all of them have ended."""
+        """Return and drop the runs that ended with a lapsed grant."""
         self._end_lapsed_grant(monotonic_ms())
         lost, self._lost = self._lost, []
         return lost
 
     async def submit(self, batch: Batch, orders: list[RunOrder]) -> SubmitReply:
-        """Deliver *orders*; return once the owner has taken or refused them."""
+        """Deliver *orders* and return the owner's reply."""
         orders = self._with_delivery_number(orders)
         batch.add(orders)
         batches = self._batches.setdefault(batch.job.job_id, [])
@@ -129,7 +128,7 @@
         return await self._send(batch, orders, 0.0)
 
     def withdraw(self, job: OpenJob) -> Withdrawal | None:
-        """Want nothing of *job* any more; return what is known of its runs here, if it has any."""
+        """Drop the batches of *job*; return their withdrawal, or ``None`` without any."""
         batches = self.batches_of_job(job)
         if not batches:
             return None
@@ -137,16 +136,16 @@
         return withdraw(batches, self._owner, self._grant.number)
 
     def is_granted(self, owner: OwnerRecord, grant: int) -> bool:
-        """Return whether *owner* still is the owner, and its *grant* is unbroken."""
+        """Return whether *owner* is still the owner and *grant* is in force."""
         if owner != self._owner or grant != self._grant.number:
             return False
         return not self._grant.has_lapsed(monotonic_ms())
 
     def redeliver_all(self) -> None:
-        """Deliver everything open to the same owner again: it has dropped it meanwhile."""
+        """Deliver all open runs again to an owner that dropped them with the lapsed session."""
         for batches in self._batches.values():
             for batch in batches:
-                # What was taken once is not refused now.
+                # Marked as moved, so that runs accepted before are not refused now.
                 orders = [order._replace(is_moved=True) for order in batch.orders]
                 if not orders:
                     continue
@@ -155,7 +154,7 @@
                 self._tasks.spawn(self._redeliver(batch, orders, 0.0, "renewed session"))
 
     def _end_lapsed_grant(self, now_ms: float) -> None:
-        """Take everything for ended that the owner held, if its grant has lapsed."""
+        """Turn all open runs into lost ones if the grant has lapsed."""
         if not self._grant.has_lapsed(now_ms):
             return
         silent_ms = self._grant.silent_ms(now_ms)
@@ -174,19 +173,19 @@
         )
         self._batches.clear()
         for batch in batches:
-            # Its owner can't be asked any more. Also of batches that have no run open: one that
-            # has ended may have run.
+            # Its owner can no longer be queried. This includes batches without open runs, since a
+            # run that has ended may have started.
             if batch.has_started or batch.terms:
                 batch.job.may_have_started = True
             self._lost.extend(LostRun(batch, order) for order in batch.orders)
-            # A delivery that is still being sent must not reach the owner when it is back.
+            # A delivery still being retransmitted must not reach the owner when it is back.
             batch.clear()
 
     def _forget(self, batches: list[Batch]) -> None:
         job_id = batches[0].job.job_id
-        left = [batch for batch in self.batches_by_id(job_id) if batch not in batches]
-        if left:
-            self._batches[job_id] = left
+        remaining = [batch for batch in self.batches_by_id(job_id) if batch not in batches]
+        if remaining:
+            self._batches[job_id] = remaining
         else:
             del self._batches[job_id]
 
@@ -195,7 +194,7 @@
         return [order._replace(delivery=delivery) for order in orders]
 
     def _redeliver_to_new_owner(self, old_right_ms: float) -> None:
-        """Deliver everything open to a new owner, which finds out whether it runs already."""
+        """Deliver all open runs to a new owner, which finds those that are running."""
         for batches in self._batches.values():
             for batch in batches:
                 orders = [order._replace(is_resumed=True) for order in batch.orders]
@@ -205,14 +204,14 @@
                 self._tasks.spawn(self._redeliver(batch, orders, old_right_ms, "new owner"))
 
     async def _redeliver(
-        self, batch: Batch, orders: list[RunOrder], right_ms: float, why: str
+        self, batch: Batch, orders: list[RunOrder], right_ms: float, reason: str
     ) -> None:
         reply = await self._send(batch, orders, right_ms)
         PLACE_LOG.event(
             "runs.resumed",
             job=batch.job.job_id,
             runs=len(orders),
-            why=why,
+            why=reason,
             delivery=orders[0].delivery,
             owner=self._owner.box,
             token=self._owner.token,
@@ -221,14 +220,14 @@
         )
 
     async def _send(self, batch: Batch, orders: list[RunOrder], old_right_ms: float) -> SubmitReply:
-        """Send until an owner answers for it; one of a newer owner ends an older one's."""
+        """Send *orders* until an owner replies; stop when a newer owner has taken over."""
         sent_token = 0
         old_right_end_ms = monotonic_ms() + old_right_ms
         while True:
             await self._has_owner.wait()
             owner = self._owner
             if sent_token and owner.token != sent_token:
-                # Everything open was delivered to the new owner already.
+                # All open runs have already been delivered to the new owner.
                 return SubmitReply(SubmitStatus.TAKEN)
             still_open = [order for order in orders if batch.is_open(order)]
             if not still_open:
@@ -242,7 +241,7 @@
                     owner.box, message, REPLY_TIMEOUT_MS
                 )
             except PeerUnreachableError:
-                # Sent again to whoever owns the zone then; copies are told apart by their delivery.
+                # Retransmit to the current owner; the delivery number identifies duplicates.
                 continue
             if reply.status is not SubmitStatus.NOT_OWNER:
                 return reply
--- a/src/foldloom/seed_discovery/owners/context.py
+++ b/src/foldloom/seed_discovery/owners/context.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What a box gives to each of its terms of owning a zone.
-
-Owns nothing: what stays the same from one term of owning to the next.
-"""
+"""Components of a box that are shared by all its terms of owning a zone."""
 
 from __future__ import annotations
 
@@ -18,17 +15,17 @@
 
 
 class OwnerContext(NamedTuple):
-    """Parts of the box that an owner relies on.
+    """Components of the box that an owner uses.
 
     Args:
         view: The other boxes.
-        network: The peers.
-        calls: How endpoints are called.
-        catalog: The endpoints.
-        timings: Intervals and bounds.
+        network: Connections to the other boxes.
+        calls: Client for calls to endpoints.
+        catalog: The endpoints of all zones.
+        timings: Intervals and timeouts.
         metrics: Counters.
         published_version: Returns the published version in force here.
-        catalog_age_ms: Returns for how long the catalog has been kept up.
+        catalog_age_ms: Returns for how long the catalog has been maintained.
     """
 
     view: FleetView
--- a/src/foldloom/seed_discovery/owners/endpoint_link.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_link.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""An owner's one task for each endpoint: it polls, renews the lease and receives ends.
+"""The owner's link to one endpoint: polls it, renews its lease and receives the ends of runs.
 
-Owns what is known of one life of an endpoint: its clock, when it last answered, which of its ends
-were received. Relies on the calls to endpoints and on its owner, which decides whether the lease
-may be renewed and takes the reports.
+A link holds the state of one incarnation of the endpoint: its clock, the time of the last answer,
+and the last end received. The owner decides whether the lease may be renewed.
 """
 
 from __future__ import annotations
@@ -24,27 +23,24 @@
 from foldloom.seed_discovery.endpoints.records import EndpointRecord
 from foldloom.seed_discovery.owners.lease import LAPSE_MARGIN_MS, EndpointClock
 
-# Milliseconds that a poll waits at the endpoint for an end: a third of the 600 ms of a lease, so
-# that two polls may be lost before it lapses.
+# Long-poll wait: a third of the default lease, so that two polls may be lost before it lapses.
 _POLL_WAIT_MS = 200
-# Seconds to the next poll after one without an answer, doubled up to the maximum, because an
-# endpoint that restarts is back within a second, and should be found soon.
+# Exponential back-off between failed polls; short, because an endpoint restarts within a second.
 _BACKOFF_MIN_S = 0.05
-# The longest such pause.
 _BACKOFF_MAX_S = 0.4
-# Milliseconds beyond the wait after which an unanswered call costs the endpoint new work: well
-# above a round trip in the zone.
+# An endpoint gets no new runs while an answer is overdue by more than this; well above a round trip
+# in the zone.
 SUSPECT_AFTER_MS = 80
 
 
 class LeaseTerms(NamedTuple):
-    """What the leases of one owner's term are.
+    """Lease durations of one owner's term.
 
     Args:
         token: The owner's fencing token.
-        lease_ms: How long a lease lasts, by the endpoint's clock.
-        lease_real_ms: How long it lasts at most while that clock is slow.
-        longest_real_ms: How long the longest lease that an endpoint gives lasts at most.
+        lease_ms: Duration of a lease by the endpoint's clock.
+        lease_real_ms: Its longest real duration, with that clock at its slowest.
+        longest_real_ms: The longest real duration of any lease that an endpoint accepts.
     """
 
     token: int
@@ -54,7 +50,7 @@
 
 
 class Answerer(Enum):
-    """Which life of an endpoint an answer is from."""
+    """Which incarnation of an endpoint an answer is from."""
 
     THIS = "this"
     NEXT = "next"
@@ -62,15 +58,15 @@
 
 
 def classify_answer(answer_born_ms: int, born_ms: int, has_answered: bool) -> Answerer:
-    """Return which life an answer is from.
+    """Return which incarnation an answer is from.
 
-    The endpoint's id does not tell: it answers orders to any life that has had its id. Its answer
-    is often the first that is heard of a new life, ahead of its heartbeat.
+    Incarnations share the endpoint's id, and an answer may arrive before the first heartbeat of a
+    new incarnation.
 
     Args:
-        answer_born_ms: When the life that answers was born; 0 if it does not say.
-        born_ms: When the known life was born; 0 if it has not said.
-        has_answered: Whether the known life has answered before.
+        answer_born_ms: Birth time in the answer; 0 if it has none.
+        born_ms: Birth time of the known incarnation; 0 if unknown.
+        has_answered: Whether the known incarnation has answered before.
     """
     if not answer_born_ms or answer_born_ms == born_ms:
         return Answerer.THIS
@@ -80,7 +76,7 @@
 
 
 class LinkOwner(Protocol):
-    """What a link reports to, and asks."""
+    """Receiver of a link's events; also decides on lease renewal."""
 
     def may_renew(self, endpoint: str, now_ms: float) -> bool:
         """Return whether the lease of *endpoint* may be renewed."""
@@ -89,37 +85,36 @@
         """Handle an endpoint's report."""
 
     def note_overdue(self, endpoint: str, call: str) -> None:
-        """Note that the answer of *endpoint* to a *call* is overdue."""
+        """Handle an overdue answer of *endpoint* to a *call*."""
 
     def note_silent(self, endpoint: str) -> None:
-        """Note that *endpoint* does not answer."""
+        """Handle a failed poll of *endpoint*."""
 
     def note_crashed(self, endpoint: str) -> None:
-        """Note that nothing listens any more where *endpoint* did."""
+        """Handle a crash of *endpoint*: nothing listens at its address any more."""
 
     def note_life_over(self, endpoint: str, born_ms: int) -> None:
-        """Note that the life of *endpoint* born at *born_ms* is over for certain."""
+        """Handle the certain end of the incarnation of *endpoint* born at *born_ms*."""
 
     def note_next_life(self, endpoint: str, born_ms: int) -> None:
-        """Note that *endpoint* answers as a life born at *born_ms*, later than the known one."""
+        """Handle an answer of a later incarnation of *endpoint*, born at *born_ms*."""
 
     def note_fenced(self, endpoint: str) -> None:
-        """Note that *endpoint* has seen a higher token."""
+        """Handle a refusal by *endpoint*, which has seen a higher token."""
 
 
 class EndpointLink:
-    """The owner's connection to one life of an endpoint.
+    """The owner's link to one incarnation of an endpoint.
 
-    Another life gets a link of its own, so that nothing of the one before is left: its clock, the
-    ends that were received, its silence.
+    Each incarnation gets a new link, so that no state of the previous one carries over.
 
     Args:
-        record: The endpoint; while only its answers were heard, that of the life before.
-        terms: The leases that the owner gives.
-        calls: How endpoints are called.
-        owner: Takes what the endpoint reports.
-        born_ms: When this life was born; 0 if it has not said.
-        replaces_previous: Whether this owner gave orders to the life before.
+        record: The endpoint's record; the previous incarnation's until the first heartbeat.
+        terms: Lease durations.
+        calls: Client for calls to endpoints.
+        owner: Receiver of reports and events.
+        born_ms: Birth time of this incarnation; 0 if unknown.
+        replaces_previous: Whether this owner gave orders to the previous incarnation.
     """
 
     def __init__(
@@ -138,8 +133,8 @@
         self._terms = terms
         self._calls = calls
         self._owner = owner
-        # Orders that were meant for the life before and reached this one have their leases cut to
-        # the longest, whatever its clock reads.
+        # Orders meant for the previous incarnation may have reached this one; their leases last no
+        # longer than the longest that the endpoint accepts.
         self._misled_until_ms = (
             self.answered_ms + terms.longest_real_ms if replaces_previous else 0.0
         )
@@ -151,40 +146,40 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether the newest poll got no answer."""
+        """Whether the newest poll failed."""
         return self._is_silent
 
     @property
     def is_over(self) -> bool:
-        """Whether this life is over for certain: an endpoint with another id has answered."""
+        """Whether this incarnation has certainly ended: another id answered at its address."""
         return self._is_over
 
     def answerer(self, answer_born_ms: int) -> Answerer:
-        """Return which life an answer is from; its birth is 0 if it does not say."""
+        """Return which incarnation an answer with this birth time (0 if none) is from."""
         return classify_answer(answer_born_ms, self.born_ms, self.clock.is_known)
 
     def order_until(self, now_ms: float) -> int:
-        """Return the end of a new lease, by the endpoint's clock; 0 while that is not known."""
+        """Return the expiry of a new lease by the endpoint's clock; 0 while that is unknown."""
         if not self.clock.is_known:
             return 0
         return self.clock.order_until(now_ms, self._terms.lease_ms)
 
     def has_lapsed(self, now_ms: float) -> bool:
-        """Return, once for each silence, whether everything there has ended for certain."""
+        """Return whether all leases there have certainly lapsed; true once per silence."""
         if not self._is_silent or self._has_lapsed:
             return False
         if now_ms < self.clock.lapses_by() + LAPSE_MARGIN_MS:
             return False
         if now_ms < self._misled_until_ms + LAPSE_MARGIN_MS:
             return False
-        # What an earlier owner ordered is not known to this clock.
+        # Leases ordered by an earlier owner are not covered by this clock.
         if now_ms < self.answered_ms + self._terms.lease_real_ms + LAPSE_MARGIN_MS:
             return False
         self._has_lapsed = True
         return True
 
     async def run(self) -> None:
-        """Poll again and again until the endpoint's life is over or the owner's term ends."""
+        """Poll until cancelled or until this incarnation has been replaced."""
         pause_s = _BACKOFF_MIN_S
         while True:
             sent_ms = monotonic_ms()
@@ -217,7 +212,7 @@
         await asyncio.sleep(pause_s)
 
     async def _poll(self, order: PollOrder) -> PollReply:
-        """Poll once; while an answer is overdue the endpoint gets no new work."""
+        """Poll once; report the answer as overdue if it takes too long."""
         suspicion = asyncio.get_running_loop().call_later(
             (order.wait_ms + SUSPECT_AFTER_MS) / 1_000,
             self._owner.note_overdue,
@@ -230,11 +225,10 @@
             suspicion.cancel()
 
     def _next_order(self, now_ms: float) -> PollOrder:
-        """Return what to ask for next.
+        """Return the next poll.
 
-        A poll that gets no answer may be carried out all the same. While polls to a silent
-        endpoint renewed its lease, every 650 ms at least, the 652 ms until it had lapsed for
-        certain never passed, and its runs never went elsewhere; now they do in 1.2 s at most.
+        Polls to a silent endpoint do not renew its lease: they may still be carried out, and the
+        lease would never lapse.
         """
         renews = (
             self.clock.is_known
@@ -243,8 +237,8 @@
         )
         until_ms = self.order_until(now_ms) if renews else 0
         wait_ms = _POLL_WAIT_MS if renews else 0
-        # An endpoint that restarts breaks the poll that is under way. Whoever answers the next
-        # one may count its ends from 1 again, and would forget those up to the number given.
+        # After a failed poll, the next answer may come from a new incarnation, which numbers its
+        # ends from 1 again and would drop those up to an acknowledged number.
         seen = self._last_sequence if self._has_just_answered else 0
         return PollOrder(self._terms.token, seen, until_ms, wait_ms)
 
--- a/src/foldloom/seed_discovery/owners/endpoint_links.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_links.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The links to all endpoints of a zone, kept in step with the catalog.
+"""The links to all endpoints of a zone, kept in sync with the catalog.
 
-Owns the links and their tasks, one for the newest known life of each endpoint. Relies on the
-catalog of endpoints and on the owner's state, which learns of endpoints that come, go, begin anew
-or have lapsed.
+Holds one link and task for the newest known incarnation of each endpoint. Updates the owner's state
+when endpoints are added, removed or replaced, or when their leases have lapsed.
 """
 
 from __future__ import annotations
@@ -23,8 +22,7 @@
 )
 from foldloom.seed_discovery.owners.state import OwnerState
 
-# Milliseconds without an answer after which an endpoint is dropped from the catalog; it reports
-# itself if it lives: ten of the users' heartbeats (1,500 ms).
+# A silent endpoint is removed from the catalog after this time; its next heartbeat adds it again.
 _SILENT_REMOVAL_MS = 15_000.0
 
 
@@ -35,9 +33,9 @@
         zone: The owner's zone.
         state: The owner's state.
         catalog: The endpoints of all zones.
-        terms: The leases that the owner gives.
-        calls: How endpoints are called.
-        owner: Takes what endpoints report.
+        terms: Lease durations.
+        calls: Client for calls to endpoints.
+        owner: Receiver of reports and events.
     """
 
     def __init__(
@@ -57,21 +55,20 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     def get(self, endpoint: str) -> EndpointLink | None:
-        """Return the link to *endpoint*, if it is known."""
+        """Return the link to *endpoint*, if there is one."""
         return self._links.get(endpoint)
 
     def close(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         for task in self._tasks.values():
             task.cancel()
 
     def sync_with_catalog(self, now_ms: float) -> None:
-        """Open links to endpoints that came, and close those to endpoints that are gone.
+        """Open links to added endpoints and close those to removed ones.
 
-        A farewell does not say of which life it is. So a life that has said its birth, and runs
-        something, is polled on until its runs end or its silence shows that it is gone: a farewell
-        that was held up until the next life was draining had all of that life's runs start a second
-        time elsewhere. It costs runs that are still there when their endpoint leaves 1.2 s at most.
+        A farewell message does not name the incarnation it is from and may be delayed. An endpoint
+        with a known birth time that still runs something is therefore polled until its runs have
+        ended or lapsed, so that no run starts a second time elsewhere.
         """
         records = {
             record.endpoint: record for record in self._catalog.records if record.zone == self._zone
@@ -88,7 +85,7 @@
             elif record.born_ms in (0, link.born_ms):
                 self._state.follow_endpoint(record)
                 link.record = record
-        for endpoint in [one for one in self._links if one not in records]:
+        for endpoint in [name for name in self._links if name not in records]:
             if self._has_ended(endpoint):
                 self._close(endpoint, now_ms)
                 continue
@@ -97,18 +94,18 @@
                 self._state.follow_endpoint(gone)
 
     def _has_ended(self, endpoint: str) -> bool:
-        """Return whether nothing runs any more on an endpoint that the catalog says is gone."""
+        """Return whether an endpoint that the catalog has removed can be dropped."""
         link = self._links[endpoint]
         return not link.born_ms or link.is_over or self._state.candidates[endpoint].is_idle
 
     def begin_life(self, endpoint: str, born_ms: int) -> None:
-        """Follow a life of *endpoint* that has answered ahead of its heartbeat."""
+        """Open a link to an incarnation of *endpoint* that answered before its first heartbeat."""
         link = self._links.get(endpoint)
         if link is not None and link.answerer(born_ms) is Answerer.NEXT:
             self._replace(link, link.record, born_ms, "answer")
 
     def check_silent_endpoints(self, now_ms: float) -> None:
-        """Note lapsed endpoints, and forget those that have been silent for long."""
+        """Report lapsed endpoints to the state and remove those with a long silence."""
         for endpoint, link in self._links.items():
             if link.has_lapsed(now_ms):
                 silent_ms = int(now_ms - link.answered_ms)
@@ -120,7 +117,7 @@
     def _replace(
         self, link: EndpointLink, record: EndpointRecord, born_ms: int, source: str
     ) -> None:
-        """Have a link to the next life of an endpoint."""
+        """Replace a link by one to the endpoint's next incarnation."""
         ENDPOINT_LOG.event(
             "endpoint.began_again",
             endpoint=record.endpoint,
@@ -129,7 +126,7 @@
             source=source,
         )
         self._state.begin_life(record.endpoint, monotonic_ms())
-        # The task of the link before ends by itself if it is what has called.
+        # If the previous link's task is the caller, it returns by itself.
         if self._tasks[record.endpoint] is not asyncio.current_task():
             self._tasks[record.endpoint].cancel()
         self._open(EndpointLink(record, *self._parts, born_ms, replaces_previous=True))
@@ -140,7 +137,7 @@
         self._tasks[endpoint] = asyncio.create_task(link.run())
 
     def _close(self, endpoint: str, now_ms: float) -> None:
-        """Drop an endpoint that is gone; what it ran ends with it."""
+        """Drop a removed endpoint; its runs end with it."""
         del self._links[endpoint]
         self._tasks.pop(endpoint).cancel()
         self._state.drop_endpoint(endpoint, now_ms)
--- a/src/foldloom/seed_discovery/owners/heartbeats.py
+++ b/src/foldloom/seed_discovery/owners/heartbeats.py
@@ -14,7 +14,7 @@
 from foldloom.seed_discovery.fleet.messages import OwnerHeartbeat, OwnerRecord, ZoneLoad
 from foldloom.seed_discovery.owners.context import OwnerContext
 
-# With more entry boxes, heartbeats go to the own zone's only (docs/CAPACITY.md).
+# Above this number, heartbeats go only to the own zone's entry boxes (docs/CAPACITY.md).
 _BROADCAST_ENTRIES_MAX = 64
 
 
--- a/src/foldloom/seed_discovery/owners/messages.py
+++ b/src/foldloom/seed_discovery/owners/messages.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Messages between entry boxes and the owners of endpoints: runs, their ends, cancels.
+"""Messages between entry boxes and owners: delivery of runs, their ends, cancels, work stealing.
 
-Owns the numbers of these messages, which are never used again. Relies on the codec of
+Message numbers are part of the wire format and are never reused. The codec is in
 :mod:`foldloom.peers.messages`.
 """
 
@@ -21,15 +21,14 @@
     """One run to be started.
 
     Args:
-        step: The step's number.
-        position: The task's place in its step.
-        attempt: Counts the task's starts, from 1.
+        step: Index of the step.
+        position: Index of the task in its step.
+        attempt: Attempt number of the task, from 1.
         is_resumed: Whether it may have been delivered to an earlier owner.
-        is_moved: Whether another zone's owner gave it up for room here.
-        delivery: Counts the box's deliveries of runs to owners: the same in each retransmission
-            of a message, another one when the run is sent again for another reason; 0 if it is
-            not counted.
-        crashes: How many endpoints have crashed under the task, as the box knows.
+        is_moved: Whether it was delivered before, in another zone or an earlier session.
+        delivery: Delivery number; retransmissions keep it, any other repeated delivery gets a new
+            one. 0 if not counted.
+        crashes: Number of endpoint crashes during the task, as counted by the box.
     """
 
     step: int
@@ -42,13 +41,13 @@
 
 
 class Objective(NamedTuple):
-    """How soon a job should end: stretch x its longest chain + slack, from its arrival.
+    """A job's response-time objective: stretch x longest chain + slack, from its arrival.
 
     Args:
-        elapsed_ms: How long ago it arrived.
-        stretch: Times the longest chain.
-        slack_ms: Added to it.
-        other_ms: How long the chain's other steps take.
+        elapsed_ms: Time since the job's arrival.
+        stretch: Factor on the longest chain.
+        slack_ms: Constant part.
+        other_ms: Duration of the other steps of the chain.
     """
 
     elapsed_ms: int = 0
@@ -58,23 +57,23 @@
 
 
 class SubmitRuns(NamedTuple):
-    """A box delivers runs of one step of a job to an owner.
+    """Delivery of runs of one step of a job to an owner.
 
     Args:
         token: The owner's token.
         job_id: The job.
-        repeat: Which time of it.
-        queue: Where the job was handed in.
-        service: Whose endpoints run it.
-        spec: What its tasks are given.
-        demand: What each task takes.
-        placement: Where they may run.
-        priority: 0 comes first.
-        tasks: How many tasks the step has in all.
-        estimate_ms: A rough guess of how long a task takes.
-        objective: How soon the job should end.
-        deadline_ms: When it is given up, from now.
-        old_right_ms: For how much longer an earlier owner may run these.
+        repeat: Repetition of the job.
+        queue: Queue to which the job was submitted.
+        service: Service whose endpoints run it.
+        spec: Input of its tasks.
+        demand: Resources per task.
+        placement: Placement constraints.
+        priority: Priority; 0 is the highest.
+        tasks: Total number of tasks of the step.
+        estimate_ms: Estimated duration of a task.
+        objective: Response-time objective of the job.
+        deadline_ms: Time left until the job's deadline.
+        old_right_ms: How much longer an earlier owner may run these.
         orders: The runs.
     """
 
@@ -96,7 +95,7 @@
 
 
 class SubmitStatus(IntEnum):
-    """What an owner did with runs that were delivered to it."""
+    """Result of a delivery of runs."""
 
     TAKEN = 0
     REFUSED = 1
@@ -104,7 +103,7 @@
 
 
 class SubmitReply(NamedTuple):
-    """Whether the runs were taken; if not, when to try again."""
+    """Reply to a delivery; if refused, with the delay until a retry."""
 
     status: SubmitStatus
     reason: str = ""
@@ -112,14 +111,14 @@
 
 
 class CancelJob(NamedTuple):
-    """A box cancels a job: what runs of it is stopped.
+    """Cancels a job and stops its runs.
 
     Args:
         job_id: The job.
-        token: The term that runs of it were delivered to: another one can't say whether any was
-            started. 0 from a box of the release before: any term answers.
-        delivery: The box's newest delivery of it that is cancelled; later ones are of the same
-            id handed in again. 0 if it is not counted: all are.
+        token: Token of the term to which its runs were delivered; other terms have no record of
+            its starts. 0 from the previous release: any term answers.
+        delivery: Newest delivery to cancel; later ones belong to a resubmission of the same id. 0
+            cancels all.
     """
 
     job_id: str
@@ -128,7 +127,7 @@
 
 
 class Cancelled(NamedTuple):
-    """The cancel is known; ``has_started`` unless no run of the job ever started here."""
+    """Reply to a cancel; ``has_started`` is false only if no run of the job started here."""
 
     has_started: bool = True
 
@@ -136,8 +135,8 @@
 class EndCause(IntEnum):
     """How a run that was delivered to an owner ended.
 
-    ``MOVED``: it is on no endpoint and is to be delivered to another zone's owner.
-    ``UNATTAINABLE``: it is on no endpoint, and its job can't be answered in time any more.
+    ``MOVED``: it is on no endpoint and is to be delivered to the owner of another zone.
+    ``UNATTAINABLE``: it is on no endpoint, and its job can no longer meet its deadline.
     """
 
     DONE = 0
@@ -151,23 +150,23 @@
 
     @property
     def label(self) -> str:
-        """The cause in logs and in names of counters, which keep an older word for one of them."""
+        """The cause in logs and counter names; ``UNATTAINABLE`` keeps its earlier label."""
         return "hopeless" if self is EndCause.UNATTAINABLE else self.name.lower()
 
 
 class RunEnd(NamedTuple):
-    """The end of one run; after it the run is certainly not on any endpoint.
+    """The end of one run; the run is certainly not on any endpoint any more.
 
     Args:
         run_id: The run.
-        cause: How it ended.
-        endpoint: Where it ran; empty if it never started.
-        ran_ms: How long it ran, as the owner saw it.
-        checkpoint: Where it could go on from.
-        moved_to: With ``MOVED``, the zone.
-        has_started: Whether anything of the job may ever have been started in this term.
-        delivery: The delivery of the run that this is about, 0 if it is not counted.
-        crashes: How many endpoints have crashed under the task, as the owner knows.
+        cause: Cause of the end.
+        endpoint: Endpoint of the run; empty if it never started.
+        ran_ms: Duration of the run as observed by the owner.
+        checkpoint: Checkpoint for resumption.
+        moved_to: With ``MOVED``, the target zone.
+        has_started: Whether any run of the job may have started in this term.
+        delivery: Delivery number of the run; 0 if not counted.
+        crashes: Number of endpoint crashes during the task, as counted by the owner.
     """
 
     run_id: RunId
@@ -182,9 +181,9 @@
 
 
 class RunsEnded(NamedTuple):
-    """A zone's owner notifies a box of ends; sent again until it is acknowledged.
+    """Ends of runs, from an owner to a box; retransmitted until acknowledged.
 
-    ``token``: the owner's term, 0 from an owner of the release before.
+    ``token``: the owner's token; 0 from the previous release.
     """
 
     zone: str
@@ -193,14 +192,13 @@
 
 
 class EndsNoted(NamedTuple):
-    """The ends are known."""
+    """Acknowledges :class:`RunsEnded`."""
 
 
 class SessionBegan(NamedTuple):
-    """A box granted a zone's owner its right again after it had lapsed.
+    """Announces a new session of an owner with a box after the previous one lapsed.
 
-    It has dropped all that the box had delivered to it; what is still open there must be delivered
-    over again.
+    The owner has dropped the runs of the lapsed session, so the box must deliver open runs again.
     """
 
     zone: str
@@ -208,18 +206,18 @@
 
 
 class SessionNoted(NamedTuple):
-    """What is open is delivered again."""
+    """Acknowledges :class:`SessionBegan`."""
 
 
 class WaitingGroups(NamedTuple):
-    """An owner offers the owners of other zones what waits for room in its own."""
+    """Offer of an owner's waiting runs to the owners of other zones."""
 
     owner: OwnerRecord
     groups: list[GroupSummary]
 
 
 class StealRuns(NamedTuple):
-    """An owner with free room asks another one for runs that wait, to steal them."""
+    """Work-stealing request of an owner with free capacity for another owner's waiting runs."""
 
     zone: str
     group: GroupId
@@ -227,7 +225,7 @@
 
 
 class StealReply(NamedTuple):
-    """How many runs their box is notified to deliver to the owner that asks."""
+    """Number of runs released to the requesting owner; their box delivers them."""
 
     runs: int
 
@@ -248,6 +246,6 @@
     ),
     start=100,
 ):
-    # The counters of sent messages keep the names that these two had before.
+    # Metrics keep the earlier names of these two messages.
     _label = {StealRuns: "ClaimRuns", StealReply: "ClaimReply"}.get(_type, "")
     register(_kind, _type, _label)
--- a/src/foldloom/seed_discovery/owners/sessions.py
+++ b/src/foldloom/seed_discovery/owners/sessions.py
@@ -120,8 +120,8 @@
         """
         expires_ms = heartbeat_sent_ms + self._session_ms
         return any(
-            one.box == holder.box and one != holder and session.expires_ms > expires_ms
-            for one, session in self._sessions.items()
+            known.box == holder.box and known != holder and session.expires_ms > expires_ms
+            for known, session in self._sessions.items()
         )
 
     def grant(self, holder: HolderId, heartbeat_sent_ms: float) -> None:
@@ -153,8 +153,10 @@
 
     def end_other_incarnations(self, holder: HolderId) -> list[HolderId]:
         """End the sessions with other incarnations of the box and return their holders."""
-        self._lapsed = {one for one in self._lapsed if one.box != holder.box or one == holder}
-        earlier = [one for one in self._sessions if one.box == holder.box and one != holder]
+        self._lapsed = {
+            known for known in self._lapsed if known.box != holder.box or known == holder
+        }
+        earlier = [known for known in self._sessions if known.box == holder.box and known != holder]
         self._end(earlier)
         return earlier
 
