--- a/tests/test_owners_client.py
+++ b/tests/test_owners_client.py
@@ -34,7 +34,7 @@
 from test_owners_zone_owner import OWNER_TOKEN, owner_on_box_one
 
 _JOB = "a" * 16
-_HOME, _OTHER = "home", "other"
+_OWN_ZONE, _OTHER_ZONE = "home", "other"
 # The shortest right and lease: all that an owner held is gone for certain after 142 ms of silence.
 _SHORT = TimingSettings(session_ms=1, endpoint_lease_ms=1)
 # Seconds for which a box stands still: longer than that.
@@ -77,13 +77,13 @@
 
     def __init__(self, timings: TimingSettings | None = None) -> None:
         self.network = FakeNetwork()
-        own = BoxRecord("10.0.0.1:1", 1, _HOME, ENTRY, "e")
+        own = BoxRecord("10.0.0.1:1", 1, _OWN_ZONE, ENTRY, "e")
         network: Any = self.network
         self.client = OwnerClient(FleetView(own, []), network, timings or TimingSettings())
         self.job = OpenJob(_JOB)
         self.ends = self.job.ends
 
-    def beat(self, token: int, zone: str = _HOME) -> None:
+    def beat(self, token: int, zone: str = _OWN_ZONE) -> None:
         """Hear an owner."""
         record = BoxRecord(f"10.0.0.{token}:1", 1, zone, ENTRY, "o")
         owner = OwnerRecord(zone, token, record.box, 1)
@@ -101,7 +101,7 @@
         message = [one for one in self.network.asked if isinstance(one, SubmitRuns)][-1]
         return int(message.orders[0].delivery)
 
-    def end(self, cause: EndCause, zone: str = _HOME, **fields: Any) -> None:
+    def end(self, cause: EndCause, zone: str = _OWN_ZONE, **fields: Any) -> None:
         """Hear of the run's end."""
         end = RunEnd(RunId(TaskId(_JOB, 0, 0, 0), 1), cause, **fields)
         self.network.handlers[RunsEnded]("10.0.0.1:1", RunsEnded(zone, [end]))
@@ -120,17 +120,19 @@
         async def play() -> None:
             rig = Rig()
             rig.beat(1)
-            rig.beat(2, _OTHER)
+            rig.beat(2, _OTHER_ZONE)
             await rig.submit()
             first = rig.last_delivery()
-            rig.end(EndCause.MOVED, moved_to=_OTHER, has_started=False, delivery=first)
+            rig.end(EndCause.MOVED, moved_to=_OTHER_ZONE, has_started=False, delivery=first)
             await asyncio.sleep(0.01)
             second = rig.last_delivery()
-            rig.end(EndCause.MOVED, _OTHER, moved_to=_HOME, has_started=False, delivery=second)
+            rig.end(
+                EndCause.MOVED, _OTHER_ZONE, moved_to=_OWN_ZONE, has_started=False, delivery=second
+            )
             await asyncio.sleep(0.01)
             third = rig.last_delivery()
             assert first < second < third
-            rig.end(EndCause.MOVED, moved_to=_OTHER, has_started=False, delivery=first)
+            rig.end(EndCause.MOVED, moved_to=_OTHER_ZONE, has_started=False, delivery=first)
             await asyncio.sleep(0.01)
             assert rig.last_delivery() == third
             rig.end(EndCause.DONE, delivery=third)
@@ -142,11 +144,11 @@
         """An owner that stood still while the box was restarted ends nothing of its next life."""
 
         async def play() -> None:
-            before, rig = Rig(), Rig()
-            for life in (before, rig):
-                life.beat(1)
-                await life.submit()
-            rig.end(EndCause.UNATTAINABLE, has_started=False, delivery=before.last_delivery())
+            earlier, rig = Rig(), Rig()
+            for each in (earlier, rig):
+                each.beat(1)
+                await each.submit()
+            rig.end(EndCause.UNATTAINABLE, has_started=False, delivery=earlier.last_delivery())
             assert rig.ends.empty()
 
         _run(play())
@@ -163,7 +165,7 @@
             rig.beat(1)
             await rig.submit()
             first = rig.last_delivery()
-            rig.network.handlers[SessionBegan]("10.0.0.1:1", SessionBegan(_HOME, 1))
+            rig.network.handlers[SessionBegan]("10.0.0.1:1", SessionBegan(_OWN_ZONE, 1))
             await asyncio.sleep(0.01)
             assert rig.last_delivery() > first
             assert rig.network.asked[-1].orders[0].is_moved
@@ -178,7 +180,7 @@
             rig.beat(2)
             await rig.submit()
             first = rig.last_delivery()
-            rig.network.handlers[SessionBegan]("10.0.0.1:1", SessionBegan(_HOME, 1))
+            rig.network.handlers[SessionBegan]("10.0.0.1:1", SessionBegan(_OWN_ZONE, 1))
             await asyncio.sleep(0.01)
             assert rig.last_delivery() == first
 
@@ -203,9 +205,9 @@
             watch_task = asyncio.create_task(rig.client.run())
             assert (await asyncio.wait_for(rig.ends.get(), 5.0)).cause is EndCause.LOST
             watch_task.cancel()
-            asked = len(rig.network.asked)
+            requests_before = len(rig.network.asked)
             await asyncio.wait([submission_task], timeout=0.1)
-            assert len(rig.network.asked) == asked
+            assert len(rig.network.asked) == requests_before
             submission_task.cancel()
 
         _run(play())
@@ -445,9 +447,9 @@
         async def play() -> None:
             rig = Rig()
             rig.beat(1)
-            rig.beat(2, _OTHER)
+            rig.beat(2, _OTHER_ZONE)
             await rig.submit()
-            rig.end(EndCause.MOVED, moved_to=_OTHER, has_started=False)
+            rig.end(EndCause.MOVED, moved_to=_OTHER_ZONE, has_started=False)
             await asyncio.sleep(0.01)
             assert not await rig.client.give_up(rig.job)
             assert sum(isinstance(one, CancelJob) for one in rig.network.asked) == 1
@@ -463,9 +465,9 @@
         async def play() -> None:
             rig = Rig(TimingSettings(session_ms=1, endpoint_lease_ms=1))
             rig.beat(1)
-            rig.beat(2, _OTHER)
+            rig.beat(2, _OTHER_ZONE)
             await rig.submit()
-            rig.end(EndCause.MOVED, moved_to=_OTHER, has_started=False)
+            rig.end(EndCause.MOVED, moved_to=_OTHER_ZONE, has_started=False)
             await asyncio.sleep(0.01)
             watch_task = asyncio.create_task(rig.client.run())
             assert (await asyncio.wait_for(rig.ends.get(), 5.0)).cause is EndCause.LOST
@@ -482,7 +484,7 @@
         async def play() -> None:
             rig = Rig(TimingSettings(session_ms=1, endpoint_lease_ms=1))
             rig.beat(1)
-            rig.beat(2, _OTHER)
+            rig.beat(2, _OTHER_ZONE)
             template: SubmitRuns = submission(2, job_id=_JOB)
             orders = [RunOrder(0, 0, 1), RunOrder(0, 1, 1)]
             await rig.client.submit(rig.job, template, orders)
@@ -490,15 +492,15 @@
             moved = RunEnd(
                 RunId(TaskId(_JOB, 0, 0, 1), 1),
                 EndCause.MOVED,
-                moved_to=_OTHER,
+                moved_to=_OTHER_ZONE,
                 has_started=False,
             )
-            rig.network.handlers[RunsEnded]("10.0.0.1:1", RunsEnded(_HOME, [done, moved]))
+            rig.network.handlers[RunsEnded]("10.0.0.1:1", RunsEnded(_OWN_ZONE, [done, moved]))
             await asyncio.sleep(0.01)
             watch_task = asyncio.create_task(rig.client.run())
             for _ in range(100):
                 # The other zone's owner is heard all the time.
-                rig.beat(2, _OTHER)
+                rig.beat(2, _OTHER_ZONE)
                 await asyncio.sleep(0.005)
             watch_task.cancel()
             assert await rig.client.give_up(rig.job)
--- a/tests/test_owners_elector.py
+++ b/tests/test_owners_elector.py
@@ -49,7 +49,7 @@
     """Peers of which some do not answer; it keeps who was asked and for how long."""
 
     def __init__(self, silent: set[str], silent_ms: int) -> None:
-        self.asked: dict[str, float] = {}
+        self.timeouts_ms: dict[str, float] = {}
         self._silent = silent
         self._silent_ms = silent_ms
 
@@ -61,7 +61,7 @@
 
     async def request(self, box: str, message: OwnerQuery, timeout_ms: float) -> OwnerAnswer:
         """Answer how long ago the owner was heard."""
-        self.asked[box] = timeout_ms
+        self.timeouts_ms[box] = timeout_ms
         if box in self._silent:
             await asyncio.sleep(timeout_ms / 1_000)
             raise PeerUnreachableError
@@ -78,7 +78,7 @@
         self.view.note_controller(_CONTROLLER, reply, monotonic_ms())
         network: Any = self.network
         make_owner: Any = _Owner
-        self.elector = Elector(self.view, network, _TIMINGS, make_owner, lambda _beat: None)
+        self.elector = Elector(self.view, network, _TIMINGS, make_owner, lambda _heartbeat: None)
         owner = OwnerRecord(_ZONE, 5, _record(1).box, 1)
         self.elector.handle_heartbeat(
             _record(1).box, OwnerHeartbeat(owner, _record(1), 0, 0, ZoneLoad())
@@ -105,9 +105,9 @@
             rig = _Rig({_record(1).box}, 1_000)
             await rig.run(0.4)
             assert rig.elector.owner is not None
-            asked = rig.network.asked
-            assert asked[_record(1).box] < asked[_record(3).box]
-            assert asked[_CONTROLLER] == asked[_record(3).box]
+            timeouts_ms = rig.network.timeouts_ms
+            assert timeouts_ms[_record(1).box] < timeouts_ms[_record(3).box]
+            assert timeouts_ms[_CONTROLLER] == timeouts_ms[_record(3).box]
 
         _run(play())
 
--- a/tests/test_owners_endpoint_link.py
+++ b/tests/test_owners_endpoint_link.py
@@ -47,7 +47,7 @@
 
     def __init__(self) -> None:
         self.reports: list[EndpointReport] = []
-        self.lives: list[int] = []
+        self.incarnations: list[int] = []
         self.overdue: list[str] = []
         self.silent_count = 0
 
@@ -72,7 +72,7 @@
 
     def note_next_life(self, endpoint: str, born_ms: int) -> None:
         """Keep that a later life answers."""
-        self.lives.append(born_ms)
+        self.incarnations.append(born_ms)
 
     def note_fenced(self, endpoint: str) -> None:
         """Do nothing."""
@@ -118,7 +118,7 @@
         """The owner is notified of it, and the link to the life before ends."""
         owner = _Owner()
         assert not run_in_virtual_time(_run_link(owner, _Calls(_BORN_MS + 1)), VirtualTimeLoop())
-        assert owner.lives == [_BORN_MS + 1]
+        assert owner.incarnations == [_BORN_MS + 1]
         assert owner.reports == []
 
     def test_an_earlier_one_answers(self) -> None:
--- a/tests/test_owners_renewed_session.py
+++ b/tests/test_owners_renewed_session.py
@@ -97,7 +97,7 @@
         """Leave the task as it is."""
 
 
-class Play:
+class Rig:
     """One job handed in at one box.
 
     ``steps``: what became of its runs at the owner, in order.
@@ -246,13 +246,13 @@
                 yield f"answered: {fields['reason']}"
 
 
-def _run(scenario: Callable[[Play], Coroutine[Any, Any, None]]) -> None:
+def _run(scenario: Callable[[Rig], Coroutine[Any, Any, None]]) -> None:
     loop = VirtualTimeLoop()
     # Tokens have random digits.
     random.seed(_SEED)
 
     async def play() -> None:
-        await scenario(Play(loop))
+        await scenario(Rig(loop))
 
     run_in_virtual_time(play(), loop)
 
@@ -263,10 +263,10 @@
     def test_ends_that_were_never_acknowledged(self) -> None:
         """The owner of the box's own zone has both runs done, and queues the ends in vain."""
 
-        async def scenario(play: Play) -> None:
-            await play.settle(is_own=False)
-            answer = await play.answer(2, play.pause_box)
-            assert play.steps == [
+        async def scenario(rig: Rig) -> None:
+            await rig.settle(is_own=False)
+            answer = await rig.answer(2, rig.pause_box)
+            assert rig.steps == [
                 "run ended: done",
                 "session ended",
                 "delivered again",
@@ -280,15 +280,15 @@
     def test_of_another_zone(self) -> None:
         """The same where the own zone has no room, and the other one's owner took the job."""
 
-        async def scenario(play: Play) -> None:
-            await play.settle(is_own=False)
-            play.cut_from_endpoints(ZONES[0])
+        async def scenario(rig: Rig) -> None:
+            await rig.settle(is_own=False)
+            rig.cut_from_endpoints(ZONES[0])
             await asyncio.sleep(_SETTLE_S)
-            answer = await play.answer(2, play.pause_box)
-            starts = play.world.starts[_JOB]
-            zones = {record.endpoint: record.zone for record in play.world.records}
+            answer = await rig.answer(2, rig.pause_box)
+            starts = rig.world.starts[_JOB]
+            zones = {record.endpoint: record.zone for record in rig.world.records}
             assert {zones[start.endpoint] for start in starts} == {ZONES[1]}
-            assert play.steps == [
+            assert rig.steps == [
                 "run ended: done",
                 "session ended",
                 "delivered again",
@@ -306,23 +306,23 @@
     def test_stopped_before_it_is_delivered_again(self) -> None:
         """It goes on crowded: the stop is through before its own heartbeat comes to its turn."""
 
-        async def scenario(play: Play) -> None:
-            play.make_tasks_endless()
-            await play.settle(is_own=True)
+        async def scenario(rig: Rig) -> None:
+            rig.make_tasks_endless()
+            await rig.settle(is_own=True)
 
             async def late() -> None:
-                play.delay_own_messages()
-                play.loop.stand_still(_PAUSE_S)
+                rig.delay_own_messages()
+                rig.loop.stand_still(_PAUSE_S)
 
-            answer = await play.answer(1, late)
-            assert play.steps == [
+            answer = await rig.answer(1, late)
+            assert rig.steps == [
                 "session ended",
                 "run stopped",
                 "delivered again",
                 "run ended: hopeless",
                 "answered: too late",
             ]
-            assert play.stopped == [_FIRST_RUN]
+            assert rig.stopped == [_FIRST_RUN]
             assert answer.may_have_run
 
         _run(scenario)
@@ -330,25 +330,25 @@
     def test_waits_again_after_a_stop(self) -> None:
         """The answer to its start was lost, so it was stopped; no endpoint took it since."""
 
-        async def scenario(play: Play) -> None:
-            play.make_tasks_endless()
-            await play.settle(is_own=True)
-            play.cut_zones()
-            play.lose_answers_to_starts()
+        async def scenario(rig: Rig) -> None:
+            rig.make_tasks_endless()
+            await rig.settle(is_own=True)
+            rig.cut_zones()
+            rig.lose_answers_to_starts()
 
             async def late() -> None:
                 await asyncio.sleep(0.05)
-                play.loop.stand_still(_PAUSE_S)
+                rig.loop.stand_still(_PAUSE_S)
 
-            answer = await play.answer(1, late)
-            assert play.steps == [
+            answer = await rig.answer(1, late)
+            assert rig.steps == [
                 "run stopped",
                 "session ended",
                 "delivered again",
                 "run ended: hopeless",
                 "answered: too late",
             ]
-            assert play.stopped == [_FIRST_RUN]
+            assert rig.stopped == [_FIRST_RUN]
             assert answer.may_have_run
 
         _run(scenario)
@@ -365,22 +365,22 @@
     def test_in_any_order(self, due_after_s: float) -> None:
         """Whether the heartbeat or the deadline comes before the check."""
 
-        async def scenario(play: Play) -> None:
-            play.make_tasks_endless()
-            await play.settle(is_own=True)
-            play.cut_zones()
-            await play.own_heartbeat()
+        async def scenario(rig: Rig) -> None:
+            rig.make_tasks_endless()
+            await rig.settle(is_own=True)
+            rig.cut_zones()
+            await rig.own_heartbeat()
             lead_s = _DEADLINE_S - _PAUSE_BEFORE_DEADLINE_S
             await asyncio.sleep((-due_after_s - lead_s) % _HEARTBEAT_S)
-            pause_at_s = play.loop.time() + lead_s
-            play.delay_starts()
+            pause_at_s = rig.loop.time() + lead_s
+            rig.delay_starts()
 
             async def late() -> None:
-                await asyncio.sleep(pause_at_s - play.loop.time())
-                play.loop.stand_still(_LONG_PAUSE_S)
+                await asyncio.sleep(pause_at_s - rig.loop.time())
+                rig.loop.stand_still(_LONG_PAUSE_S)
 
-            answer = await play.answer(1, late)
-            assert "answered: deadline" in play.steps
+            answer = await rig.answer(1, late)
+            assert "answered: deadline" in rig.steps
             assert answer.may_have_run
 
         _run(scenario)
--- a/tests/test_owners_sessions.py
+++ b/tests/test_owners_sessions.py
@@ -28,7 +28,7 @@
     """A box that answers, but for the first messages."""
 
     def __init__(self, lost: int = 0) -> None:
-        self.heard: list[Any] = []
+        self.received: list[Any] = []
         self._lost = lost
 
     async def request(self, _box: str, message: Any, _timeout_ms: float) -> Any:
@@ -36,7 +36,7 @@
         if self._lost:
             self._lost -= 1
             raise PeerUnreachableError
-        self.heard.append(message)
+        self.received.append(message)
         return EndsNoted()
 
 
@@ -60,7 +60,7 @@
             sessions.grant(_HOLDER, 0.0)
             await asyncio.sleep(0)
             sessions.close()
-            assert network.heard == []
+            assert network.received == []
 
         _run(play())
 
@@ -77,7 +77,7 @@
             sessions.queue_end(_HOLDER, end)
             await asyncio.sleep(0.01)
             sessions.close()
-            assert network.heard == [SessionBegan("z", _TOKEN), RunsEnded("z", [end], _TOKEN)]
+            assert network.received == [SessionBegan("z", _TOKEN), RunsEnded("z", [end], _TOKEN)]
 
         _run(play())
 
@@ -92,6 +92,6 @@
             sessions.grant(_HOLDER._replace(life=2), 1_000.0)
             await asyncio.sleep(0)
             sessions.close()
-            assert network.heard == []
+            assert network.received == []
 
         _run(play())
--- a/tests/test_owners_two_boxes.py
+++ b/tests/test_owners_two_boxes.py
@@ -22,7 +22,7 @@
 # Seconds for which others fill the zone, and after the first try at which it has room again.
 _FULL_S, _FREE_AFTER_S = 0.5, 0.34
 # How long the first caller waits; the second one waits 2.8 s.
-_SHORT_MS = 400.0
+_SHORT_DEADLINE_MS = 400.0
 _NEVER_MS = 1e5
 
 
@@ -48,7 +48,7 @@
         plan = world.plan_job
 
         def plan_short(job_id: str, tasks: int, task_ms: float) -> tuple[Job, float]:
-            return plan(job_id, tasks, task_ms)[0], _SHORT_MS
+            return plan(job_id, tasks, task_ms)[0], _SHORT_DEADLINE_MS
 
         world.plan_job = plan_short  # type: ignore[method-assign]
         one = asyncio.create_task(world.call(first, _JOB, 1, _TASK_MS, leave_ms=_LEAVES_S * 1_000))
--- a/tests/test_owners_zone_owner.py
+++ b/tests/test_owners_zone_owner.py
@@ -30,11 +30,11 @@
     """Peers that answer nothing."""
 
     def __init__(self) -> None:
-        self.life = 1
+        self.incarnation = 1
 
     def known_incarnation(self, _box: str) -> int:
         """Return the life that sent the newest message."""
-        return self.life
+        return self.incarnation
 
     async def request(self, _box: str, _message: Any, _timeout_ms: float) -> Any:
         """Wait until the test is over."""
@@ -111,7 +111,7 @@
     )
 
 
-async def _hand_in(owner: ZoneOwner, number: int) -> None:
+async def _submit_job(owner: ZoneOwner, number: int) -> None:
     """Hand a job in at box 1, and give the owner a moment."""
     _acknowledge(owner, 1, monotonic_ms())
     owner.submit(_record(1).box, _submission(number))
@@ -139,13 +139,13 @@
             catalog.merge(_ENDPOINT, monotonic_ms())
             owner.start()
             await asyncio.sleep(0.03)
-            await _hand_in(owner, 1)
+            await _submit_job(owner, 1)
             assert calls.starts == 1
             draining = _ENDPOINT._replace(state=EndpointState.DRAINING, sequence=2)
             catalog.merge(draining, monotonic_ms())
             following = asyncio.create_task(owner.follow_endpoints({"w1"}))
             await asyncio.sleep(0)
-            await _hand_in(owner, 2)
+            await _submit_job(owner, 2)
             assert calls.starts == 1
             assert not following.done()
             calls.may_answer.set()
@@ -202,9 +202,9 @@
             owner = owner_on_box_one(2)
             network: Any = owner._network
             now_ms = monotonic_ms()
-            network.life = 2
+            network.incarnation = 2
             _acknowledge(owner, 2, now_ms)
-            network.life = 1
+            network.incarnation = 1
             _acknowledge(owner, 2, now_ms - 20)
             assert owner._sessions.has_right(HolderId(_record(2).box, 2), now_ms + 1)
             owner.close()
@@ -219,7 +219,7 @@
             network: Any = owner._network
             now_ms = monotonic_ms()
             _acknowledge(owner, 2, now_ms)
-            network.life = 2
+            network.incarnation = 2
             _acknowledge(owner, 2, now_ms + 20)
             assert not owner._sessions.has_right(HolderId(_record(2).box, 1), now_ms + 1)
             assert owner._sessions.has_right(HolderId(_record(2).box, 2), now_ms + 1)
