--- a/tests/test_owners_client.py
+++ b/tests/test_owners_client.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What an entry box says of a job that it gives up: nothing ran, or something may have run."""
+"""Guards against a false "nothing ran" for a cancelled job, and against stale or repeated ends."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 
 _JOB = "a" * 16
 _OWN_ZONE, _OTHER_ZONE = "home", "other"
-# The shortest right and lease: all that an owner held is gone for certain after 142 ms of silence.
+# Shortest session and lease: a grant lapses within 150 ms of silence.
 _SHORT = TimingSettings(session_ms=1, endpoint_lease_ms=1)
-# Seconds for which a box stands still: longer than that.
+# Process pause, longer than that.
 _PAUSE_S = 0.3
 
 
 class FakeNetwork:
-    """Peers that answer what the test says, and keep what they were asked."""
+    """Fake peers with configurable answers; records the requests."""
 
     def __init__(self) -> None:
         self.has_started = False
@@ -53,14 +53,14 @@
         self.handlers: dict[type, Callable[..., Any]] = {}
 
     def on(self, kind: type, handler: Callable[..., Any]) -> None:
-        """Keep who takes messages of a kind."""
+        """Register the handler for a message type."""
         self.handlers[kind] = handler
 
     def send(self, _box: str, _message: Any, _ttl_ms: float = 0) -> None:
-        """Lose a message that needs no answer."""
+        """Drop a message."""
 
     async def request(self, _box: str, message: Any, _timeout_ms: float) -> Any:
-        """Answer as an owner that takes all runs."""
+        """Answer as an owner that accepts all runs."""
         self.asked.append(message)
         await asyncio.sleep(self.answers_after_s)
         if not self.is_reachable:
@@ -73,7 +73,7 @@
 
 
 class Rig:
-    """A client of a zone's owner, without sockets."""
+    """An :class:`OwnerClient` with fake peers."""
 
     def __init__(self, timings: TimingSettings | None = None) -> None:
         self.network = FakeNetwork()
@@ -84,7 +84,7 @@
         self.ends = self.job.ends
 
     def beat(self, token: int, zone: str = _OWN_ZONE) -> None:
-        """Hear an owner."""
+        """Handle a heartbeat of the owner with *token*."""
         record = BoxRecord(f"10.0.0.{token}:1", 1, zone, ENTRY, "o")
         owner = OwnerRecord(zone, token, record.box, 1)
         self.client.handle_heartbeat(
@@ -92,17 +92,17 @@
         )
 
     async def submit(self, run: int = 1) -> SubmitReply:
-        """Hand one run in."""
+        """Submit one run."""
         template: SubmitRuns = submission(job_id=_JOB)
         return await self.client.submit(self.job, template, [RunOrder(0, 0, run)])
 
     def last_delivery(self) -> int:
-        """Return the number of the newest handing over."""
+        """Return the newest delivery number."""
         message = [one for one in self.network.asked if isinstance(one, SubmitRuns)][-1]
         return int(message.orders[0].delivery)
 
     def end(self, cause: EndCause, zone: str = _OWN_ZONE, **fields: Any) -> None:
-        """Hear of the run's end."""
+        """Handle a message with the run's end."""
         end = RunEnd(RunId(TaskId(_JOB, 0, 0, 0), 1), cause, **fields)
         self.network.handlers[RunsEnded]("10.0.0.1:1", RunsEnded(zone, [end]))
 
@@ -112,10 +112,10 @@
 
 
 class TestEnds:
-    """An end is about one handing over of a run."""
+    """An end applies to one delivery of a run only."""
 
     def test_a_repeated_move(self) -> None:
-        """A move that is told again after the run came back moves nothing."""
+        """A repeated notification of a move has no effect after the run was moved back."""
 
         async def play() -> None:
             rig = Rig()
@@ -141,7 +141,7 @@
         _run(play())
 
     def test_meant_for_the_life_before(self) -> None:
-        """An owner that stood still while the box was restarted ends nothing of its next life."""
+        """An end sent to an earlier incarnation of the box ends no run of the current one."""
 
         async def play() -> None:
             earlier, rig = Rig(), Rig()
@@ -155,10 +155,10 @@
 
 
 class TestLapsedRights:
-    """An owner whose right lapsed has let go of what it was handed."""
+    """An owner whose session lapsed has dropped the delivered runs."""
 
     def test_what_is_open_is_handed_over_again(self) -> None:
-        """Under a new number, and so that it is not refused."""
+        """Open runs are delivered again with a new number and are not refused."""
 
         async def play() -> None:
             rig = Rig()
@@ -173,7 +173,7 @@
         _run(play())
 
     def test_of_an_owner_before(self) -> None:
-        """What an earlier owner says changes nothing."""
+        """A renewed session of an earlier owner has no effect."""
 
         async def play() -> None:
             rig = Rig()
@@ -188,13 +188,10 @@
 
 
 class TestLostOwner:
-    """An owner that was silent for so long that what it held has ended."""
+    """An owner was silent until the grant lapsed."""
 
     def test_a_lost_run_is_delivered_no_more(self) -> None:
-        """A delivery without a reply is sent again and again, but not to an owner that is back.
-
-        Its run may have started elsewhere by then.
-        """
+        """A lost run is no longer retransmitted, since it may have started elsewhere."""
 
         async def play() -> None:
             rig = Rig(TimingSettings(session_ms=1, endpoint_lease_ms=1))
@@ -213,7 +210,7 @@
         _run(play())
 
     def test_heard_again_before_the_check(self) -> None:
-        """A heartbeat that has waited while the box stood still revives no run."""
+        """A heartbeat handled after a process pause does not renew a lapsed grant."""
 
         async def play() -> None:
             rig = Rig(_SHORT)
@@ -232,10 +229,10 @@
 
 
 class TestSameIdAgain:
-    """An id that is handed in again while its first try is still being cancelled."""
+    """An id is submitted again while its first submission is still being cancelled."""
 
     def test_the_second_try_is_left_alone(self) -> None:
-        """Its runs stay open, and its verdict is its own."""
+        """Neither the cancel nor the ends of the first submission affect the second."""
 
         async def play() -> None:
             rig = Rig()
@@ -258,10 +255,10 @@
 
 
 class TestGivingUp:
-    """The verdict on a job that is given up."""
+    """Whether a cancelled job may have started."""
 
     def test_nothing_started(self) -> None:
-        """An owner that never ordered a start says so, and is believed."""
+        """The owner's answer that nothing started is accepted."""
 
         async def play() -> None:
             rig = Rig()
@@ -272,7 +269,7 @@
         _run(play())
 
     def test_the_owner_knows_of_a_start(self) -> None:
-        """An owner that ordered a start says so."""
+        """The owner's answer that a run started is accepted."""
 
         async def play() -> None:
             rig = Rig()
@@ -284,7 +281,7 @@
         _run(play())
 
     def test_no_owner_was_ever_sent_it(self) -> None:
-        """Nobody can have started it, so nobody needs to be asked."""
+        """A job never sent to an owner has not started, and no cancel is sent."""
 
         async def play() -> None:
             rig = Rig()
@@ -301,7 +298,7 @@
         _run(play())
 
     def test_no_answer(self) -> None:
-        """An owner that does not answer may have started it."""
+        """Without an answer the job may have started."""
 
         async def play() -> None:
             rig = Rig()
@@ -313,7 +310,7 @@
         _run(play())
 
     def test_an_owner_that_fell_silent(self) -> None:
-        """A run whose owner fell silent is over, but may have been carried out."""
+        """A run whose owner fell silent has ended but may have started."""
 
         async def play() -> None:
             rig = Rig(TimingSettings(session_ms=1, endpoint_lease_ms=1))
@@ -328,7 +325,7 @@
         _run(play())
 
     def test_a_new_owner_knows_nothing_of_the_one_before(self) -> None:
-        """What a new owner says of a job covers only its own term."""
+        """An owner's answer covers its own term only."""
 
         async def play() -> None:
             rig = Rig()
@@ -341,9 +338,9 @@
         _run(play())
 
     def test_answered_by_a_later_term(self) -> None:
-        """The box of the owner lost its zone and acquired it again: it has forgotten its starts.
+        """A later term on the owner's box has no record of the starts of the earlier one.
 
-        Its new term answers before a heartbeat of that term is handled here.
+        It answers before a heartbeat of its term is handled here.
         """
 
         async def play() -> None:
@@ -356,10 +353,7 @@
         _run(play())
 
     def test_a_first_try_that_was_cut_short(self) -> None:
-        """A deadline that comes while the owner is being asked does not make it certain.
-
-        Seen on the bench: a hunted scale-1 of Sahulat in journal 01b207df, REFUSED at 5.696 s.
-        """
+        """A cancel interrupted by a deadline leaves the job as possibly started."""
 
         async def play() -> None:
             rig = Rig()
@@ -375,9 +369,9 @@
         _run(play())
 
     def test_lost_while_it_is_given_up(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """A box that stood still finds its owner lost and its job's deadline over at one moment.
+        """After a process pause, the loss of the owner and the deadline may come in any order.
 
-        What was dropped with the owner counts, whichever of the two comes first.
+        The batches dropped with the owner count in either case.
         """
 
         async def play() -> None:
@@ -385,7 +379,7 @@
             rig.beat(1)
             await rig.submit()
             time.sleep(0.3)
-            # In the first step both only begin; in the second one the loss comes first.
+            # Both tasks only begin in the first step; in the second one the loss comes first.
             watch_task = asyncio.create_task(rig.client.run())
             giving_up = asyncio.create_task(rig.client.give_up(rig.job))
             rig.network.has_started = True
@@ -396,9 +390,9 @@
         _run(play())
 
     def test_a_heartbeat_is_handled_before_the_loss(self) -> None:
-        """A box that stood still hears its owner before it checks for how long it has not.
+        """A heartbeat handled after a process pause, before the check, does not hide the lapse.
 
-        The owner has dropped what it held for this box, and may have forgotten its starts.
+        The owner has dropped this box's runs and may no longer have a record of their starts.
         """
 
         async def play() -> None:
@@ -412,7 +406,7 @@
         _run(play())
 
     def test_a_right_that_lapses_while_the_owner_is_asked(self) -> None:
-        """What it says counts only if its right has had no break since the job was delivered."""
+        """An owner's answer counts only under the grant of the delivery."""
 
         async def play() -> None:
             rig = Rig(_SHORT)
@@ -429,7 +423,7 @@
         _run(play())
 
     def test_an_end_that_is_handled_too_late(self) -> None:
-        """The owner may have forgotten a start since, so its word comes to nothing."""
+        """A late end does not rule out a start, whose record the owner may have dropped."""
 
         async def play() -> None:
             rig = Rig()
@@ -442,7 +436,7 @@
         _run(play())
 
     def test_moved_before_any_start(self) -> None:
-        """A run that moved to another zone without a start leaves the verdict to that zone."""
+        """After a run moved to another zone unstarted, only that zone's owner is queried."""
 
         async def play() -> None:
             rig = Rig()
@@ -457,10 +451,7 @@
         _run(play())
 
     def test_done_in_another_zone_whose_owner_fell_silent(self) -> None:
-        """A run moves, its new owner falls silent, the job is given up: it may have run there.
-
-        Seen on the bench: trouble-1 of Sahulat in journal 0bdfe35e, REFUSED at 36.367 s.
-        """
+        """A run that moved to an owner that then fell silent may have started there."""
 
         async def play() -> None:
             rig = Rig(TimingSettings(session_ms=1, endpoint_lease_ms=1))
@@ -479,7 +470,7 @@
         _run(play())
 
     def test_done_at_an_owner_that_fell_silent_afterwards(self) -> None:
-        """One task is done, the other moved on, the first owner falls silent: a task has run."""
+        """A task done before its owner fell silent counts as started."""
 
         async def play() -> None:
             rig = Rig(TimingSettings(session_ms=1, endpoint_lease_ms=1))
@@ -499,7 +490,7 @@
             await asyncio.sleep(0.01)
             watch_task = asyncio.create_task(rig.client.run())
             for _ in range(100):
-                # The other zone's owner is heard all the time.
+                # The other zone's owner keeps sending heartbeats.
                 rig.beat(2, _OTHER_ZONE)
                 await asyncio.sleep(0.005)
             watch_task.cancel()
--- a/tests/test_owners_elector.py
+++ b/tests/test_owners_elector.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How a box finds out that its zone's owner is gone, and steps in."""
+"""Guards against slow replacement of a dead owner and against replacement of a live one."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class _Owner:
-    """What the elector needs of an owner's term."""
+    """Fake term of an owner."""
 
     def __init__(self, record: OwnerRecord) -> None:
         self.record = record
@@ -46,7 +46,7 @@
 
 
 class _Network:
-    """Peers of which some do not answer; it keeps who was asked and for how long."""
+    """Fake peers, some unresponsive; records the timeout per queried box."""
 
     def __init__(self, silent: set[str], silent_ms: int) -> None:
         self.timeouts_ms: dict[str, float] = {}
@@ -54,13 +54,13 @@
         self._silent_ms = silent_ms
 
     def on(self, _kind: type, _handler: Callable[..., Any]) -> None:
-        """Take no messages."""
+        """Ignore handlers."""
 
     def send(self, _box: str, _message: Any, _ttl_ms: float = 0) -> None:
-        """Lose it."""
+        """Drop a message."""
 
     async def request(self, box: str, message: OwnerQuery, timeout_ms: float) -> OwnerAnswer:
-        """Answer how long ago the owner was heard."""
+        """Answer with the time since the owner's newest heartbeat."""
         self.timeouts_ms[box] = timeout_ms
         if box in self._silent:
             await asyncio.sleep(timeout_ms / 1_000)
@@ -96,10 +96,10 @@
 
 
 class TestStepIn:
-    """A silent owner."""
+    """The known owner is silent."""
 
     def test_the_owner_is_not_waited_for_as_long_as_the_others(self) -> None:
-        """It is silent already; without this a killed owner cost 120 ms more."""
+        """The query to the silent owner has a shorter timeout than those to witnesses."""
 
         async def play() -> None:
             rig = _Rig({_record(1).box}, 1_000)
@@ -112,12 +112,12 @@
         _run(play())
 
     def test_the_owner_is_in_nobodys_way(self) -> None:
-        """The first of those that are left acts without a place for the silent owner."""
+        """The silent owner takes no rank among the candidates."""
         rig = _Rig(set(), 1_000)
         assert rig.elector.patience_ms == _TIMINGS.owner_silent_ms
 
     def test_somebody_hears_it(self) -> None:
-        """Nothing is claimed from an owner that others hear."""
+        """A zone whose owner has recent heartbeats at a witness is not acquired."""
 
         async def play() -> None:
             rig = _Rig({_record(1).box}, 10)
@@ -127,7 +127,7 @@
         _run(play())
 
     def test_nobody_answers(self) -> None:
-        """A box that reaches nobody claims nothing."""
+        """A box without any answer does not acquire the zone."""
 
         async def play() -> None:
             silent = {_record(1).box, _record(3).box, _CONTROLLER}
--- a/tests/test_owners_endpoint_link.py
+++ b/tests/test_owners_endpoint_link.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The owner's link to one endpoint: what it asks for, and what it takes an answer for."""
+"""Guards the link to an endpoint: answers of other incarnations, delayed farewells, lapse."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
 _LEASE_MS = 600.0
 _TERMS = LeaseTerms(5, _LEASE_MS, max_real_duration_ms(_LEASE_MS), max_real_duration_ms(1_000.0))
 _ENDPOINT = EndpointRecord("w1", "svc", "w1:1", "z", Demand(16_000, 32_000, 0))
-# A poll that is under way when the endpoint falls silent may still renew the lease.
+# A poll in flight when the endpoint falls silent may still renew the lease.
 _POLL_S = 0.5
 _BORN_MS = 1_000
 
 
 class _Owner:
-    """An owner that always renews, and keeps what it is told."""
+    """Fake owner that always renews and records events."""
 
     def __init__(self) -> None:
         self.reports: list[EndpointReport] = []
@@ -56,22 +56,22 @@
         return True
 
     def handle_report(self, report: EndpointReport, _now_ms: float) -> None:
-        """Keep a report."""
+        """Record a report."""
         self.reports.append(report)
 
     def note_overdue(self, endpoint: str, call: str) -> None:
-        """Keep which call it was."""
+        """Record the call."""
         self.overdue.append(call)
 
     def note_silent(self, endpoint: str) -> None:
-        """Count it."""
+        """Count failed polls."""
         self.silent_count += 1
 
     def note_life_over(self, endpoint: str, born_ms: int) -> None:
         """Do nothing."""
 
     def note_next_life(self, endpoint: str, born_ms: int) -> None:
-        """Keep that a later life answers."""
+        """Record the later incarnation."""
         self.incarnations.append(born_ms)
 
     def note_fenced(self, endpoint: str) -> None:
@@ -79,7 +79,7 @@
 
 
 class _Calls:
-    """An endpoint that takes every poll and answers while it is not silent."""
+    """Fake endpoint that receives every poll and answers unless it is silent."""
 
     def __init__(self, born_ms: int = 0) -> None:
         self.born_ms = born_ms
@@ -89,7 +89,7 @@
         self.polls: list[PollOrder] = []
 
     async def poll(self, _endpoint: EndpointRecord, order: PollOrder) -> PollReply:
-        """Answer after the wait, or time out."""
+        """Answer after the wait, or time out while silent."""
         self.polls.append(order)
         await asyncio.sleep(order.wait_ms / 1_000 + 0.001)
         if self.is_silent:
@@ -100,7 +100,7 @@
 
 
 async def _run_link(owner: _Owner, calls: _Calls, run_s: float = 1.0) -> bool:
-    """Let a link to the life ``_BORN_MS`` run for a while; return whether it still does."""
+    """Run a link to the incarnation ``_BORN_MS``; return whether its task is still running."""
     endpoint_calls: Any = calls
     record = _ENDPOINT._replace(born_ms=_BORN_MS)
     link = EndpointLink(record, _TERMS, endpoint_calls, owner, _BORN_MS)
@@ -112,17 +112,17 @@
 
 
 class TestOtherLife:
-    """Answers of another life of the endpoint, under the same id."""
+    """Answers of another incarnation of the endpoint with the same id."""
 
     def test_a_later_one_answers(self) -> None:
-        """The owner is notified of it, and the link to the life before ends."""
+        """The owner is notified, and the link to the earlier incarnation ends."""
         owner = _Owner()
         assert not run_in_virtual_time(_run_link(owner, _Calls(_BORN_MS + 1)), VirtualTimeLoop())
         assert owner.incarnations == [_BORN_MS + 1]
         assert owner.reports == []
 
     def test_an_earlier_one_answers(self) -> None:
-        """What it lists says nothing of the present one, which counts as silent meanwhile."""
+        """Its report is ignored, and the current incarnation counts as silent."""
         owner = _Owner()
         assert run_in_virtual_time(_run_link(owner, _Calls(_BORN_MS - 1)), VirtualTimeLoop())
         assert owner.reports == []
@@ -144,18 +144,18 @@
     def test_which_one_answers(
         self, answer_ms: int, born_ms: int, has_answered: bool, answerer: Answerer
     ) -> None:
-        """One that says its birth follows one that answered without."""
+        """Covers each combination of known and answered birth times."""
         assert classify_answer(answer_ms, born_ms, has_answered) is answerer
 
     @pytest.mark.parametrize("born_ms", [_BORN_MS, 0])
     def test_this_one_answers(self, born_ms: int) -> None:
-        """An answer that does not say is of the life that is known."""
+        """An answer without a birth time is from the known incarnation."""
         owner = _Owner()
         assert run_in_virtual_time(_run_link(owner, _Calls(born_ms)), VirtualTimeLoop())
         assert owner.reports[0].born_ms == _BORN_MS
 
     def test_ends_are_kept_for_whoever_answers_next(self) -> None:
-        """After a broken poll, no end is acknowledged: the next life counts from 1 again."""
+        """After a failed poll no end is acknowledged: a new incarnation numbers from 1 again."""
         calls = _Calls(_BORN_MS)
         calls.ended = (EndedRun(7, RunId(TaskId("0" * 16, 0, 0, 0), 1), EndKind.DONE),)
 
@@ -174,7 +174,7 @@
         run_in_virtual_time(play(), VirtualTimeLoop())
 
     def test_orders_for_the_life_before(self) -> None:
-        """Their leases are cut to the longest: until that has passed, nothing has lapsed."""
+        """Nothing has lapsed before the longest lease that they may have got has."""
         calls: Any = _Calls(_BORN_MS)
         calls.is_silent = True
 
@@ -193,7 +193,7 @@
 
 
 class _World:
-    """An owner's links to endpoints that answer, and the catalog that they follow."""
+    """An owner's links with a fake endpoint, its state and its catalog."""
 
     def __init__(self, born_ms: int = _BORN_MS) -> None:
         self.calls = _Calls(born_ms)
@@ -209,37 +209,37 @@
         return True
 
     def handle_report(self, report: EndpointReport, now_ms: float) -> None:
-        """Reconcile."""
+        """Apply a report to the state."""
         self.state.report(report, now_ms)
 
     def note_overdue(self, endpoint: str, call: str) -> None:
-        """Give it nothing."""
+        """Exclude the endpoint from placement."""
         self.state.distrust(endpoint)
 
     def note_silent(self, endpoint: str) -> None:
-        """Give it nothing."""
+        """Exclude the endpoint from placement."""
         self.state.distrust(endpoint)
 
     def note_life_over(self, endpoint: str, born_ms: int) -> None:
-        """End it."""
+        """End the incarnation in the catalog."""
         self.catalog.end_life(endpoint, born_ms, monotonic_ms())
 
     def note_next_life(self, endpoint: str, born_ms: int) -> None:
-        """Follow it."""
+        """Open a link to the new incarnation."""
         self.links.begin_life(endpoint, born_ms)
 
     def note_fenced(self, endpoint: str) -> None:
         """Do nothing."""
 
     async def follow(self, for_s: float) -> None:
-        """Follow the catalog for a while, as an owner's tick does."""
+        """Run the link-related part of an owner's ticks for *for_s* seconds."""
         for _ in range(int(for_s / 0.02)):
             self.links.sync_with_catalog(monotonic_ms())
             self.links.check_silent_endpoints(monotonic_ms())
             await asyncio.sleep(0.02)
 
     async def run_one(self) -> RunId:
-        """Have the endpoint run a task, which it lists from now on."""
+        """Start a run and list it as active at the endpoint."""
         await self.follow(0.5)
         run_id = start_one(self.state, monotonic_ms())
         self.calls.active = (ActiveRun(run_id),)
@@ -247,26 +247,26 @@
         return run_id
 
     def leave(self) -> None:
-        """Have it say that it leaves; then a farewell comes, of whichever life."""
+        """Handle the endpoint's draining report and a farewell message."""
         self.catalog.merge(self.record._replace(state=EndpointState.DRAINING), monotonic_ms())
         assert self.catalog.note_farewell("w1", monotonic_ms())
 
     @property
     def causes(self) -> list[EndCause]:
-        """How runs have ended since this was asked last."""
+        """Causes of the ends since the last call."""
         return [end.cause for _, end in ends_of(self.state)]
 
     @property
     def is_open(self) -> bool:
-        """Whether the endpoint may be given work."""
+        """Whether the endpoint is eligible for placement."""
         return self.state.candidates["w1"].is_open(monotonic_ms())
 
 
 class TestNextLife:
-    """A life that begins under the id of an endpoint that is known."""
+    """A new incarnation of a known endpoint."""
 
     def test_its_answer_comes_first(self) -> None:
-        """It has a link of its own at once, and gets work once its own heartbeat has come."""
+        """It gets a new link at once, and runs only after its first heartbeat."""
 
         async def play() -> None:
             world = _World()
@@ -289,7 +289,7 @@
         run_in_virtual_time(play(), VirtualTimeLoop())
 
     def test_its_heartbeat_comes_first(self) -> None:
-        """It has a link of its own at once, which knows no clock yet."""
+        """It gets a new link at once, without a clock reading."""
 
         async def play() -> None:
             world = _World()
@@ -311,10 +311,10 @@
 
 
 class TestFarewell:
-    """A draining endpoint's last word, which does not say of which of its lives it is."""
+    """A draining endpoint's farewell message, which does not name its incarnation."""
 
     def test_of_the_life_before(self) -> None:
-        """It was held up; the endpoint answers, so its runs go on and start nowhere else."""
+        """After a delayed farewell, runs of an endpoint that answers are not ended."""
 
         async def play() -> None:
             world = _World()
@@ -333,7 +333,7 @@
         run_in_virtual_time(play(), VirtualTimeLoop())
 
     def test_of_the_present_life(self) -> None:
-        """It is gone; what it ran has ended once its silence shows that."""
+        """The runs of an endpoint that is gone end once its lease has lapsed."""
 
         async def play() -> None:
             world = _World()
@@ -349,7 +349,7 @@
         run_in_virtual_time(play(), VirtualTimeLoop())
 
     def test_where_nothing_runs(self) -> None:
-        """Nobody calls an endpoint any more that has left and runs nothing."""
+        """The link to an idle endpoint is closed at once."""
 
         async def play() -> None:
             world = _World()
@@ -362,7 +362,7 @@
         run_in_virtual_time(play(), VirtualTimeLoop())
 
     def test_of_an_id_that_is_of_one_life(self) -> None:
-        """There is no other life that it could be of: what it ran has ended at once."""
+        """Without a birth time, the endpoint's runs end at once."""
 
         async def play() -> None:
             world = _World(born_ms=0)
@@ -376,10 +376,10 @@
 
 
 class TestSilentEndpoint:
-    """An endpoint that takes polls and answers none."""
+    """An endpoint that receives polls and answers none."""
 
     def test_its_lease_lapses(self) -> None:
-        """Polls that get no answer do not renew its lease, or what it runs would never lapse."""
+        """Unanswered polls do not renew the lease, which would otherwise never lapse."""
         calls: Any = _Calls()
 
         async def play() -> float:
@@ -400,7 +400,7 @@
         assert not calls.polls[-1].until_ms
 
     def test_its_answer_is_overdue(self) -> None:
-        """The owner is notified before the poll has timed out."""
+        """The owner is notified of the overdue answer before the poll times out."""
         owner = _Owner()
         calls = _Calls(_BORN_MS)
         calls.is_silent = True
@@ -408,7 +408,7 @@
         assert (owner.overdue, owner.silent_count) == (["poll"], 0)
 
     def test_it_is_renewed_once_it_answers(self) -> None:
-        """The first answer after a silence is followed by a poll that renews the lease."""
+        """The lease is renewed again after the first answer."""
         calls: Any = _Calls()
 
         async def play() -> None:
--- a/tests/test_owners_grant.py
+++ b/tests/test_owners_grant.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The right that a box gives an owner: until when it holds, and which one it is."""
+"""Guards against a grant that lapses too early or is mistaken for an earlier one."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class TestGrant:
-    """What a box knows of an owner's right."""
+    """Expiry and numbers of grants."""
 
     def test_never_heard(self) -> None:
-        """An owner that was never heard has no right."""
+        """Without any heartbeat the grant has lapsed."""
         grant = Grant(_TIMINGS)
         assert grant.has_lapsed(0.0)
         assert grant.session_left_ms(0.0) == 0.0
 
     def test_lapses_after_the_right_and_every_lease(self) -> None:
-        """The right is over before that; what runs under a lease is not."""
+        """The session ends first; the grant lapses only after every lease."""
         grant = Grant(_TIMINGS)
         grant.renew(_HEARTBEAT_MS)
         assert grant.session_left_ms(_HEARTBEAT_MS + 100.0) == _TIMINGS.session_ms - 100.0
@@ -31,7 +31,7 @@
         assert grant.has_lapsed(_LAPSES_MS)
 
     def test_another_one_has_another_number(self) -> None:
-        """What was delivered under the one before is told by its number."""
+        """The grant after a lapse has another number."""
         grant = Grant(_TIMINGS)
         grant.renew(_HEARTBEAT_MS)
         before = grant.number
--- a/tests/test_owners_lease.py
+++ b/tests/test_owners_lease.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Leases in an endpoint's own time: never thought ended while something may run."""
+"""Guards against a lease that counts as lapsed while a run may still be on the endpoint."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class TestEndpointClock:
-    """What an owner may conclude from an endpoint's clock."""
+    """An owner's bounds on an endpoint's clock."""
 
     @given(rate=_rates, delay=_delays, wait=st.floats(0.0, 5_000.0), lease=st.floats(1.0, 1_000.0))
     def test_bounds_err_on_the_safe_side(
         self, rate: float, delay: float, wait: float, lease: float
     ) -> None:
-        """A lease is no longer than asked for, and has lapsed by the time that is told."""
+        """A lease is at most as long as requested and has lapsed by the computed time."""
         clock = EndpointClock()
         told_at = 1_000.0
         clock.note(50_000.0, told_at + delay)
@@ -34,7 +34,7 @@
         assert reads(clock.lapses_by()) >= until - 1e-6
 
     def test_remembers_the_longest_lease(self) -> None:
-        """An earlier, longer lease still holds after a shorter one was ordered."""
+        """A shorter lease does not replace an earlier, longer one."""
         clock = EndpointClock()
         clock.note(1_000.0, 0.0)
         clock.order_until(0.0, 600.0)
@@ -43,7 +43,7 @@
         assert clock.lapses_by() >= 600.0
 
     def test_late_answer_does_not_turn_the_clock_back(self) -> None:
-        """An answer that was held up tells less than an earlier one."""
+        """A delayed answer does not lower the bound."""
         clock = EndpointClock()
         clock.note(2_000.0, 100.0)
         clock.note(1_500.0, 150.0)
@@ -51,9 +51,9 @@
 
 
 class TestBound:
-    """When another owner may start what an earlier one may have started."""
+    """Time until an earlier owner's runs have certainly ended."""
 
     def test_within_the_time_of_a_resend(self) -> None:
-        """With the default times a run is gone before its caller sends the job again."""
+        """With default timings a run has ended before its caller submits the job again."""
         session_ms, lease_ms, resend_ms = 400.0, 600.0, 1_300.0
         assert session_ms + gone_after_ms(lease_ms) < resend_ms
--- a/tests/test_owners_machine.py
+++ b/tests/test_owners_machine.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Owners come and go, endpoints are cut off, orders are late: no task is on two endpoints."""
+"""Stateful test with owner changes, partitions and late orders: no task is on two endpoints."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Late(NamedTuple):
-    """An order that is carried out, or an answer that is given up, at a later time."""
+    """An order that arrives late, or the timeout of an answer."""
 
     at_ms: float
     kind: str
@@ -48,7 +48,7 @@
 
 
 class Term:
-    """One owner with what it knows of the endpoints' clocks."""
+    """One owner's term with its estimates of the endpoints' clocks."""
 
     def __init__(self, token: int, now_ms: float) -> None:
         self.token = token
@@ -64,7 +64,7 @@
 
 
 class OwnersMachine(RuleBasedStateMachine):
-    """Boxes e1 and e2 hand jobs to one owner after the other."""
+    """Boxes submit jobs to consecutive owners, which share two endpoints."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -80,11 +80,11 @@
         self.free_at: dict[str, float] = {}
         self.lives = 0
 
-    # What boxes do.
+    # Boxes and callers.
 
     @rule(job=_jobs)
     def submit(self, job: str) -> None:
-        """Hand a job in, at first or again after its box died."""
+        """Submit a job, also again after its box died."""
         if job in self.holder_of or self.now < self.free_at.get(job, 0.0):
             return
         self.lives += 1
@@ -95,7 +95,7 @@
 
     @rule(job=_jobs)
     def box_dies(self, job: str) -> None:
-        """A box dies; its owner notes it when the session is over, its caller sends again."""
+        """A box dies; its session lapses and its caller submits the job again later."""
         holder = self.holder_of.pop(job, None)
         if holder is None:
             return
@@ -108,41 +108,41 @@
 
     @rule(job=_jobs)
     def client_leaves(self, job: str) -> None:
-        """A caller leaves: its job is cancelled and may come again."""
+        """A caller disconnects: its job is cancelled and may be submitted again."""
         holder = self.holder_of.pop(job, None)
         if holder is not None:
             self.open.pop(TaskId(job, 0, 0, 0), None)
             self.free_at[job] = self.now + _RESEND_MS
             self.term.state.cancel(holder, job, self.now)
 
-    # What the network and the endpoints do.
+    # Network and endpoints.
 
     @rule(name=_endpoints, is_reachable=st.booleans())
     def cut(self, name: str, is_reachable: bool) -> None:
-        """Cut an endpoint off or heal it; it runs on."""
+        """Partition an endpoint from the owner, or heal the partition."""
         self.endpoints[name].is_reachable = is_reachable
 
     @rule(name=_endpoints, how=st.sampled_from([EndKind.DONE, EndKind.FAILED]))
     def finish(self, name: str, how: EndKind) -> None:
-        """End what runs on an endpoint."""
+        """Finish all runs on an endpoint."""
         for task in list(self.endpoints[name].active):
             self.endpoints[name].finish(task, how, self.now)
 
     @rule(span=st.sampled_from([5.0, 50.0, 200.0, 450.0, 700.0]))
     def wait(self, span: float) -> None:
-        """Let time pass."""
+        """Advance the time."""
         self._pass(span)
 
-    # What the owner does.
+    # Owners.
 
     @rule(name=_endpoints)
     def look(self, name: str) -> None:
-        """Look at an endpoint and renew its lease."""
+        """Poll an endpoint and renew its lease."""
         self._look(self.term, name)
 
     @rule(fate=st.sampled_from(["done", "lost", "answer-lost", "late"]))
     def act(self, fate: str) -> None:
-        """Look at all endpoints, place runs and send orders, which meet their fate."""
+        """Poll all endpoints, place runs and send orders with the given outcome."""
         for name in _ENDPOINTS:
             self._look(self.term, name)
         self.term.state.tick(self.now)
@@ -156,7 +156,7 @@
     @precondition(lambda self: self.old is None)
     @rule(right_ms=st.floats(0.0, _SESSION_MS), is_dead=st.booleans())
     def new_owner(self, right_ms: float, is_dead: bool) -> None:
-        """Another box takes over; the one before may live on behind a cut for a while."""
+        """Fail over to another box; the old owner may stay alive in a partition for a while."""
         self.old = None if is_dead else self.term
         self.old_right_ms = self.now + right_ms
         self.old_holders = set(self.holder_of.values())
@@ -172,7 +172,7 @@
     @precondition(lambda self: self.old is not None)
     @rule(name=_endpoints, hears_stops=st.booleans())
     def old_owner_acts(self, name: str, hears_stops: bool) -> None:
-        """The owner before, which reaches all endpoints, goes on with what it has the right to."""
+        """The old owner, which reaches all endpoints, acts within its remaining session."""
         assert self.old is not None
         if self.now >= self.old_right_ms:
             for holder in self.old_holders:
@@ -189,7 +189,7 @@
 
     @invariant()
     def runs_once(self) -> None:
-        """Of one task at most one run is on any endpoint, and no endpoint is over its room."""
+        """At most one run of a task is on any endpoint."""
         present: list[TaskId] = []
         for one in self.endpoints.values():
             one.lapse(self.now)
@@ -197,7 +197,7 @@
         assert len(present) == len(set(present)), present
 
     def teardown(self) -> None:
-        """Heal everything and let all that runs end: each open task is done."""
+        """Heal all partitions and finish all runs: each open task must be done."""
         for one in self.endpoints.values():
             one.is_reachable = True
         for _ in range(60):
@@ -273,7 +273,7 @@
             term.state.note_stop(action.run_id, action.endpoint, outcome, self.now)
 
     def _pass(self, span: float) -> None:
-        """Let time pass in steps, as an owner's tick does."""
+        """Advance the time in steps of an owner's tick."""
         end = self.now + span
         while self.now < end:
             self.now = min(end, self.now + 20.0)
@@ -310,7 +310,7 @@
 
 
 class TestWalks:
-    """Long walks with the faults weighed as they come in life."""
+    """Long random walks with realistic weights of faults."""
 
     _WALKS = 300
     _STEPS = 120
@@ -344,7 +344,7 @@
                 machine.finish(name, rng.choice([EndKind.DONE, EndKind.FAILED]))
 
     def _walk(self, seed: int) -> None:
-        """Walk from the beginning; the rule must hold after each step."""
+        """Run one walk and check the invariant after each step."""
         rng = random.Random(seed)
         machine = OwnersMachine()
         for _ in range(self._STEPS):
@@ -354,7 +354,7 @@
         machine.runs_once()
 
     def test_no_task_is_on_two_endpoints(self) -> None:
-        """After each step of each walk the rule holds; at the end each open task is done."""
+        """The invariant holds after each step, and each open task is done at the end."""
         first = int(os.environ.get("FOLDLOOM_FIRST_SEED", "0"))
         for seed in range(first, first + self._WALKS):
             try:
--- a/tests/test_owners_messages.py
+++ b/tests/test_owners_messages.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Messages about cancels and ends between boxes of this release and the one before."""
+"""Guards the compatibility of cancel and end messages with the previous release."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class TestReleaseBefore:
-    """It knows no token in either message, and no delivery in a cancel."""
+    """The previous release sends no token in either message and no delivery in a cancel."""
 
     @pytest.mark.parametrize(
         ("message", "fields_before"), [(CancelJob(_JOB, 7, 3), 1), (RunsEnded("z", [_END], 7), 2)]
@@ -23,7 +23,7 @@
     def test_its_messages_are_read(
         self, message: CancelJob | RunsEnded, fields_before: int
     ) -> None:
-        """What it does not send is 0, which stands for not known."""
+        """Missing fields are read as 0."""
         fields = msgspec.msgpack.decode(encode_body(message))
         shorter = msgspec.Raw(msgspec.msgpack.encode(fields[:fields_before]))
         read = decode_body(Frame(kind_of(message), 0, 0, 0, shorter))
--- a/tests/test_owners_model.py
+++ b/tests/test_owners_model.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Owners and one task, checked exhaustively on their small specification."""
+"""Exhaustive check of the owners' protocol model: no task runs on two endpoints."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 
 class TestOwnersProtocol:
-    """Two owners, two endpoints, two boxes that are handed the same job."""
+    """Two owners, two endpoints, and two boxes with the same job."""
 
     def test_one_run_at_a_time(self) -> None:
-        """No task is ever on two endpoints."""
+        """No task is on two endpoints at a time."""
         assert _check(Rules(), Bounds(_TICKS)) == {"runs_once": True}
 
     @pytest.mark.parametrize("rule", Rules._fields)
     def test_every_rule_is_needed(self, rule: str) -> None:
-        """Leaving out one rule gives a counterexample."""
+        """Each rule alone is necessary: without it there is a counterexample."""
         assert _check(Rules()._replace(**{rule: False}), Bounds(_TICKS))["runs_once"] is False
 
     def test_the_time_before_a_resend_is_needed(self) -> None:
-        """A caller that sends again a tick earlier gives a counterexample."""
+        """A resubmission one tick earlier gives a counterexample."""
         bounds = Bounds(_TICKS, SESSION + LEASE_SLOW - 2)
         assert _check(Rules(), bounds)["runs_once"] is False
--- a/tests/test_owners_renewed_session.py
+++ b/tests/test_owners_renewed_session.py
@@ -1,25 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""A job whose runs are delivered again after a session has lapsed is not refused once it has run.
-
-Seen: two jobs were refused with the promise that nothing of them ran. A run of the first had been
-ordered by another box and had ended as done; a run of the second had been ordered by the box that
-answered, and was stopped.
-
-How it came about: a box stood still for longer than its session with an owner, which ended the
-session and dropped the box's runs, and with them the ends that the box had not acknowledged. The
-box was back, granted a new session and delivered again what was open there. It was too late for
-that by then, so the owner ended the second runs as never started. In the second case owner and box
-were one process: it stands still for both, and ends its session with itself.
-
-Cause: what an owner said of a job's starts with the end of a run went by that run alone. Of the
-job's earlier runs it knew, but looked at them only if it was asked to cancel the job; of one that
-had been stopped and waited again it forgot the start together with the session.
-
-Proof: these plays on the code of that day. The first four are answered with a refusal there; the
-steps that the log of the first one shows are those of real processes that did the same. On the
-present code they fail as soon as an end that comes too late speaks for its own run only. The last
-class plays another way to the same answer: a verdict that is asked for so late that the starts are
-forgotten. It fails as soon as an owner is believed under a later grant than that of the delivery.
+"""Guards against refusing a job that has run and was delivered again after its session lapsed.
+
+A box pauses for longer than its session, so the owner drops its runs and unacknowledged ends.
 """
 
 from __future__ import annotations
@@ -43,31 +25,28 @@
 _JOB = "c" * 16
 _FIRST_RUN = RunId(TaskId(_JOB, 0, 0, 0), 1)
 _SEED = 1
-# Seconds until each zone has its owner and endpoints have reported.
+# Time until each zone has an owner and its endpoints have reported.
 _SETTLE_S = 1.0
-# Seconds that a box stands still: longer than a session (0.4) and than a start is of any use,
-# shorter than a lease on an endpoint (0.6), after which runs end there by themselves.
+# Process pause: longer than a session (0.4) and than the latest useful start, but shorter than an
+# endpoint lease (0.6).
 _PAUSE_S = 0.5
-# Milliseconds of a task: a start is too late for it after 170 ms + 3.8 times a guess that is 84 at
-# most.
+# Task duration; the latest useful start is after 170 ms + 3.8 x an estimate of at most 84 ms.
 _TASK_MS = 60.0
-# Seconds that a message of a crowded box to itself waits: longer than it takes to stop a run.
+# Delay of a box's messages to itself; longer than the stop of a run.
 _OWN_MESSAGE_DELAY_S = 0.03
 _NEVER_MS = 1e5
-# Seconds after which a task of _TASK_MS may start in these plays, so that it runs at its deadline
-# without having been stopped as stuck.
+# Delay of starts, so that a task still runs at its deadline without being stopped as stuck.
 _STARTS_AFTER_S = 0.2
-# Seconds from a job's arrival to its deadline.
+# Time from a job's arrival to its deadline.
 _DEADLINE_S = 1.44
-# Seconds before its deadline at which the box stands still: less than the 0.05 from one check for
-# lapsed grants to the next, so that the deadline may be due before that check.
+# Begin of the pause before the deadline; below the 0.05 s between checks for lapsed grants, so that
+# the deadline may be due before the check.
 _PAUSE_BEFORE_DEADLINE_S = 0.025
-# Seconds that it stands still: an owner forgets a start 2.0 after the deadline.
+# Process pause beyond the owner's record of a start, which ends 2.0 s after the deadline.
 _LONG_PAUSE_S = 2.2
-# Seconds between two heartbeats of an owner.
+# Heartbeat interval of owners.
 _HEARTBEAT_S = 0.1
-# Seconds before its next heartbeat is due at which the box stands still. The check may be due in
-# between, or not.
+# Time from the begin of the pause to the next heartbeat; the check may be due in between.
 _HEARTBEAT_DUE_AFTER_S = [0.0005, 0.001, 0.002, 0.005, 0.02, 0.04, 0.08]
 _CLOCK_RATE = 0.98
 _OWN_TTL_MS = 1_000
@@ -75,33 +54,30 @@
 
 @pytest.fixture(autouse=True)
 def _unlimited_log_events(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Other tests of this process may have used up the rate of an event."""
+    """Reset the rate limits of log events, which other tests may have exhausted."""
     monkeypatch.setattr("foldloom.logs._LIMITS", EventLimits())
 
 
 class EndlessEndpoint(SimulatedEndpoint):
-    """An endpoint whose tasks never end by themselves; ``stopped``: the runs that were."""
+    """Simulated endpoint whose tasks never finish; ``stopped`` lists the stopped runs."""
 
     def __init__(self, name: str, rate: float) -> None:
         super().__init__(name, rate)
         self.stopped: list[RunId] = []
 
     def stop(self, run_id: RunId, token: int, now_ms: float) -> CallOutcome:
-        """Carry out an order to stop."""
+        """Stop a run and record it."""
         self.lapse(now_ms)
         if self.active.get(run_id.task) == run_id.attempt:
             self.stopped.append(run_id)
         return super().stop(run_id, token, now_ms)
 
     def finish(self, task: TaskId, how: EndKind, now_ms: float) -> None:
-        """Leave the task as it is."""
+        """Do nothing."""
 
 
 class Rig:
-    """One job handed in at one box.
-
-    ``steps``: what became of its runs at the owner, in order.
-    """
+    """One job submitted to one box of a simulated system."""
 
     def __init__(self, loop: VirtualTimeLoop) -> None:
         self.loop = loop
@@ -110,7 +86,7 @@
         self._log = logbook.TestHandler()
 
     async def settle(self, is_own: bool) -> None:
-        """Wait for owners; the job's box is the owner of the first zone or another box of it."""
+        """Wait for owners and select the job's box: the first zone's owner if *is_own*."""
         await asyncio.sleep(_SETTLE_S)
         of_zone = {name: box for name, box in self.world.boxes.items() if box.zone == ZONES[0]}
         self.box = next(
@@ -120,7 +96,7 @@
     async def answer(
         self, tasks: int, meanwhile: Callable[[], Coroutine[Any, Any, None]]
     ) -> Answer:
-        """Hand the job in and play *meanwhile* once all its tasks have started."""
+        """Submit the job, run *meanwhile* once all its tasks have started; return the answer."""
         with self._log.applicationbound():
             call = asyncio.create_task(
                 self.world.call(self.box, _JOB, tasks, _TASK_MS, leave_ms=_NEVER_MS)
@@ -133,14 +109,14 @@
         return answer
 
     def make_tasks_endless(self) -> None:
-        """Have no task end by itself."""
+        """Replace all endpoints by endless ones."""
         self.world.endpoints.update(
             {name: EndlessEndpoint(name, _CLOCK_RATE) for name in self.world.endpoints}
         )
 
     @property
     def stopped(self) -> list[RunId]:
-        """The runs that endpoints stopped, where tasks are endless."""
+        """The runs stopped at endless endpoints."""
         return [
             run_id
             for endpoint in self.world.endpoints.values()
@@ -149,19 +125,19 @@
         ]
 
     def cut_from_endpoints(self, zone: str) -> None:
-        """Have no box reach the endpoints of *zone*."""
+        """Partition all boxes from the endpoints of *zone*."""
         endpoints = [record.endpoint for record in self.world.records if record.zone == zone]
         pairs = {(box, endpoint) for box in self.world.boxes for endpoint in endpoints}
         self.world.conditions.cuts |= pairs
 
     def cut_zones(self) -> None:
-        """Have no box reach one of the other zone."""
+        """Partition the zones' boxes from each other."""
         zones = {name: box.zone for name, box in self.world.boxes.items()}
         pairs = {(one, other) for one in zones for other in zones if zones[one] != zones[other]}
         self.world.conditions.cuts |= pairs
 
     async def pause_box(self) -> None:
-        """Have nobody hear of the job's box for a while, and the box of nobody."""
+        """Partition the job's box from all other boxes for the duration of a pause."""
         others = [one for one in [*self.world.boxes, "c1"] if one != self.box]
         pairs = {(self.box, one) for one in others} | {(one, self.box) for one in others}
         self.world.conditions.cuts |= pairs
@@ -169,7 +145,7 @@
         self.world.conditions.cuts -= pairs
 
     def delay_own_messages(self) -> None:
-        """Have what the job's box sends itself wait, as behind other work."""
+        """Delay the messages of the job's box to itself, as on a busy box."""
         network = self.world.boxes[self.box].network
         send = network.send
 
@@ -182,7 +158,7 @@
         network.send = send_late  # type: ignore[method-assign]
 
     async def own_heartbeat(self) -> None:
-        """Wait until the job's box sends itself a heartbeat."""
+        """Wait until the job's box sends a heartbeat to itself."""
         network = self.world.boxes[self.box].network
         send = network.send
         is_sent = asyncio.Event()
@@ -197,7 +173,7 @@
         network.send = send  # type: ignore[method-assign]
 
     def delay_starts(self) -> None:
-        """Have endpoints find no room for a while."""
+        """Make endpoints reply "no room" for ``_STARTS_AFTER_S``."""
         carry_out = self.world.start
         until_s = self.loop.time() + _STARTS_AFTER_S
 
@@ -209,7 +185,7 @@
         self.world.start = start  # type: ignore[method-assign]
 
     def lose_answers_to_starts(self) -> None:
-        """Lose the answer to the first order to start, and have endpoints refuse all others."""
+        """Lose the answer to the first start order and refuse all others."""
         carry_out = self.world.start
 
         def start(name: str, order: StartOrder) -> CallReply:
@@ -222,7 +198,7 @@
 
     @property
     def steps(self) -> list[str]:
-        """What the log says of the job and of its box's session, without repetitions."""
+        """Logged steps of the job and of its box's session, without repetitions."""
         steps: list[str] = []
         for step in self._all_steps():
             if steps[-1:] != [step]:
@@ -248,7 +224,7 @@
 
 def _run(scenario: Callable[[Rig], Coroutine[Any, Any, None]]) -> None:
     loop = VirtualTimeLoop()
-    # Tokens have random digits.
+    # Tokens have random bits.
     random.seed(_SEED)
 
     async def play() -> None:
@@ -258,10 +234,10 @@
 
 
 class TestBoxOfAnotherOwner:
-    """The box is not the owner: it stands still alone, and the runs go on to their end."""
+    """The paused box is not the owner, so the runs finish during the pause."""
 
     def test_ends_that_were_never_acknowledged(self) -> None:
-        """The owner of the box's own zone has both runs done, and queues the ends in vain."""
+        """Both runs finish at the own zone's owner; their ends are dropped with the session."""
 
         async def scenario(rig: Rig) -> None:
             await rig.settle(is_own=False)
@@ -278,7 +254,7 @@
         _run(scenario)
 
     def test_of_another_zone(self) -> None:
-        """The same where the own zone has no room, and the other one's owner took the job."""
+        """The same for a job at another zone's owner, without capacity in the own zone."""
 
         async def scenario(rig: Rig) -> None:
             await rig.settle(is_own=False)
@@ -301,10 +277,10 @@
 
 
 class TestBoxThatOwnsItsZone:
-    """The box is the owner: it stands still as both, and its session with itself lapses."""
+    """The paused box is the owner, and its session with itself lapses."""
 
     def test_stopped_before_it_is_delivered_again(self) -> None:
-        """It goes on crowded: the stop is through before its own heartbeat comes to its turn."""
+        """The run is stopped before the box handles its own delayed heartbeat."""
 
         async def scenario(rig: Rig) -> None:
             rig.make_tasks_endless()
@@ -328,7 +304,7 @@
         _run(scenario)
 
     def test_waits_again_after_a_stop(self) -> None:
-        """The answer to its start was lost, so it was stopped; no endpoint took it since."""
+        """The run was stopped after a lost start answer, and no endpoint accepts it again."""
 
         async def scenario(rig: Rig) -> None:
             rig.make_tasks_endless()
@@ -355,15 +331,15 @@
 
 
 class TestAllIsDueAtOnce:
-    """The box is the owner, and stands still over its job's deadline until starts are forgotten.
+    """The box is the owner and pauses past its job's deadline until the record of starts expires.
 
-    When it goes on, its heartbeat to itself, its check for lapsed grants, the owner's tick and the
-    deadline are due at one moment, in the order in which they were set.
+    Its own heartbeat, the check for lapsed grants, the owner's tick and the deadline are then due
+    at the same time. An owner's answer under a later grant than the delivery's must not count.
     """
 
     @pytest.mark.parametrize("due_after_s", _HEARTBEAT_DUE_AFTER_S)
     def test_in_any_order(self, due_after_s: float) -> None:
-        """Whether the heartbeat or the deadline comes before the check."""
+        """The heartbeat and the deadline may be due before or after the check."""
 
         async def scenario(rig: Rig) -> None:
             rig.make_tasks_endless()
--- a/tests/test_owners_sessions.py
+++ b/tests/test_owners_sessions.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Rights that lapse and come back: the box must hear that its runs were let go of."""
+"""A box must be notified of a renewed session, since the owner has dropped its runs."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class _Network:
-    """A box that answers, but for the first messages."""
+    """Fake box that loses the first *lost* messages and records the others."""
 
     def __init__(self, lost: int = 0) -> None:
         self.received: list[Any] = []
         self._lost = lost
 
     async def request(self, _box: str, message: Any, _timeout_ms: float) -> Any:
-        """Answer, unless this message is to be lost."""
+        """Acknowledge the message, or lose it."""
         if self._lost:
             self._lost -= 1
             raise PeerUnreachableError
@@ -49,10 +49,10 @@
 
 
 class TestLapsedRights:
-    """A right that lapsed under the same owner."""
+    """A session that lapsed and was renewed with the same owner."""
 
     def test_first_grant_tells_nothing(self) -> None:
-        """A box that was never granted for has nothing to hear."""
+        """The first session with a box is not announced."""
 
         async def play() -> None:
             network = _Network()
@@ -65,7 +65,7 @@
         _run(play())
 
     def test_told_before_any_end(self) -> None:
-        """After a lapse the box hears of it first, also if a message is lost."""
+        """A renewed session is announced before any end, also after a lost message."""
 
         async def play() -> None:
             network = _Network(lost=1)
@@ -82,7 +82,7 @@
         _run(play())
 
     def test_another_life_is_another_box(self) -> None:
-        """A box that was restarted knows nothing of what its earlier life wanted."""
+        """The first session with a new incarnation is not announced."""
 
         async def play() -> None:
             network = _Network()
--- a/tests/test_owners_two_boxes.py
+++ b/tests/test_owners_two_boxes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""One id at two boxes of a zone; its run starts for the second. Over real owner and client."""
+"""Guards against refusing a job that runs for another box under the same id."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 _SEED = 1
 _SETTLE_S = 1.0
 _TASK_MS = 1_600.0
-# Seconds after the first try at which the id is handed in at the second box, and the first leaves.
+# Times after the first submission: of the second one, and of the first caller's disconnect.
 _SECOND_S, _LEAVES_S = 0.3, 0.39
-# Seconds for which others fill the zone, and after the first try at which it has room again.
+# How long other jobs fill the zones, and when after the first submission they end.
 _FULL_S, _FREE_AFTER_S = 0.5, 0.34
-# How long the first caller waits; the second one waits 2.8 s.
+# Deadline of the first caller's job.
 _SHORT_DEADLINE_MS = 400.0
 _NEVER_MS = 1e5
 
 
 def _answers() -> tuple[list[Answer], bool]:
-    """Return all answers, and whether a task started."""
+    """Return the answers for the job, and whether its task started."""
     loop = TurnsLoop(random.Random(_SEED))
     random.seed(_SEED)
 
@@ -37,7 +37,7 @@
         first, second = [name for name, one in world.boxes.items() if one.zone == ZONES[0]][:2]
         whole: dict[str, SimulatedEndpoint] = dict(world.endpoints)
         world.endpoints.update({name: EndlessEndpoint(name, 0.98) for name in whole})
-        # Both zones are full until shortly after the second try.
+        # Both zones are full until shortly after the second submission.
         blockers = [
             asyncio.create_task(
                 world.call(box, number * 16, 60, _TASK_MS, leave_ms=_FULL_S * 1_000)
@@ -63,10 +63,10 @@
 
 
 class TestTwoBoxes:
-    """The second box's deadline is later than what the owner remembers for the first's."""
+    """The second box's deadline is later than the end of the owner's record for the first."""
 
     def test_what_runs_for_the_second_is_not_refused(self) -> None:
-        """The run is present when the second box asks."""
+        """The run is active when the second box cancels the job."""
         answers, has_started = _answers()
         assert has_started
         assert not any(one.is_refused for one in answers), answers
--- a/tests/test_owners_zone_owner.py
+++ b/tests/test_owners_zone_owner.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""One term of owning a zone: whom it hears."""
+"""Guards an owner's term: draining, isolation, and acknowledgements of other incarnations."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
 
 class _Network:
-    """Peers that answer nothing."""
+    """Fake peers that never answer."""
 
     def __init__(self) -> None:
         self.incarnation = 1
 
     def known_incarnation(self, _box: str) -> int:
-        """Return the life that sent the newest message."""
+        """Return the configured incarnation."""
         return self.incarnation
 
     async def request(self, _box: str, _message: Any, _timeout_ms: float) -> Any:
-        """Wait until the test is over."""
+        """Wait until cancelled."""
         await asyncio.Event().wait()
 
 
@@ -46,26 +46,26 @@
 
 
 class _Calls:
-    """An endpoint that answers polls, and orders to start once the test lets it."""
+    """Fake endpoint that answers polls at once and starts after ``may_answer`` is set."""
 
     def __init__(self) -> None:
         self.starts = 0
         self.may_answer = asyncio.Event()
 
     async def poll(self, _endpoint: Any, _order: Any) -> PollReply:
-        """Answer that nothing runs."""
+        """Answer without active runs."""
         await asyncio.sleep(0.005)
         return PollReply(CallOutcome.DONE, int(monotonic_ms()))
 
     async def start_run(self, _endpoint: Any, _order: Any) -> CallReply:
-        """Take the order; answer later."""
+        """Count the order; answer later."""
         self.starts += 1
         await self.may_answer.wait()
         return CallReply(CallOutcome.DONE, int(monotonic_ms()))
 
 
 def owner_on_box_one(*others: int, calls: Any = None) -> ZoneOwner:
-    """Return the owner on box 1 with ``OWNER_TOKEN``, which knows the *others*."""
+    """Return the owner on box 1 with ``OWNER_TOKEN`` and the *others* in its view."""
     own = _record(1)
     view = FleetView(own, [])
     for number in others:
@@ -112,7 +112,7 @@
 
 
 async def _submit_job(owner: ZoneOwner, number: int) -> None:
-    """Hand a job in at box 1, and give the owner a moment."""
+    """Submit a job from box 1 and let the owner's tasks run."""
     _acknowledge(owner, 1, monotonic_ms())
     owner.submit(_record(1).box, _submission(number))
     await asyncio.sleep(0.001)
@@ -123,14 +123,10 @@
 
 
 class TestDraining:
-    """An endpoint that leaves is answered once nothing can be given to it any more.
-
-    On a busy machine one or two tasks reached it after its answer: the owner learned of it at its
-    next tick only, and orders were on their way.
-    """
+    """A draining endpoint must get no task after the answer to its report."""
 
     def test_no_start_is_on_its_way(self) -> None:
-        """The box says that it knows only when the last order is answered, and orders no other."""
+        """The report is answered after the last start in flight, and no other is sent."""
 
         async def play() -> None:
             calls = _Calls()
@@ -156,10 +152,10 @@
 
 
 class TestIsolation:
-    """An owner that nobody hears must not take a silent endpoint's runs for lapsed."""
+    """An isolated owner must not take a silent endpoint's runs for lapsed."""
 
     def test_alone_in_the_system(self) -> None:
-        """With no other entry box there is nobody who could own the zone."""
+        """Without other entry boxes the owner is not isolated."""
 
         async def play() -> None:
             assert not owner_on_box_one().is_isolated
@@ -167,7 +163,7 @@
         _run(play())
 
     def test_own_grant_does_not_count(self) -> None:
-        """Its own box always hears it."""
+        """The session with the owner's own box does not count."""
 
         async def play() -> None:
             owner = owner_on_box_one(2)
@@ -178,7 +174,7 @@
         _run(play())
 
     def test_heard_by_another(self) -> None:
-        """One other box that grants its right is enough, until the grant is over."""
+        """A session with one other box suffices until it lapses."""
 
         async def play() -> None:
             owner = owner_on_box_one(2, 3)
@@ -193,10 +189,10 @@
 
 
 class TestLives:
-    """A box that was restarted within the time for which a message may be held up."""
+    """A box restarts while its earlier messages may still be delayed."""
 
     def test_a_late_acknowledgement_of_the_life_before(self) -> None:
-        """It does not end the present life's session, whose runs go on."""
+        """It does not end the session with the current incarnation."""
 
         async def play() -> None:
             owner = owner_on_box_one(2)
@@ -212,7 +208,7 @@
         _run(play())
 
     def test_a_new_life_ends_the_one_before(self) -> None:
-        """What that one wanted ends with it."""
+        """The session with the earlier incarnation ends."""
 
         async def play() -> None:
             owner = owner_on_box_one(2)
