--- a/src/foldloom/seed_discovery/owners/endpoint_link.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_link.py
@@ -179,7 +179,7 @@
         return True
 
     async def run(self) -> None:
-        """Poll until cancelled or until this incarnation has been replaced."""
+        """Poll until cancelled, or until this incarnation has ended or been replaced."""
         pause_s = _BACKOFF_MIN_S
         while True:
             sent_ms = monotonic_ms()
