--- a/src/foldloom/seed_discovery/owners/endpoint_link.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_link.py
@@ -180,7 +180,7 @@
 
     async def run(self) -> None:
         """Poll until cancelled, or until this incarnation has ended or been replaced."""
-        pause_s = _BACKOFF_MIN_S
+        backoff_s = _BACKOFF_MIN_S
         while True:
             sent_ms = monotonic_ms()
             order = self._next_order(sent_ms)
@@ -191,7 +191,7 @@
                 self._owner.note_next_life(self.record.endpoint, reply.born_ms)
                 return
             if reply.outcome is CallOutcome.DONE and answerer is Answerer.THIS:
-                pause_s = _BACKOFF_MIN_S
+                backoff_s = _BACKOFF_MIN_S
                 self._handle_reply(reply, sent_ms)
                 if not order.wait_ms and not renews_next:
                     await self._pause(_BACKOFF_MIN_S)
@@ -204,16 +204,16 @@
                 return
             else:
                 self._note_silent(reply)
-            await self._pause(pause_s)
-            pause_s = min(pause_s * 2, _BACKOFF_MAX_S)
+            await self._pause(backoff_s)
+            backoff_s = min(backoff_s * 2, _BACKOFF_MAX_S)
 
-    async def _pause(self, pause_s: float) -> None:
+    async def _pause(self, backoff_s: float) -> None:
         self._has_just_answered = False
-        await asyncio.sleep(pause_s)
+        await asyncio.sleep(backoff_s)
 
     async def _poll(self, order: PollOrder) -> PollReply:
         """Poll once; report the answer as overdue if it takes too long."""
-        suspicion = asyncio.get_running_loop().call_later(
+        overdue_timer = asyncio.get_running_loop().call_later(
             (order.wait_ms + SUSPECT_AFTER_MS) / 1_000,
             self._owner.note_overdue,
             self.record.endpoint,
@@ -222,7 +222,7 @@
         try:
             return await self._calls.poll(self.record, order)
         finally:
-            suspicion.cancel()
+            overdue_timer.cancel()
 
     def _next_order(self, now_ms: float) -> PollOrder:
         """Return the next poll.
@@ -252,10 +252,10 @@
             ENDPOINT_LOG.event("endpoint.answers", endpoint=self.record.endpoint)
         self._is_silent = False
         self._has_lapsed = False
-        fresh = tuple(end for end in reply.ended if end.sequence > self._last_sequence)
-        if fresh:
-            self._last_sequence = max(end.sequence for end in fresh)
-        report = EndpointReport(self.record.endpoint, reply.active, fresh, sent_ms, self.born_ms)
+        new_ends = tuple(end for end in reply.ended if end.sequence > self._last_sequence)
+        if new_ends:
+            self._last_sequence = max(end.sequence for end in new_ends)
+        report = EndpointReport(self.record.endpoint, reply.active, new_ends, sent_ms, self.born_ms)
         self._owner.handle_report(report, now_ms)
 
     def _note_silent(self, reply: PollReply) -> None:
--- a/src/foldloom/seed_discovery/owners/endpoint_links.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_links.py
@@ -50,7 +50,7 @@
         self._zone = zone
         self._state = state
         self._catalog = catalog
-        self._parts = (terms, calls, owner)
+        self._link_args = (terms, calls, owner)
         self._links: dict[str, EndpointLink] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
@@ -77,7 +77,7 @@
             link = self._links.get(endpoint)
             if link is None:
                 self._state.follow_endpoint(record)
-                self._open(EndpointLink(record, *self._parts, record.born_ms))
+                self._open(EndpointLink(record, *self._link_args, record.born_ms))
                 continue
             if record.born_ms > link.born_ms:
                 self._replace(link, record, record.born_ms, "heartbeat")
@@ -89,9 +89,9 @@
             if self._has_ended(endpoint):
                 self._close(endpoint, now_ms)
                 continue
-            gone = self._catalog.get(endpoint)
-            if gone is not None:
-                self._state.follow_endpoint(gone)
+            removed = self._catalog.get(endpoint)
+            if removed is not None:
+                self._state.follow_endpoint(removed)
 
     def _has_ended(self, endpoint: str) -> bool:
         """Return whether an endpoint that the catalog has removed can be dropped."""
@@ -129,7 +129,7 @@
         # If the previous link's task is the caller, it returns by itself.
         if self._tasks[record.endpoint] is not asyncio.current_task():
             self._tasks[record.endpoint].cancel()
-        self._open(EndpointLink(record, *self._parts, born_ms, replaces_previous=True))
+        self._open(EndpointLink(record, *self._link_args, born_ms, replaces_previous=True))
 
     def _open(self, link: EndpointLink) -> None:
         endpoint = link.record.endpoint
