--- a/tests/test_owners_client.py
+++ b/tests/test_owners_client.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What an entry box says of a job that it gives up: nothing ran, or something may have run."""
+"""Guards against a false "nothing ran" for a cancelled job, and against stale or repeated ends."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 from test_owners_zone_owner import OWNER_TOKEN, owner_on_box_one
 
 _JOB = "a" * 16
-_HOME, _OTHER = "home", "other"
-# The shortest right and lease: all that an owner held is gone for certain after 142 ms of silence.
+_OWN_ZONE, _OTHER_ZONE = "home", "other"
+# Shortest session and lease: a grant lapses within 150 ms of silence.
 _SHORT = TimingSettings(session_ms=1, endpoint_lease_ms=1)
-# Seconds for which a box stands still: longer than that.
-_STANDS_STILL_S = 0.3
+# Process pause, longer than that.
+_PAUSE_S = 0.3
 
 
 class FakeNetwork:
-    """Peers that answer what the test says, and keep what they were asked."""
+    """Fake peers with configurable answers; records the requests."""
 
     def __init__(self) -> None:
         self.has_started = False
@@ -53,14 +53,14 @@
         self.handlers: dict[type, Callable[..., Any]] = {}
 
     def on(self, kind: type, handler: Callable[..., Any]) -> None:
-        """Keep who takes messages of a kind."""
+        """Register the handler for a message type."""
         self.handlers[kind] = handler
 
     def send(self, _box: str, _message: Any, _ttl_ms: float = 0) -> None:
-        """Lose a message that needs no answer."""
+        """Drop a message."""
 
     async def request(self, _box: str, message: Any, _timeout_ms: float) -> Any:
-        """Answer as an owner that takes all runs."""
+        """Answer as an owner that accepts all runs."""
         self.asked.append(message)
         await asyncio.sleep(self.answers_after_s)
         if not self.is_reachable:
@@ -73,18 +73,18 @@
 
 
 class Rig:
-    """A client of a zone's owner, without sockets."""
+    """An :class:`OwnerClient` with fake peers."""
 
     def __init__(self, timings: TimingSettings | None = None) -> None:
         self.network = FakeNetwork()
-        own = BoxRecord("10.0.0.1:1", 1, _HOME, ENTRY, "e")
+        own = BoxRecord("10.0.0.1:1", 1, _OWN_ZONE, ENTRY, "e")
         network: Any = self.network
         self.client = OwnerClient(FleetView(own, []), network, timings or TimingSettings())
         self.job = OpenJob(_JOB)
         self.ends = self.job.ends
 
-    def beat(self, token: int, zone: str = _HOME) -> None:
-        """Hear an owner."""
+    def beat(self, token: int, zone: str = _OWN_ZONE) -> None:
+        """Handle a heartbeat of the owner with *token*."""
         record = BoxRecord(f"10.0.0.{token}:1", 1, zone, ENTRY, "o")
         owner = OwnerRecord(zone, token, record.box, 1)
         self.client.handle_heartbeat(
@@ -92,17 +92,17 @@
         )
 
     async def submit(self, run: int = 1) -> SubmitReply:
-        """Hand one run in."""
+        """Submit one run."""
         template: SubmitRuns = submission(job_id=_JOB)
         return await self.client.submit(self.job, template, [RunOrder(0, 0, run)])
 
-    def handed_over(self) -> int:
-        """Return the number of the newest handing over."""
+    def last_delivery(self) -> int:
+        """Return the newest delivery number."""
         message = [one for one in self.network.asked if isinstance(one, SubmitRuns)][-1]
         return int(message.orders[0].delivery)
 
-    def end(self, cause: EndCause, zone: str = _HOME, **fields: Any) -> None:
-        """Hear of the run's end."""
+    def end(self, cause: EndCause, zone: str = _OWN_ZONE, **fields: Any) -> None:
+        """Handle a message with the run's end."""
         end = RunEnd(RunId(TaskId(_JOB, 0, 0, 0), 1), cause, **fields)
         self.network.handlers[RunsEnded]("10.0.0.1:1", RunsEnded(zone, [end]))
 
@@ -112,117 +112,116 @@
 
 
 class TestEnds:
-    """An end is about one handing over of a run."""
+    """An end applies to one delivery of a run only."""
 
     def test_a_repeated_move(self) -> None:
-        """A move that is told again after the run came back moves nothing."""
+        """A repeated notification of a move has no effect after the run was moved back."""
 
         async def play() -> None:
             rig = Rig()
             rig.beat(1)
-            rig.beat(2, _OTHER)
+            rig.beat(2, _OTHER_ZONE)
             await rig.submit()
-            first = rig.handed_over()
-            rig.end(EndCause.MOVED, moved_to=_OTHER, has_started=False, delivery=first)
+            first = rig.last_delivery()
+            rig.end(EndCause.MOVED, moved_to=_OTHER_ZONE, has_started=False, delivery=first)
             await asyncio.sleep(0.01)
-            second = rig.handed_over()
-            rig.end(EndCause.MOVED, _OTHER, moved_to=_HOME, has_started=False, delivery=second)
+            second = rig.last_delivery()
+            rig.end(
+                EndCause.MOVED, _OTHER_ZONE, moved_to=_OWN_ZONE, has_started=False, delivery=second
+            )
             await asyncio.sleep(0.01)
-            third = rig.handed_over()
+            third = rig.last_delivery()
             assert first < second < third
-            rig.end(EndCause.MOVED, moved_to=_OTHER, has_started=False, delivery=first)
+            rig.end(EndCause.MOVED, moved_to=_OTHER_ZONE, has_started=False, delivery=first)
             await asyncio.sleep(0.01)
-            assert rig.handed_over() == third
+            assert rig.last_delivery() == third
             rig.end(EndCause.DONE, delivery=third)
             assert rig.ends.get_nowait().cause is EndCause.DONE
 
         _run(play())
 
     def test_meant_for_the_life_before(self) -> None:
-        """An owner that stood still while the box was restarted ends nothing of its next life."""
+        """An end sent to an earlier incarnation of the box ends no run of the current one."""
 
         async def play() -> None:
-            before, rig = Rig(), Rig()
-            for life in (before, rig):
-                life.beat(1)
-                await life.submit()
-            rig.end(EndCause.UNATTAINABLE, has_started=False, delivery=before.handed_over())
+            earlier, rig = Rig(), Rig()
+            for each in (earlier, rig):
+                each.beat(1)
+                await each.submit()
+            rig.end(EndCause.UNATTAINABLE, has_started=False, delivery=earlier.last_delivery())
             assert rig.ends.empty()
 
         _run(play())
 
 
 class TestLapsedRights:
-    """An owner whose right lapsed has let go of what it was handed."""
+    """An owner whose session lapsed has dropped the delivered runs."""
 
     def test_what_is_open_is_handed_over_again(self) -> None:
-        """Under a new number, and so that it is not refused."""
+        """Open runs are delivered again with a new number and are not refused."""
 
         async def play() -> None:
             rig = Rig()
             rig.beat(1)
             await rig.submit()
-            first = rig.handed_over()
-            rig.network.handlers[SessionBegan]("10.0.0.1:1", SessionBegan(_HOME, 1))
+            first = rig.last_delivery()
+            rig.network.handlers[SessionBegan]("10.0.0.1:1", SessionBegan(_OWN_ZONE, 1))
             await asyncio.sleep(0.01)
-            assert rig.handed_over() > first
+            assert rig.last_delivery() > first
             assert rig.network.asked[-1].orders[0].is_moved
 
         _run(play())
 
     def test_of_an_owner_before(self) -> None:
-        """What an earlier owner says changes nothing."""
+        """A renewed session of an earlier owner has no effect."""
 
         async def play() -> None:
             rig = Rig()
             rig.beat(2)
             await rig.submit()
-            first = rig.handed_over()
-            rig.network.handlers[SessionBegan]("10.0.0.1:1", SessionBegan(_HOME, 1))
+            first = rig.last_delivery()
+            rig.network.handlers[SessionBegan]("10.0.0.1:1", SessionBegan(_OWN_ZONE, 1))
             await asyncio.sleep(0.01)
-            assert rig.handed_over() == first
+            assert rig.last_delivery() == first
 
         _run(play())
 
 
 class TestLostOwner:
-    """An owner that was silent for so long that what it held has ended."""
+    """An owner was silent until the grant lapsed."""
 
     def test_a_lost_run_is_delivered_no_more(self) -> None:
-        """A delivery without a reply is sent again and again, but not to an owner that is back.
-
-        Its run may have started elsewhere by then.
-        """
+        """A lost run is no longer retransmitted, since it may have started elsewhere."""
 
         async def play() -> None:
             rig = Rig(TimingSettings(session_ms=1, endpoint_lease_ms=1))
             rig.beat(1)
             rig.network.is_reachable = False
             rig.network.answers_after_s = 0.01
-            delivering = asyncio.create_task(rig.submit())
-            watching = asyncio.create_task(rig.client.run())
+            submission_task = asyncio.create_task(rig.submit())
+            watch_task = asyncio.create_task(rig.client.run())
             assert (await asyncio.wait_for(rig.ends.get(), 5.0)).cause is EndCause.LOST
-            watching.cancel()
-            asked = len(rig.network.asked)
-            await asyncio.wait([delivering], timeout=0.1)
-            assert len(rig.network.asked) == asked
-            delivering.cancel()
+            watch_task.cancel()
+            requests_before = len(rig.network.asked)
+            await asyncio.wait([submission_task], timeout=0.1)
+            assert len(rig.network.asked) == requests_before
+            submission_task.cancel()
 
         _run(play())
 
     def test_heard_again_before_the_check(self) -> None:
-        """A heartbeat that has waited while the box stood still revives no run."""
+        """A heartbeat handled after a process pause does not renew a lapsed grant."""
 
         async def play() -> None:
             rig = Rig(_SHORT)
             rig.beat(1)
             await rig.submit()
-            time.sleep(_STANDS_STILL_S)
-            watching = asyncio.create_task(rig.client.run())
+            time.sleep(_PAUSE_S)
+            watch_task = asyncio.create_task(rig.client.run())
             for _ in range(20):
                 rig.beat(1)
                 await asyncio.sleep(0.01)
-            watching.cancel()
+            watch_task.cancel()
             assert rig.ends.get_nowait().cause is EndCause.LOST
             assert rig.ends.empty()
 
@@ -230,10 +229,10 @@
 
 
 class TestSameIdAgain:
-    """An id that is handed in again while its first try is still being cancelled."""
+    """An id is submitted again while its first submission is still being cancelled."""
 
     def test_the_second_try_is_left_alone(self) -> None:
-        """Its runs stay open, and its verdict is its own."""
+        """Neither the cancel nor the ends of the first submission affect the second."""
 
         async def play() -> None:
             rig = Rig()
@@ -244,7 +243,7 @@
             rig.client.forget(first)
             rig.job = second
             await rig.submit()
-            newest = rig.handed_over()
+            newest = rig.last_delivery()
             await asyncio.sleep(0.05)
             cancels = [one for one in rig.network.asked if isinstance(one, CancelJob)]
             assert [one.delivery < newest for one in cancels] == [True]
@@ -256,10 +255,10 @@
 
 
 class TestGivingUp:
-    """The verdict on a job that is given up."""
+    """Whether a cancelled job may have started."""
 
     def test_nothing_started(self) -> None:
-        """An owner that never ordered a start says so, and is believed."""
+        """The owner's answer that nothing started is accepted."""
 
         async def play() -> None:
             rig = Rig()
@@ -270,7 +269,7 @@
         _run(play())
 
     def test_the_owner_knows_of_a_start(self) -> None:
-        """An owner that ordered a start says so."""
+        """The owner's answer that a run started is accepted."""
 
         async def play() -> None:
             rig = Rig()
@@ -282,24 +281,24 @@
         _run(play())
 
     def test_no_owner_was_ever_sent_it(self) -> None:
-        """Nobody can have started it, so nobody needs to be asked."""
+        """A job never sent to an owner has not started, and no cancel is sent."""
 
         async def play() -> None:
             rig = Rig()
             rig.beat(1)
             rig.network.is_reachable = False
-            connection = rig.client._home
+            connection = rig.client._own_zone_connection
             connection._has_owner.clear()
-            delivering = asyncio.create_task(rig.submit())
+            submission_task = asyncio.create_task(rig.submit())
             await asyncio.sleep(0.01)
             assert not await rig.client.give_up(rig.job)
             assert rig.network.asked == []
-            delivering.cancel()
+            submission_task.cancel()
 
         _run(play())
 
     def test_no_answer(self) -> None:
-        """An owner that does not answer may have started it."""
+        """Without an answer the job may have started."""
 
         async def play() -> None:
             rig = Rig()
@@ -311,22 +310,22 @@
         _run(play())
 
     def test_an_owner_that_fell_silent(self) -> None:
-        """A run whose owner fell silent is over, but may have been carried out."""
+        """A run whose owner fell silent has ended but may have started."""
 
         async def play() -> None:
             rig = Rig(TimingSettings(session_ms=1, endpoint_lease_ms=1))
             rig.beat(1)
             await rig.submit()
-            watching = asyncio.create_task(rig.client.run())
+            watch_task = asyncio.create_task(rig.client.run())
             end = await asyncio.wait_for(rig.ends.get(), 5.0)
-            watching.cancel()
+            watch_task.cancel()
             assert end.cause is EndCause.LOST
             assert await rig.client.give_up(rig.job)
 
         _run(play())
 
     def test_a_new_owner_knows_nothing_of_the_one_before(self) -> None:
-        """What a new owner says of a job covers only its own term."""
+        """An owner's answer covers its own term only."""
 
         async def play() -> None:
             rig = Rig()
@@ -339,9 +338,9 @@
         _run(play())
 
     def test_answered_by_a_later_term(self) -> None:
-        """The box of the owner lost its zone and acquired it again: it has forgotten its starts.
+        """A later term on the owner's box has no record of the starts of the earlier one.
 
-        Its new term answers before a heartbeat of that term is handled here.
+        It answers before a heartbeat of its term is handled here.
         """
 
         async def play() -> None:
@@ -354,10 +353,7 @@
         _run(play())
 
     def test_a_first_try_that_was_cut_short(self) -> None:
-        """A deadline that comes while the owner is being asked does not make it certain.
-
-        Seen on the bench: a hunted scale-1 of Sahulat in journal 01b207df, REFUSED at 5.696 s.
-        """
+        """A cancel interrupted by a deadline leaves the job as possibly started."""
 
         async def play() -> None:
             rig = Rig()
@@ -373,9 +369,9 @@
         _run(play())
 
     def test_lost_while_it_is_given_up(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """A box that stood still finds its owner lost and its job's deadline over at one moment.
+        """After a process pause, the loss of the owner and the deadline may come in any order.
 
-        What was dropped with the owner counts, whichever of the two comes first.
+        The batches dropped with the owner count in either case.
         """
 
         async def play() -> None:
@@ -383,34 +379,34 @@
             rig.beat(1)
             await rig.submit()
             time.sleep(0.3)
-            # In the first step both only begin; in the second one the loss comes first.
-            watching = asyncio.create_task(rig.client.run())
+            # Both tasks only begin in the first step; in the second one the loss comes first.
+            watch_task = asyncio.create_task(rig.client.run())
             giving_up = asyncio.create_task(rig.client.give_up(rig.job))
             rig.network.has_started = True
             assert await giving_up
-            watching.cancel()
+            watch_task.cancel()
 
         monkeypatch.setattr("foldloom.seed_discovery.owners.client._LOST_CHECK_S", 0)
         _run(play())
 
     def test_a_heartbeat_is_handled_before_the_loss(self) -> None:
-        """A box that stood still hears its owner before it checks for how long it has not.
+        """A heartbeat handled after a process pause, before the check, does not hide the lapse.
 
-        The owner has dropped what it held for this box, and may have forgotten its starts.
+        The owner has dropped this box's runs and may no longer have a record of their starts.
         """
 
         async def play() -> None:
             rig = Rig(_SHORT)
             rig.beat(1)
             await rig.submit()
-            time.sleep(_STANDS_STILL_S)
+            time.sleep(_PAUSE_S)
             rig.beat(1)
             assert await rig.client.give_up(rig.job)
 
         _run(play())
 
     def test_a_right_that_lapses_while_the_owner_is_asked(self) -> None:
-        """What it says counts only if its right has had no break since the job was delivered."""
+        """An owner's answer counts only under the grant of the delivery."""
 
         async def play() -> None:
             rig = Rig(_SHORT)
@@ -420,14 +416,14 @@
             giving_up = asyncio.create_task(rig.client.give_up(rig.job))
             while not isinstance(rig.network.asked[-1], CancelJob):
                 await asyncio.sleep(0)
-            time.sleep(_STANDS_STILL_S)
+            time.sleep(_PAUSE_S)
             rig.beat(1)
             assert await giving_up
 
         _run(play())
 
     def test_an_end_that_is_handled_too_late(self) -> None:
-        """The owner may have forgotten a start since, so its word comes to nothing."""
+        """A late end does not rule out a start, whose record the owner may have dropped."""
 
         async def play() -> None:
             rig = Rig()
@@ -440,14 +436,14 @@
         _run(play())
 
     def test_moved_before_any_start(self) -> None:
-        """A run that moved to another zone without a start leaves the verdict to that zone."""
+        """After a run moved to another zone unstarted, only that zone's owner is queried."""
 
         async def play() -> None:
             rig = Rig()
             rig.beat(1)
-            rig.beat(2, _OTHER)
+            rig.beat(2, _OTHER_ZONE)
             await rig.submit()
-            rig.end(EndCause.MOVED, moved_to=_OTHER, has_started=False)
+            rig.end(EndCause.MOVED, moved_to=_OTHER_ZONE, has_started=False)
             await asyncio.sleep(0.01)
             assert not await rig.client.give_up(rig.job)
             assert sum(isinstance(one, CancelJob) for one in rig.network.asked) == 1
@@ -455,21 +451,18 @@
         _run(play())
 
     def test_done_in_another_zone_whose_owner_fell_silent(self) -> None:
-        """A run moves, its new owner falls silent, the job is given up: it may have run there.
-
-        Seen on the bench: trouble-1 of Sahulat in journal 0bdfe35e, REFUSED at 36.367 s.
-        """
+        """A run that moved to an owner that then fell silent may have started there."""
 
         async def play() -> None:
             rig = Rig(TimingSettings(session_ms=1, endpoint_lease_ms=1))
             rig.beat(1)
-            rig.beat(2, _OTHER)
+            rig.beat(2, _OTHER_ZONE)
             await rig.submit()
-            rig.end(EndCause.MOVED, moved_to=_OTHER, has_started=False)
+            rig.end(EndCause.MOVED, moved_to=_OTHER_ZONE, has_started=False)
             await asyncio.sleep(0.01)
-            watching = asyncio.create_task(rig.client.run())
+            watch_task = asyncio.create_task(rig.client.run())
             assert (await asyncio.wait_for(rig.ends.get(), 5.0)).cause is EndCause.LOST
-            watching.cancel()
+            watch_task.cancel()
             rig.beat(1)
             await rig.submit(2)
             assert await rig.client.give_up(rig.job)
@@ -477,12 +470,12 @@
         _run(play())
 
     def test_done_at_an_owner_that_fell_silent_afterwards(self) -> None:
-        """One task is done, the other moved on, the first owner falls silent: a task has run."""
+        """A task done before its owner fell silent counts as started."""
 
         async def play() -> None:
             rig = Rig(TimingSettings(session_ms=1, endpoint_lease_ms=1))
             rig.beat(1)
-            rig.beat(2, _OTHER)
+            rig.beat(2, _OTHER_ZONE)
             template: SubmitRuns = submission(2, job_id=_JOB)
             orders = [RunOrder(0, 0, 1), RunOrder(0, 1, 1)]
             await rig.client.submit(rig.job, template, orders)
@@ -490,17 +483,17 @@
             moved = RunEnd(
                 RunId(TaskId(_JOB, 0, 0, 1), 1),
                 EndCause.MOVED,
-                moved_to=_OTHER,
+                moved_to=_OTHER_ZONE,
                 has_started=False,
             )
-            rig.network.handlers[RunsEnded]("10.0.0.1:1", RunsEnded(_HOME, [done, moved]))
+            rig.network.handlers[RunsEnded]("10.0.0.1:1", RunsEnded(_OWN_ZONE, [done, moved]))
             await asyncio.sleep(0.01)
-            watching = asyncio.create_task(rig.client.run())
+            watch_task = asyncio.create_task(rig.client.run())
             for _ in range(100):
-                # The other zone's owner is heard all the time.
-                rig.beat(2, _OTHER)
+                # The other zone's owner keeps sending heartbeats.
+                rig.beat(2, _OTHER_ZONE)
                 await asyncio.sleep(0.005)
-            watching.cancel()
+            watch_task.cancel()
             assert await rig.client.give_up(rig.job)
 
         _run(play())
--- a/tests/test_owners_elector.py
+++ b/tests/test_owners_elector.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How a box finds out that its zone's owner is gone, and steps in."""
+"""Guards against slow replacement of a dead owner and against replacement of a live one."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class _Owner:
-    """What the elector needs of an owner's term."""
+    """Fake term of an owner."""
 
     def __init__(self, record: OwnerRecord) -> None:
         self.record = record
@@ -46,39 +46,39 @@
 
 
 class _Network:
-    """Peers of which some do not answer; it keeps who was asked and for how long."""
+    """Fake peers, some unresponsive; records the timeout per queried box."""
 
-    def __init__(self, silent: set[str], heard_ms: int) -> None:
-        self.asked: dict[str, float] = {}
+    def __init__(self, silent: set[str], silent_ms: int) -> None:
+        self.timeouts_ms: dict[str, float] = {}
         self._silent = silent
-        self._heard_ms = heard_ms
+        self._silent_ms = silent_ms
 
     def on(self, _kind: type, _handler: Callable[..., Any]) -> None:
-        """Take no messages."""
+        """Ignore handlers."""
 
     def send(self, _box: str, _message: Any, _ttl_ms: float = 0) -> None:
-        """Lose it."""
+        """Drop a message."""
 
     async def request(self, box: str, message: OwnerQuery, timeout_ms: float) -> OwnerAnswer:
-        """Answer how long ago the owner was heard."""
-        self.asked[box] = timeout_ms
+        """Answer with the time since the owner's newest heartbeat."""
+        self.timeouts_ms[box] = timeout_ms
         if box in self._silent:
             await asyncio.sleep(timeout_ms / 1_000)
             raise PeerUnreachableError
-        return OwnerAnswer(OwnerRecord(message.zone, 5), self._heard_ms)
+        return OwnerAnswer(OwnerRecord(message.zone, 5), self._silent_ms)
 
 
 class _Rig:
     """Box 2 of a zone whose owner is box 1."""
 
-    def __init__(self, silent: set[str], heard_ms: int) -> None:
-        self.network = _Network(silent, heard_ms)
+    def __init__(self, silent: set[str], silent_ms: int) -> None:
+        self.network = _Network(silent, silent_ms)
         self.view = FleetView(_record(2), [])
         reply = JoinReply([_CONTROLLER], [_record(1), _record(2), _record(3)], [], 0, 1, 0, [])
         self.view.note_controller(_CONTROLLER, reply, monotonic_ms())
         network: Any = self.network
         make_owner: Any = _Owner
-        self.elector = Elector(self.view, network, _TIMINGS, make_owner, lambda _beat: None)
+        self.elector = Elector(self.view, network, _TIMINGS, make_owner, lambda _heartbeat: None)
         owner = OwnerRecord(_ZONE, 5, _record(1).box, 1)
         self.elector.handle_heartbeat(
             _record(1).box, OwnerHeartbeat(owner, _record(1), 0, 0, ZoneLoad())
@@ -96,28 +96,28 @@
 
 
 class TestStepIn:
-    """A silent owner."""
+    """The known owner is silent."""
 
     def test_the_owner_is_not_waited_for_as_long_as_the_others(self) -> None:
-        """It is silent already; without this a killed owner cost 120 ms more."""
+        """The query to the silent owner has a shorter timeout than those to witnesses."""
 
         async def play() -> None:
             rig = _Rig({_record(1).box}, 1_000)
             await rig.run(0.4)
             assert rig.elector.owner is not None
-            asked = rig.network.asked
-            assert asked[_record(1).box] < asked[_record(3).box]
-            assert asked[_CONTROLLER] == asked[_record(3).box]
+            timeouts_ms = rig.network.timeouts_ms
+            assert timeouts_ms[_record(1).box] < timeouts_ms[_record(3).box]
+            assert timeouts_ms[_CONTROLLER] == timeouts_ms[_record(3).box]
 
         _run(play())
 
     def test_the_owner_is_in_nobodys_way(self) -> None:
-        """The first of those that are left acts without a place for the silent owner."""
+        """The silent owner takes no rank among the candidates."""
         rig = _Rig(set(), 1_000)
         assert rig.elector.patience_ms == _TIMINGS.owner_silent_ms
 
     def test_somebody_hears_it(self) -> None:
-        """Nothing is claimed from an owner that others hear."""
+        """A zone whose owner has recent heartbeats at a witness is not acquired."""
 
         async def play() -> None:
             rig = _Rig({_record(1).box}, 10)
@@ -127,7 +127,7 @@
         _run(play())
 
     def test_nobody_answers(self) -> None:
-        """A box that reaches nobody claims nothing."""
+        """A box without any answer does not acquire the zone."""
 
         async def play() -> None:
             silent = {_record(1).box, _record(3).box, _CONTROLLER}
--- a/tests/test_owners_endpoint_link.py
+++ b/tests/test_owners_endpoint_link.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The owner's link to one endpoint: what it asks for, and what it takes an answer for."""
+"""Guards the link to an endpoint: answers of other incarnations, delayed farewells, lapse."""
 
 from __future__ import annotations
 
@@ -25,61 +25,61 @@
     Answerer,
     EndpointLink,
     LeaseTerms,
-    judge_answer,
+    classify_answer,
 )
 from foldloom.seed_discovery.owners.endpoint_links import EndpointLinks
-from foldloom.seed_discovery.owners.lease import LAPSE_MARGIN_MS, longest_real_ms
+from foldloom.seed_discovery.owners.lease import LAPSE_MARGIN_MS, max_real_duration_ms
 from foldloom.seed_discovery.owners.messages import EndCause
 from foldloom.seed_discovery.owners.state import OwnerState
 from models.virtual_time import VirtualTimeLoop, run_in_virtual_time
 from test_owners_state import ends_of, start_one
 
 _LEASE_MS = 600.0
-_TERMS = LeaseTerms(5, _LEASE_MS, longest_real_ms(_LEASE_MS), longest_real_ms(1_000.0))
+_TERMS = LeaseTerms(5, _LEASE_MS, max_real_duration_ms(_LEASE_MS), max_real_duration_ms(1_000.0))
 _ENDPOINT = EndpointRecord("w1", "svc", "w1:1", "z", Demand(16_000, 32_000, 0))
-# A poll that is under way when the endpoint falls silent may still renew the lease.
+# A poll in flight when the endpoint falls silent may still renew the lease.
 _POLL_S = 0.5
 _BORN_MS = 1_000
 
 
 class _Owner:
-    """An owner that always renews, and keeps what it is told."""
+    """Fake owner that always renews and records events."""
 
     def __init__(self) -> None:
         self.reports: list[EndpointReport] = []
-        self.lives: list[int] = []
+        self.incarnations: list[int] = []
         self.overdue: list[str] = []
-        self.silences = 0
+        self.silent_count = 0
 
     def may_renew(self, _endpoint: str, _now_ms: float) -> bool:
         """Agree."""
         return True
 
     def handle_report(self, report: EndpointReport, _now_ms: float) -> None:
-        """Keep a report."""
+        """Record a report."""
         self.reports.append(report)
 
     def note_overdue(self, endpoint: str, call: str) -> None:
-        """Keep which call it was."""
+        """Record the call."""
         self.overdue.append(call)
 
     def note_silent(self, endpoint: str) -> None:
-        """Count it."""
-        self.silences += 1
+        """Count failed polls."""
+        self.silent_count += 1
 
     def note_life_over(self, endpoint: str, born_ms: int) -> None:
         """Do nothing."""
 
     def note_next_life(self, endpoint: str, born_ms: int) -> None:
-        """Keep that a later life answers."""
-        self.lives.append(born_ms)
+        """Record the later incarnation."""
+        self.incarnations.append(born_ms)
 
     def note_fenced(self, endpoint: str) -> None:
         """Do nothing."""
 
 
 class _Calls:
-    """An endpoint that takes every poll and answers while it is not silent."""
+    """Fake endpoint that receives every poll and answers unless it is silent."""
 
     def __init__(self, born_ms: int = 0) -> None:
         self.born_ms = born_ms
@@ -89,7 +89,7 @@
         self.polls: list[PollOrder] = []
 
     async def poll(self, _endpoint: EndpointRecord, order: PollOrder) -> PollReply:
-        """Answer after the wait, or time out."""
+        """Answer after the wait, or time out while silent."""
         self.polls.append(order)
         await asyncio.sleep(order.wait_ms / 1_000 + 0.001)
         if self.is_silent:
@@ -99,34 +99,34 @@
         return PollReply(CallOutcome.DONE, clock_ms, self.active, self.ended, born_ms=self.born_ms)
 
 
-async def _play_link(owner: _Owner, calls: _Calls, play_s: float = 1.0) -> bool:
-    """Let a link to the life ``_BORN_MS`` run for a while; return whether it still does."""
+async def _run_link(owner: _Owner, calls: _Calls, run_s: float = 1.0) -> bool:
+    """Run a link to the incarnation ``_BORN_MS``; return whether its task is still running."""
     endpoint_calls: Any = calls
     record = _ENDPOINT._replace(born_ms=_BORN_MS)
     link = EndpointLink(record, _TERMS, endpoint_calls, owner, _BORN_MS)
     task = asyncio.create_task(link.run())
-    await asyncio.sleep(play_s)
+    await asyncio.sleep(run_s)
     is_running = not task.done()
     task.cancel()
     return is_running
 
 
 class TestOtherLife:
-    """Answers of another life of the endpoint, under the same id."""
+    """Answers of another incarnation of the endpoint with the same id."""
 
     def test_a_later_one_answers(self) -> None:
-        """The owner is notified of it, and the link to the life before ends."""
+        """The owner is notified, and the link to the earlier incarnation ends."""
         owner = _Owner()
-        assert not run_in_virtual_time(_play_link(owner, _Calls(_BORN_MS + 1)), VirtualTimeLoop())
-        assert owner.lives == [_BORN_MS + 1]
+        assert not run_in_virtual_time(_run_link(owner, _Calls(_BORN_MS + 1)), VirtualTimeLoop())
+        assert owner.incarnations == [_BORN_MS + 1]
         assert owner.reports == []
 
     def test_an_earlier_one_answers(self) -> None:
-        """What it lists says nothing of the present one, which counts as silent meanwhile."""
+        """Its report is ignored, and the current incarnation counts as silent."""
         owner = _Owner()
-        assert run_in_virtual_time(_play_link(owner, _Calls(_BORN_MS - 1)), VirtualTimeLoop())
+        assert run_in_virtual_time(_run_link(owner, _Calls(_BORN_MS - 1)), VirtualTimeLoop())
         assert owner.reports == []
-        assert owner.silences
+        assert owner.silent_count
 
     @pytest.mark.parametrize(
         ("answer_ms", "born_ms", "has_answered", "answerer"),
@@ -144,23 +144,23 @@
     def test_which_one_answers(
         self, answer_ms: int, born_ms: int, has_answered: bool, answerer: Answerer
     ) -> None:
-        """One that says its birth follows one that answered without."""
-        assert judge_answer(answer_ms, born_ms, has_answered) is answerer
+        """Covers each combination of known and answered birth times."""
+        assert classify_answer(answer_ms, born_ms, has_answered) is answerer
 
     @pytest.mark.parametrize("born_ms", [_BORN_MS, 0])
     def test_this_one_answers(self, born_ms: int) -> None:
-        """An answer that does not say is of the life that is known."""
+        """An answer without a birth time is from the known incarnation."""
         owner = _Owner()
-        assert run_in_virtual_time(_play_link(owner, _Calls(born_ms)), VirtualTimeLoop())
+        assert run_in_virtual_time(_run_link(owner, _Calls(born_ms)), VirtualTimeLoop())
         assert owner.reports[0].born_ms == _BORN_MS
 
     def test_ends_are_kept_for_whoever_answers_next(self) -> None:
-        """After a broken poll, no end is acknowledged: the next life counts from 1 again."""
+        """After a failed poll no end is acknowledged: a new incarnation numbers from 1 again."""
         calls = _Calls(_BORN_MS)
         calls.ended = (EndedRun(7, RunId(TaskId("0" * 16, 0, 0, 0), 1), EndKind.DONE),)
 
         async def play() -> None:
-            link = asyncio.create_task(_play_link(_Owner(), calls, 3.0))
+            link = asyncio.create_task(_run_link(_Owner(), calls, 3.0))
             await asyncio.sleep(1.0)
             assert calls.polls[-1].last_sequence == 7
             calls.is_silent = True
@@ -174,12 +174,14 @@
         run_in_virtual_time(play(), VirtualTimeLoop())
 
     def test_orders_for_the_life_before(self) -> None:
-        """Their leases are cut to the longest: until that has passed, nothing has lapsed."""
+        """Nothing has lapsed before the longest lease that they may have got has."""
         calls: Any = _Calls(_BORN_MS)
         calls.is_silent = True
 
         async def play() -> float:
-            link = EndpointLink(_ENDPOINT, _TERMS, calls, _Owner(), _BORN_MS, follows_another=True)
+            link = EndpointLink(
+                _ENDPOINT, _TERMS, calls, _Owner(), _BORN_MS, replaces_previous=True
+            )
             task = asyncio.create_task(link.run())
             began_ms = monotonic_ms()
             while not link.has_lapsed(monotonic_ms()):
@@ -191,7 +193,7 @@
 
 
 class _World:
-    """An owner's links to endpoints that answer, and the catalog that they follow."""
+    """An owner's links with a fake endpoint, its state and its catalog."""
 
     def __init__(self, born_ms: int = _BORN_MS) -> None:
         self.calls = _Calls(born_ms)
@@ -207,37 +209,37 @@
         return True
 
     def handle_report(self, report: EndpointReport, now_ms: float) -> None:
-        """Reconcile."""
+        """Apply a report to the state."""
         self.state.report(report, now_ms)
 
     def note_overdue(self, endpoint: str, call: str) -> None:
-        """Give it nothing."""
+        """Exclude the endpoint from placement."""
         self.state.distrust(endpoint)
 
     def note_silent(self, endpoint: str) -> None:
-        """Give it nothing."""
+        """Exclude the endpoint from placement."""
         self.state.distrust(endpoint)
 
     def note_life_over(self, endpoint: str, born_ms: int) -> None:
-        """End it."""
+        """End the incarnation in the catalog."""
         self.catalog.end_life(endpoint, born_ms, monotonic_ms())
 
     def note_next_life(self, endpoint: str, born_ms: int) -> None:
-        """Follow it."""
+        """Open a link to the new incarnation."""
         self.links.begin_life(endpoint, born_ms)
 
     def note_fenced(self, endpoint: str) -> None:
         """Do nothing."""
 
     async def follow(self, for_s: float) -> None:
-        """Follow the catalog for a while, as an owner's tick does."""
+        """Run the link-related part of an owner's ticks for *for_s* seconds."""
         for _ in range(int(for_s / 0.02)):
-            self.links.follow_catalog(monotonic_ms())
-            self.links.judge_silent(monotonic_ms())
+            self.links.sync_with_catalog(monotonic_ms())
+            self.links.check_silent_endpoints(monotonic_ms())
             await asyncio.sleep(0.02)
 
     async def run_one(self) -> RunId:
-        """Have the endpoint run a task, which it lists from now on."""
+        """Start a run and list it as active at the endpoint."""
         await self.follow(0.5)
         run_id = start_one(self.state, monotonic_ms())
         self.calls.active = (ActiveRun(run_id),)
@@ -245,26 +247,26 @@
         return run_id
 
     def leave(self) -> None:
-        """Have it say that it leaves; then a farewell comes, of whichever life."""
+        """Handle the endpoint's draining report and a farewell message."""
         self.catalog.merge(self.record._replace(state=EndpointState.DRAINING), monotonic_ms())
         assert self.catalog.note_farewell("w1", monotonic_ms())
 
     @property
     def causes(self) -> list[EndCause]:
-        """How runs have ended since this was asked last."""
+        """Causes of the ends since the last call."""
         return [end.cause for _, end in ends_of(self.state)]
 
     @property
     def is_open(self) -> bool:
-        """Whether the endpoint may be given work."""
+        """Whether the endpoint is eligible for placement."""
         return self.state.candidates["w1"].is_open(monotonic_ms())
 
 
 class TestNextLife:
-    """A life that begins under the id of an endpoint that is known."""
+    """A new incarnation of a known endpoint."""
 
     def test_its_answer_comes_first(self) -> None:
-        """It has a link of its own at once, and gets work once its own heartbeat has come."""
+        """It gets a new link at once, and runs only after its first heartbeat."""
 
         async def play() -> None:
             world = _World()
@@ -287,7 +289,7 @@
         run_in_virtual_time(play(), VirtualTimeLoop())
 
     def test_its_heartbeat_comes_first(self) -> None:
-        """It has a link of its own at once, which knows no clock yet."""
+        """It gets a new link at once, without a clock reading."""
 
         async def play() -> None:
             world = _World()
@@ -295,7 +297,7 @@
             before = world.links.get("w1")
             leaving = world.record._replace(born_ms=_BORN_MS + 1, state=EndpointState.DRAINING)
             world.catalog.merge(leaving, monotonic_ms())
-            world.links.follow_catalog(monotonic_ms())
+            world.links.sync_with_catalog(monotonic_ms())
             link = world.links.get("w1")
             assert link is not None
             assert link is not before
@@ -309,10 +311,10 @@
 
 
 class TestFarewell:
-    """A draining endpoint's last word, which does not say of which of its lives it is."""
+    """A draining endpoint's farewell message, which does not name its incarnation."""
 
     def test_of_the_life_before(self) -> None:
-        """It was held up; the endpoint answers, so its runs go on and start nowhere else."""
+        """After a delayed farewell, runs of an endpoint that answers are not ended."""
 
         async def play() -> None:
             world = _World()
@@ -331,7 +333,7 @@
         run_in_virtual_time(play(), VirtualTimeLoop())
 
     def test_of_the_present_life(self) -> None:
-        """It is gone; what it ran has ended once its silence shows that."""
+        """The runs of an endpoint that is gone end once its lease has lapsed."""
 
         async def play() -> None:
             world = _World()
@@ -347,7 +349,7 @@
         run_in_virtual_time(play(), VirtualTimeLoop())
 
     def test_where_nothing_runs(self) -> None:
-        """Nobody calls an endpoint any more that has left and runs nothing."""
+        """The link to an idle endpoint is closed at once."""
 
         async def play() -> None:
             world = _World()
@@ -360,7 +362,7 @@
         run_in_virtual_time(play(), VirtualTimeLoop())
 
     def test_of_an_id_that_is_of_one_life(self) -> None:
-        """There is no other life that it could be of: what it ran has ended at once."""
+        """Without a birth time, the endpoint's runs end at once."""
 
         async def play() -> None:
             world = _World(born_ms=0)
@@ -374,10 +376,10 @@
 
 
 class TestSilentEndpoint:
-    """An endpoint that takes polls and answers none."""
+    """An endpoint that receives polls and answers none."""
 
     def test_its_lease_lapses(self) -> None:
-        """Polls that get no answer do not renew its lease, or what it runs would never lapse."""
+        """Unanswered polls do not renew the lease, which would otherwise never lapse."""
         calls: Any = _Calls()
 
         async def play() -> float:
@@ -398,15 +400,15 @@
         assert not calls.polls[-1].until_ms
 
     def test_its_answer_is_overdue(self) -> None:
-        """The owner is notified before the poll has timed out."""
+        """The owner is notified of the overdue answer before the poll times out."""
         owner = _Owner()
         calls = _Calls(_BORN_MS)
         calls.is_silent = True
-        run_in_virtual_time(_play_link(owner, calls, 0.1), VirtualTimeLoop())
-        assert (owner.overdue, owner.silences) == (["poll"], 0)
+        run_in_virtual_time(_run_link(owner, calls, 0.1), VirtualTimeLoop())
+        assert (owner.overdue, owner.silent_count) == (["poll"], 0)
 
     def test_it_is_renewed_once_it_answers(self) -> None:
-        """The first answer after a silence is followed by a poll that renews the lease."""
+        """The lease is renewed again after the first answer."""
         calls: Any = _Calls()
 
         async def play() -> None:
