--- a/src/foldloom/seed_discovery/owners/cancels.py
+++ b/src/foldloom/seed_discovery/owners/cancels.py
@@ -21,7 +21,7 @@
 # Milliseconds for which a job that is given up waits for its owners' word; without it the job
 # counts as one that may have run: two tries of a cancel (150 ms each), because the caller waits for
 # the answer meanwhile.
-VERDICT_WAIT_MS = 300
+CANCEL_REPLY_WAIT_MS = 300
 
 
 class Cancels:
@@ -45,7 +45,7 @@
         self._home_zone = home_zone
         self._network = network
         self._gone_after_s = gone_after_ms / 1_000
-        self._ending: dict[str, asyncio.Task[None]] = {}
+        self._remote_cancels: dict[str, asyncio.Task[None]] = {}
         self._tasks = TaskSet()
 
     def begin(self, withdrawals: list[Withdrawal]) -> dict[str, asyncio.Task[Answer]]:
@@ -53,19 +53,21 @@
         cancels = {
             one.owner.zone: self._tasks.spawn(self._cancel(one))
             for one in withdrawals
-            if one.must_ask
+            if one.needs_cancel
         }
-        elsewhere = [cancel for zone, cancel in cancels.items() if zone != self._home_zone]
-        if elsewhere:
+        remote = [cancel for zone, cancel in cancels.items() if zone != self._home_zone]
+        if remote:
             job_id = withdrawals[0].job_id
-            self._ending[job_id] = self._tasks.spawn(self._end(job_id, elsewhere))
+            self._remote_cancels[job_id] = self._tasks.spawn(
+                self._await_remote_cancels(job_id, remote)
+            )
         return cancels
 
     async def ask(self, withdrawals: list[Withdrawal]) -> dict[str, Answer]:
         """Cancel one job's withdrawn runs; return what the owners say in time, by zone."""
         cancels = self.begin(withdrawals)
         if cancels:
-            await asyncio.wait(cancels.values(), timeout=VERDICT_WAIT_MS / 1_000)
+            await asyncio.wait(cancels.values(), timeout=CANCEL_REPLY_WAIT_MS / 1_000)
         return {
             zone: cancel.result() if cancel.done() else Answer.NONE_YET
             for zone, cancel in cancels.items()
@@ -77,16 +79,16 @@
         The same id may be handed in again at once and starts in the own zone, whose owner knows
         what is still being stopped there. Of other zones nobody does.
         """
-        ending = self._ending.get(job_id)
-        if ending is not None:
-            await asyncio.shield(ending)
+        remote_cancels = self._remote_cancels.get(job_id)
+        if remote_cancels is not None:
+            await asyncio.shield(remote_cancels)
 
-    async def _end(self, job_id: str, cancels: list[asyncio.Task[Answer]]) -> None:
+    async def _await_remote_cancels(self, job_id: str, cancels: list[asyncio.Task[Answer]]) -> None:
         answers = await asyncio.gather(*cancels)
         if any(answer is not Answer.NOT_STARTED for answer in answers):
             await asyncio.sleep(self._gone_after_s)
-        if self._ending.get(job_id) is asyncio.current_task():
-            del self._ending[job_id]
+        if self._remote_cancels.get(job_id) is asyncio.current_task():
+            del self._remote_cancels[job_id]
 
     async def _cancel(self, withdrawal: Withdrawal) -> Answer:
         """Have the owner stop what was withdrawn; return what it says of starts.
--- a/src/foldloom/seed_discovery/owners/deliveries.py
+++ b/src/foldloom/seed_discovery/owners/deliveries.py
@@ -24,7 +24,7 @@
 # Milliseconds for which a cancel keeps out deliveries that it has overtaken: a delivery expires on
 # its way after 151 ms, by clocks that are compared to within as much; then the owner may stand
 # still before it handles it, for less than the right that it needs (400 ms).
-CANCEL_KEPT_MS = 1_000.0
+CANCEL_TTL_MS = 1_000.0
 
 
 class _Cancel(NamedTuple):
@@ -33,14 +33,14 @@
     received_ms: float
     delivery: int
 
-    def reaches(self, delivery: int) -> bool:
+    def covers(self, delivery: int) -> bool:
         """Return whether a *delivery* was sent before the cancel; 0 stands for any."""
         return not self.delivery or delivery <= self.delivery
 
     def joined(self, other: _Cancel) -> _Cancel:
         """Return a cancel of all that either of two reaches."""
-        is_of_all = not self.delivery or not other.delivery
-        delivery = 0 if is_of_all else max(self.delivery, other.delivery)
+        covers_all = not self.delivery or not other.delivery
+        delivery = 0 if covers_all else max(self.delivery, other.delivery)
         return _Cancel(max(self.received_ms, other.received_ms), delivery)
 
 
@@ -69,12 +69,12 @@
 
     def deliver(self, holder: HolderId, message: SubmitRuns, now_ms: float) -> None:
         """Accept the runs of *message* for *holder*."""
-        spec = _spec_of(message, now_ms)
+        spec = _run_spec(message, now_ms)
         bound = recovery_bound(now_ms, message.old_right_ms, self._gone_after_ms)
         for order in message.orders:
             task = TaskId(message.job_id, message.repeat, order.step, order.position)
             self._stealing.note_arrived(group_of(task))
-            self._deliver_one(holder, task, order, spec, bound, now_ms)
+            self._accept_run(holder, task, order, spec, bound, now_ms)
 
     def cancel(self, holder: HolderId, job_id: str, delivery: int, now_ms: float) -> bool:
         """Drop what *holder* wants of a job; return whether any run of it may have started.
@@ -85,27 +85,27 @@
         known = self._cancels.get((holder, job_id), cancel)
         # One of an earlier submission may come later, since each is sent until it is answered.
         self._cancels[holder, job_id] = cancel.joined(known)
-        runs = self._lifecycle.of_job(job_id)
-        is_present = any(run.state is not RunState.QUEUED for run in runs)
+        runs = self._lifecycle.runs_of_job(job_id)
+        may_be_running = any(run.state is not RunState.QUEUED for run in runs)
         for run in runs:
-            if cancel.reaches(run.holders.get(holder, 0)):
+            if cancel.covers(run.holders.get(holder, 0)):
                 self._lifecycle.release_holder(holder, run, now_ms)
-        return is_present or job_id in self._lifecycle.started
+        return may_be_running or job_id in self._lifecycle.started
 
     def was_cancelled(self, holder: HolderId, message: SubmitRuns, now_ms: float) -> bool:
         """Return whether the box has cancelled this job since it sent *message*."""
         cancel = self._cancels.get((holder, message.job_id))
-        if cancel is None or now_ms - cancel.received_ms >= CANCEL_KEPT_MS:
+        if cancel is None or now_ms - cancel.received_ms >= CANCEL_TTL_MS:
             return False
-        return cancel.reaches(newest_delivery(message))
+        return cancel.covers(newest_delivery(message))
 
     def expire_cancels(self, now_ms: float) -> None:
         """Forget cancels that no late message can contradict any more."""
         for key, cancel in list(self._cancels.items()):
-            if now_ms - cancel.received_ms >= CANCEL_KEPT_MS:
+            if now_ms - cancel.received_ms >= CANCEL_TTL_MS:
                 del self._cancels[key]
 
-    def _deliver_one(
+    def _accept_run(
         self,
         holder: HolderId,
         task: TaskId,
@@ -151,7 +151,7 @@
     return max((order.delivery for order in message.orders), default=0)
 
 
-def _spec_of(message: SubmitRuns, now_ms: float) -> RunSpec:
+def _run_spec(message: SubmitRuns, now_ms: float) -> RunSpec:
     objective = message.objective
     return RunSpec(
         job_id=message.job_id,
--- a/src/foldloom/seed_discovery/owners/lifecycle.py
+++ b/src/foldloom/seed_discovery/owners/lifecycle.py
@@ -56,7 +56,7 @@
         self._actions = actions
         self._runs: dict[TaskId, Run] = {}
         # Dicts for their order, which sets do not have: runs are stopped and dropped in turn.
-        self._tasks_of_job: dict[str, dict[TaskId, None]] = {}
+        self._tasks_by_job: dict[str, dict[TaskId, None]] = {}
         self._estimates = Estimates()
         self.waiting = WaitingRuns(self._estimates)
         self.speeds = EndpointSpeeds()
@@ -73,9 +73,9 @@
         """Return the present run of *task*, if any."""
         return self._runs.get(task)
 
-    def of_job(self, job_id: str) -> list[Run]:
+    def runs_of_job(self, job_id: str) -> list[Run]:
         """Return the runs of a job."""
-        return [self._runs[task] for task in self._tasks_of_job.get(job_id, ())]
+        return [self._runs[task] for task in self._tasks_by_job.get(job_id, ())]
 
     def in_state(self, state: RunState) -> list[Run]:
         """Return the runs in *state*."""
@@ -84,7 +84,7 @@
     def add(self, run: Run) -> None:
         """Know *run*, which a box has delivered; it is queued or recovering."""
         self._runs[run.task] = run
-        self._tasks_of_job.setdefault(run.task.job_id, {})[run.task] = None
+        self._tasks_by_job.setdefault(run.task.job_id, {})[run.task] = None
 
     def queue(self, run: Run, now_ms: float) -> None:
         """Queue *run*, which is on no endpoint."""
@@ -114,15 +114,15 @@
         run.stop_sent_ms = now_ms
         self._actions.stop(StopAction(run.run_id, run.endpoint))
 
-    def repeat_stops(self, before_ms: float, now_ms: float) -> list[StopAction]:
+    def retransmit_stops(self, before_ms: float, now_ms: float) -> list[StopAction]:
         """Return the stops that no endpoint has confirmed since *before_ms*, to be sent again."""
-        repeated = []
+        retransmitted = []
         for run in self.in_state(RunState.STOPPING):
             if run.stop_known_ms or run.stop_sent_ms >= before_ms:
                 continue
             run.stop_sent_ms = now_ms
-            repeated.append(StopAction(run.run_id, run.endpoint))
-        return repeated
+            retransmitted.append(StopAction(run.run_id, run.endpoint))
+        return retransmitted
 
     def release_holder(self, holder: HolderId, run: Run, now_ms: float) -> None:
         """Note that *holder* wants *run* no more; stop or drop it if nobody else does."""
@@ -145,13 +145,13 @@
         ran_ms = int(now_ms - run.began_ms) if run.began_ms else 0
         was_stopping = run.state is RunState.STOPPING
         if cause is EndCause.DONE and not was_stopping and ran_ms:
-            self._learn(run, ran_ms)
-        self.free_room(run)
+            self._update_estimates(run, ran_ms)
+        self.release_capacity(run)
         if cause in (EndCause.DONE, EndCause.FAILED):
             self.crashes.clear(run.task)
         crashes = self.crashes.count_of(run.task)
-        starts_again = was_stopping and cause is not EndCause.DONE and not is_given_up(crashes)
-        if starts_again and run.holders:
+        is_retried = was_stopping and cause is not EndCause.DONE and not is_given_up(crashes)
+        if is_retried and run.holders:
             run.attempt += 1
             self.queue(run, now_ms)
             return
@@ -169,7 +169,7 @@
         """Notify *holder* of an *end*."""
         self._actions.notify(NotifyAction(holder, end))
 
-    def free_room(self, run: Run) -> None:
+    def release_capacity(self, run: Run) -> None:
         """Release the room of *run*."""
         candidate = self._candidates.get(run.endpoint)
         if candidate is not None:
@@ -178,7 +178,7 @@
     def _drop(self, run: Run) -> None:
         self.waiting.remove(run.task)
         self._runs.pop(run.task, None)
-        tasks = self._tasks_of_job.get(run.task.job_id)
+        tasks = self._tasks_by_job.get(run.task.job_id)
         if tasks is None:
             return
         tasks.pop(run.task, None)
@@ -186,9 +186,9 @@
         if not any(group_of(task) == key for task in tasks):
             self.waiting.forget(key)
         if not tasks:
-            del self._tasks_of_job[run.task.job_id]
+            del self._tasks_by_job[run.task.job_id]
 
-    def _learn(self, run: Run, ran_ms: float) -> None:
+    def _update_estimates(self, run: Run, ran_ms: float) -> None:
         """Learn from a run that is done, about its endpoint, its step and its queue."""
         group = self.waiting.group(run)
         self.speeds.note(run.endpoint, ran_ms, group.expected_ms)
--- a/src/foldloom/seed_discovery/owners/order_sender.py
+++ b/src/foldloom/seed_discovery/owners/order_sender.py
@@ -89,11 +89,11 @@
         self._log_start(action, link, until_ms, now_ms)
         self._metrics.count("runs.started")
         order = StartOrder(action.run_id, action.text, self._token, until_ms)
-        suspicion = asyncio.get_running_loop().call_later(
+        overdue_timer = asyncio.get_running_loop().call_later(
             SUSPECT_AFTER_MS / 1_000, self._owner.note_overdue, action.endpoint, "start"
         )
         reply = await self._calls.start_run(link.record, order)
-        suspicion.cancel()
+        overdue_timer.cancel()
         self._metrics.timing("start_call_ms", monotonic_ms() - now_ms)
         now_ms = monotonic_ms()
         self._note_answerer(link, reply, now_ms)
@@ -140,10 +140,10 @@
         renews the lease of everything on its endpoint.
         """
         run = self._state.run_of(action.run_id.task)
-        is_wanted = run is not None and any(
+        has_live_holder = run is not None and any(
             self._sessions.has_right(holder, now_ms) for holder in run.holders
         )
-        return is_wanted and self._owner.may_renew(action.endpoint, now_ms)
+        return has_live_holder and self._owner.may_renew(action.endpoint, now_ms)
 
     def _log_start(
         self, action: StartAction, link: EndpointLink, until_ms: int, now_ms: float
--- a/src/foldloom/seed_discovery/owners/orders.py
+++ b/src/foldloom/seed_discovery/owners/orders.py
@@ -18,10 +18,10 @@
 
 # Milliseconds without new work for an endpoint that refused a start for want of room: it frees some
 # when a run ends, and tasks of the users take 60 ms and more.
-NO_ROOM_PAUSE_MS = 30.0
+NO_CAPACITY_BACKOFF_MS = 30.0
 # Milliseconds without new work for an endpoint that says it is unhealthy, to be longer than the
 # tasks of most jobs, which lose less on other endpoints.
-UNHEALTHY_PAUSE_MS = 300.0
+UNHEALTHY_BACKOFF_MS = 300.0
 
 
 def note_start(
@@ -33,7 +33,7 @@
     now_ms: float,
 ) -> None:
     """Note the answer to an order to start."""
-    run = _expected_run(lifecycle, run_id, endpoint)
+    run = _current_run(lifecycle, run_id, endpoint)
     if run is None:
         return
     if outcome is CallOutcome.DONE:
@@ -45,7 +45,7 @@
         # keeps it from starting, and the next report shows whether it has started.
         lifecycle.stop(run, now_ms)
         return
-    lifecycle.free_room(run)
+    lifecycle.release_capacity(run)
     if run.state is RunState.STOPPING:
         lifecycle.finish(run, EndCause.STOPPED, "", now_ms)
         return
@@ -55,7 +55,7 @@
     if outcome is CallOutcome.OLD_RUN:
         run.attempt += 1
     else:
-        _hold_back(candidates, endpoint, outcome, now_ms)
+        _back_off(candidates, endpoint, outcome, now_ms)
     lifecycle.queue(run, now_ms)
 
 
@@ -63,14 +63,14 @@
     lifecycle: RunLifecycle, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float
 ) -> None:
     """Note the answer to an order to stop."""
-    run = _expected_run(lifecycle, run_id, endpoint)
+    run = _current_run(lifecycle, run_id, endpoint)
     if run is None or run.state is not RunState.STOPPING:
         return
     if outcome is CallOutcome.DONE:
         run.stop_known_ms = now_ms
 
 
-def _expected_run(lifecycle: RunLifecycle, run_id: RunId, endpoint: str) -> Run | None:
+def _current_run(lifecycle: RunLifecycle, run_id: RunId, endpoint: str) -> Run | None:
     """Return the run that an answer is about, if it is still the present one of its task."""
     run = lifecycle.get(run_id.task)
     if run is None or run.attempt != run_id.attempt or run.endpoint != endpoint:
@@ -78,7 +78,7 @@
     return run
 
 
-def _hold_back(
+def _back_off(
     candidates: Mapping[str, ZoneEndpoint], endpoint: str, outcome: CallOutcome, now_ms: float
 ) -> None:
     """Pause an endpoint that refused a start."""
@@ -88,5 +88,5 @@
     if outcome in (CallOutcome.OTHER_LIFE, CallOutcome.NO_LISTENER):
         candidate.is_trusted = False
         return
-    pause = UNHEALTHY_PAUSE_MS if outcome is CallOutcome.REFUSED else NO_ROOM_PAUSE_MS
-    candidate.blocked_until_ms = now_ms + pause
+    backoff_ms = UNHEALTHY_BACKOFF_MS if outcome is CallOutcome.REFUSED else NO_CAPACITY_BACKOFF_MS
+    candidate.blocked_until_ms = now_ms + backoff_ms
--- a/src/foldloom/seed_discovery/owners/recovery.py
+++ b/src/foldloom/seed_discovery/owners/recovery.py
@@ -21,13 +21,11 @@
         old_right_ms: For how much longer the earlier owner may start it, in milliseconds.
         gone_after_ms: How long after that its lease may last on any endpoint.
     """
-    right_ends_ms = now_ms + old_right_ms
-    return RecoveryBound(right_ends_ms, right_ends_ms + gone_after_ms)
+    grant_ends_ms = now_ms + old_right_ms
+    return RecoveryBound(grant_ends_ms, grant_ends_ms + gone_after_ms)
 
 
-def is_lost(
-    run: Run, reported_ms: Iterable[float], knows_all_endpoints: bool, now_ms: float
-) -> bool:
+def is_lost(run: Run, polled_ms: Iterable[float], is_catalog_complete: bool, now_ms: float) -> bool:
     """Return whether a recovering run is certainly on no endpoint.
 
     Args:
@@ -39,6 +37,6 @@
     bound = run.recovery_bound
     if now_ms >= bound.lost_at_ms:
         return True
-    if not knows_all_endpoints:
+    if not is_catalog_complete:
         return False
-    return all(reported > bound.reports_after_ms for reported in reported_ms)
+    return all(last_polled_ms > bound.reports_after_ms for last_polled_ms in polled_ms)
--- a/src/foldloom/seed_discovery/owners/reports.py
+++ b/src/foldloom/seed_discovery/owners/reports.py
@@ -37,7 +37,7 @@
     """The run is over."""
 
 
-def judge_end(run: Run, end: EndedRun, endpoint: str) -> ListedEnd:
+def classify_end(run: Run, end: EndedRun, endpoint: str) -> ListedEnd:
     """Return what *end*, listed by *endpoint*, means for the present run of its task."""
     if run.attempt > end.run_id.attempt:
         return ListedEnd.OUTDATED
@@ -49,7 +49,7 @@
     return ListedEnd.OUTDATED
 
 
-def judge_absence(run: Run, asked_ms: float) -> EndCause | None:
+def classify_absence(run: Run, asked_ms: float) -> EndCause | None:
     """Return how a run has ended of which a report lists neither the run nor an end, if it has.
 
     Args:
@@ -76,11 +76,11 @@
 ) -> None:
     """Bring what is known into line with a *report* of *candidate*."""
     for end in report.ended:
-        _note_end(lifecycle, candidate, end, now_ms)
+        _reconcile_end(lifecycle, candidate, end, now_ms)
     # In the report's order, in which runs are adopted; a set has none.
     present = {one.run_id: None for one in report.active}
-    _note_present(lifecycle, candidate, present, now_ms)
-    _note_absent(lifecycle, candidate, present, report.asked_ms, now_ms)
+    _reconcile_present(lifecycle, candidate, present, now_ms)
+    _reconcile_absent(lifecycle, candidate, present, report.asked_ms, now_ms)
 
 
 def orphans_to_stop(
@@ -111,7 +111,7 @@
     return False
 
 
-def _note_end(
+def _reconcile_end(
     lifecycle: RunLifecycle, candidate: ZoneEndpoint, end: EndedRun, now_ms: float
 ) -> None:
     endpoint = candidate.record.endpoint
@@ -122,16 +122,16 @@
     if run is None:
         lifecycle.tombstones.add_orphaned(end, endpoint, now_ms)
         return
-    verdict = judge_end(run, end, endpoint)
-    if verdict is ListedEnd.OUTDATED:
+    listed_end = classify_end(run, end, endpoint)
+    if listed_end is ListedEnd.OUTDATED:
         return
     run.attempt = attempt
-    if verdict is ListedEnd.FINISHES:
+    if listed_end is ListedEnd.FINISHES:
         run.endpoint = endpoint
         lifecycle.finish(run, CAUSE_OF_KIND[end.how], end.checkpoint, now_ms)
 
 
-def _note_present(
+def _reconcile_present(
     lifecycle: RunLifecycle, candidate: ZoneEndpoint, present: Collection[RunId], now_ms: float
 ) -> None:
     endpoint = candidate.record.endpoint
@@ -144,7 +144,7 @@
             candidate.orphans.setdefault(task, OrphanedRun(attempt, now_ms))
 
 
-def _note_absent(
+def _reconcile_absent(
     lifecycle: RunLifecycle,
     candidate: ZoneEndpoint,
     present: Collection[RunId],
@@ -161,6 +161,6 @@
         if run is None or run.endpoint != endpoint:
             candidate.room.release(task)
             continue
-        cause = None if run.run_id in present else judge_absence(run, asked_ms)
+        cause = None if run.run_id in present else classify_absence(run, asked_ms)
         if cause is not None:
             lifecycle.finish(run, cause, "", now_ms)
--- a/src/foldloom/seed_discovery/owners/state.py
+++ b/src/foldloom/seed_discovery/owners/state.py
@@ -63,9 +63,9 @@
         gone_after_ms: float,
         all_endpoints: Callable[[], Sequence[EndpointRecord]] = tuple,
     ) -> None:
-        self._knows_all_endpoints = False
+        self._is_catalog_complete = False
         self._candidates: dict[str, ZoneEndpoint] = {}
-        self._reported_ms: dict[str, float] = {}
+        self._last_polled_ms: dict[str, float] = {}
         self.actions = Actions()
         self._lifecycle = RunLifecycle(self._candidates, self.actions)
         self._late_starts = LateStarts()
@@ -149,12 +149,12 @@
         if group is None:
             return 0
         # The last ones first: the first ones are the next to start here.
-        leaving = list(group.waiting.values())[-runs:]
-        for run in leaving:
+        released = list(group.waiting.values())[-runs:]
+        for run in released:
             has_started = run.task.job_id in self._lifecycle.started
             end = RunEnd(run.run_id, EndCause.MOVED, moved_to=zone, has_started=has_started)
             self._lifecycle.retire(run, end, now_ms)
-        return len(leaving)
+        return len(released)
 
     def note_stolen(self, action: StealAction, granted: int) -> None:
         """Note that the owner that was asked for runs gives *granted* of them."""
@@ -164,7 +164,7 @@
 
     def trust_catalog(self) -> None:
         """Note that every endpoint that an earlier owner knew is known here."""
-        self._knows_all_endpoints = True
+        self._is_catalog_complete = True
 
     def follow_endpoint(self, record: EndpointRecord) -> None:
         """Know an endpoint, or a newer record of it."""
@@ -179,7 +179,7 @@
         self.note_lapsed(endpoint, now_ms)
         self._late_starts.end_life(endpoint)
         self._candidates.pop(endpoint, None)
-        self._reported_ms.pop(endpoint, None)
+        self._last_polled_ms.pop(endpoint, None)
         self._lifecycle.speeds.forget(endpoint)
 
     def begin_life(self, endpoint: str, now_ms: float) -> None:
@@ -199,7 +199,7 @@
         self._late_starts.end_life(endpoint)
         for stop in self._late_starts.stops_due((endpoint,), now_ms, now_ms):
             self.actions.stop(stop)
-        self._reported_ms.pop(endpoint, None)
+        self._last_polled_ms.pop(endpoint, None)
         self._lifecycle.speeds.forget(endpoint)
 
     def distrust(self, endpoint: str) -> None:
@@ -242,10 +242,10 @@
         candidate = self._candidates.get(endpoint)
         if candidate is None:
             return False
-        present = (self._lifecycle.get(task) for task in candidate.room.tasks)
+        runs = (self._lifecycle.get(task) for task in candidate.room.tasks)
         return any(
             run is not None and run.state is RunState.STOPPING and run.since_ms < before_ms
-            for run in present
+            for run in runs
         )
 
     def report(self, report: EndpointReport, now_ms: float) -> None:
@@ -254,7 +254,7 @@
         if candidate is None:
             return
         reconcile(self._lifecycle, candidate, report, now_ms)
-        self._reported_ms[report.endpoint] = report.asked_ms
+        self._last_polled_ms[report.endpoint] = report.asked_ms
         candidate.is_trusted = candidate.is_described(report.born_ms)
         candidate.is_silent = False
         candidate.note_alive()
@@ -273,7 +273,7 @@
 
     def stops_to_repeat(self, before_ms: float, now_ms: float) -> list[StopAction]:
         """Return the stops that no endpoint has confirmed since *before_ms*, to be sent again."""
-        stops = self._lifecycle.repeat_stops(before_ms, now_ms)
+        stops = self._lifecycle.retransmit_stops(before_ms, now_ms)
         answering = {name for name, one in self._candidates.items() if not one.is_silent}
         stops += self._late_starts.stops_due(answering, before_ms, now_ms)
         return list(dict.fromkeys(stops))
@@ -285,7 +285,7 @@
         self._end_lost(now_ms)
         for endpoint, run_id in orphans_to_stop(self._candidates, now_ms):
             self.actions.stop(StopAction(run_id, endpoint))
-        self._give_up_unattainable(now_ms)
+        self._retire_unattainable(now_ms)
         judge_running(self._lifecycle, now_ms)
         for candidate in self._candidates.values():
             candidate.room.unreserve_expired(now_ms)
@@ -309,7 +309,7 @@
         for stolen in placing.stolen:
             self.actions.steal(StealAction(*stolen))
 
-    def _give_up_unattainable(self, now_ms: float) -> None:
+    def _retire_unattainable(self, now_ms: float) -> None:
         """End the runs that wait and whose job can't earn anything any more."""
         for group in self.waiting.groups:
             if tier_of(group, now_ms) is not Tier.UNATTAINABLE:
@@ -322,10 +322,10 @@
     def _end_lost(self, now_ms: float) -> None:
         """End the recovering runs that are certainly on no endpoint."""
         for run in self._lifecycle.in_state(RunState.RECOVERING):
-            reported_ms = [
-                self._reported_ms.get(endpoint, 0.0)
+            polled_ms = [
+                self._last_polled_ms.get(endpoint, 0.0)
                 for endpoint, candidate in self._candidates.items()
                 if candidate.record.service == run.spec.service
             ]
-            if is_lost(run, reported_ms, self._knows_all_endpoints, now_ms):
+            if is_lost(run, polled_ms, self._is_catalog_complete, now_ms):
                 self._lifecycle.finish(run, EndCause.LOST, "", now_ms)
--- a/src/foldloom/seed_discovery/owners/withdrawal.py
+++ b/src/foldloom/seed_discovery/owners/withdrawal.py
@@ -47,7 +47,7 @@
     believed_until_ms: float
     open_runs: int
     has_started: bool
-    must_ask: bool
+    needs_cancel: bool
     delivery: int
 
 
@@ -74,7 +74,7 @@
         believed_until_ms=min(batch.believed_until_ms for batch in batches),
         open_runs=len(orders),
         has_started=has_started or bool(terms - {owner.token}),
-        must_ask=owner.token in terms,
+        needs_cancel=owner.token in terms,
         delivery=max((order.delivery for order in orders), default=0),
     )
 
@@ -86,8 +86,8 @@
         withdrawals: What is known of it, for each zone that has runs of it.
         answers: What the owners said that had to be asked, by zone.
     """
-    is_known = any(withdrawal.has_started for withdrawal in withdrawals)
-    return is_known or any(answer is not Answer.NOT_STARTED for answer in answers.values())
+    any_started = any(withdrawal.has_started for withdrawal in withdrawals)
+    return any_started or any(answer is not Answer.NOT_STARTED for answer in answers.values())
 
 
 def log_verdict(withdrawals: Iterable[Withdrawal], answers: Mapping[str, Answer]) -> None:
--- a/tests/test_owners_decisions.py
+++ b/tests/test_owners_decisions.py
@@ -9,7 +9,12 @@
 from foldloom.seed_discovery.jobs.spec import Demand, Placement, RunId, TaskId
 from foldloom.seed_discovery.owners.messages import EndCause
 from foldloom.seed_discovery.owners.recovery import is_lost, recovery_bound
-from foldloom.seed_discovery.owners.reports import ListedEnd, is_orphan, judge_absence, judge_end
+from foldloom.seed_discovery.owners.reports import (
+    ListedEnd,
+    classify_absence,
+    classify_end,
+    is_orphan,
+)
 from foldloom.seed_discovery.owners.stragglers import is_overdue, is_stuck
 from foldloom.seed_discovery.owners.tombstones import Tombstones
 from foldloom.seed_discovery.scheduling.runs import HolderId, Run, RunSpec, RunState
@@ -48,7 +53,7 @@
     ) -> None:
         """By the attempt, the place, and whether the run is recovering."""
         end = EndedRun(1, RunId(_TASK, attempt), how)
-        assert judge_end(run_in(state), end, endpoint) is expected
+        assert classify_end(run_in(state), end, endpoint) is expected
 
 
 class TestJudgeAbsence:
@@ -57,20 +62,20 @@
     def test_running_is_lost(self) -> None:
         """Only by a report that was asked for after the start took effect."""
         run = run_in(RunState.RUNNING)
-        assert judge_absence(run, 100.0) is None
-        assert judge_absence(run, 101.0) is EndCause.LOST
+        assert classify_absence(run, 100.0) is None
+        assert classify_absence(run, 101.0) is EndCause.LOST
 
     def test_stopping_waits_for_the_stop(self) -> None:
         """A start that is under way may come until the endpoint has confirmed the stop."""
         run = run_in(RunState.STOPPING)
-        assert judge_absence(run, 500.0) is None
+        assert classify_absence(run, 500.0) is None
         run.stop_known_ms = 200.0
-        assert judge_absence(run, 200.0) is None
-        assert judge_absence(run, 201.0) is EndCause.STOPPED
+        assert classify_absence(run, 200.0) is None
+        assert classify_absence(run, 201.0) is EndCause.STOPPED
 
     def test_starting_is_undecided(self) -> None:
         """The order may still be under way."""
-        assert judge_absence(run_in(RunState.STARTING), 500.0) is None
+        assert classify_absence(run_in(RunState.STARTING), 500.0) is None
 
 
 class TestOrphans:
--- a/tests/test_owners_late_words.py
+++ b/tests/test_owners_late_words.py
@@ -42,7 +42,7 @@
 from foldloom.settings_file import settings_from
 from foldloom.verdicts import Run
 from test_owners_client import Rig
-from test_owners_state import endpoint, owner_with, start_placed, submission
+from test_owners_state import endpoint, owner_with, start_waiting, submission
 
 _JOB = "0" * 16
 _TASK = TaskId(_JOB, 0, 0, 0)
@@ -51,17 +51,17 @@
 _E1 = HolderId("e1", 1)
 _E2 = HolderId("e2", 1)
 # Seconds until a box has connected to a peer on loopback; a message before that is lost.
-_CONNECTS_S = 0.5
+_CONNECT_S = 0.5
 # Milliseconds between boxes until a delivery expires on its way: its reply's time-out and one more.
 _DELIVERY_TTL_MS = 151.0
 
 
-class _StartingOwner:
+class _ImmediateOwner:
     """An owner that starts what it is sent at once, on the system's clock."""
 
     def __init__(self) -> None:
         self.state = owner_with(endpoint("w1"))
-        self.asked_late_ms: list[float] = []
+        self.cancel_delays_ms: list[float] = []
         self.deadline_ms = 0.0
 
     async def request(self, _box: str, message: Any, _timeout_ms: float) -> Any:
@@ -81,7 +81,7 @@
     def cancel(self, message: CancelJob) -> Cancelled:
         """Answer a cancel as the owner does, after one of its ticks."""
         now_ms = monotonic_ms()
-        self.asked_late_ms.append(now_ms - self.deadline_ms)
+        self.cancel_delays_ms.append(now_ms - self.deadline_ms)
         self._end_session(now_ms)
         self.state.tick(now_ms)
         return Cancelled(self.state.cancel(_E1, message.job_id, now_ms, message.delivery))
@@ -105,7 +105,7 @@
 
         async def play() -> tuple[JobResult, list[float]]:
             rig = Rig(TimingSettings())
-            owner = _StartingOwner()
+            owner = _ImmediateOwner()
             rig.network.request = owner.request  # type: ignore[method-assign]
             rig.beat(1)
             runner = JobRunner(_JOB_OF_ONE, _QUEUE, rig.client, monotonic_ms() + 200.0)
@@ -120,10 +120,10 @@
             time.sleep(1.1)
             result = await answer
             watching.cancel()
-            return result, owner.asked_late_ms
+            return result, owner.cancel_delays_ms
 
-        result, late_ms = asyncio.run(play())
-        assert result.error.run is Run.MAY_HAVE_RUN, f"asked {late_ms} ms after the deadline"
+        result, delays_ms = asyncio.run(play())
+        assert result.error.run is Run.MAY_HAVE_RUN, f"asked {delays_ms} ms after the deadline"
 
     def test_a_starved_box_that_owns_its_zone(self) -> None:
         """Each turn of its event loop takes 0.7 s, and a heartbeat is handled in each of them.
@@ -133,7 +133,7 @@
 
         async def play() -> tuple[JobResult, list[float]]:
             rig = Rig(TimingSettings())
-            owner = _StartingOwner()
+            owner = _ImmediateOwner()
             rig.network.request = owner.request  # type: ignore[method-assign]
             rig.beat(1)
             runner = JobRunner(_JOB_OF_ONE, _QUEUE, rig.client, monotonic_ms() + 200.0)
@@ -145,10 +145,10 @@
                 time.sleep(0.7)
                 await asyncio.sleep(0)
             watching.cancel()
-            return await answer, owner.asked_late_ms
+            return await answer, owner.cancel_delays_ms
 
-        result, late_ms = asyncio.run(play())
-        assert result.error.run is Run.MAY_HAVE_RUN, f"asked {late_ms} ms after the deadline"
+        result, delays_ms = asyncio.run(play())
+        assert result.error.run is Run.MAY_HAVE_RUN, f"asked {delays_ms} ms after the deadline"
 
 
 class TestSeveralDeadlines:
@@ -159,7 +159,7 @@
         state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(deadline_ms=1_500), 0.0)
         state.submit(_E2, submission(deadline_ms=2_800), 1_400.0)
-        start_placed(state, 1_450.0)
+        start_waiting(state, 1_450.0)
         state.cancel(_E1, _JOB, 1_500.0)
         for now_ms in (2_000.0, 3_000.0, 3_600.0, 4_200.0):
             state.tick(now_ms)
@@ -174,7 +174,7 @@
         state.submit(_E1, first, 0.0)
         state.submit(_E1, again, 1_400.0)
         state.cancel(_E1, _JOB, 1_401.0, delivery=1)
-        start_placed(state, 1_450.0)
+        start_waiting(state, 1_450.0)
         for now_ms in (2_000.0, 3_000.0, 3_600.0, 4_200.0):
             state.tick(now_ms)
         assert state.run_of(_TASK) is not None
@@ -203,11 +203,11 @@
         state = owner_with(endpoint("w1"))
         state.tick(0.0)
         assert not state.cancel(_E1, _JOB, 0.0, delivery=1)
-        right_ms = float(TimingSettings().session_ms)
-        handled_ms = _DELIVERY_TTL_MS + right_ms - 10.0
+        session_duration_ms = float(TimingSettings().session_ms)
+        handling_ms = _DELIVERY_TTL_MS + session_duration_ms - 10.0
         late = submission(orders=[RunOrder(0, 0, 1, delivery=1)])
-        state.submit(_E1, late, handled_ms)
-        state.place(handled_ms)
+        state.submit(_E1, late, handling_ms)
+        state.place(handling_ms)
         assert state.actions.pop_starts() == []
 
 
@@ -227,14 +227,14 @@
             router.bind(f"tcp://{asked}")
             message = CancelJob(_JOB, 1, 1)
             try:
-                async with _started(own, 1, asked) as first:
+                async with _running_network(own, 1, asked) as first:
                     asking = asyncio.create_task(first.request(asked, message, 300))
                     before = decode_envelope((await router.recv_multipart())[-1])
                     await asyncio.gather(asking, return_exceptions=True)
                 reply = Cancelled(has_started=False)
                 number = before.frames[0].id
                 frame = Frame(kind_of(reply), 0, number, 1_000, encode_body(reply))
-                async with _started(own, 2, asked) as second:
+                async with _running_network(own, 2, asked) as second:
                     asking = asyncio.create_task(second.request(asked, message, 500))
                     await router.recv_multipart()
                     dealer.connect(f"tcp://{own}")
@@ -248,12 +248,12 @@
 
 
 @contextlib.asynccontextmanager
-async def _started(box: str, incarnation: int, peer: str) -> AsyncIterator[PeerNetwork]:
+async def _running_network(box: str, incarnation: int, peer: str) -> AsyncIterator[PeerNetwork]:
     """Run a life of a box that is connected to *peer*."""
     network = PeerNetwork(_seed_settings(box), incarnation, Metrics())
     await network.start()
     network.add_peer(peer)
-    await asyncio.sleep(_CONNECTS_S)
+    await asyncio.sleep(_CONNECT_S)
     try:
         yield network
     finally:
--- a/tests/test_owners_refusals.py
+++ b/tests/test_owners_refusals.py
@@ -39,50 +39,50 @@
 
 # How long a box stands still by itself, in seconds: around what a right lasts, and so long that all
 # that others keep of its jobs is forgotten.
-_STOPS_S = ((0.2, 1.6), (1.6, 6.0))
+_PAUSE_S = ((0.2, 1.6), (1.6, 6.0))
 # Turns of a box after which it stands still, so that it does so also between two turns of one
 # moment.
 _TURNS_MAX = 30
 # Reads of boxes' clocks after which everything stands still within a turn.
 _READS_MAX = 2_000
 # How long after its start a site that was started anew is started anew again, in seconds.
-_AGAIN_S = (0.4, 2.0)
+_RESTART_GAP_S = (0.4, 2.0)
 # How long a box takes to start, in seconds.
-_START_S = (0.2, 0.8)
+_STARTUP_S = (0.2, 0.8)
 # Tries of a caller under one id, and the seconds between two of them.
-_TRIES_MAX = 4
-_BETWEEN_TRIES_S = (0.3, 2.0)
+_ATTEMPTS_MAX = 4
+_RETRY_DELAY_S = (0.3, 2.0)
 
 
-class StandingTrouble(Trouble):
+class PauseFaults(Trouble):
     """Faults of single boxes, of the whole site at once, and of endpoints, besides the others."""
 
     def __init__(self, world: StandingZonesWorld) -> None:
         super().__init__(world)
         self._standing = world
         own = [
-            self._stop_box,
-            self._stop_owner,
-            self._stop_within_turn,
+            self._pause_box,
+            self._pause_owner,
+            self._pause_within_turn,
             self._restart_site,
             self._refuse_starts,
             self._silence_endpoint,
         ]
         # A box that stands still is what most of the other faults must meet.
-        self.kinds += [*own, *own, self._stop_box, self._stop_owner]
+        self.kinds += [*own, *own, self._pause_box, self._pause_owner]
 
     def _restart(self) -> None:
         self._restart_box(self._any_box())
 
     def _restart_box(self, box: str) -> None:
         self._standing.kill_box(box)
-        pause_s = self._standing.rng.uniform(*_START_S)
+        pause_s = self._standing.rng.uniform(*_STARTUP_S)
         self._standing.loop.call_later(pause_s, self._standing.start_box, box)
 
     def _restart_site(self) -> None:
         """Start all boxes anew at once, and once more before long."""
-        again_s = self._standing.rng.uniform(*_AGAIN_S)
-        for delay_s in (0.0, _START_S[1] + again_s):
+        again_s = self._standing.rng.uniform(*_RESTART_GAP_S)
+        for delay_s in (0.0, _STARTUP_S[1] + again_s):
             self._standing.loop.call_later(delay_s, self._restart_all)
 
     def _restart_all(self) -> None:
@@ -97,19 +97,19 @@
     def _owners(self) -> list[str]:
         return [name for name, box in self._standing.boxes.items() if box.elector.owner is not None]
 
-    def _stop_owner(self) -> None:
-        self._stop(self._standing.rng.choice(self._owners() or [self._any_box()]))
+    def _pause_owner(self) -> None:
+        self._pause(self._standing.rng.choice(self._owners() or [self._any_box()]))
 
-    def _stop_box(self) -> None:
-        self._stop(self._any_box())
+    def _pause_box(self) -> None:
+        self._pause(self._any_box())
 
-    def _stop(self, box: str) -> None:
+    def _pause(self, box: str) -> None:
         rng = self._standing.rng
-        for_s = rng.uniform(*rng.choice(_STOPS_S))
+        for_s = rng.uniform(*rng.choice(_PAUSE_S))
         waking = rng.choice(list(Waking))
         self._standing.stop_box(box, rng.randint(0, _TURNS_MAX), for_s, waking)
 
-    def _stop_within_turn(self) -> None:
+    def _pause_within_turn(self) -> None:
         rng = self._standing.rng
         self._standing.turns.stand_still_at_read(rng.randint(1, _READS_MAX), rng.uniform(0.2, 3.0))
 
@@ -130,34 +130,34 @@
         self.later(silent.clear)
 
 
-async def _trying_caller(world: ZonesWorld, job_id: str) -> None:
+async def _retrying_caller(world: ZonesWorld, job_id: str) -> None:
     """Hand one job in, most often with several tries under its id."""
     rng = world.rng
     tasks = rng.choice([1, 2, 2, 4, 8])
     task_ms = rng.choice([60.0, 100.0, 200.0, 400.0])
     boxes = rng.sample(sorted(world.boxes), len(world.boxes))
 
-    async def try_at(box: str) -> bool:
+    async def attempt_at(box: str) -> bool:
         """Return whether the caller need not try again."""
         known = len(world.answers)
         await world.call(box, job_id, tasks, task_ms, 1e5)
         answer = next(one for one in world.answers[known:] if one.job_id == job_id)
         return answer.result is not None and not answer.is_refused
 
-    way = rng.choice(["once", "at once", "beside", "in turn", "in turn"])
-    if way == "once":
-        await try_at(boxes[0])
-    elif way in ("at once", "beside"):
-        first = asyncio.create_task(try_at(boxes[0]))
-        if way == "beside":
-            await asyncio.sleep(rng.uniform(*_BETWEEN_TRIES_S))
-        await try_at(boxes[1])
+    pattern = rng.choice(["once", "at once", "beside", "in turn", "in turn"])
+    if pattern == "once":
+        await attempt_at(boxes[0])
+    elif pattern in ("at once", "beside"):
+        first = asyncio.create_task(attempt_at(boxes[0]))
+        if pattern == "beside":
+            await asyncio.sleep(rng.uniform(*_RETRY_DELAY_S))
+        await attempt_at(boxes[1])
         await first
     else:
-        for box in boxes[:_TRIES_MAX]:
-            if await try_at(box):
+        for box in boxes[:_ATTEMPTS_MAX]:
+            if await attempt_at(box):
                 break
-            await asyncio.sleep(rng.uniform(*_BETWEEN_TRIES_S))
+            await asyncio.sleep(rng.uniform(*_RETRY_DELAY_S))
 
 
 def _play(seed: int) -> ZonesWorld:
@@ -180,7 +180,7 @@
 
     async def play() -> StandingZonesWorld:
         world = StandingZonesWorld(seed, loop)
-        await play_through(world, StandingTrouble, _trying_caller)
+        await play_through(world, PauseFaults, _retrying_caller)
         return world
 
     world: StandingZonesWorld = run_in_virtual_time(play(), loop)
@@ -197,7 +197,7 @@
     ]
 
 
-def started_beside(world: ZonesWorld) -> list[Answer]:
+def started_during_refused_attempt(world: ZonesWorld) -> list[Answer]:
     """Return refusals of tries during which a task of their job was started by any try of it."""
     return [
         one
@@ -210,7 +210,7 @@
     ]
 
 
-def started_for_itself(world: ZonesWorld) -> list[Answer]:
+def started_for_refusing_box(world: ZonesWorld) -> list[Answer]:
     """Return refusals by a box of jobs of which a task was started for that very box.
 
     Known of zones only in which no caller hands a job in twice at one box.
@@ -226,7 +226,7 @@
     ]
 
 
-def doubled_once(world: ZonesWorld) -> list[Start]:
+def doubled_without_retry(world: ZonesWorld) -> list[Start]:
     """Return starts of tasks that were on another endpoint already, of jobs with a single try.
 
     Owners of two zones know nothing of each other's runs of one id, so a job that is handed in
@@ -264,17 +264,17 @@
 
 def counts_of(world: ZonesWorld) -> Counts:
     """Return the counts of a play."""
-    unsure = [one for one in world.answers if one.may_have_run]
+    uncertain = [one for one in world.answers if one.may_have_run]
     return Counts(
         answers=len(world.answers),
         completed=sum(one.is_completed for one in world.answers),
         refused=sum(one.is_refused for one in world.answers),
-        may_have_run=len(unsure),
-        needless=sum(one.job_id not in world.starts for one in unsure),
+        may_have_run=len(uncertain),
+        needless=sum(one.job_id not in world.starts for one in uncertain),
         broken=len(broken_promises(world)),
-        own=len(started_for_itself(world)),
-        beside=len(started_beside(world)),
-        doubled=len(doubled_once(world)),
+        own=len(started_for_refusing_box(world)),
+        beside=len(started_during_refused_attempt(world)),
+        doubled=len(doubled_without_retry(world)),
     )
 
 
@@ -283,7 +283,7 @@
     return hashlib.sha256(repr((world.answers, world.starts)).encode()).hexdigest()
 
 
-def _note_counts(name: str, seed: int, world: ZonesWorld) -> None:
+def _append_counts(name: str, seed: int, world: ZonesWorld) -> None:
     """Add the counts of a play to the file that ``FOLDLOOM_SUMMARY`` names, if it does."""
     path = os.environ.get("FOLDLOOM_SUMMARY")
     if path:
@@ -311,7 +311,7 @@
     def test_the_promises_hold(self, seed: int) -> None:
         """Nothing of a refused job starts, before or after; no task is on two endpoints."""
         world = _play(seed)
-        _note_counts("refusals", seed, world)
+        _append_counts("refusals", seed, world)
         assert broken_promises(world) == []
         assert world.doubled == []
 
@@ -323,10 +323,10 @@
     def test_the_promises_hold(self, seed: int) -> None:
         """Nothing of a job starts whose every try was refused; no task is on two endpoints."""
         world = _play_standing(seed)
-        _note_counts("standing", seed, world)
+        _append_counts("standing", seed, world)
         assert broken_promises(world) == []
-        assert started_for_itself(world) == []
-        assert doubled_once(world) == []
+        assert started_for_refusing_box(world) == []
+        assert doubled_without_retry(world) == []
         assert world.errors == []
 
 
--- a/tests/test_owners_same_id.py
+++ b/tests/test_owners_same_id.py
@@ -21,24 +21,24 @@
 from test_owners_refusals import broken_promises
 
 # How long an endpoint is down, and until a report of it is passed on, in seconds.
-_DOWN_S = (0.0, 0.5)
-_REPORT_S = (0.0, 1.5)
+_DOWNTIME_S = (0.0, 0.5)
+_REPORT_DELAY_S = (0.0, 1.5)
 # How long after a life has said that it leaves a farewell comes, in seconds.
-_FAREWELL_S = (0.0, 0.5)
+_FAREWELL_DELAY_S = (0.0, 0.5)
 # How long a life serves before it says that it leaves.
-_SERVES_S = (0.2, 1.5)
+_UPTIME_S = (0.2, 1.5)
 # How long after it has said that it leaves a life ends, in seconds.
-_STAYS_S = (0.5, 1.0)
+_DRAIN_S = (0.5, 1.0)
 # Until a report is passed on, where the next life is told of soon.
-_REPORT_SOON_S = (0.0, 0.4)
+_SHORT_REPORT_DELAY_S = (0.0, 0.4)
 # Of orders, how many get no answer and are carried out late.
 _LATE_SHARE = 0.3
 # Milliseconds after its beginning within which a life need not have been heard of by its owner: the
 # longest pause between two polls of a silent endpoint, and the time-outs of a poll and a stop.
-_UNHEARD_MS = 900.0
+_DISCOVERY_MAX_MS = 900.0
 # Milliseconds after its leave was passed on from which on it is given nothing; the bound of the
 # users' platform is 2,000, most of it for boxes that are told late.
-_LEFT_ALONE_AFTER_MS = 100.0
+_NO_STARTS_AFTER_MS = 100.0
 _FIRST_SEED = int(os.environ.get("FOLDLOOM_FIRST_SEED", "0"))
 _SEEDS = int(os.environ.get("FOLDLOOM_SEEDS", "16"))
 
@@ -48,19 +48,19 @@
 
     def __init__(self, world: ZonesWorld) -> None:
         super().__init__(world)
-        self.report_s = _REPORT_S
-        self._busy: set[str] = set()
+        self.report_delay_s = _REPORT_DELAY_S
+        self._restarting: set[str] = set()
         self.kinds += [self._restart_endpoint] * len(self.kinds)
 
     def _restart_endpoint(self) -> None:
         """Crash an endpoint; it begins again, and may leave some time later."""
-        self._begin_again(self.world.rng.choice(sorted(self.world.endpoints)))
+        self._crash_and_restart(self.world.rng.choice(sorted(self.world.endpoints)))
 
-    def _begin_again(self, name: str) -> None:
+    def _crash_and_restart(self, name: str) -> None:
         world = self.world
-        if name in self._busy:
+        if name in self._restarting:
             return
-        self._busy.add(name)
+        self._restarting.add(name)
         down = {(box, name) for box in world.boxes}
         world.conditions.cuts |= down
         before = next(record for record in world.records if record.endpoint == name)
@@ -70,16 +70,17 @@
         def begin() -> None:
             world.conditions.cuts.difference_update(down)
             ready = world.restart_endpoint(name)
-            self._at(self.report_s, lambda: world.tell(ready))
-            self._at(
-                self.report_s, lambda: world.tell(before._replace(sequence=before.sequence + 9))
+            self._schedule(self.report_delay_s, lambda: world.tell(ready))
+            self._schedule(
+                self.report_delay_s,
+                lambda: world.tell(before._replace(sequence=before.sequence + 9)),
             )
             if world.rng.random() < 0.5:
-                self._at(_SERVES_S, lambda: self._leave(ready))
+                self._schedule(_UPTIME_S, lambda: self._leave(ready))
             # A life that leaves may crash before it has left, like any other.
-            self._at(_SERVES_S, lambda: self._busy.discard(name))
+            self._schedule(_UPTIME_S, lambda: self._restarting.discard(name))
 
-        self._at(_DOWN_S, begin)
+        self._schedule(_DOWNTIME_S, begin)
 
     def _leave(self, ready: EndpointRecord) -> None:
         """Say that it leaves; its report has reached all boxes when this returns."""
@@ -87,10 +88,10 @@
             # It has crashed meanwhile.
             return
         self.world.tell(ready._replace(sequence=2, state=EndpointState.DRAINING))
-        self.world.left_alone_from_ms[ready.endpoint] = monotonic_ms() + _LEFT_ALONE_AFTER_MS
+        self.world.left_alone_from_ms[ready.endpoint] = monotonic_ms() + _NO_STARTS_AFTER_MS
 
-    def _at(self, within_s: tuple[float, float], act: Callable[[], None]) -> None:
-        self.world.loop.call_later(self.world.rng.uniform(*within_s), act)
+    def _schedule(self, delay_s: tuple[float, float], act: Callable[[], None]) -> None:
+        self.world.loop.call_later(self.world.rng.uniform(*delay_s), act)
 
 
 class Farewells(Restarts):
@@ -98,7 +99,7 @@
 
     def _leave(self, ready: EndpointRecord) -> None:
         super()._leave(ready)
-        self._at(_FAREWELL_S, lambda: self.world.bid_farewell(ready.endpoint))
+        self._schedule(_FAREWELL_DELAY_S, lambda: self.world.bid_farewell(ready.endpoint))
 
 
 class LateOrders(Restarts):
@@ -112,25 +113,25 @@
     def __init__(self, world: ZonesWorld) -> None:
         super().__init__(world)
         self.kinds = [self._restart_endpoint]
-        self.report_s = _REPORT_SOON_S
+        self.report_delay_s = _SHORT_REPORT_DELAY_S
         world.conditions.late_orders = _LATE_SHARE
-        world.unheard_ms = _UNHEARD_MS
-        self._over_s = world.loop.time() + TROUBLE_S
+        world.unheard_ms = _DISCOVERY_MAX_MS
+        self._faults_end_s = world.loop.time() + TROUBLE_S
 
     def _leave(self, ready: EndpointRecord) -> None:
         super()._leave(ready)
-        self._at(_STAYS_S, lambda: self._end(ready))
+        self._schedule(_DRAIN_S, lambda: self._end(ready))
 
     def _end(self, ready: EndpointRecord) -> None:
         """Bid farewell and end; the next life begins."""
         has_ended = self.world.births[ready.endpoint] != ready.born_ms
-        if has_ended or self.world.loop.time() > self._over_s:
+        if has_ended or self.world.loop.time() > self._faults_end_s:
             return
         self.world.bid_farewell(ready.endpoint)
-        self._begin_again(ready.endpoint)
+        self._crash_and_restart(ready.endpoint)
 
 
-class UnheardLives(LateOrders):
+class UndiscoveredIncarnations(LateOrders):
     """The same, and late orders reach lives from their beginning on, heard of or not."""
 
     def __init__(self, world: ZonesWorld) -> None:
@@ -138,9 +139,9 @@
         world.unheard_ms = 0.0
 
 
-def _misjudged(world: ZonesWorld) -> list[str]:
+def _stale_records(world: ZonesWorld) -> list[str]:
     """Return what owners hold of endpoints, long after the last fault, that is not so."""
-    misjudged = []
+    stale = []
     for box in world.owners():
         owner = box.elector.owner
         assert owner is not None
@@ -149,11 +150,11 @@
             if record.zone != box.zone:
                 continue
             if record.state is EndpointState.GONE:
-                misjudged += [f"{box.zone}: {record} is followed"] if known else []
+                stale += [f"{box.zone}: {record} is followed"] if known else []
                 continue
             if known is None or known.record != record or not known.is_trusted:
-                misjudged.append(f"{box.zone}: {record} is known as {known and known.record}")
-    return misjudged
+                stale.append(f"{box.zone}: {record} is known as {known and known.record}")
+    return stale
 
 
 def _play(seed: int, trouble_of: Callable[[ZonesWorld], Trouble]) -> ZonesWorld:
@@ -163,7 +164,7 @@
     async def play() -> ZonesWorld:
         world = ZonesWorld(seed, loop)
         await play_through(world, trouble_of, usual_caller)
-        assert _misjudged(world) == []
+        assert _stale_records(world) == []
         return world
 
     world: ZonesWorld = run_in_virtual_time(play(), loop)
@@ -223,15 +224,15 @@
 # Of seeds 0 to 59. Traced in an earlier form of these plays: an order to start got no answer and
 # was carried out by a life of which its owner had not heard yet, so that nothing could have told it
 # to stop; the task ran elsewhere by then.
-_UNHEARD_SEEDS = [1, 9, 17]
+_UNDISCOVERED_SEEDS = [1, 9, 17]
 
 
-@pytest.mark.parametrize("seed", _UNHEARD_SEEDS)
+@pytest.mark.parametrize("seed", _UNDISCOVERED_SEEDS)
 class TestUnheardLives:
     """Late orders reach a life before its owner has heard of it."""
 
     def test_the_promises_hold(self, seed: int) -> None:
         """One task is in one place."""
-        world = _play(seed, UnheardLives)
+        world = _play(seed, UndiscoveredIncarnations)
         assert broken_promises(world) == []
         assert world.doubled == []
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -88,7 +88,7 @@
     return action.run_id
 
 
-def start_placed(state: OwnerState, now_ms: float) -> RunId:
+def start_waiting(state: OwnerState, now_ms: float) -> RunId:
     """Have the one run that waits started; return it."""
     state.place(now_ms)
     action = state.actions.pop_starts()[0]
@@ -96,10 +96,10 @@
     return action.run_id
 
 
-def run_short(state: OwnerState, job_id: str, now_ms: float) -> None:
+def run_short_job(state: OwnerState, job_id: str, now_ms: float) -> None:
     """Run a job of one task, which takes 20 ms as its caller said."""
     state.submit(_E1, submission(job_id=job_id, estimate_ms=20), now_ms)
-    run_id = start_placed(state, now_ms)
+    run_id = start_waiting(state, now_ms)
     ended = EndedRun(int(now_ms) + 1, run_id, EndKind.DONE)
     state.report(EndpointReport("w1", (), (ended,), now_ms), now_ms + 20.0)
 
@@ -154,9 +154,9 @@
         state = owner_with(endpoint("w1"))
         run_id = start_one(state)
         state.report(EndpointReport("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 100.0), 110.0)
-        told = ends_of(state)
-        assert [(holder, end.cause) for holder, end in told] == [(_E1, EndCause.DONE)]
-        assert told[0][1].ran_ms == 100
+        notified = ends_of(state)
+        assert [(holder, end.cause) for holder, end in notified] == [(_E1, EndCause.DONE)]
+        assert notified[0][1].ran_ms == 100
         assert state.run_of(run_id.task) is None
 
     def test_lapsed(self) -> None:
@@ -207,7 +207,7 @@
         assert state.actions.pop_starts()[0].run_id == first.run_id
 
 
-def _handed_over(delivery: int) -> SubmitRuns:
+def _numbered_submission(delivery: int) -> SubmitRuns:
     return submission(orders=[RunOrder(0, 0, 1, delivery=delivery)])
 
 
@@ -222,46 +222,46 @@
         Seen on the bench: trouble-2 of Kestrelwood in journal a8e3cc0a, TWICE at 33.012 s.
         """
         state = owner_with(endpoint("w1"))
-        state.submit(_E1, _handed_over(1), 1.0)
+        state.submit(_E1, _numbered_submission(1), 1.0)
         assert state.release_stolen(self._GROUP, 1, "other", 2.0) == 1
-        state.submit(_E1, _handed_over(1), 150.0)
+        state.submit(_E1, _numbered_submission(1), 150.0)
         state.place(150.0)
         assert state.actions.pop_starts() == []
 
     def test_a_late_copy_after_its_end(self) -> None:
         """A run that has ended is not started again by a copy of the order for it."""
         state = owner_with(endpoint("w1"))
-        state.submit(_E1, _handed_over(1), 1.0)
+        state.submit(_E1, _numbered_submission(1), 1.0)
         state.place(1.0)
         run_id = state.actions.pop_starts()[0].run_id
         state.note_start(run_id, "w1", CallOutcome.DONE, 2.0)
         state.report(EndpointReport("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 3.0), 3.0)
         assert [end.delivery for _, end in ends_of(state)] == [1]
-        state.submit(_E1, _handed_over(1), 150.0)
+        state.submit(_E1, _numbered_submission(1), 150.0)
         state.place(150.0)
         assert state.actions.pop_starts() == []
 
     def test_a_run_that_comes_back(self) -> None:
         """A run that another zone gave back is handed over anew, and starts."""
         state = owner_with(endpoint("w1"))
-        state.submit(_E1, _handed_over(1), 1.0)
+        state.submit(_E1, _numbered_submission(1), 1.0)
         state.release_stolen(self._GROUP, 1, "other", 2.0)
-        state.submit(_E1, _handed_over(3), 10.0)
+        state.submit(_E1, _numbered_submission(3), 10.0)
         state.place(10.0)
         assert len(state.actions.pop_starts()) == 1
 
     def test_a_run_that_moved_has_not_started(self) -> None:
         """A cancel after it tells the truth."""
         state = owner_with(endpoint("w1"))
-        state.submit(_E1, _handed_over(1), 1.0)
+        state.submit(_E1, _numbered_submission(1), 1.0)
         state.release_stolen(self._GROUP, 1, "other", 2.0)
         assert not state.cancel(_E1, _JOB, 3.0)
 
     def test_each_holder_has_its_own_number(self) -> None:
         """A run that two boxes want ends for each under its own number."""
         state = owner_with(endpoint("w1"))
-        state.submit(_E1, _handed_over(7), 1.0)
-        state.submit(_E2, _handed_over(3), 1.0)
+        state.submit(_E1, _numbered_submission(7), 1.0)
+        state.submit(_E2, _numbered_submission(3), 1.0)
         state.place(1.0)
         run_id = state.actions.pop_starts()[0].run_id
         state.note_start(run_id, "w1", CallOutcome.DONE, 2.0)
@@ -281,9 +281,9 @@
         """It is not stopped while it takes what its caller said, whatever others took."""
         state = owner_with(endpoint("w1"))
         for number in range(40):
-            run_short(state, f"{number + 1:016x}", 1_000.0 * number)
+            run_short_job(state, f"{number + 1:016x}", 1_000.0 * number)
         state.submit(_E1, submission(estimate_ms=600), 50_000.0)
-        start_placed(state, 50_000.0)
+        start_waiting(state, 50_000.0)
         state.tick(50_650.0)
         assert state.actions.pop_stops() == []
 
@@ -291,14 +291,14 @@
         """A run that was stopped as stuck has its task's next one go on for twice as long."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
         state.submit(_E1, submission(), 10.0)
-        first = start_placed(state, 10.0)
+        first = start_waiting(state, 10.0)
         state.tick(10.0 + 345.0)
         assert [stop.run_id for stop in state.actions.pop_stops()] == [first]
         state.note_stop(first, "w1", CallOutcome.DONE, 356.0)
         state.note_stop(first, "w2", CallOutcome.DONE, 356.0)
         for name in ("w1", "w2"):
             state.report(EndpointReport(name, (), (), 357.0), 358.0)
-        second = start_placed(state, 400.0)
+        second = start_waiting(state, 400.0)
         assert second.attempt == first.attempt + 1
         state.tick(400.0 + 2 * 344.0)
         assert state.actions.pop_stops() == []
@@ -339,7 +339,7 @@
         state.note_start(first.run_id, "w1", CallOutcome.NO_ROOM, 2.0)
         assert state.cancel(_E1, _JOB, 3.0)
 
-    def _delivered_again_after_a_run(self) -> OwnerState:
+    def _redelivered_after_run(self) -> OwnerState:
         """Return an owner at which a run is done whose box had lost its session meanwhile."""
         state = owner_with(endpoint("w1", 7_000))
         spec = submission(objective=Objective(0, 1.6, 60, 0), deadline_ms=1_500)
@@ -360,7 +360,7 @@
 
         Seen on the bench: scale-1 --seed 183801466777 of Sahulat, REFUSED at 7.363 s.
         """
-        state = self._delivered_again_after_a_run()
+        state = self._redelivered_after_run()
         state.tick(2_000.0)
         assert [(end.cause, end.has_started) for _, end in ends_of(state)] == [
             (EndCause.UNATTAINABLE, True)
@@ -368,7 +368,7 @@
 
     def test_moved_after_a_run_that_was_not_told(self) -> None:
         """The same, given away to another zone's owner."""
-        state = self._delivered_again_after_a_run()
+        state = self._redelivered_after_run()
         assert state.release_stolen(GroupId(_JOB, 0, 0), 1, "b", 80.0) == 1
         assert [end.has_started for _, end in ends_of(state)] == [True]
 
@@ -600,7 +600,7 @@
         state = owner_with(endpoint("w1", born_ms=1))
         for number in range(20):
             state.submit(_E1, submission(job_id=f"{number:016x}"), 200.0 * number)
-            run_id = start_placed(state, 200.0 * number)
+            run_id = start_waiting(state, 200.0 * number)
             ended = EndedRun(number + 1, run_id, EndKind.DONE)
             report = EndpointReport("w1", (), (ended,), 200.0 * number + 150)
             state.report(report, 200.0 * number + 150)
@@ -619,13 +619,13 @@
     def test_running_run_is_adopted(self) -> None:
         """A run that an endpoint lists is kept, whichever comes first: the look or the box."""
         run_id = RunId(_TASK, 3)
-        for looks_first in (True, False):
+        for is_polled_first in (True, False):
             state = OwnerState(_GONE_AFTER_MS)
             state.follow_endpoint(endpoint("w1"))
-            if looks_first:
+            if is_polled_first:
                 state.report(EndpointReport("w1", (ActiveRun(run_id),), (), 0.0), 1.0)
             state.submit(_E1, submission(run=3, is_resumed=True), 2.0)
-            if not looks_first:
+            if not is_polled_first:
                 state.report(EndpointReport("w1", (ActiveRun(run_id),), (), 3.0), 4.0)
             state.tick(600.0)
             assert state.actions.pop_stops() == []
@@ -693,17 +693,17 @@
         """What no box claims is stopped after a while; until then its endpoint gets no work."""
         state = OwnerState(_GONE_AFTER_MS)
         state.follow_endpoint(endpoint("w1"))
-        stranger = RunId(TaskId("f" * 16, 0, 0, 0), 1)
-        state.report(EndpointReport("w1", (ActiveRun(stranger),), (), 0.0), 1.0)
+        orphan = RunId(TaskId("f" * 16, 0, 0, 0), 1)
+        state.report(EndpointReport("w1", (ActiveRun(orphan),), (), 0.0), 1.0)
         state.submit(_E1, submission(), 10.0)
         state.place(10.0)
         assert state.actions.pop_starts() == []
         state.tick(100.0)
         assert state.actions.pop_stops() == []
         state.tick(400.0)
-        assert [action.run_id for action in state.actions.pop_stops()] == [stranger]
+        assert [action.run_id for action in state.actions.pop_stops()] == [orphan]
         state.report(
-            EndpointReport("w1", (), (EndedRun(1, stranger, EndKind.STOPPED),), 410.0), 411.0
+            EndpointReport("w1", (), (EndedRun(1, orphan, EndKind.STOPPED),), 410.0), 411.0
         )
         state.place(411.0)
         assert len(state.actions.pop_starts()) == 1
--- a/tests/test_owners_two_stops.py
+++ b/tests/test_owners_two_stops.py
@@ -19,18 +19,18 @@
 _SETTLE_S = 1.0
 _TASK_MS = 1_600.0
 # Seconds that the caller of a job of such tasks waits.
-_PATIENCE_S = 2.8
+_CALLER_TIMEOUT_S = 2.8
 # Seconds before the job's deadline at which the box stands still.
-_BEFORE_S = 0.02
+_BEFORE_DEADLINE_S = 0.02
 # Seconds for which it does, twice: shorter than the 1.152 of a grant.
-_STOPS_S = 1.04
+_PAUSE_S = 1.04
 _CLOCK_RATE = 0.98
 # Turns between the two.
 _TURNS = range(8, 24)
 _NEVER_MS = 1e5
 
 
-class TwiceLoop(TurnsLoop):
+class DoublePauseLoop(TurnsLoop):
     """A loop on which a life that goes on stands still once more, after some turns."""
 
     def __init__(self, turns: int) -> None:
@@ -42,7 +42,7 @@
         super()._go_on(life, waking)
         if self._is_first:
             self._is_first = False
-            self.stop_life(life, self._turns, _STOPS_S, waking)
+            self.stop_life(life, self._turns, _PAUSE_S, waking)
 
 
 class Outcome(NamedTuple):
@@ -53,7 +53,7 @@
 
 
 def _play(turns: int, waking: Waking) -> Outcome:
-    loop = TwiceLoop(turns)
+    loop = DoublePauseLoop(turns)
     random.seed(_SEED)
 
     async def play() -> Outcome:
@@ -68,10 +68,10 @@
             if one.zone == ZONES[0] and one.elector.owner is None
         )
         call = asyncio.create_task(world.call(box, _JOB, 1, _TASK_MS, leave_ms=_NEVER_MS))
-        await asyncio.sleep(_PATIENCE_S - _BEFORE_S)
+        await asyncio.sleep(_CALLER_TIMEOUT_S - _BEFORE_DEADLINE_S)
         # The end of what runs there is never listed: the endpoints crash, or can't be reached.
         world.conditions.cuts |= {(one, name) for one in world.boxes for name in world.endpoints}
-        loop.stop_life(world.context_of(box)[LIFE], 0, _STOPS_S, waking)
+        loop.stop_life(world.context_of(box)[LIFE], 0, _PAUSE_S, waking)
         await call
         (answer,) = world.answers
         return Outcome(answer.is_refused, _JOB in world.starts)
