--- a/src/foldloom/seed_discovery/owners/actions.py
+++ b/src/foldloom/seed_discovery/owners/actions.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""What an owner's state has decided and the zone owner is still to carry out.
+"""Actions that an owner's state has decided and the zone owner has yet to execute.
 
-Owns the lists of decided actions until they are popped. Relies on nothing but the types of runs
-and messages; nothing here sends or waits.
+Owns the pending actions until they are popped. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 
 
 class StartAction(NamedTuple):
-    """Start *run_id* on *endpoint*; *text* is what the task is given."""
+    """Start *run_id* on *endpoint* with *text* as the task's input."""
 
     run_id: RunId
     endpoint: str
@@ -32,7 +31,7 @@
 
 
 class StealAction(NamedTuple):
-    """Ask the owner of *zone* for runs of *group*, for which room is reserved here."""
+    """Request runs of *group* from the owner of *zone*; capacity for them is reserved here."""
 
     zone: str
     group: GroupId
@@ -47,7 +46,7 @@
 
 
 class Actions:
-    """Actions in the order in which they were decided, by kind."""
+    """Pending actions by kind, in order of decision."""
 
     def __init__(self) -> None:
         self._starts: list[StartAction] = []
@@ -56,37 +55,37 @@
         self._notifications: list[NotifyAction] = []
 
     def start(self, action: StartAction) -> None:
-        """Add a run to be started."""
+        """Add a start."""
         self._starts.append(action)
 
     def stop(self, action: StopAction) -> None:
-        """Add a run to be stopped."""
+        """Add a stop."""
         self._stops.append(action)
 
     def steal(self, action: StealAction) -> None:
-        """Add runs to be asked for in another zone."""
+        """Add a request for runs of another zone."""
         self._steals.append(action)
 
     def notify(self, action: NotifyAction) -> None:
-        """Add an end that a box is to be notified of."""
+        """Add a notification."""
         self._notifications.append(action)
 
     def pop_starts(self) -> list[StartAction]:
-        """Return and clear what is to be started."""
+        """Return and clear the pending starts."""
         popped, self._starts = self._starts, []
         return popped
 
     def pop_stops(self) -> list[StopAction]:
-        """Return and clear what is to be stopped."""
+        """Return and clear the pending stops."""
         popped, self._stops = self._stops, []
         return popped
 
     def pop_steals(self) -> list[StealAction]:
-        """Return and clear what is to be asked for in other zones."""
+        """Return and clear the pending requests to other zones."""
         popped, self._steals = self._steals, []
         return popped
 
     def pop_notifications(self) -> list[NotifyAction]:
-        """Return and clear who is to be notified of which end."""
+        """Return and clear the pending notifications."""
         popped, self._notifications = self._notifications, []
         return popped
--- a/src/foldloom/seed_discovery/owners/batches.py
+++ b/src/foldloom/seed_discovery/owners/batches.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Runs that an entry box has delivered to an owner and that have not ended. Owns them.
+"""Batches of runs that an entry box has delivered to an owner. Owns the open runs.
 
-For each open run it knows the terms to whose owners the run was sent: whether it was started is
-certain only once each of these has said that it was not.
+An open run records the fencing token of each owner that it was sent to. It is certain not to have
+started only once every one of these owners has confirmed so.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from foldloom.seed_discovery.owners.open_job import OpenJob
 from foldloom.seed_discovery.owners.started_jobs import REMEMBERED_MS
 
-# Milliseconds beyond a job's deadline until which a box believes an owner's word: 100 ms less than
-# the owner remembers a start, which two steady clocks do not differ by in some seconds.
+# How long after a job's deadline a box accepts an owner's statement that nothing was started.
+# Shorter than the owner's record of starts, to allow for clock skew.
 BELIEVED_MS = REMEMBERED_MS - 100.0
 
 
 class _OpenRun(NamedTuple):
-    """A run whose end is still to come.
+    """A run whose end has not been received.
 
     Args:
-        order: Its newest delivery.
-        terms: The tokens of the owners that it was sent to.
+        order: Its latest delivery.
+        terms: Fencing tokens of the owners that it was sent to.
     """
 
     order: RunOrder
@@ -34,13 +34,13 @@
 
 
 class Batch:
-    """Runs of one step of a job at one zone's owner.
+    """Runs of one job step that were delivered to the owner of one zone.
 
-    Args:
-        job: Whose runs they are.
-        template: What is the same in every message about them.
+    ``has_started`` is whether any run that has ended was started, or may have been.
 
-    ``has_started``: whether a run of it that has ended was started, or may have been.
+    Args:
+        job: The job.
+        template: Message with the fields that all deliveries share.
     """
 
     def __init__(self, job: OpenJob, template: SubmitRuns) -> None:
@@ -51,46 +51,46 @@
 
     @property
     def orders(self) -> list[RunOrder]:
-        """The runs that are open."""
+        """The latest orders of the open runs."""
         return [run.order for run in self._open.values()]
 
     @property
     def believed_until_ms(self) -> float:
-        """Until when an owner's word on starts counts; own clock.
+        """Until when an owner's statement on starts is valid; own monotonic clock.
 
-        It remembers a start longer than that, counted from the same deadline.
+        The owner's record of a start outlasts it.
         """
         return self.job.began_ms + self.template.deadline_ms + BELIEVED_MS
 
     @property
     def terms(self) -> frozenset[int]:
-        """The tokens of the owners that may have started a run that is open."""
+        """Fencing tokens of the owners that may have started an open run."""
         return frozenset[int]().union(*(run.terms for run in self._open.values()))
 
     def add(self, orders: Iterable[RunOrder]) -> None:
-        """Note runs that are delivered, or delivered again."""
+        """Add open runs, or update the orders of those delivered again."""
         for order in orders:
             task = self.task(order)
             known = self._open.get(task)
             self._open[task] = _OpenRun(order) if known is None else known._replace(order=order)
 
     def note_sent(self, orders: Iterable[RunOrder], token: int) -> None:
-        """Note that *orders* are being sent to the owner with *token*: it may start them."""
+        """Record that *orders* are sent to the owner with *token*, which may start them."""
         for order in orders:
             known = self._open[self.task(order)]
             self._open[self.task(order)] = known._replace(terms=known.terms | {token})
 
     def close(self, end: RunEnd, token: int) -> RunOrder | None:
-        """Note an end that the owner with *token* lists; return the open run that it ends, if any.
+        """Close the open run that *end* belongs to, and return its order, if there is one.
 
-        What that owner says of a start covers its own term only, and it may have forgotten a start
-        by the time that a late box hears of it.
+        ``has_started`` of the end is trusted only if it is received in time and the run was sent
+        to no owner other than the one with *token*.
         """
         run = self._open.get(end.run_id.task)
         if run is None or end.run_id.attempt < run.order.attempt:
             return None
         if end.delivery and end.delivery != run.order.delivery:
-            # It ends an earlier delivery; the run was delivered again since.
+            # The end of an earlier delivery; the run has been delivered again since.
             return None
         del self._open[end.run_id.task]
         is_believed = monotonic_ms() < self.believed_until_ms and not run.terms - {token}
@@ -98,20 +98,20 @@
         return run.order
 
     def clear(self) -> None:
-        """Want none of its runs any more."""
+        """Drop all open runs."""
         self._open.clear()
 
     def is_open(self, order: RunOrder) -> bool:
-        """Return whether the end of *order* is still to come."""
+        """Return whether *order* is the latest order of an open run."""
         run = self._open.get(self.task(order))
         return run is not None and run.order == order
 
     def task(self, order: RunOrder) -> TaskId:
-        """Return the task that *order* is about."""
+        """Return the task of *order*."""
         return TaskId(self.template.job_id, self.template.repeat, order.step, order.position)
 
     def message(self, token: int, orders: list[RunOrder], old_right_ms: float) -> SubmitRuns:
-        """Return the message that hands *orders* to the owner with *token*."""
+        """Return the message that delivers *orders* to the owner with *token*."""
         spent_ms = int(monotonic_ms() - self.job.began_ms)
         template = self.template
         objective = template.objective
--- a/src/foldloom/seed_discovery/owners/cancels.py
+++ b/src/foldloom/seed_discovery/owners/cancels.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""An entry box's cancels: sent until they are answered, also after the verdict on the job.
+"""Cancels of an entry box, retransmitted until answered, even after the job's result is decided.
 
-Owns the cancels under way, and which ids may still run in another zone. Relies on the connections
-to the owners for who they are and until when they may go on.
+Owns the cancels in flight and the ids that may still run in another zone. The connections to the
+owners supply the current owners and their grants.
 """
 
 from __future__ import annotations
@@ -18,9 +18,8 @@
 from foldloom.seed_discovery.owners.withdrawal import Answer, Withdrawal
 from foldloom.tasks import TaskSet
 
-# Milliseconds for which a job that is given up waits for its owners' word; without it the job
-# counts as one that may have run: two tries of a cancel (150 ms each), because the caller waits for
-# the answer meanwhile.
+# Covers two transmissions of a cancel. A job whose owners have not answered by then is reported as
+# one that may have run.
 CANCEL_REPLY_WAIT_MS = 300
 
 
@@ -28,10 +27,10 @@
     """The cancels of one entry box.
 
     Args:
-        connections: The connections to the owners, by zone; it may grow.
+        connections: The connections to the owners, by zone; more may be added later.
         home_zone: The own zone.
         network: The peers.
-        gone_after_ms: How long after a run was ordered to stop it may still be on its endpoint.
+        gone_after_ms: Longest time that a run can stay on its endpoint after it is cancelled.
     """
 
     def __init__(
@@ -49,7 +48,7 @@
         self._tasks = TaskSet()
 
     def begin(self, withdrawals: list[Withdrawal]) -> dict[str, asyncio.Task[Answer]]:
-        """Begin to cancel one job's withdrawn runs; return what each zone's owner will say."""
+        """Start cancelling one job's withdrawn runs; return the pending answers by zone."""
         cancels = {
             one.owner.zone: self._tasks.spawn(self._cancel(one))
             for one in withdrawals
@@ -64,7 +63,10 @@
         return cancels
 
     async def ask(self, withdrawals: list[Withdrawal]) -> dict[str, Answer]:
-        """Cancel one job's withdrawn runs; return what the owners say in time, by zone."""
+        """Cancel one job's withdrawn runs; return the answers by zone.
+
+        An owner that does not answer within ``CANCEL_REPLY_WAIT_MS`` counts as ``NONE_YET``.
+        """
         cancels = self.begin(withdrawals)
         if cancels:
             await asyncio.wait(cancels.values(), timeout=CANCEL_REPLY_WAIT_MS / 1_000)
@@ -74,10 +76,10 @@
         }
 
     async def wait_ended(self, job_id: str) -> None:
-        """Wait until nothing that was cancelled under this id can run in another zone any more.
+        """Wait until no cancelled run of this id can still run in another zone.
 
-        The same id may be handed in again at once and starts in the own zone, whose owner knows
-        what is still being stopped there. Of other zones nobody does.
+        A resubmission of the id starts in the own zone, whose owner tracks runs that are stopping
+        there, but not those of other zones.
         """
         remote_cancels = self._remote_cancels.get(job_id)
         if remote_cancels is not None:
@@ -91,12 +93,12 @@
             del self._remote_cancels[job_id]
 
     async def _cancel(self, withdrawal: Withdrawal) -> Answer:
-        """Have the owner stop what was withdrawn; return what it says of starts.
+        """Cancel the withdrawn runs at their owner; return its answer.
 
-        It is sent until the owner answers, or has no right to the runs any more: one that did not
-        hear of it would go on with them for as long as this box acknowledges its heartbeats. A
-        "not started" counts only while the owner remembers every start of the job, by this box's
-        clock: a box that stood still, once or several times, may hear it much later.
+        Retransmits until the owner answers or its grant ends; otherwise the owner would continue
+        the runs for as long as this box acknowledges its heartbeats. "Not started" is accepted
+        only while the owner's record of starts is certainly complete: a paused box may process
+        the reply much later.
         """
         owner = withdrawal.owner
         connection = self._connections[owner.zone]
@@ -105,7 +107,7 @@
             try:
                 reply: Cancelled = await self._network.request(owner.box, message, REPLY_TIMEOUT_MS)
             except PeerUnreachableError:
-                # Sent again; the caller, who may not wait for that, is told that it may have run.
+                # Retransmitted; a caller that stops waiting is told that the job may have run.
                 continue
             if reply.has_started:
                 return Answer.STARTED
--- a/src/foldloom/seed_discovery/owners/decision_log.py
+++ b/src/foldloom/seed_discovery/owners/decision_log.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Log lines of an owner's decisions on runs.
+"""Log events of an owner's decisions on runs.
 
-Owns nothing. Relies on the logs' bound on events a second.
+Owns nothing. The log limits the rate of events.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 def log_delivery(
     owner: OwnerRecord, sender: str, message: SubmitRuns, reply: SubmitReply, load: ZoneLoad
 ) -> None:
-    """Log a delivery of runs by *sender*, and whether they were taken."""
+    """Log a delivery of runs by *sender* and the owner's reply."""
     PLACE_LOG.event(
         "runs.queued" if reply.status is SubmitStatus.TAKEN else "runs.refused",
         job=message.job_id,
@@ -40,7 +40,7 @@
 
 
 def log_cancel(owner: OwnerRecord, sender: str, message: CancelJob, has_started: bool) -> None:
-    """Log a cancel by *sender*, and what it was told of starts."""
+    """Log a cancel by *sender* and the answer to it."""
     PLACE_LOG.event(
         "job.cancel_received",
         job=message.job_id,
@@ -52,7 +52,7 @@
 
 
 def log_end(owner: OwnerRecord, action: NotifyAction) -> None:
-    """Log the end of a run that a box is notified of."""
+    """Log a run's end that a box is notified of."""
     end = action.end
     PLACE_LOG.event(
         "run.ended",
--- a/src/foldloom/seed_discovery/owners/deliveries.py
+++ b/src/foldloom/seed_discovery/owners/deliveries.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Runs as entry boxes deliver them to an owner, and take them back.
+"""Deliveries of runs from entry boxes to an owner, and their cancels.
 
-Owns the cancels that were received lately. Relies on the lifecycle of runs, the reservations of
-work stealing and the endpoints' orphaned runs, which it is given. Messages may come late, twice
-and in another order: a delivery is counted by its box, and a copy of one that is over is ignored.
+Owns the recently received cancels. Uses the run lifecycle, the reservations of work stealing and
+the endpoints' orphaned runs. Messages may be delayed, duplicated and reordered: each delivery is
+numbered by its box, and a copy whose runs are already over is ignored.
 """
 
 from __future__ import annotations
@@ -21,37 +21,41 @@
 from foldloom.seed_discovery.scheduling.runs import HolderId, RecoveryBound, Run, RunSpec, RunState
 from foldloom.seed_discovery.scheduling.sharing import group_of
 
-# Milliseconds for which a cancel keeps out deliveries that it has overtaken: a delivery expires on
-# its way after 151 ms, by clocks that are compared to within as much; then the owner may stand
-# still before it handles it, for less than the right that it needs (400 ms).
+# How long a cancel rejects deliveries that it overtook. Exceeds a delivery's time-to-live plus the
+# clock skew plus the longest pause of an owner that still holds its grant.
 CANCEL_TTL_MS = 1_000.0
 
 
 class _Cancel(NamedTuple):
-    """A cancel: when it was received, and up to which of its box's deliveries it reaches."""
+    """A received cancel.
+
+    Args:
+        received_ms: Own monotonic clock.
+        delivery: Highest delivery number that it covers; 0 for all.
+    """
 
     received_ms: float
     delivery: int
 
     def covers(self, delivery: int) -> bool:
-        """Return whether a *delivery* was sent before the cancel; 0 stands for any."""
+        """Return whether *delivery* is cancelled."""
         return not self.delivery or delivery <= self.delivery
 
     def joined(self, other: _Cancel) -> _Cancel:
-        """Return a cancel of all that either of two reaches."""
+        """Return a cancel that covers everything that either of the two covers."""
         covers_all = not self.delivery or not other.delivery
         delivery = 0 if covers_all else max(self.delivery, other.delivery)
         return _Cancel(max(self.received_ms, other.received_ms), delivery)
 
 
 class Deliveries:
-    """Deliveries of one owner's term.
+    """Deliveries received in one term of an owner.
 
     Args:
         lifecycle: The runs.
-        stealing: Knows the room that is kept for runs from other zones.
-        candidates: The endpoints by id.
-        gone_after_ms: How long after an owner lost the right to a run it may still be there.
+        stealing: The reservations for runs of other zones.
+        candidates: The zone's endpoints by id.
+        gone_after_ms: Longest time that a run can outlive its owner's grant.
     """
 
     def __init__(
@@ -77,13 +81,13 @@
             self._accept_run(holder, task, order, spec, bound, now_ms)
 
     def cancel(self, holder: HolderId, job_id: str, delivery: int, now_ms: float) -> bool:
-        """Drop what *holder* wants of a job; return whether any run of it may have started.
+        """Release *holder*'s runs of a job; return whether any run of the job may have started.
 
-        Deliveries above *delivery* stay: the same id was handed in again meanwhile.
+        Runs with a higher delivery number stay: they belong to a later submission of the same id.
         """
         cancel = _Cancel(now_ms, delivery)
         known = self._cancels.get((holder, job_id), cancel)
-        # One of an earlier submission may come later, since each is sent until it is answered.
+        # Cancels are retransmitted until answered, so one of an earlier submission may arrive last.
         self._cancels[holder, job_id] = cancel.joined(known)
         runs = self._lifecycle.runs_of_job(job_id)
         may_be_running = any(run.state is not RunState.QUEUED for run in runs)
@@ -93,14 +97,14 @@
         return may_be_running or job_id in self._lifecycle.started
 
     def was_cancelled(self, holder: HolderId, message: SubmitRuns, now_ms: float) -> bool:
-        """Return whether the box has cancelled this job since it sent *message*."""
+        """Return whether a cancel overtook *message*."""
         cancel = self._cancels.get((holder, message.job_id))
         if cancel is None or now_ms - cancel.received_ms >= CANCEL_TTL_MS:
             return False
         return cancel.covers(newest_delivery(message))
 
     def expire_cancels(self, now_ms: float) -> None:
-        """Forget cancels that no late message can contradict any more."""
+        """Drop cancels older than their time-to-live."""
         for key, cancel in list(self._cancels.items()):
             if now_ms - cancel.received_ms >= CANCEL_TTL_MS:
                 del self._cancels[key]
@@ -114,10 +118,10 @@
         bound: RecoveryBound,
         now_ms: float,
     ) -> None:
-        """Accept a run of *task* for *holder*, or attach it to the run that is known already."""
+        """Accept a run of *task* for *holder*, or add *holder* to the task's current run."""
         self._lifecycle.started.note_delivered(task.job_id, spec.deadline_ms)
         if order.is_resumed:
-            # An earlier owner may have started it.
+            # An earlier owner may have started the run.
             self._lifecycle.started.note(task.job_id, spec.deadline_ms)
         known = self._lifecycle.get(task)
         if known is not None:
@@ -125,10 +129,10 @@
             return
         tombstone = self._lifecycle.tombstones.get(task)
         if tombstone is not None and tombstone.covers(holder, order.delivery):
-            # A late copy of a message whose runs are over here, and may be elsewhere by now.
+            # Late copy of a delivery whose runs are over here; they may run in another zone now.
             return
         end = None if tombstone is None else tombstone.end
-        # An earlier run's end says nothing of a later one, unless the task is done.
+        # Only a successful end is final: a later attempt may exist after any other end.
         if end is not None and order.is_resumed and end.cause is EndCause.DONE:
             self._lifecycle.notify(holder, end._replace(delivery=order.delivery))
             return
@@ -140,14 +144,14 @@
         run.holders[holder] = order.delivery
         run.recovery_bound = bound
         self._lifecycle.add(run)
-        # Also a run that no earlier owner is said to know may be there: its box has died.
+        # Tried for new deliveries too: a box that has died may have delivered the same task.
         is_adopted = adopt_orphan(self._lifecycle, self._candidates, run, now_ms)
         if not is_adopted and state is RunState.QUEUED:
             self._lifecycle.queue(run, now_ms)
 
 
 def newest_delivery(message: SubmitRuns) -> int:
-    """Return the number of the newest delivery in *message*, 0 if none is counted."""
+    """Return the highest delivery number in *message*, 0 if it has none."""
     return max((order.delivery for order in message.orders), default=0)
 
 
--- a/src/foldloom/seed_discovery/owners/dispatch.py
+++ b/src/foldloom/seed_discovery/owners/dispatch.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Messages to the owner of a zone, passed to the present term of owning on this box.
+"""Dispatches messages for a zone's owner to this box's current term, if it has one.
 
-Owns nothing. A box that does not own its zone says so where an answer is due, and drops the rest.
+Owns nothing. A box that does not own its zone declines requests and drops other messages.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 
 
 class OwnerDispatch:
-    """Pass messages to the owner.
+    """Dispatches messages to the owner.
 
     Args:
         network: The peers.
         view: The other boxes.
-        owner: Returns the present term of owning, if this box owns its zone.
+        owner: Returns this box's current term as owner, or ``None``.
     """
 
     def __init__(
--- a/src/foldloom/seed_discovery/owners/lifecycle.py
+++ b/src/foldloom/seed_discovery/owners/lifecycle.py
@@ -1,27 +1,28 @@
 # SPDX-License-Identifier: MIT
-"""The runs that an owner knows, and every change of a run's state.
+"""Table of an owner's runs and their state transitions.
 
-Owns the table of runs, their tombstones, the list of started jobs, the crashes of endpoints under
-tasks and the room that runs take on endpoints. Relies on the queue of waiting runs, the endpoints'
-rooms and speeds, which it is given. A run is in one state:
+Owns the runs, the tombstones, the list of started jobs, the crash counts of tasks, the queue, the
+endpoint speeds and the capacity charged to runs. The endpoints are passed in.
 
-| state | event | next state | what happens |
+| state | event | next state | action |
 |---|---|---|---|
-| (none) | a box delivers it | QUEUED | it waits for room |
-| (none) | it is delivered to a new owner | RECOVERING | endpoints' reports are awaited |
-| (none), QUEUED, RECOVERING | an endpoint lists it as present | RUNNING | it is adopted |
-| QUEUED | it is placed | STARTING | an order to start is sent |
-| STARTING | the endpoint took the order | RUNNING | |
-| STARTING | the endpoint refused the order | QUEUED | it waits again; an invalid one has ended |
-| STARTING | no answer | STOPPING | the start may still be carried out: an order to stop is sent |
-| RUNNING | no box wants it, or it is stuck | STOPPING | an order to stop is sent |
-| RUNNING, STOPPING | its end is listed, or it is certainly gone | (none) | boxes are notified |
-| STOPPING | the same, not done, and a box wants it | QUEUED | the next attempt waits |
-| RECOVERING | it is found nowhere | (none) | boxes are notified that it is lost |
-| QUEUED, RECOVERING | no box wants it | (none) | it is dropped |
-
-The promise that holds here: of one task at most one run is present, and another one starts only
-once the one before is certainly on no endpoint.
+| (none) | delivered | QUEUED | waits for capacity |
+| (none) | delivered, an earlier owner may have started it | RECOVERING | awaits reports |
+| (none), QUEUED, RECOVERING | listed by an endpoint | RUNNING | adopted |
+| QUEUED | placed | STARTING | a start is sent |
+| STARTING | start accepted | RUNNING | |
+| STARTING | start refused | QUEUED | waits again; an invalid order finishes the run |
+| STARTING | start unanswered | STOPPING | a stop is sent, since the start may still take effect |
+| STARTING, RUNNING | no holder left | STOPPING | a stop is sent |
+| RUNNING | stuck | STOPPING | a stop is sent |
+| STARTING, RUNNING, STOPPING | end listed, or certainly gone | (none) | holders are notified |
+| STOPPING | the same, but not done and a holder is left | QUEUED | the next attempt waits |
+| RECOVERING | listed as done, or found on no endpoint | (none) | holders are notified |
+| QUEUED | stolen by another zone, or unattainable | (none) | holders are notified |
+| QUEUED, RECOVERING | no holder left | (none) | dropped |
+
+Invariant: a task has at most one run on an endpoint, and its next attempt starts only once the
+previous one is certainly gone.
 """
 
 from __future__ import annotations
@@ -44,18 +45,18 @@
 
 
 class RunLifecycle:
-    """The runs of one zone's endpoints.
+    """The runs of one zone.
 
     Args:
-        candidates: The endpoints by id.
-        actions: Takes what is to be carried out.
+        candidates: The zone's endpoints by id.
+        actions: Receives the resulting actions.
     """
 
     def __init__(self, candidates: Mapping[str, ZoneEndpoint], actions: Actions) -> None:
         self._candidates = candidates
         self._actions = actions
         self._runs: dict[TaskId, Run] = {}
-        # Dicts for their order, which sets do not have: runs are stopped and dropped in turn.
+        # Dicts serve as ordered sets, so that the order of actions is deterministic.
         self._tasks_by_job: dict[str, dict[TaskId, None]] = {}
         self._estimates = Estimates()
         self.waiting = WaitingRuns(self._estimates)
@@ -66,11 +67,11 @@
 
     @property
     def runs(self) -> list[Run]:
-        """All runs that are known, the oldest first."""
+        """All runs, the oldest first."""
         return list(self._runs.values())
 
     def get(self, task: TaskId) -> Run | None:
-        """Return the present run of *task*, if any."""
+        """Return the current run of *task*, if any."""
         return self._runs.get(task)
 
     def runs_of_job(self, job_id: str) -> list[Run]:
@@ -82,40 +83,40 @@
         return [run for run in self._runs.values() if run.state is state]
 
     def add(self, run: Run) -> None:
-        """Know *run*, which a box has delivered; it is queued or recovering."""
+        """Add a delivered run that is queued or recovering."""
         self._runs[run.task] = run
         self._tasks_by_job.setdefault(run.task.job_id, {})[run.task] = None
 
     def queue(self, run: Run, now_ms: float) -> None:
-        """Queue *run*, which is on no endpoint."""
+        """Queue *run*, which must not be on any endpoint."""
         run.enter(RunState.QUEUED, now_ms)
         self.waiting.add(run)
 
     def start(self, run: Run, endpoint: str, now_ms: float) -> None:
-        """Have *run* started on *endpoint*, where its room is charged already."""
+        """Order *run* to start on *endpoint*, where its capacity is already charged."""
         self.started.note(run.task.job_id, run.spec.deadline_ms)
         run.enter(RunState.STARTING, now_ms, endpoint)
         self._actions.start(StartAction(run.run_id, endpoint, run.spec.text))
 
     def adopt(self, run: Run, attempt: int, endpoint: str, now_ms: float) -> None:
-        """Adopt *attempt* of *run*, which *endpoint* lists as present."""
+        """Mark *run* as running: *endpoint* lists *attempt* of it."""
         self.started.note(run.task.job_id, run.spec.deadline_ms)
         self.waiting.remove(run.task)
         run.attempt = attempt
         room = self._candidates[endpoint].room
-        # What was charged for it while no entry box had delivered it need not be what it takes.
+        # Releases a stale charge, so that the task is not charged twice.
         room.release(run.task)
         room.charge(run.task, run.spec.demand)
         run.enter(RunState.RUNNING, now_ms, endpoint)
 
     def stop(self, run: Run, now_ms: float) -> None:
-        """Have *run* stopped where it is."""
+        """Order *run* to stop on its endpoint."""
         run.enter(RunState.STOPPING, now_ms, run.endpoint)
         run.stop_sent_ms = now_ms
         self._actions.stop(StopAction(run.run_id, run.endpoint))
 
     def retransmit_stops(self, before_ms: float, now_ms: float) -> list[StopAction]:
-        """Return the stops that no endpoint has confirmed since *before_ms*, to be sent again."""
+        """Return the unconfirmed stops last sent before *before_ms*, and mark them as sent now."""
         retransmitted = []
         for run in self.in_state(RunState.STOPPING):
             if run.stop_known_ms or run.stop_sent_ms >= before_ms:
@@ -125,7 +126,7 @@
         return retransmitted
 
     def release_holder(self, holder: HolderId, run: Run, now_ms: float) -> None:
-        """Note that *holder* wants *run* no more; stop or drop it if nobody else does."""
+        """Remove *holder* from *run*; stop or drop the run if no holder is left."""
         run.holders.pop(holder, None)
         if run.holders:
             return
@@ -137,9 +138,10 @@
             self.stop(run, now_ms)
 
     def finish(self, run: Run, cause: EndCause, checkpoint: str, now_ms: float) -> None:
-        """End *run*, which is on no endpoint any more; queue it again if its boxes want it.
+        """Finish *run*, which has left its endpoint.
 
-        They do where it was stopped for the owner's own reasons.
+        A run that the owner stopped, and that still has holders, is queued for another attempt
+        instead, unless it is done or given up because of crashes.
         """
         endpoint = run.endpoint
         ran_ms = int(now_ms - run.began_ms) if run.began_ms else 0
@@ -159,7 +161,7 @@
         self.retire(run, end, now_ms)
 
     def retire(self, run: Run, end: RunEnd, now_ms: float) -> None:
-        """Notify the boxes that want *run* of its *end*, and leave a tombstone."""
+        """Notify the holders of *run* of its *end*, and leave a tombstone."""
         for holder, delivery in run.holders.items():
             self.notify(holder, end._replace(delivery=delivery))
         self._drop(run)
@@ -170,7 +172,7 @@
         self._actions.notify(NotifyAction(holder, end))
 
     def release_capacity(self, run: Run) -> None:
-        """Release the room of *run*."""
+        """Release the capacity charged to *run*."""
         candidate = self._candidates.get(run.endpoint)
         if candidate is not None:
             candidate.room.release(run.task)
@@ -189,7 +191,7 @@
             del self._tasks_by_job[run.task.job_id]
 
     def _update_estimates(self, run: Run, ran_ms: float) -> None:
-        """Learn from a run that is done, about its endpoint, its step and its queue."""
+        """Update the endpoint's speed and the duration estimates of the group and the queue."""
         group = self.waiting.group(run)
         self.speeds.note(run.endpoint, ran_ms, group.expected_ms)
         work_ms = ran_ms * self.speeds.speed_of(run.endpoint)
--- a/src/foldloom/seed_discovery/owners/open_job.py
+++ b/src/foldloom/seed_discovery/owners/open_job.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""A job that runs on this entry box, as its client of the owners knows it.
+"""State of one job submission in an entry box's client of the owners.
 
-Owns where the ends of the job's runs go and what outlives the batches of its runs. The same id
-handed in again is another open job: what is known of one says nothing of the other.
+Owns the queue of its runs' ends and the state that outlives its batches. A resubmission of the
+same id is a separate open job.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 class OpenJob:
-    """One submission of a job, until it is given up or answered.
+    """One submission of a job, until it is abandoned or answered.
 
-    ``ends`` takes the ends of its runs. ``is_wanted``: whether runs of it may still be delivered.
-    ``may_have_started``: whether something of it may have been started by an owner that can't be
-    asked about it any more.
+    ``ends`` receives the ends of its runs, ``is_wanted`` is whether its runs may still be
+    delivered, and ``may_have_started`` whether an owner that can no longer be queried may have
+    started one of them.
 
     Args:
-        job_id: The caller's id.
+        job_id: The caller's job id.
     """
 
     def __init__(self, job_id: str) -> None:
--- a/src/foldloom/seed_discovery/owners/order_sender.py
+++ b/src/foldloom/seed_discovery/owners/order_sender.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Orders to start and stop runs, sent to endpoints and logged.
+"""Sends start and stop orders to endpoints, and logs them.
 
-Owns nothing but calls in flight. Relies on the owner's state, sessions and links: whether a run is
-still wanted, and whether its endpoint's lease may be renewed, is looked at right before the call.
+Owns the start calls in flight. Whether a run still has a holder, and whether its endpoint's lease
+may be renewed, is checked immediately before the call.
 """
 
 from __future__ import annotations
@@ -27,15 +27,16 @@
 
 
 class OrderSender:
-    """Send the orders of one owner's term.
+    """Sends the orders of one term of an owner.
 
     Args:
         token: The owner's fencing token.
         state: The owner's state.
-        sessions: The grants of boxes.
+        sessions: The sessions with boxes.
         links: The links to endpoints.
-        context: The calls to endpoints, and counters.
-        owner: Says whether a lease may be renewed; is notified of a higher token.
+        context: The endpoint calls and the metrics.
+        owner: Decides on lease renewals, and is notified of overdue calls, new incarnations and
+            higher tokens.
     """
 
     def __init__(
@@ -58,22 +59,22 @@
         self._is_closed = False
 
     def close(self) -> None:
-        """Send nothing any more: the term is over."""
+        """Cancel the starts in flight and send no further orders."""
         self._is_closed = True
         for task in self._starts:
             task.cancel()
 
     def begin_start(self, action: StartAction, on_answer: Callable[[], None]) -> None:
-        """Send an order to start and note its answer; call *on_answer* after that."""
+        """Send a start order in the background; call *on_answer* after its reply is handled.
+
+        *on_answer* is not called if the order is not sent.
+        """
         task = asyncio.get_running_loop().create_task(self._start(action, on_answer))
         self._starts[task] = action.endpoint
         task.add_done_callback(self._starts.pop)
 
     async def wait_for_starts(self, endpoints: Container[str]) -> None:
-        """Wait until no order to start is on its way to any of *endpoints*.
-
-        The time-out of a call bounds it.
-        """
+        """Wait for the starts in flight to any of *endpoints*, bounded by the call timeout."""
         tasks = [task for task, endpoint in self._starts.items() if endpoint in endpoints]
         if tasks:
             await asyncio.wait(tasks)
@@ -105,7 +106,7 @@
         on_answer()
 
     async def stop(self, action: StopAction) -> None:
-        """Send an order to stop and note its answer."""
+        """Send a stop order and apply its outcome."""
         link = self._links.get(action.endpoint)
         if link is None or self._is_closed:
             return
@@ -121,12 +122,12 @@
         if reply.outcome is CallOutcome.FENCED:
             self._owner.note_fenced(action.endpoint)
         if self._links.get(action.endpoint) is not link:
-            # Another life has begun meanwhile, and this was the answer of either.
+            # A new incarnation began during the call; either one may have answered.
             return
         self._state.note_stop(action.run_id, action.endpoint, reply.outcome, monotonic_ms())
 
     def _note_answerer(self, link: EndpointLink, reply: CallReply, now_ms: float) -> None:
-        """Note the clock in an answer, or that it is another life's."""
+        """Update the link's clock, or report that a later incarnation has answered."""
         answerer = link.answerer(reply.born_ms)
         if answerer is Answerer.NEXT:
             self._owner.note_next_life(link.record.endpoint, reply.born_ms)
@@ -134,10 +135,10 @@
             link.clock.note(reply.clock_ms, now_ms)
 
     def _may_start(self, action: StartAction, now_ms: float) -> bool:
-        """Return whether a box wants the run now, and its endpoint's lease may be renewed.
+        """Return whether the run has a holder with a valid grant, and its lease may be renewed.
 
-        Decided right before the call: after a freeze nobody may want the run any more. A start
-        renews the lease of everything on its endpoint.
+        Checked immediately before the call, since grants may have lapsed during a pause of this
+        process. A start renews the lease of its whole endpoint.
         """
         run = self._state.run_of(action.run_id.task)
         has_live_holder = run is not None and any(
--- a/src/foldloom/seed_discovery/owners/orders.py
+++ b/src/foldloom/seed_discovery/owners/orders.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What an endpoint's answer to an order means for the run that it is about.
+"""Handles the outcomes of start and stop orders. Owns nothing.
 
-Owns nothing. Relies on the lifecycle of runs, which carries out what is decided here. An order that
-got no answer may still be carried out; one that was refused certainly was not.
+The resulting transitions are made by the run lifecycle. An unanswered order may still be executed;
+a refused one certainly is not.
 """
 
 from __future__ import annotations
@@ -16,11 +16,8 @@
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.runs import Run, RunState
 
-# Milliseconds without new work for an endpoint that refused a start for want of room: it frees some
-# when a run ends, and tasks of the users take 60 ms and more.
+# Below the duration of typical tasks, whose ends free capacity.
 NO_CAPACITY_BACKOFF_MS = 30.0
-# Milliseconds without new work for an endpoint that says it is unhealthy, to be longer than the
-# tasks of most jobs, which lose less on other endpoints.
 UNHEALTHY_BACKOFF_MS = 300.0
 
 
@@ -32,7 +29,7 @@
     outcome: CallOutcome,
     now_ms: float,
 ) -> None:
-    """Note the answer to an order to start."""
+    """Handle the outcome of a start order."""
     run = _current_run(lifecycle, run_id, endpoint)
     if run is None:
         return
@@ -41,8 +38,8 @@
             run.enter(RunState.RUNNING, now_ms, endpoint)
         return
     if outcome is CallOutcome.UNKNOWN:
-        # It may be carried out at any time until the lease in the order has passed; the stop
-        # keeps it from starting, and the next report shows whether it has started.
+        # The start may take effect until the lease in the order expires. The stop prevents that,
+        # and the next report shows whether the run has started.
         lifecycle.stop(run, now_ms)
         return
     lifecycle.release_capacity(run)
@@ -62,7 +59,7 @@
 def note_stop(
     lifecycle: RunLifecycle, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float
 ) -> None:
-    """Note the answer to an order to stop."""
+    """Handle the outcome of a stop order."""
     run = _current_run(lifecycle, run_id, endpoint)
     if run is None or run.state is not RunState.STOPPING:
         return
@@ -71,7 +68,7 @@
 
 
 def _current_run(lifecycle: RunLifecycle, run_id: RunId, endpoint: str) -> Run | None:
-    """Return the run that an answer is about, if it is still the present one of its task."""
+    """Return the run with *run_id* if it is still its task's run on *endpoint*."""
     run = lifecycle.get(run_id.task)
     if run is None or run.attempt != run_id.attempt or run.endpoint != endpoint:
         return None
@@ -81,7 +78,10 @@
 def _back_off(
     candidates: Mapping[str, ZoneEndpoint], endpoint: str, outcome: CallOutcome, now_ms: float
 ) -> None:
-    """Pause an endpoint that refused a start."""
+    """Exclude an endpoint that refused a start from placement for a while.
+
+    One that has another incarnation or no listener is excluded until its next report.
+    """
     candidate = candidates.get(endpoint)
     if candidate is None:
         return
--- a/src/foldloom/seed_discovery/owners/recovery.py
+++ b/src/foldloom/seed_discovery/owners/recovery.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Runs that an earlier owner may have started, and that a new one looks for.
+"""Recovery of runs that an earlier owner may have started. Owns nothing.
 
-Owns nothing; decisions only. An entry box delivers what it has open to a new owner. Whether the
-earlier owner has started it is not known: the run is recovering until an endpoint lists it, or
-until it is certain that no endpoint runs it.
+After a failover entry boxes deliver their open runs to the new owner. Such a run is recovering
+until an endpoint lists it, or until it is certainly on no endpoint.
 """
 
 from __future__ import annotations
@@ -14,12 +13,12 @@
 
 
 def recovery_bound(now_ms: float, old_right_ms: float, gone_after_ms: float) -> RecoveryBound:
-    """Return until when a run of an earlier owner must be looked for.
+    """Return until when a run of an earlier owner may be on an endpoint.
 
     Args:
         now_ms: Own monotonic clock.
-        old_right_ms: For how much longer the earlier owner may start it, in milliseconds.
-        gone_after_ms: How long after that its lease may last on any endpoint.
+        old_right_ms: Remaining time of the earlier owner's grant.
+        gone_after_ms: Longest time after the end of that grant until the run's lease expires.
     """
     grant_ends_ms = now_ms + old_right_ms
     return RecoveryBound(grant_ends_ms, grant_ends_ms + gone_after_ms)
@@ -30,8 +29,8 @@
 
     Args:
         run: The run.
-        reported_ms: For each endpoint of its service, when its newest report was asked for.
-        knows_all_endpoints: Whether every endpoint that the earlier owner knew is among them.
+        polled_ms: When each endpoint of its service was polled for its latest report.
+        is_catalog_complete: Whether these include every endpoint that the earlier owner used.
         now_ms: Own monotonic clock.
     """
     bound = run.recovery_bound
--- a/src/foldloom/seed_discovery/owners/reports.py
+++ b/src/foldloom/seed_discovery/owners/reports.py
@@ -1,11 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""An endpoint's report held against what its owner expects there.
+"""Reconciles endpoint reports with the owner's runs. Owns nothing.
 
-Owns nothing: the decisions are plain functions, and :func:`reconcile` carries them out on the
-lifecycle of runs. A report lists the runs that are present and the ends that the owner has not
-acknowledged. A run that is listed and that no box has delivered is an orphaned run: its box died,
-or has not reached this owner yet. An endpoint with orphaned runs gets no work, and they are stopped
-after ``ORPHAN_GRACE_MS``.
+A report lists the active runs and the ends that the owner has not acknowledged. An active run that
+does not match the owner's current run of its task is orphaned, for example because its box has
+died or has not delivered it to this owner yet. An endpoint with orphaned runs is not eligible for
+placement, and the runs are stopped after ``ORPHAN_GRACE_MS``.
 """
 
 from __future__ import annotations
@@ -21,28 +20,27 @@
 from foldloom.seed_discovery.scheduling.endpoints import OrphanedRun, ZoneEndpoint
 from foldloom.seed_discovery.scheduling.runs import Run, RunState
 
-# Milliseconds: entry boxes deliver what they have open to a new owner within one heartbeat
-# of it (100 ms), or three where heartbeats are lost.
+# Gives entry boxes time to deliver their open runs to a new owner, even if heartbeats are lost.
 ORPHAN_GRACE_MS = 300.0
 
 
 class ListedEnd(Enum):
-    """What the end of a run of a known task means."""
+    """Effect of a listed end on the current run of its task."""
 
     OUTDATED = "outdated"
-    """It is of an earlier attempt, or of one that is elsewhere."""
+    """Ignored: an earlier attempt, or a run on another endpoint."""
     ADVANCES = "advances"
-    """It shows only which attempt of a recovering run is the newest."""
+    """Only raises the attempt of a recovering run."""
     FINISHES = "finishes"
-    """The run is over."""
+    """Finishes the run."""
 
 
 def classify_end(run: Run, end: EndedRun, endpoint: str) -> ListedEnd:
-    """Return what *end*, listed by *endpoint*, means for the present run of its task."""
+    """Return the effect of *end*, listed by *endpoint*, on its task's current run."""
     if run.attempt > end.run_id.attempt:
         return ListedEnd.OUTDATED
     if run.state is RunState.RECOVERING and end.how is not EndKind.DONE:
-        # Its box may not know of a later run that an earlier owner started elsewhere.
+        # An earlier owner may have started a later attempt on another endpoint.
         return ListedEnd.ADVANCES
     if run.state is RunState.RECOVERING or run.endpoint == endpoint:
         return ListedEnd.FINISHES
@@ -50,12 +48,12 @@
 
 
 def classify_absence(run: Run, asked_ms: float) -> EndCause | None:
-    """Return how a run has ended of which a report lists neither the run nor an end, if it has.
+    """Return how a run that a report does not list has ended; ``None`` if it may be present.
 
     Args:
-        run: The run, which is thought to be on the endpoint.
-        asked_ms: When the owner asked for the report. One that was asked for before the newest
-            order took effect says nothing of it.
+        run: A run that is expected on the endpoint.
+        asked_ms: When the owner polled for the report. A report polled for before the latest order
+            took effect is inconclusive.
     """
     if max(run.since_ms, run.stop_known_ms) >= asked_ms:
         return None
@@ -67,17 +65,17 @@
 
 
 def is_orphan(run: Run | None, attempt: int, endpoint: str) -> bool:
-    """Return whether an *attempt* that is present on *endpoint* is not the *run* expected there."""
+    """Return whether an *attempt* listed by *endpoint* does not match the task's current *run*."""
     return run is None or run.endpoint != endpoint or run.attempt != attempt
 
 
 def reconcile(
     lifecycle: RunLifecycle, candidate: ZoneEndpoint, report: EndpointReport, now_ms: float
 ) -> None:
-    """Bring what is known into line with a *report* of *candidate*."""
+    """Apply a *report* of *candidate* to the runs."""
     for end in report.ended:
         _reconcile_end(lifecycle, candidate, end, now_ms)
-    # In the report's order, in which runs are adopted; a set has none.
+    # A dict keeps the report's order, in which runs are adopted.
     present = {one.run_id: None for one in report.active}
     _reconcile_present(lifecycle, candidate, present, now_ms)
     _reconcile_absent(lifecycle, candidate, present, report.asked_ms, now_ms)
@@ -86,9 +84,9 @@
 def orphans_to_stop(
     candidates: Mapping[str, ZoneEndpoint], now_ms: float
 ) -> list[tuple[str, RunId]]:
-    """Return the orphaned runs, by endpoint, that no entry box has delivered for too long.
+    """Return the endpoint and id of each run that has been orphaned beyond the grace period.
 
-    Each is named again after the same time, until it is gone.
+    A run that stays orphaned is returned again after each further grace period.
     """
     due = []
     for endpoint, candidate in candidates.items():
@@ -102,7 +100,7 @@
 def adopt_orphan(
     lifecycle: RunLifecycle, candidates: Mapping[str, ZoneEndpoint], run: Run, now_ms: float
 ) -> bool:
-    """Adopt a run of the task that an endpoint lists already; return whether one does."""
+    """Adopt an orphaned run of *run*'s task; return whether there is one."""
     for endpoint, candidate in candidates.items():
         orphan = candidate.orphans.pop(run.task, None)
         if orphan is not None:
--- a/src/foldloom/seed_discovery/owners/state.py
+++ b/src/foldloom/seed_discovery/owners/state.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""An owner's state: what it knows of runs and endpoints, and what it decides on each event.
+"""State machine of a zone owner: the runs and endpoints of its zone.
 
-Owns the endpoints as candidates for work and the times of their reports. Relies on the modules that
-own the rest: deliveries and admission, the lifecycle of runs, reports, recovery, stragglers, work
-stealing. Nothing here waits, sends or reads a clock: events come in as calls, and what must be done
-is popped from :attr:`OwnerState.actions`.
+Owns the placement candidates and the poll times of their reports, and delegates the rest to the
+modules for deliveries, admission, run lifecycle, reports, recovery, stragglers and work stealing.
+It performs no I/O and reads no clock: events are method calls that carry the time, and the
+resulting actions are popped from :attr:`OwnerState.actions`.
 """
 
 from __future__ import annotations
@@ -45,17 +45,17 @@
 from foldloom.seed_discovery.scheduling.sharing import GroupId, GroupSummary
 from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
 
-# How many groups an owner offers to the owners of other zones, because these are the next in order,
-# and the offer is renewed 3 ms after each change.
+# Groups of queued runs that one offer to other zones lists, the next in order first.
 OFFERED_GROUPS_MAX = 24
 
 
 class OwnerState:
-    """The runs of one zone's endpoints.
+    """The runs and endpoints of one zone during one term of its owner.
 
     Args:
-        gone_after_ms: How long after an owner lost the right to a run it may still be there.
-        all_endpoints: Returns the endpoints of all zones; none while they may not all be known.
+        gone_after_ms: Longest time that a run can outlive its owner's grant.
+        all_endpoints: Returns the endpoint records of all zones; empty while the catalog may be
+            incomplete.
     """
 
     def __init__(
@@ -79,30 +79,30 @@
 
     @property
     def candidates(self) -> dict[str, ZoneEndpoint]:
-        """The endpoints by id."""
+        """The zone's endpoints by id."""
         return self._candidates
 
     @property
     def waiting(self) -> WaitingRuns:
-        """The runs that wait for room."""
+        """The queued runs."""
         return self._lifecycle.waiting
 
     def load(self, now_ms: float) -> ZoneLoad:
-        """Return how loaded the endpoints in use are."""
+        """Return the zone's load."""
         return zone_load(self._candidates.values(), self.waiting, now_ms)
 
     def speed_of(self, endpoint: str) -> float:
-        """Return how fast *endpoint* is thought to be, relative to the middle one."""
+        """Return the estimated speed of *endpoint* relative to the median endpoint."""
         return self._lifecycle.speeds.speed_of(endpoint)
 
     def run_of(self, task: TaskId) -> Run | None:
-        """Return the present run of *task*, if any."""
+        """Return the current run of *task*, if any."""
         return self._lifecycle.get(task)
 
-    # Jobs of entry boxes.
+    # Requests from entry boxes.
 
     def submit(self, holder: HolderId, message: SubmitRuns, now_ms: float) -> SubmitReply:
-        """Queue the runs of *message* for *holder*, or refuse them at once."""
+        """Queue the runs of *message* for *holder*, or refuse them."""
         if self._deliveries.was_cancelled(holder, message, now_ms):
             return SubmitReply(SubmitStatus.REFUSED, "cancelled")
         self._deliveries.deliver(holder, message, now_ms)
@@ -113,18 +113,18 @@
         return reply
 
     def cancel(self, holder: HolderId, job_id: str, now_ms: float, delivery: int = 0) -> bool:
-        """Drop what *holder* wants of a job; return whether any run of it may have started.
+        """Release *holder*'s runs of a job; return whether any run of the job may have started.
 
         Args:
-            holder: The box.
+            holder: The box incarnation that cancels.
             job_id: The job.
             now_ms: Own monotonic clock.
-            delivery: The newest delivery that is cancelled; 0 for all.
+            delivery: Highest delivery number that is cancelled; 0 for all.
         """
         return self._deliveries.cancel(holder, job_id, delivery, now_ms)
 
     def end_session(self, holder: HolderId, ended_ms: float) -> None:
-        """Drop everything that *holder* wants: its grant is over since *ended_ms*."""
+        """Release all runs of *holder*, whose grant ended at *ended_ms*."""
         for run in self._lifecycle.runs:
             if holder in run.holders:
                 self._lifecycle.release_holder(holder, run, ended_ms)
@@ -132,23 +132,26 @@
     # Other zones.
 
     def note_offer(self, zone: str, groups: list[GroupSummary], now_ms: float) -> None:
-        """Note what waits for room in another zone."""
+        """Record the queued groups that the owner of another zone offers."""
         self._stealing.remote.note_offer(zone, groups, now_ms)
 
     def note_load(self, zone: str, load: ZoneLoad, now_ms: float) -> None:
-        """Note how loaded another zone is."""
+        """Record the load of another zone."""
         self._stealing.note_load(zone, load, now_ms)
 
     def offer(self, now_ms: float) -> list[GroupSummary]:
-        """Return the runs that wait here, for the owners of other zones."""
+        """Return summaries of the queued groups, to be offered to other zones."""
         return self.waiting.summaries(now_ms, OFFERED_GROUPS_MAX)
 
     def release_stolen(self, key: GroupId, runs: int, zone: str, now_ms: float) -> int:
-        """Let another zone's owner steal up to *runs* waiting runs of a group; return how many."""
+        """Hand up to *runs* queued runs of a group to another zone; return the number handed over.
+
+        Their boxes are notified to deliver them to the owner of *zone*.
+        """
         group = self.waiting.get(key)
         if group is None:
             return 0
-        # The last ones first: the first ones are the next to start here.
+        # Taken from the tail: the head of the queue starts here next.
         released = list(group.waiting.values())[-runs:]
         for run in released:
             has_started = run.task.job_id in self._lifecycle.started
@@ -157,17 +160,17 @@
         return len(released)
 
     def note_stolen(self, action: StealAction, granted: int) -> None:
-        """Note that the owner that was asked for runs gives *granted* of them."""
+        """Record that the owner of the other zone granted *granted* of the requested runs."""
         self._stealing.note_granted(action, granted)
 
     # Endpoints.
 
     def trust_catalog(self) -> None:
-        """Note that every endpoint that an earlier owner knew is known here."""
+        """Mark the catalog complete: it holds every endpoint that an earlier owner used."""
         self._is_catalog_complete = True
 
     def follow_endpoint(self, record: EndpointRecord) -> None:
-        """Know an endpoint, or a newer record of it."""
+        """Add an endpoint, or update its record."""
         known = self._candidates.get(record.endpoint)
         if known is None:
             self._candidates[record.endpoint] = ZoneEndpoint(record)
@@ -175,7 +178,7 @@
         known.follow(record)
 
     def drop_endpoint(self, endpoint: str, now_ms: float) -> None:
-        """Forget an endpoint whose life is certainly over: nothing runs there any more."""
+        """Remove an endpoint whose incarnation has certainly ended, and finish its runs."""
         self.note_lapsed(endpoint, now_ms)
         self._late_starts.end_life(endpoint)
         self._candidates.pop(endpoint, None)
@@ -183,13 +186,12 @@
         self._lifecycle.speeds.forget(endpoint)
 
     def begin_life(self, endpoint: str, now_ms: float) -> None:
-        """Note that another life of *endpoint* has begun under its id.
+        """Handle a new incarnation of *endpoint* under the same id.
 
-        What the life before ran is over; but an order that was meant for it may have been carried
-        out by this one, whose id is the same. So runs are not ended here: the first report of this
-        life lists what it runs, and whatever else is thought to be there has ended. It comes
-        within a round trip; without it they end when its leases have lapsed for certain. Orders to
-        start that got no answer may reach this life too, which is told to stop them.
+        Runs of the previous incarnation are not finished yet: the new one has the same id and may
+        have executed a start meant for its predecessor. Its first report decides which runs are
+        present; without a report they finish when the leases expire. Unanswered starts may still
+        reach the new incarnation, so it is ordered to stop them.
         """
         candidate = self._candidates.get(endpoint)
         if candidate is None:
@@ -203,26 +205,26 @@
         self._lifecycle.speeds.forget(endpoint)
 
     def distrust(self, endpoint: str) -> None:
-        """Place nothing on an endpoint until it has reported again."""
+        """Exclude an endpoint from placement until its next report."""
         candidate = self._candidates.get(endpoint)
         if candidate is not None:
             candidate.is_trusted = False
 
     def note_silent(self, endpoint: str) -> None:
-        """Note that the newest poll of an endpoint got no answer."""
+        """Handle an unanswered poll of an endpoint."""
         self.distrust(endpoint)
         candidate = self._candidates.get(endpoint)
         if candidate is not None:
             candidate.is_silent = True
 
     def note_crashed(self, endpoint: str, now_ms: float) -> None:
-        """Note that the present life of *endpoint* is certainly over."""
+        """Handle the crash of the current incarnation of *endpoint*."""
         candidate = self._candidates.get(endpoint)
         if candidate is not None:
             note_crash(self._lifecycle, candidate, now_ms)
 
     def note_lapsed(self, endpoint: str, now_ms: float) -> None:
-        """Note that every lease on *endpoint* has ended for certain."""
+        """Finish the runs on *endpoint*: every lease there has certainly expired."""
         candidate = self._candidates.get(endpoint)
         if candidate is None:
             return
@@ -238,7 +240,7 @@
             self._lifecycle.finish(run, EndCause.LAPSED, "", now_ms)
 
     def has_overdue_stop(self, endpoint: str, before_ms: float) -> bool:
-        """Return whether a run there was to be stopped before *before_ms* and is still listed."""
+        """Return whether a run there has been stopping since before *before_ms*."""
         candidate = self._candidates.get(endpoint)
         if candidate is None:
             return False
@@ -249,7 +251,7 @@
         )
 
     def report(self, report: EndpointReport, now_ms: float) -> None:
-        """Reconcile with an endpoint's report."""
+        """Reconcile the runs with an endpoint's report."""
         candidate = self._candidates.get(report.endpoint)
         if candidate is None:
             return
@@ -260,19 +262,19 @@
         candidate.note_alive()
 
     def note_start(self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float) -> None:
-        """Note the answer to an order to start."""
+        """Handle the outcome of a start order."""
         if outcome is CallOutcome.UNKNOWN:
             self._late_starts.note(run_id, endpoint, now_ms)
         note_start(self._lifecycle, self._candidates, run_id, endpoint, outcome, now_ms)
 
     def note_stop(self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float) -> None:
-        """Note the answer to an order to stop."""
+        """Handle the outcome of a stop order."""
         if outcome is CallOutcome.DONE:
             self._late_starts.note_stopped(run_id, endpoint)
         note_stop(self._lifecycle, run_id, endpoint, outcome, now_ms)
 
     def stops_to_repeat(self, before_ms: float, now_ms: float) -> list[StopAction]:
-        """Return the stops that no endpoint has confirmed since *before_ms*, to be sent again."""
+        """Return the unconfirmed stops last sent before *before_ms*, for retransmission."""
         stops = self._lifecycle.retransmit_stops(before_ms, now_ms)
         answering = {name for name, one in self._candidates.items() if not one.is_silent}
         stops += self._late_starts.stops_due(answering, before_ms, now_ms)
@@ -281,7 +283,7 @@
     # Time.
 
     def tick(self, now_ms: float) -> None:
-        """Decide what time alone brings, and forget what is kept for a while only."""
+        """Apply timeouts: lost and overdue runs, orphaned runs, expired records."""
         self._end_lost(now_ms)
         for endpoint, run_id in orphans_to_stop(self._candidates, now_ms):
             self.actions.stop(StopAction(run_id, endpoint))
@@ -295,7 +297,7 @@
         self._lifecycle.crashes.expire(now_ms)
 
     def place(self, now_ms: float) -> None:
-        """Start what there is room for, and steal what waits elsewhere for the rest."""
+        """Start queued runs that fit, and request runs of other zones for the spare capacity."""
         placing = place(
             self.waiting,
             self._stealing.remote,
@@ -310,7 +312,7 @@
             self.actions.steal(StealAction(*stolen))
 
     def _retire_unattainable(self, now_ms: float) -> None:
-        """End the runs that wait and whose job can't earn anything any more."""
+        """Retire queued runs of jobs that can no longer complete in time."""
         for group in self.waiting.groups:
             if tier_of(group, now_ms) is not Tier.UNATTAINABLE:
                 continue
@@ -320,7 +322,7 @@
                 self._lifecycle.retire(run, end, now_ms)
 
     def _end_lost(self, now_ms: float) -> None:
-        """End the recovering runs that are certainly on no endpoint."""
+        """Finish the recovering runs that are certainly on no endpoint."""
         for run in self._lifecycle.in_state(RunState.RECOVERING):
             polled_ms = [
                 self._last_polled_ms.get(endpoint, 0.0)
--- a/src/foldloom/seed_discovery/owners/withdrawal.py
+++ b/src/foldloom/seed_discovery/owners/withdrawal.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Whether anything of a job that is given up may have been started: decisions only.
+"""Decides whether any run of an abandoned job may have started. Owns nothing.
 
-Owns nothing. A job may have run unless every term of every owner that was sent a run of it has said
-that it started none. What was forgotten on the way costs the caller a "may have run", never a false
-"nothing ran".
+A job may have run unless every owner that was sent one of its runs has confirmed that it started
+none. Missing information leads to "may have run", never to a false "did not run".
 """
 
 from __future__ import annotations
@@ -18,27 +17,27 @@
 
 
 class Answer(Enum):
-    """What an owner said of the starts of a job; the values stand in logs."""
+    """An owner's answer on whether runs of a job were started; the values appear in logs."""
 
     STARTED = "started"
     NOT_STARTED = "not started"
     NONE_YET = "nothing yet"
     NONE_ANY_MORE = "nothing any more"
-    """Its right has lapsed, another owner has followed it, or it may have forgotten a start."""
+    """Its grant has lapsed, it was replaced, or its record of starts may have expired."""
 
 
 class Withdrawal(NamedTuple):
-    """What an entry box knows of a given-up job's starts in one zone, and whom it must ask.
+    """An abandoned job's runs in one zone.
 
     Args:
         job_id: The job.
-        owner: The owner that its runs were delivered to.
-        grant: The number of the grant under which they were.
-        believed_until_ms: Until when the owner's word on starts counts; own clock.
-        open_runs: How many of them had no end yet.
-        has_started: Whether a start is known already, or a term that is over may have made one.
-        must_ask: Whether the owner was sent a run whose end is still to come.
-        delivery: The newest delivery that is withdrawn.
+        owner: The zone's current owner.
+        grant: The number of the owner's grant.
+        believed_until_ms: Until when the owner's statement on starts is valid; own monotonic clock.
+        open_runs: Number of runs without an end.
+        has_started: Whether a run has started, or may have been started in an earlier term.
+        needs_cancel: Whether the owner was sent a run that has no end yet.
+        delivery: The highest withdrawn delivery number.
     """
 
     job_id: str
@@ -52,15 +51,15 @@
 
 
 def withdraw(batches: list[Batch], owner: OwnerRecord, grant: int) -> Withdrawal:
-    """Want nothing of a job's *batches* any more; return what is known of them.
+    """Withdraw a job's *batches*; return their state.
 
-    Of the terms that were sent a run, the present one can be asked, and those before it can't:
-    their word counts if it came with the run's end.
+    Only the current term can still answer. An open run that was sent in an earlier term may have
+    been started there.
 
     Args:
         batches: All batches of one job in one zone, at least one.
-        owner: The zone's present owner.
-        grant: The number of the grant that it has.
+        owner: The zone's current owner.
+        grant: The number of the owner's grant.
     """
     orders = [order for batch in batches for order in batch.orders]
     terms = frozenset[int]().union(*(batch.terms for batch in batches))
@@ -80,18 +79,18 @@
 
 
 def may_have_started(withdrawals: Iterable[Withdrawal], answers: Mapping[str, Answer]) -> bool:
-    """Return whether anything of a job may have been started in any zone.
+    """Return whether any run of a job may have been started in any zone.
 
     Args:
-        withdrawals: What is known of it, for each zone that has runs of it.
-        answers: What the owners said that had to be asked, by zone.
+        withdrawals: The job's withdrawals, one for each zone that has runs of it.
+        answers: The answers to its cancels, by zone.
     """
     any_started = any(withdrawal.has_started for withdrawal in withdrawals)
     return any_started or any(answer is not Answer.NOT_STARTED for answer in answers.values())
 
 
 def log_verdict(withdrawals: Iterable[Withdrawal], answers: Mapping[str, Answer]) -> None:
-    """Log what the verdict goes by, a line a zone."""
+    """Log the grounds of the verdict, one line per zone."""
     for withdrawal in withdrawals:
         answer = answers.get(withdrawal.owner.zone)
         PLACE_LOG.event(
