--- a/tests/test_owners_decisions.py
+++ b/tests/test_owners_decisions.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""An owner's decisions as plain functions: reports, recovery, stragglers, tombstones."""
+"""Unit tests of an owner's pure decisions: reports, recovery, stragglers, tombstones."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class TestJudgeEnd:
-    """What a listed end means."""
+    """Only matching ends finish a run."""
 
     @pytest.mark.parametrize(
         ("state", "attempt", "how", "endpoint", "expected"),
@@ -51,22 +51,22 @@
     def test_verdict(
         self, state: RunState, attempt: int, how: EndKind, endpoint: str, expected: ListedEnd
     ) -> None:
-        """By the attempt, the place, and whether the run is recovering."""
+        """The effect depends on the attempt, the endpoint and the run's state."""
         end = EndedRun(1, RunId(_TASK, attempt), how)
         assert classify_end(run_in(state), end, endpoint) is expected
 
 
 class TestJudgeAbsence:
-    """A run that a report does not list."""
+    """A run missing from a report has ended only if the report is conclusive."""
 
     def test_running_is_lost(self) -> None:
-        """Only by a report that was asked for after the start took effect."""
+        """A running run is lost only if the report was polled after the start took effect."""
         run = run_in(RunState.RUNNING)
         assert classify_absence(run, 100.0) is None
         assert classify_absence(run, 101.0) is EndCause.LOST
 
     def test_stopping_waits_for_the_stop(self) -> None:
-        """A start that is under way may come until the endpoint has confirmed the stop."""
+        """A stopping run may still start until the endpoint has confirmed the stop."""
         run = run_in(RunState.STOPPING)
         assert classify_absence(run, 500.0) is None
         run.stop_known_ms = 200.0
@@ -74,15 +74,15 @@
         assert classify_absence(run, 201.0) is EndCause.STOPPED
 
     def test_starting_is_undecided(self) -> None:
-        """The order may still be under way."""
+        """The start may still be in flight."""
         assert classify_absence(run_in(RunState.STARTING), 500.0) is None
 
 
 class TestOrphans:
-    """Runs that are present and not expected."""
+    """Listed runs that do not match the owner's current run."""
 
     def test_is_orphan(self) -> None:
-        """Unknown, of another attempt, or expected elsewhere."""
+        """A run that is unknown, another attempt, or on another endpoint is orphaned."""
         run = run_in(RunState.RUNNING)
         assert is_orphan(None, 2, "w1")
         assert is_orphan(run, 1, "w1")
@@ -91,17 +91,17 @@
 
 
 class TestRecovery:
-    """Runs of an earlier owner."""
+    """Runs of an earlier owner are lost neither too early nor never."""
 
     def test_until_the_lease_has_lapsed(self) -> None:
-        """The earlier right, then its lease."""
+        """A run is lost once the earlier owner's grant and its lease have ended."""
         run = run_in(RunState.RECOVERING)
         run.recovery_bound = recovery_bound(1_000.0, 200.0, 750.0)
         assert not is_lost(run, [], False, 1_949.0)
         assert is_lost(run, [], False, 1_950.0)
 
     def test_once_every_endpoint_has_reported(self) -> None:
-        """After the earlier right, if all endpoints are known."""
+        """A run is lost once all endpoints have reported, if the catalog is complete."""
         run = run_in(RunState.RECOVERING)
         run.recovery_bound = recovery_bound(1_000.0, 200.0, 750.0)
         assert is_lost(run, [1_201.0, 1_300.0], True, 1_301.0)
@@ -110,26 +110,26 @@
 
 
 class TestStragglers:
-    """Runs that take too long."""
+    """Thresholds for overdue and stuck runs."""
 
     def test_overdue_before_stuck(self) -> None:
-        """A run tells that its endpoint is slow before it is stopped."""
+        """A run is overdue well before it is stuck."""
         assert not is_overdue(200.0, 100.0)
         assert is_overdue(201.0, 100.0)
         assert not is_stuck(340.0, 100.0)
         assert is_stuck(341.0, 100.0)
 
     def test_stopped_before(self) -> None:
-        """The next run of a task goes on for twice as long as the one that was stopped."""
+        """After a stop, the next attempt is stuck only after twice the duration."""
         assert not is_stuck(800.0, 100.0, 400.0)
         assert is_stuck(801.0, 100.0, 400.0)
 
 
 class TestTombstones:
-    """What is remembered of tasks."""
+    """Tombstones reject late copies of deliveries."""
 
     def test_covers_late_copies_only(self) -> None:
-        """A copy of a delivery that is over, of the same box."""
+        """Only numbered deliveries of the same box up to the latest one are covered."""
         known = Tombstones()
         run = run_in(RunState.RUNNING)
         run.holders[_BOX] = 7
--- a/tests/test_owners_late_words.py
+++ b/tests/test_owners_late_words.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A refusal promises that nothing ran: what an owner forgets, and what is taken for its answer."""
+"""A refused job must never have run: late cancels, expired records and stale replies."""
 
 from __future__ import annotations
 
@@ -50,14 +50,14 @@
 _QUEUE = Queue("q", "host", "/", "svc", 0, 3, 1_500, 1.6, 60)
 _E1 = HolderId("e1", 1)
 _E2 = HolderId("e2", 1)
-# Seconds until a box has connected to a peer on loopback; a message before that is lost.
+# Messages sent before a peer on loopback is connected are lost.
 _CONNECT_S = 0.5
-# Milliseconds between boxes until a delivery expires on its way: its reply's time-out and one more.
+# Time-to-live of a delivery: the timeout of its reply, and one more millisecond.
 _DELIVERY_TTL_MS = 151.0
 
 
 class _ImmediateOwner:
-    """An owner that starts what it is sent at once, on the system's clock."""
+    """An owner that starts delivered runs at once, on the system's clock."""
 
     def __init__(self) -> None:
         self.state = owner_with(endpoint("w1"))
@@ -65,11 +65,11 @@
         self.deadline_ms = 0.0
 
     async def request(self, _box: str, message: Any, _timeout_ms: float) -> Any:
-        """Answer a message at once."""
+        """Answer a message without delay."""
         return self.cancel(message) if isinstance(message, CancelJob) else self.take(message)
 
     def take(self, message: SubmitRuns) -> SubmitReply:
-        """Take a delivery and start it."""
+        """Accept a delivery and start its runs."""
         now_ms = monotonic_ms()
         self.deadline_ms = now_ms + message.deadline_ms
         reply = self.state.submit(_E1, message, now_ms)
@@ -79,7 +79,7 @@
         return reply
 
     def cancel(self, message: CancelJob) -> Cancelled:
-        """Answer a cancel as the owner does, after one of its ticks."""
+        """Answer a cancel after a tick, as the real owner does."""
         now_ms = monotonic_ms()
         self.cancel_delays_ms.append(now_ms - self.deadline_ms)
         self._end_session(now_ms)
@@ -87,7 +87,7 @@
         return Cancelled(self.state.cancel(_E1, message.job_id, now_ms, message.delivery))
 
     def _end_session(self, now_ms: float) -> None:
-        """End the box's session, as the owner did while the box stood still; its run is gone."""
+        """End the box's session at a time during the box's pause, and its run with it."""
         self.state.end_session(_E1, now_ms - 1_500.0)
         for stop in self.state.actions.pop_stops():
             self.state.note_stop(stop.run_id, stop.endpoint, CallOutcome.DONE, now_ms - 1_400.0)
@@ -95,12 +95,12 @@
 
 
 class TestAskedLate:
-    """How late a box can ask an owner whose grant is unbroken."""
+    """A box that cancels too late must not trust the answer, even with an unbroken grant."""
 
     def test_two_pauses_with_a_heartbeat_between(self) -> None:
-        """Each pause is shorter than a grant, so the grant is unbroken; together they are longer.
+        """Neither pause breaks the grant, but together they outlast the owner's record of starts.
 
-        The owner starts the run, so whatever the box does then, a refusal would be false.
+        The owner has started the run, so a refusal would be false.
         """
 
         async def play() -> tuple[JobResult, list[float]]:
@@ -114,7 +114,7 @@
             await asyncio.sleep(0.15)
             rig.beat(1)
             time.sleep(1.1)
-            # What waited in the socket is handled first.
+            # A message that was queued in the socket is handled first.
             rig.beat(1)
             await asyncio.sleep(0)
             time.sleep(1.1)
@@ -126,9 +126,9 @@
         assert result.error.run is Run.MAY_HAVE_RUN, f"asked {delays_ms} ms after the deadline"
 
     def test_a_starved_box_that_owns_its_zone(self) -> None:
-        """Each turn of its event loop takes 0.7 s, and a heartbeat is handled in each of them.
+        """Each event-loop iteration takes 0.7 s and handles a heartbeat.
 
-        From the deadline to the question it takes some turns. It answers itself in the same turn.
+        The cancel follows the deadline only after several iterations.
         """
 
         async def play() -> tuple[JobResult, list[float]]:
@@ -152,10 +152,10 @@
 
 
 class TestSeveralDeadlines:
-    """One id, delivered by two boxes (or twice by one) before anything of it has started."""
+    """The record of a start lasts until the latest of several deadlines of one id."""
 
     def test_both_delivered_before_the_start(self) -> None:
-        """The run starts after both deliveries, and goes on for the box with the later deadline."""
+        """The run starts after deliveries by two boxes; the one with the later deadline cancels."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(deadline_ms=1_500), 0.0)
         state.submit(_E2, submission(deadline_ms=2_800), 1_400.0)
@@ -167,7 +167,7 @@
         assert state.cancel(_E2, _JOB, 4_200.0)
 
     def test_handed_in_again_at_the_same_box(self) -> None:
-        """The first caller left; the second's delivery attaches to the run that still waits."""
+        """The first caller cancels; the second one's delivery attached to the queued run."""
         state = owner_with(endpoint("w1"))
         first = submission(deadline_ms=1_500, orders=[RunOrder(0, 0, 1, delivery=1)])
         again = submission(deadline_ms=2_800, orders=[RunOrder(0, 0, 1, delivery=2)])
@@ -182,10 +182,10 @@
 
 
 class TestCancelled:
-    """A delivery that its cancel has overtaken starts nothing."""
+    """A delivery that its cancel has overtaken must not start."""
 
     def test_an_older_cancel_arrives_later(self) -> None:
-        """A cancel of the first try, sent until it is answered, comes after that of the second."""
+        """A retransmitted cancel of the first submission arrives after that of the second."""
         state = owner_with(endpoint("w1"))
         assert not state.cancel(_E1, _JOB, 1.0, delivery=5)
         state.cancel(_E1, _JOB, 2.0, delivery=1)
@@ -196,9 +196,9 @@
         assert reply.status is SubmitStatus.REFUSED
 
     def test_an_owner_stands_still_between_age_and_handling(self) -> None:
-        """A delivery was young when its age was looked at; then the owner stood still for a right.
+        """The owner pauses between the check of a delivery's age and its handling.
 
-        Its box acknowledged a heartbeat right before that, so its right is not over yet.
+        The box acknowledged a heartbeat just before, so the session is still valid.
         """
         state = owner_with(endpoint("w1"))
         state.tick(0.0)
@@ -212,12 +212,12 @@
 
 
 class TestReplies:
-    """What is taken for the reply to a request."""
+    """A reply must belong to a request of the same incarnation."""
 
     def test_a_reply_to_an_earlier_life(self) -> None:
-        """Requests are numbered from 1 in each life of a box, and a reply names no life.
+        """A paused peer's reply to the previous incarnation is not matched to a new request.
 
-        A peer that stood still answers what the life before had asked.
+        Each incarnation of a box numbers its requests from 1.
         """
 
         async def play() -> Any:
@@ -249,7 +249,7 @@
 
 @contextlib.asynccontextmanager
 async def _running_network(box: str, incarnation: int, peer: str) -> AsyncIterator[PeerNetwork]:
-    """Run a life of a box that is connected to *peer*."""
+    """Run an incarnation of a box that is connected to *peer*."""
     network = PeerNetwork(_seed_settings(box), incarnation, Metrics())
     await network.start()
     network.add_peer(peer)
--- a/tests/test_owners_refusals.py
+++ b/tests/test_owners_refusals.py
@@ -1,16 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""A refusal promises that nothing of the job ran: over the real client, elector and owners.
-
-The incident that this keeps: a job of two tasks was refused 2.5 s after it came, although one of
-them had run to its end 0.7 s after it came, ordered by the very box that answered. That box owned
-its zone, and its rights had lapsed meanwhile, since it stood still or was late; it dropped what it
-ran and took the same runs in again as new ones, of which nothing had started. They waited until
-they were too late, and each ended with the word that it had never started.
-
-That was proved by these seeds on the code of that day: 15 of the first 20 broke the promise, and
-the logs show the steps (``session.ended``, ``runs.resumed``, ``run.ended`` of a second attempt).
-The cause is a verdict that went by the absence of a note: each memory of a start that was bound to
-a run, a delivery, a term or a span of time was one more way to lose it.
+"""A refused job must never have run: simulations of the real client, elector and owners.
+
+Guards against an owner that loses its record of a start when its grant lapses during a pause, and
+then reports redelivered runs as never started.
 """
 
 from __future__ import annotations
@@ -37,25 +29,23 @@
 )
 from models.zones_world import Answer, Start, ZonesWorld
 
-# How long a box stands still by itself, in seconds: around what a right lasts, and so long that all
-# that others keep of its jobs is forgotten.
+# Pauses of a box: around the duration of a grant, and beyond the retention of all records.
 _PAUSE_S = ((0.2, 1.6), (1.6, 6.0))
-# Turns of a box after which it stands still, so that it does so also between two turns of one
-# moment.
+# Event-loop iterations of a box before its pause begins, so that one may fall between two
+# callbacks of the same instant.
 _TURNS_MAX = 30
-# Reads of boxes' clocks after which everything stands still within a turn.
+# Clock reads before a pause of all boxes within an iteration.
 _READS_MAX = 2_000
-# How long after its start a site that was started anew is started anew again, in seconds.
+# Between the two restarts of all boxes.
 _RESTART_GAP_S = (0.4, 2.0)
-# How long a box takes to start, in seconds.
 _STARTUP_S = (0.2, 0.8)
-# Tries of a caller under one id, and the seconds between two of them.
+# Submissions of one id by a caller.
 _ATTEMPTS_MAX = 4
 _RETRY_DELAY_S = (0.3, 2.0)
 
 
 class PauseFaults(Trouble):
-    """Faults of single boxes, of the whole site at once, and of endpoints, besides the others."""
+    """Additional pauses, restarts of all boxes, and endpoint faults."""
 
     def __init__(self, world: StandingZonesWorld) -> None:
         super().__init__(world)
@@ -68,7 +58,7 @@
             self._refuse_starts,
             self._silence_endpoint,
         ]
-        # A box that stands still is what most of the other faults must meet.
+        # Pauses get more weight, so that most other faults coincide with one.
         self.kinds += [*own, *own, self._pause_box, self._pause_owner]
 
     def _restart(self) -> None:
@@ -80,7 +70,7 @@
         self._standing.loop.call_later(pause_s, self._standing.start_box, box)
 
     def _restart_site(self) -> None:
-        """Start all boxes anew at once, and once more before long."""
+        """Restart all boxes at once, and once more soon after."""
         again_s = self._standing.rng.uniform(*_RESTART_GAP_S)
         for delay_s in (0.0, _STARTUP_S[1] + again_s):
             self._standing.loop.call_later(delay_s, self._restart_all)
@@ -114,7 +104,7 @@
         self._standing.turns.stand_still_at_read(rng.randint(1, _READS_MAX), rng.uniform(0.2, 3.0))
 
     def _refuse_starts(self) -> None:
-        """Have some endpoints refuse starts: for want of room, by rate, or as unhealthy."""
+        """Make some endpoints refuse starts for lack of capacity, or as unhealthy."""
         rng = self._standing.rng
         refusing = self._standing.trouble.refusing
         for endpoint in rng.sample(sorted(self._standing.endpoints), rng.randint(1, 4)):
@@ -122,7 +112,7 @@
         self.later(refusing.clear)
 
     def _silence_endpoint(self) -> None:
-        """Have an endpoint hear nothing, or answer nothing that it carries out."""
+        """Make an endpoint drop requests, or execute them without answering."""
         rng = self._standing.rng
         trouble = self._standing.trouble
         silent = rng.choice([trouble.deaf, trouble.mute])
@@ -131,14 +121,14 @@
 
 
 async def _retrying_caller(world: ZonesWorld, job_id: str) -> None:
-    """Hand one job in, most often with several tries under its id."""
+    """Submit one job, usually several times under its id."""
     rng = world.rng
     tasks = rng.choice([1, 2, 2, 4, 8])
     task_ms = rng.choice([60.0, 100.0, 200.0, 400.0])
     boxes = rng.sample(sorted(world.boxes), len(world.boxes))
 
     async def attempt_at(box: str) -> bool:
-        """Return whether the caller need not try again."""
+        """Submit the job at *box*; return whether no retry is needed."""
         known = len(world.answers)
         await world.call(box, job_id, tasks, task_ms, 1e5)
         answer = next(one for one in world.answers[known:] if one.job_id == job_id)
@@ -162,7 +152,7 @@
 
 def _play(seed: int) -> ZonesWorld:
     loop = VirtualTimeLoop()
-    # Tokens have random digits, and decide which of two owners yields.
+    # Fencing tokens contain random digits, which decide between two owners.
     random.seed(seed)
 
     async def play() -> ZonesWorld:
@@ -188,7 +178,7 @@
 
 
 def broken_promises(world: ZonesWorld) -> list[Answer]:
-    """Return refusals of jobs whose every try was refused, and that started all the same."""
+    """Return refusals of jobs that started although every attempt was refused."""
     not_refused = {one.job_id for one in world.answers if not one.is_refused}
     return [
         one
@@ -198,7 +188,7 @@
 
 
 def started_during_refused_attempt(world: ZonesWorld) -> list[Answer]:
-    """Return refusals of tries during which a task of their job was started by any try of it."""
+    """Return refused attempts during which any attempt of the same job started a task."""
     return [
         one
         for one in world.answers
@@ -211,9 +201,9 @@
 
 
 def started_for_refusing_box(world: ZonesWorld) -> list[Answer]:
-    """Return refusals by a box of jobs of which a task was started for that very box.
+    """Return refusals by a box for which a task of the job was started.
 
-    Known of zones only in which no caller hands a job in twice at one box.
+    Valid only if no caller submits a job twice at the same box.
     """
     return [
         one
@@ -227,28 +217,27 @@
 
 
 def doubled_without_retry(world: ZonesWorld) -> list[Start]:
-    """Return starts of tasks that were on another endpoint already, of jobs with a single try.
+    """Return duplicate starts of tasks whose job was submitted once.
 
-    Owners of two zones know nothing of each other's runs of one id, so a job that is handed in
-    at two boxes may run twice.
+    A job submitted at two boxes may run twice, since owners of two zones share no state.
     """
     tries = Counter(one.job_id for one in world.answers)
     return [one for one in world.doubled if tries[one.run_id.task.job_id] == 1]
 
 
 class Counts(NamedTuple):
-    """What a play cost and what it broke.
+    """Outcome counts of a simulation.
 
     Args:
-        answers: How many tries were answered, or lost.
-        completed: How many were answered with a job that ran to its end.
-        refused: How many were answered with the promise that nothing ran.
-        may_have_run: How many were told that something may have run.
-        needless: How many of these are of jobs of which nothing ever started.
-        broken: Refused jobs that had started.
-        own: Refused tries of which the answering box had a task started.
-        beside: Refused tries during which a task of their job was started, by whichever try.
-        doubled: Tasks of jobs that were handed in once, on two endpoints at a time.
+        answers: Attempts that were answered, or lost.
+        completed: Attempts whose job ran to its end.
+        refused: Attempts answered with the guarantee that nothing ran.
+        may_have_run: Attempts answered with "may have run".
+        needless: Those of them whose job never started.
+        broken: Refusals of jobs that had started.
+        own: Refused attempts for which the answering box had a task started.
+        beside: Refused attempts during which any attempt of the job started a task.
+        doubled: Tasks on two endpoints at a time, of jobs submitted once.
     """
 
     answers: int
@@ -263,7 +252,7 @@
 
 
 def counts_of(world: ZonesWorld) -> Counts:
-    """Return the counts of a play."""
+    """Return the counts of a simulation."""
     uncertain = [one for one in world.answers if one.may_have_run]
     return Counts(
         answers=len(world.answers),
@@ -279,12 +268,12 @@
 
 
 def digest_of(world: ZonesWorld) -> str:
-    """Return a digest of every answer and every start of a play."""
+    """Return a digest of every answer and every start of a simulation."""
     return hashlib.sha256(repr((world.answers, world.starts)).encode()).hexdigest()
 
 
 def _append_counts(name: str, seed: int, world: ZonesWorld) -> None:
-    """Add the counts of a play to the file that ``FOLDLOOM_SUMMARY`` names, if it does."""
+    """Append the counts to the file named by ``FOLDLOOM_SUMMARY``, if it is set."""
     path = os.environ.get("FOLDLOOM_SUMMARY")
     if path:
         counts = " ".join(f"{key}={value}" for key, value in counts_of(world)._asdict().items())
@@ -294,22 +283,22 @@
 
 _FIRST_SEED = int(os.environ.get("FOLDLOOM_FIRST_SEED", "0"))
 _SEEDS = int(os.environ.get("FOLDLOOM_SEEDS", "16"))
-# 65: a run that had been lost with its owner was still sent to it when it was back, while its next
-# attempt ran in the other zone. 172: the box stood still; at one moment it found that its owner's
-# rights had lapsed and that the job's deadline had passed, and the verdict fell between the two.
+# Regressions. 65: a run of a lost owner was still retransmitted to it when it was back, while the
+# next attempt ran in the other zone. 172: a box found the grant lapsed and the job's deadline
+# passed at once after a pause, and decided between the two.
 _KEPT_SEEDS = [65, 172]
-# 16: the second of these once more, in a box that stood still already as everything did. 256: a box
-# stood still for 5 s, heard a waiting heartbeat of its owner before it noticed that the grant had
-# lapsed, and believed that owner, which had forgotten the start meanwhile.
+# Regressions. 16: the case of 172 when a box paused during a pause of all boxes. 256: a box handled
+# a queued heartbeat after a pause before it noticed the lapsed grant, and accepted the answer of an
+# owner that had dropped its record of the start.
 _KEPT_STANDING_SEEDS = [16, 256]
 
 
 @pytest.mark.parametrize("seed", [*_KEPT_SEEDS, *range(_FIRST_SEED, _FIRST_SEED + _SEEDS)])
 class TestRefusals:
-    """Boxes are cut off, restarted, stopped for a while, fenced; messages and orders are late."""
+    """Partitions, restarts, pauses and fencing of boxes; late messages and orders."""
 
     def test_the_promises_hold(self, seed: int) -> None:
-        """Nothing of a refused job starts, before or after; no task is on two endpoints."""
+        """Refused jobs never start, and no task runs on two endpoints."""
         world = _play(seed)
         _append_counts("refusals", seed, world)
         assert broken_promises(world) == []
@@ -318,10 +307,10 @@
 
 @pytest.mark.parametrize("seed", [*_KEPT_STANDING_SEEDS, *range(_FIRST_SEED, _FIRST_SEED + _SEEDS)])
 class TestRefusalsOfStandingBoxes:
-    """Single boxes stand still, the whole site starts anew, callers try at several boxes."""
+    """Pauses of single boxes, restarts of all boxes, and callers that retry at several boxes."""
 
     def test_the_promises_hold(self, seed: int) -> None:
-        """Nothing of a job starts whose every try was refused; no task is on two endpoints."""
+        """Jobs refused at every attempt never start, and no task runs on two endpoints."""
         world = _play_standing(seed)
         _append_counts("standing", seed, world)
         assert broken_promises(world) == []
@@ -339,10 +328,10 @@
 
 
 class TestRepeating:
-    """A seed is a test only if it plays the same in every process."""
+    """Simulations must be deterministic for a given seed."""
 
     def test_a_seed_repeats(self) -> None:
-        """Names that hash otherwise change no answer and no start."""
+        """The hash seed of the process does not affect answers or starts."""
         processes = [_begin_play(65, hash_seed) for hash_seed in ("1", "2")]
         digests = [process.communicate(timeout=120)[0] for process in processes]
         assert [process.returncode for process in processes] == [0, 0]
@@ -350,7 +339,7 @@
 
 
 def _begin_play(seed: int, hash_seed: str) -> subprocess.Popen[str]:
-    """Play *seed* in a process of its own in which names hash by *hash_seed*."""
+    """Start a process that simulates *seed* with ``PYTHONHASHSEED`` set to *hash_seed*."""
     paths = [str(Path(__file__).parent), *filter(None, [os.environ.get("PYTHONPATH")])]
     environment = {**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": os.pathsep.join(paths)}
     return subprocess.Popen(
--- a/tests/test_owners_same_id.py
+++ b/tests/test_owners_same_id.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Generated plays in which endpoints begin again under their ids, and then leave.
+"""Randomized simulations of endpoints that restart under their ids, and leave.
 
-What a life has said reaches the boxes early or late, once more after the next one has begun, or
-behind its first answer to a poll; orders that were meant for one life are carried out by the next.
+Reports of an incarnation are delayed or repeated after the next one has started, and late orders
+meant for one incarnation are executed by the next.
 """
 
 from __future__ import annotations
@@ -20,31 +20,26 @@
 from models.zones_world import ZonesWorld
 from test_owners_refusals import broken_promises
 
-# How long an endpoint is down, and until a report of it is passed on, in seconds.
 _DOWNTIME_S = (0.0, 0.5)
 _REPORT_DELAY_S = (0.0, 1.5)
-# How long after a life has said that it leaves a farewell comes, in seconds.
 _FAREWELL_DELAY_S = (0.0, 0.5)
-# How long a life serves before it says that it leaves.
+# From the restart to the drain, and from the drain to the end.
 _UPTIME_S = (0.2, 1.5)
-# How long after it has said that it leaves a life ends, in seconds.
 _DRAIN_S = (0.5, 1.0)
-# Until a report is passed on, where the next life is told of soon.
 _SHORT_REPORT_DELAY_S = (0.0, 0.4)
-# Of orders, how many get no answer and are carried out late.
+# Share of orders that are unanswered and executed late.
 _LATE_SHARE = 0.3
-# Milliseconds after its beginning within which a life need not have been heard of by its owner: the
-# longest pause between two polls of a silent endpoint, and the time-outs of a poll and a stop.
+# Longest time until an owner discovers a new incarnation: the longest pause between two polls of a
+# silent endpoint, and the timeouts of a poll and a stop.
 _DISCOVERY_MAX_MS = 900.0
-# Milliseconds after its leave was passed on from which on it is given nothing; the bound of the
-# users' platform is 2,000, most of it for boxes that are told late.
+# Time after the report of a drain from which on no run may start.
 _NO_STARTS_AFTER_MS = 100.0
 _FIRST_SEED = int(os.environ.get("FOLDLOOM_FIRST_SEED", "0"))
 _SEEDS = int(os.environ.get("FOLDLOOM_SEEDS", "16"))
 
 
 class Restarts(Trouble):
-    """The faults of boxes, and endpoints that begin again."""
+    """Box and network faults plus restarts of endpoints."""
 
     def __init__(self, world: ZonesWorld) -> None:
         super().__init__(world)
@@ -53,7 +48,7 @@
         self.kinds += [self._restart_endpoint] * len(self.kinds)
 
     def _restart_endpoint(self) -> None:
-        """Crash an endpoint; it begins again, and may leave some time later."""
+        """Crash and restart an endpoint; it may leave some time later."""
         self._crash_and_restart(self.world.rng.choice(sorted(self.world.endpoints)))
 
     def _crash_and_restart(self, name: str) -> None:
@@ -64,7 +59,7 @@
         down = {(box, name) for box in world.boxes}
         world.conditions.cuts |= down
         before = next(record for record in world.records if record.endpoint == name)
-        # What runs there dies with it.
+        # Its runs end with it.
         world.endpoints[name].active.clear()
 
         def begin() -> None:
@@ -77,15 +72,15 @@
             )
             if world.rng.random() < 0.5:
                 self._schedule(_UPTIME_S, lambda: self._leave(ready))
-            # A life that leaves may crash before it has left, like any other.
+            # A draining incarnation may crash too.
             self._schedule(_UPTIME_S, lambda: self._restarting.discard(name))
 
         self._schedule(_DOWNTIME_S, begin)
 
     def _leave(self, ready: EndpointRecord) -> None:
-        """Say that it leaves; its report has reached all boxes when this returns."""
+        """Report to all boxes that the incarnation drains."""
         if self.world.births[ready.endpoint] != ready.born_ms:
-            # It has crashed meanwhile.
+            # It has crashed in the meantime.
             return
         self.world.tell(ready._replace(sequence=2, state=EndpointState.DRAINING))
         self.world.left_alone_from_ms[ready.endpoint] = monotonic_ms() + _NO_STARTS_AFTER_MS
@@ -95,7 +90,7 @@
 
 
 class Farewells(Restarts):
-    """The same, and a farewell meets each life that leaves: one of a life before, held up."""
+    """Additionally, a delayed farewell of an earlier incarnation hits each draining one."""
 
     def _leave(self, ready: EndpointRecord) -> None:
         super()._leave(ready)
@@ -103,11 +98,10 @@
 
 
 class LateOrders(Restarts):
-    """Many orders get no answer all the while; lives carry out those of earlier ones.
+    """Only restarts, with many unanswered orders that later incarnations execute.
 
-    Some lives leave, end with a farewell and are followed by the next one at once. No late order
-    reaches a life before its owner can have heard of it: such orders alone, 39, 63 and 157 ms after
-    a life had begun, failed three of 60 plays of an earlier form.
+    Some incarnations drain, send a farewell and restart at once. A late order reaches an
+    incarnation only after its owner can have discovered it.
     """
 
     def __init__(self, world: ZonesWorld) -> None:
@@ -123,7 +117,7 @@
         self._schedule(_DRAIN_S, lambda: self._end(ready))
 
     def _end(self, ready: EndpointRecord) -> None:
-        """Bid farewell and end; the next life begins."""
+        """Send a farewell, end, and restart as the next incarnation."""
         has_ended = self.world.births[ready.endpoint] != ready.born_ms
         if has_ended or self.world.loop.time() > self._faults_end_s:
             return
@@ -132,7 +126,7 @@
 
 
 class UndiscoveredIncarnations(LateOrders):
-    """The same, and late orders reach lives from their beginning on, heard of or not."""
+    """Additionally, late orders reach incarnations that their owner has not discovered."""
 
     def __init__(self, world: ZonesWorld) -> None:
         super().__init__(world)
@@ -140,7 +134,7 @@
 
 
 def _stale_records(world: ZonesWorld) -> list[str]:
-    """Return what owners hold of endpoints, long after the last fault, that is not so."""
+    """Return mismatches between the owners' endpoint records and the actual ones."""
     stale = []
     for box in world.owners():
         owner = box.elector.owner
@@ -171,19 +165,19 @@
     return world
 
 
-# 34: an order to start that got no answer was carried out late, by a life that was the first to say
-# its birth; it was not told from the life before, which had been told to stop the run.
+# Regression: the first incarnation that reported its birth time was mistaken for its predecessor,
+# and executed a late start that only the predecessor had been ordered to stop.
 _KEPT_SEEDS = [34]
 
 
 @pytest.mark.parametrize("seed", [*_KEPT_SEEDS, *range(_FIRST_SEED, _FIRST_SEED + _SEEDS)])
 class TestSameId:
-    """Endpoints begin again under their ids beside faults of boxes, messages and orders."""
+    """Restarts under the same id, combined with faults of boxes, messages and orders."""
 
     def test_the_promises_hold(self, seed: int) -> None:
-        """One task is in one place, refused is not run, a leaving life is given nothing.
+        """No task runs twice, refused jobs do not run, and draining endpoints get no starts.
 
-        In the end each owner knows the present life of every endpoint, and trusts it.
+        At the end each owner holds the current record of every endpoint.
         """
         world = _play(seed, Restarts)
         assert world.births
@@ -194,45 +188,44 @@
 
 @pytest.mark.parametrize("seed", range(_FIRST_SEED, _FIRST_SEED + _SEEDS))
 class TestFarewells:
-    """Farewells that were held up meet lives that leave, beside the same faults."""
+    """Delayed farewells of earlier incarnations, combined with the same faults."""
 
     def test_the_promises_hold(self, seed: int) -> None:
-        """One task is in one place; nobody follows an endpoint that is gone in the end."""
+        """No task runs twice, and no owner keeps an endpoint that is gone."""
         world = _play(seed, Farewells)
         assert broken_promises(world) == []
         assert world.doubled == []
         assert world.late_starts == []
 
 
-# An order to start that got no answer was carried out by a life that began after its endpoint had
-# left: what had been ordered there was forgotten with the life before.
+# Regression: the unanswered starts of an endpoint that had left were dropped, and an incarnation
+# that rejoined executed one of them.
 _LATE_SEEDS = [18, 24]
 
 
 @pytest.mark.parametrize("seed", [*_LATE_SEEDS, *range(_FIRST_SEED, _FIRST_SEED + _SEEDS)])
 class TestLateOrders:
-    """Orders that got no answer are carried out by whichever life has the endpoint's id then."""
+    """Unanswered orders are executed by whichever incarnation then has the endpoint's id."""
 
     def test_the_promises_hold(self, seed: int) -> None:
-        """One task is in one place, though the life that was told to stop it is over."""
+        """No task runs twice, although the incarnation that was ordered to stop it has ended."""
         world = _play(seed, LateOrders)
         assert broken_promises(world) == []
         assert world.doubled == []
         assert world.late_starts == []
 
 
-# Of seeds 0 to 59. Traced in an earlier form of these plays: an order to start got no answer and
-# was carried out by a life of which its owner had not heard yet, so that nothing could have told it
-# to stop; the task ran elsewhere by then.
+# An incarnation that its owner has not discovered executes an unanswered start before it can be
+# ordered to stop, while the task runs on another endpoint.
 _UNDISCOVERED_SEEDS = [1, 9, 17]
 
 
 @pytest.mark.parametrize("seed", _UNDISCOVERED_SEEDS)
 class TestUnheardLives:
-    """Late orders reach a life before its owner has heard of it."""
+    """Late orders reach an incarnation before its owner has discovered it."""
 
     def test_the_promises_hold(self, seed: int) -> None:
-        """One task is in one place."""
+        """No task runs twice."""
         world = _play(seed, UndiscoveredIncarnations)
         assert broken_promises(world) == []
         assert world.doubled == []
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""An owner's runs: of one task at most one is on an endpoint, and each gets its end."""
+"""Owner state machine: a task never runs on two endpoints, and every run's end is notified."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 
 def endpoint(name: str, cpu: int = 16_000, **changes: Any) -> EndpointRecord:
-    """Return an endpoint of the service ``svc``."""
+    """Return an endpoint record of service ``svc``."""
     return EndpointRecord(name, "svc", f"{name}:1", "a", Demand(cpu, 32_000, 0))._replace(**changes)
 
 
 def submission(
     tasks: int = 1, run: int = 1, is_resumed: bool = False, job_id: str = _JOB, **changes: Any
 ) -> SubmitRuns:
-    """Return a message that hands in the tasks of a job."""
+    """Return a delivery of a job's tasks."""
     orders = [RunOrder(0, number, run, is_resumed) for number in range(tasks)]
     message = SubmitRuns(
         token=1,
@@ -66,7 +66,7 @@
 
 
 def owner_with(*records: EndpointRecord) -> OwnerState:
-    """Return an owner that has looked at all of *records*."""
+    """Return an owner state to which all of *records* have reported."""
     state = OwnerState(_GONE_AFTER_MS)
     for record in records:
         state.follow_endpoint(record)
@@ -75,12 +75,12 @@
 
 
 def ends_of(state: OwnerState) -> list[tuple[HolderId, RunEnd]]:
-    """Return who was told of which end."""
+    """Pop the notifications; return each holder with its run's end."""
     return [(action.holder, action.end) for action in state.actions.pop_notifications()]
 
 
 def start_one(state: OwnerState, now_ms: float = 10.0) -> RunId:
-    """Hand one task in and have it started; return its run."""
+    """Submit one task and start it; return its run id."""
     state.submit(_E1, submission(), now_ms)
     state.place(now_ms)
     action = state.actions.pop_starts()[0]
@@ -89,7 +89,7 @@
 
 
 def start_waiting(state: OwnerState, now_ms: float) -> RunId:
-    """Have the one run that waits started; return it."""
+    """Start the only queued run; return its id."""
     state.place(now_ms)
     action = state.actions.pop_starts()[0]
     state.note_start(action.run_id, action.endpoint, CallOutcome.DONE, now_ms)
@@ -97,7 +97,7 @@
 
 
 def run_short_job(state: OwnerState, job_id: str, now_ms: float) -> None:
-    """Run a job of one task, which takes 20 ms as its caller said."""
+    """Run a job of one task that takes its estimated 20 ms."""
     state.submit(_E1, submission(job_id=job_id, estimate_ms=20), now_ms)
     run_id = start_waiting(state, now_ms)
     ended = EndedRun(int(now_ms) + 1, run_id, EndKind.DONE)
@@ -105,10 +105,10 @@
 
 
 class TestPlacing:
-    """Runs go where there is room."""
+    """Placement respects capacity, labels and eligibility."""
 
     def test_no_endpoint_is_overfilled(self) -> None:
-        """Two tasks of 6.8 cores fit on 16, three on 24; the rest waits."""
+        """Two tasks of 6.8 cores fit on 16 cores, three on 24; the rest stay queued."""
         state = owner_with(endpoint("w1"), endpoint("w2", 24_000))
         assert state.submit(_E1, submission(7), 1.0).status is SubmitStatus.TAKEN
         state.place(1.0)
@@ -117,7 +117,7 @@
         assert len(state.waiting) == 2
 
     def test_untrusted_endpoint_gets_nothing(self) -> None:
-        """An endpoint that does not answer gets no work until it was looked at again."""
+        """An endpoint that does not answer gets no work until its next report."""
         state = owner_with(endpoint("w1"))
         state.distrust("w1")
         state.submit(_E1, submission(), 1.0)
@@ -128,14 +128,14 @@
         assert len(state.actions.pop_starts()) == 1
 
     def test_label_and_bound_on_one_endpoint(self) -> None:
-        """A label must be there, and no more of a step than allowed sits on one endpoint."""
+        """Runs go to labelled endpoints only, up to the step's limit per endpoint."""
         state = owner_with(endpoint("w1", labels=("x",)), endpoint("w2"))
         state.submit(_E1, submission(3, placement=Placement("x", "", 1)), 1.0)
         state.place(1.0)
         assert [action.endpoint for action in state.actions.pop_starts()] == ["w1"]
 
     def test_room_comes_back_with_the_end(self) -> None:
-        """The next run starts when the end of one is listed."""
+        """A listed end releases capacity for the next run."""
         state = owner_with(endpoint("w1", 7_000))
         run_id = start_one(state)
         state.submit(_E1, submission(job_id="1" * 16), 20.0)
@@ -147,10 +147,10 @@
 
 
 class TestEnds:
-    """Each holder hears how its run ended."""
+    """Holders are notified of ends, and refused or unanswered starts are retried."""
 
     def test_done(self) -> None:
-        """A done run is told once, with how long it ran."""
+        """A completed run is notified once, with its duration."""
         state = owner_with(endpoint("w1"))
         run_id = start_one(state)
         state.report(EndpointReport("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 100.0), 110.0)
@@ -160,14 +160,14 @@
         assert state.run_of(run_id.task) is None
 
     def test_lapsed(self) -> None:
-        """When an endpoint's lease has lapsed, what it ran has ended."""
+        """Runs end when their endpoint's lease expires."""
         state = owner_with(endpoint("w1"))
         start_one(state)
         state.note_lapsed("w1", 700.0)
         assert [end.cause for _, end in ends_of(state)] == [EndCause.LAPSED]
 
     def test_unanswered_start(self) -> None:
-        """A start without an answer is stopped; another one follows only after its end."""
+        """An unanswered start is stopped; the next attempt waits for its end."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
@@ -185,7 +185,7 @@
         assert state.actions.pop_starts()[0].run_id == RunId(_TASK, 2)
 
     def test_old_run_gets_a_higher_number(self) -> None:
-        """An endpoint that has ended this run before is given the next one."""
+        """A start refused as an old run is repeated with the next attempt."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
@@ -195,7 +195,7 @@
         assert state.actions.pop_starts()[0].run_id == RunId(_TASK, 2)
 
     def test_no_room_waits_and_keeps_its_number(self) -> None:
-        """An endpoint without room is left alone for a while."""
+        """A start refused for lack of capacity is repeated after a back-off, same attempt."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
@@ -212,15 +212,12 @@
 
 
 class TestHandOvers:
-    """A message may come twice, the second copy after what it asked for is over."""
+    """Late copies of a delivery do not start its runs again."""
 
     _GROUP = GroupId(_JOB, 0, 0)
 
     def test_a_late_copy_after_the_run_moved(self) -> None:
-        """A run that was given to another zone is not queued here again.
-
-        Seen on the bench: trouble-2 of Kestrelwood in journal a8e3cc0a, TWICE at 33.012 s.
-        """
+        """A run stolen by another zone is not queued here again."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, _numbered_submission(1), 1.0)
         assert state.release_stolen(self._GROUP, 1, "other", 2.0) == 1
@@ -229,7 +226,7 @@
         assert state.actions.pop_starts() == []
 
     def test_a_late_copy_after_its_end(self) -> None:
-        """A run that has ended is not started again by a copy of the order for it."""
+        """A run that has ended is not started again."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, _numbered_submission(1), 1.0)
         state.place(1.0)
@@ -242,7 +239,7 @@
         assert state.actions.pop_starts() == []
 
     def test_a_run_that_comes_back(self) -> None:
-        """A run that another zone gave back is handed over anew, and starts."""
+        """A new delivery of a stolen run is accepted."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, _numbered_submission(1), 1.0)
         state.release_stolen(self._GROUP, 1, "other", 2.0)
@@ -251,14 +248,14 @@
         assert len(state.actions.pop_starts()) == 1
 
     def test_a_run_that_moved_has_not_started(self) -> None:
-        """A cancel after it tells the truth."""
+        """A stolen run that was never started does not count as a start."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, _numbered_submission(1), 1.0)
         state.release_stolen(self._GROUP, 1, "other", 2.0)
         assert not state.cancel(_E1, _JOB, 3.0)
 
     def test_each_holder_has_its_own_number(self) -> None:
-        """A run that two boxes want ends for each under its own number."""
+        """Each holder of a shared run is notified with its own delivery number."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, _numbered_submission(7), 1.0)
         state.submit(_E2, _numbered_submission(3), 1.0)
@@ -270,15 +267,10 @@
 
 
 class TestStragglers:
-    """Runs that take longer than expected.
-
-    A job of 600 ms among jobs of 20 ms was expected to take 135 ms, was stopped as stuck after
-    480 ms, six times in a row, and was given up: its tasks stood on no endpoint that was slow. The
-    logs of a planned stop on a busy machine showed it.
-    """
+    """Long tasks among short ones must not be stopped as stuck again and again."""
 
     def test_a_long_task_among_short_ones(self) -> None:
-        """It is not stopped while it takes what its caller said, whatever others took."""
+        """A run within its caller's estimate is not stuck, however short other tasks are."""
         state = owner_with(endpoint("w1"))
         for number in range(40):
             run_short_job(state, f"{number + 1:016x}", 1_000.0 * number)
@@ -288,7 +280,7 @@
         assert state.actions.pop_stops() == []
 
     def test_longer_than_anybody_expected(self) -> None:
-        """A run that was stopped as stuck has its task's next one go on for twice as long."""
+        """After a run is stopped as stuck, the next attempt may take twice as long."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
         state.submit(_E1, submission(), 10.0)
         first = start_waiting(state, 10.0)
@@ -307,10 +299,10 @@
 
 
 class TestGivingUp:
-    """What can't earn anything is let go of, and the truth is told about it."""
+    """Abandoned and cancelled jobs report correctly whether anything was started."""
 
     def test_never_started(self) -> None:
-        """A run that waited until it was hopeless is told as never started."""
+        """A queued run that became unattainable is reported as never started."""
         state = owner_with()
         state.submit(_E1, submission(run=2, objective=Objective(0, 1.6, 60, 0)), 1.0)
         state.tick(2_000.0)
@@ -319,7 +311,7 @@
         assert not state.cancel(_E1, _JOB, 2_001.0)
 
     def test_started_before(self) -> None:
-        """One that was ordered to start on an endpoint that fell silent is not."""
+        """An unanswered start counts as a start."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(objective=Objective(0, 1.6, 60, 0)), 1.0)
         state.place(1.0)
@@ -331,7 +323,7 @@
         assert [(end.cause, end.has_started) for _, end in ends] == [(EndCause.UNATTAINABLE, True)]
 
     def test_cancelled_after_a_start_was_ordered(self) -> None:
-        """A cancel tells that something may have started."""
+        """A refused start still counts as a possible start."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
@@ -340,7 +332,7 @@
         assert state.cancel(_E1, _JOB, 3.0)
 
     def _redelivered_after_run(self) -> OwnerState:
-        """Return an owner at which a run is done whose box had lost its session meanwhile."""
+        """Return an owner with a run redelivered after it ended without a session."""
         state = owner_with(endpoint("w1", 7_000))
         spec = submission(objective=Objective(0, 1.6, 60, 0), deadline_ms=1_500)
         state.submit(_E1, spec, 10.0)
@@ -356,10 +348,7 @@
         return state
 
     def test_unattainable_after_a_run_that_was_not_told(self) -> None:
-        """What is delivered again after a lapsed session may have run before.
-
-        Seen on the bench: scale-1 --seed 183801466777 of Sahulat, REFUSED at 7.363 s.
-        """
+        """A run redelivered after a lapsed session keeps its record of a start."""
         state = self._redelivered_after_run()
         state.tick(2_000.0)
         assert [(end.cause, end.has_started) for _, end in ends_of(state)] == [
@@ -367,13 +356,13 @@
         ]
 
     def test_moved_after_a_run_that_was_not_told(self) -> None:
-        """The same, given away to another zone's owner."""
+        """The same, for a run that is then stolen by another zone."""
         state = self._redelivered_after_run()
         assert state.release_stolen(GroupId(_JOB, 0, 0), 1, "b", 80.0) == 1
         assert [end.has_started for _, end in ends_of(state)] == [True]
 
     def test_dropped_while_it_waits_after_a_start(self) -> None:
-        """A run that waits again after a start is dropped with its session: the start counts."""
+        """The start of a run that was requeued and then dropped with its session still counts."""
         state = owner_with(endpoint("w1"))
         spec = submission(objective=Objective(0, 1.6, 60, 0), deadline_ms=1_500)
         state.submit(_E1, spec, 1.0)
@@ -390,7 +379,7 @@
         ]
 
     def test_a_start_is_known_until_the_deadline(self) -> None:
-        """However long ago the run ended, and though its box's session has lapsed."""
+        """The record of a start outlives the run, its tombstone and its session."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(deadline_ms=20_000), 1.0)
         state.place(1.0)
@@ -403,7 +392,7 @@
         assert state.cancel(_E1, _JOB, 20_000.0)
 
     def test_a_start_is_known_to_a_box_that_asks_later(self) -> None:
-        """The id was handed in again at another box, whose deadline is later than the first."""
+        """The record of a start is kept for a resubmission with a later deadline."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(deadline_ms=1_500), 0.0)
         state.place(1.0)
@@ -412,7 +401,7 @@
         assert state.cancel(_E2, _JOB, 4_000.0)
 
     def test_of_a_job_that_only_waited(self) -> None:
-        """Nothing of it was started, whatever became of it since."""
+        """A job that was only queued does not count as started."""
         state = owner_with(endpoint("w1", 1_000))
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
@@ -421,14 +410,14 @@
 
 
 class TestSameIdAgain:
-    """An id that is handed in again right after its first try was cancelled."""
+    """A cancel affects only earlier deliveries of a resubmitted id."""
 
     @staticmethod
     def _delivered(delivery: int) -> SubmitRuns:
         return submission(orders=[RunOrder(0, 0, 1, delivery=delivery)])
 
     def test_a_later_delivery_is_accepted(self) -> None:
-        """The cancel reaches only what was delivered before it."""
+        """A delivery after the cancel is accepted."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, self._delivered(1), 1.0)
         state.cancel(_E1, _JOB, 2.0, delivery=1)
@@ -437,7 +426,7 @@
         assert len(state.actions.pop_starts()) == 1
 
     def test_a_late_copy_is_not(self) -> None:
-        """A copy that the cancel overtook brings nothing back."""
+        """A delivery that the cancel overtook is refused."""
         state = owner_with(endpoint("w1"))
         state.cancel(_E1, _JOB, 2.0, delivery=1)
         assert state.submit(_E1, self._delivered(1), 3.0).status is SubmitStatus.REFUSED
@@ -445,7 +434,7 @@
         assert state.actions.pop_starts() == []
 
     def test_a_late_cancel_stops_nothing_newer(self) -> None:
-        """It arrives after the second try."""
+        """A cancel that arrives after the resubmission does not stop it."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, self._delivered(2), 1.0)
         state.place(1.0)
@@ -454,10 +443,10 @@
 
 
 class TestHolders:
-    """Who wants a run, and what happens when nobody does."""
+    """Runs continue while they have a holder, and are stopped without one."""
 
     def test_cancel_stops(self) -> None:
-        """A cancelled job's run is stopped, and its room is kept until the end is listed."""
+        """A cancelled run is stopped, and its capacity stays charged until its end is listed."""
         state = owner_with(endpoint("w1", 7_000))
         run_id = start_one(state)
         state.cancel(_E1, _JOB, 20.0)
@@ -467,7 +456,7 @@
         assert state.actions.pop_starts() == []
 
     def test_same_job_through_another_box(self) -> None:
-        """A job that is sent again attaches to its run; it goes on while one wants it."""
+        """A resubmission attaches to the existing run, which continues while it has a holder."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
         run_id = start_one(state)
         state.submit(_E2, submission(), 30.0)
@@ -480,7 +469,7 @@
         assert [holder for holder, _ in ends_of(state)] == [_E2]
 
     def test_sent_again_while_it_is_stopped(self) -> None:
-        """A run that is being stopped starts anew after its end, under the next number."""
+        """A run resubmitted while stopping is restarted with the next attempt after its end."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
         run_id = start_one(state)
         state.end_session(_E1, 20.0)
@@ -495,7 +484,7 @@
         assert ends_of(state) == []
 
     def test_sent_again_after_the_end(self) -> None:
-        """A job that comes again after its end starts above the numbers used before."""
+        """A resubmission after the end starts with a higher attempt."""
         state = owner_with(endpoint("w1"))
         run_id = start_one(state)
         state.report(EndpointReport("w1", (), (EndedRun(1, run_id, EndKind.FAILED),), 50.0), 51.0)
@@ -505,7 +494,7 @@
 
 
 def unanswered_start(state: OwnerState) -> RunId:
-    """Order a run whose start gets no answer, have its endpoint confirm the stop; return it."""
+    """Create a run whose start is unanswered and whose stop is confirmed; return its id."""
     state.submit(_E1, submission(), 10.0)
     state.place(10.0)
     run_id = state.actions.pop_starts()[0].run_id
@@ -517,10 +506,10 @@
 
 
 class TestNextLife:
-    """An endpoint begins anew under its id while runs are thought to be there."""
+    """An endpoint restarts under the same id while it has runs."""
 
     def test_its_first_report_ends_what_the_life_before_ran(self) -> None:
-        """What it does not list has ended, at once and not when a lease has lapsed."""
+        """Runs missing from its first report end at once, without waiting for a lease."""
         state = owner_with(endpoint("w1"))
         run_id = start_one(state)
         state.begin_life("w1", 100.0)
@@ -529,7 +518,7 @@
         assert [(end.run_id, end.cause) for _, end in ends_of(state)] == [(run_id, EndCause.LOST)]
 
     def test_an_order_that_reached_it(self) -> None:
-        """A run that was meant for the life before and is listed by this one goes on."""
+        """A run meant for the previous incarnation continues if the new one lists it."""
         state = owner_with(endpoint("w1"))
         run_id = start_one(state)
         state.begin_life("w1", 100.0)
@@ -540,7 +529,7 @@
         assert [end.cause for _, end in ends_of(state)] == [EndCause.DONE]
 
     def test_an_order_under_way(self) -> None:
-        """It may be carried out by either life: nothing starts elsewhere before its answer."""
+        """A start in flight may reach either incarnation, so nothing starts on another endpoint."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
         state.submit(_E1, submission(), 10.0)
         state.place(10.0)
@@ -552,7 +541,7 @@
         assert state.actions.pop_starts() == []
 
     def test_an_order_that_got_no_answer(self) -> None:
-        """The next life is told to stop what the one before had been kept from starting late."""
+        """The next incarnation is ordered to stop an unanswered start, while it may arrive late."""
         state = owner_with(endpoint("w1"))
         run_id = unanswered_start(state)
         state.begin_life("w1", 1_000.0)
@@ -561,7 +550,7 @@
         assert state.actions.pop_stops() == []
 
     def test_it_is_told_until_it_answers(self) -> None:
-        """The order to stop what may start late may itself get no answer."""
+        """An unanswered stop of a late start is retransmitted until confirmed."""
         state = owner_with(endpoint("w1"))
         run_id = unanswered_start(state)
         state.begin_life("w1", 1_000.0)
@@ -575,7 +564,7 @@
         assert state.stops_to_repeat(1_300.0, 1_400.0) == []
 
     def test_nothing_is_told_to_one_that_is_silent(self) -> None:
-        """A call there would wait for its time-out, ten times a second; its next answer is soon."""
+        """Stops of late starts are not retransmitted to an endpoint that does not answer."""
         state = owner_with(endpoint("w1"))
         run_id = unanswered_start(state)
         state.begin_life("w1", 1_000.0)
@@ -587,7 +576,7 @@
         assert state.stops_to_repeat(1_110.0, 1_210.0) == [StopAction(run_id, "w1")]
 
     def test_one_that_follows_a_leave(self) -> None:
-        """It may carry out an order that was meant for a life that has left."""
+        """An endpoint that rejoins after leaving is ordered to stop late starts."""
         state = owner_with(endpoint("w1"))
         run_id = unanswered_start(state)
         state.drop_endpoint("w1", 900.0)
@@ -596,7 +585,7 @@
         assert state.stops_to_repeat(1_100.0, 1_200.0) == [StopAction(run_id, "w1")]
 
     def test_nothing_learned_of_the_life_before(self) -> None:
-        """It is as fast as any, and gets work only once its own record is known."""
+        """Its speed is reset, and it gets no work before its own record arrives."""
         state = owner_with(endpoint("w1", born_ms=1))
         for number in range(20):
             state.submit(_E1, submission(job_id=f"{number:016x}"), 200.0 * number)
@@ -614,10 +603,10 @@
 
 
 class TestTakeOver:
-    """A new owner takes over what an earlier one started."""
+    """A new owner recovers the runs of an earlier one."""
 
     def test_running_run_is_adopted(self) -> None:
-        """A run that an endpoint lists is kept, whichever comes first: the look or the box."""
+        """A listed run is adopted whether the report or the delivery arrives first."""
         run_id = RunId(_TASK, 3)
         for is_polled_first in (True, False):
             state = OwnerState(_GONE_AFTER_MS)
@@ -635,7 +624,7 @@
             assert [end.cause for _, end in ends_of(state)] == [EndCause.DONE]
 
     def test_end_of_an_earlier_run_is_not_the_end(self) -> None:
-        """An earlier run's end does not let another start while a later one may be elsewhere."""
+        """The end of an earlier attempt does not allow a new start while a later one may run."""
         state = OwnerState(_GONE_AFTER_MS)
         state.trust_catalog()
         state.follow_endpoint(endpoint("w1"))
@@ -657,7 +646,7 @@
         ]
 
     def test_end_that_came_before_the_box(self) -> None:
-        """An end that an endpoint still lists is told when the box asks for it."""
+        """An end listed before the delivery is notified upon delivery."""
         state = OwnerState(_GONE_AFTER_MS)
         state.follow_endpoint(endpoint("w1"))
         state.report(
@@ -667,7 +656,7 @@
         assert [end.cause for _, end in ends_of(state)] == [EndCause.DONE]
 
     def test_nowhere_found_is_lost_only_after_the_lease(self) -> None:
-        """A run that may be on an endpoint that nobody reaches is not given up before its lease."""
+        """A run is not lost before its lease expires while an endpoint has not reported."""
         state = owner_with(endpoint("w1"))
         state.follow_endpoint(endpoint("w2"))
         state.submit(_E1, submission(is_resumed=True, old_right_ms=200), 1_000.0)
@@ -677,7 +666,7 @@
         assert [end.cause for _, end in ends_of(state)] == [EndCause.LOST]
 
     def test_looked_everywhere_is_lost_at_once(self) -> None:
-        """Once every endpoint was looked at after the earlier right, the run is nowhere."""
+        """A run is lost once all endpoints were polled after the earlier grant ended."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
         state.trust_catalog()
         state.submit(_E1, submission(is_resumed=True, old_right_ms=100), 1_000.0)
@@ -690,7 +679,7 @@
         assert [end.cause for _, end in ends_of(state)] == [EndCause.LOST]
 
     def test_unclaimed_run_is_stopped(self) -> None:
-        """What no box claims is stopped after a while; until then its endpoint gets no work."""
+        """An orphaned run keeps work off its endpoint, and is stopped after the grace period."""
         state = OwnerState(_GONE_AFTER_MS)
         state.follow_endpoint(endpoint("w1"))
         orphan = RunId(TaskId("f" * 16, 0, 0, 0), 1)
--- a/tests/test_owners_two_stops.py
+++ b/tests/test_owners_two_stops.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A box that stands still twice within some turns: over the real elector, owner and client."""
+"""A box that pauses twice in quick succession must not refuse a job that has run."""
 
 from __future__ import annotations
 
@@ -18,20 +18,19 @@
 _SEED = 1
 _SETTLE_S = 1.0
 _TASK_MS = 1_600.0
-# Seconds that the caller of a job of such tasks waits.
 _CALLER_TIMEOUT_S = 2.8
-# Seconds before the job's deadline at which the box stands still.
+# Time of the first pause before the job's deadline.
 _BEFORE_DEADLINE_S = 0.02
-# Seconds for which it does, twice: shorter than the 1.152 of a grant.
+# Shorter than a grant.
 _PAUSE_S = 1.04
 _CLOCK_RATE = 0.98
-# Turns between the two.
+# Event-loop iterations between the two pauses.
 _TURNS = range(8, 24)
 _NEVER_MS = 1e5
 
 
 class DoublePauseLoop(TurnsLoop):
-    """A loop on which a life that goes on stands still once more, after some turns."""
+    """Event loop that pauses an incarnation again some iterations after its first pause."""
 
     def __init__(self, turns: int) -> None:
         super().__init__(random.Random(_SEED))
@@ -46,7 +45,7 @@
 
 
 class Outcome(NamedTuple):
-    """What the caller was told, and whether a task had started."""
+    """Whether the job was refused, and whether a task had started."""
 
     is_refused: bool
     has_started: bool
@@ -69,7 +68,7 @@
         )
         call = asyncio.create_task(world.call(box, _JOB, 1, _TASK_MS, leave_ms=_NEVER_MS))
         await asyncio.sleep(_CALLER_TIMEOUT_S - _BEFORE_DEADLINE_S)
-        # The end of what runs there is never listed: the endpoints crash, or can't be reached.
+        # No end is ever listed: the endpoints are unreachable.
         world.conditions.cuts |= {(one, name) for one in world.boxes for name in world.endpoints}
         loop.stop_life(world.context_of(box)[LIFE], 0, _PAUSE_S, waking)
         await call
@@ -81,11 +80,11 @@
 
 
 class TestTwoStops:
-    """The grant is unbroken, since a heartbeat is handled between the two."""
+    """The grant stays unbroken, since a heartbeat is handled between the two pauses."""
 
     @pytest.mark.parametrize("waking", list(Waking))
     def test_nothing_that_ran_is_refused(self, waking: Waking) -> None:
-        """Whichever turn the second stop comes at."""
+        """A started job is not refused, whichever iteration the second pause begins at."""
         outcomes = {turns: _play(turns, waking) for turns in _TURNS}
         assert all(one.has_started for one in outcomes.values())
         assert [turns for turns, one in outcomes.items() if one.is_refused] == []
