--- a/src/foldloom/seed_discovery/owners/cancels.py
+++ b/src/foldloom/seed_discovery/owners/cancels.py
@@ -50,9 +50,9 @@
     def begin(self, withdrawals: list[Withdrawal]) -> dict[str, asyncio.Task[Answer]]:
         """Start cancelling one job's withdrawn runs; return the pending answers by zone."""
         cancels = {
-            one.owner.zone: self._tasks.spawn(self._cancel(one))
-            for one in withdrawals
-            if one.needs_cancel
+            withdrawal.owner.zone: self._tasks.spawn(self._cancel(withdrawal))
+            for withdrawal in withdrawals
+            if withdrawal.needs_cancel
         }
         remote = [cancel for zone, cancel in cancels.items() if zone != self._home_zone]
         if remote:
--- a/src/foldloom/seed_discovery/owners/reports.py
+++ b/src/foldloom/seed_discovery/owners/reports.py
@@ -76,7 +76,7 @@
     for end in report.ended:
         _reconcile_end(lifecycle, candidate, end, now_ms)
     # A dict keeps the report's order, in which runs are adopted.
-    present = {one.run_id: None for one in report.active}
+    present = {active.run_id: None for active in report.active}
     _reconcile_present(lifecycle, candidate, present, now_ms)
     _reconcile_absent(lifecycle, candidate, present, report.asked_ms, now_ms)
 
--- a/src/foldloom/seed_discovery/owners/state.py
+++ b/src/foldloom/seed_discovery/owners/state.py
@@ -276,7 +276,9 @@
     def stops_to_repeat(self, before_ms: float, now_ms: float) -> list[StopAction]:
         """Return the unconfirmed stops last sent before *before_ms*, for retransmission."""
         stops = self._lifecycle.retransmit_stops(before_ms, now_ms)
-        answering = {name for name, one in self._candidates.items() if not one.is_silent}
+        answering = {
+            name for name, candidate in self._candidates.items() if not candidate.is_silent
+        }
         stops += self._late_starts.stops_due(answering, before_ms, now_ms)
         return list(dict.fromkeys(stops))
 
--- a/tests/test_owners_refusals.py
+++ b/tests/test_owners_refusals.py
@@ -131,7 +131,7 @@
         """Submit the job at *box*; return whether no retry is needed."""
         known = len(world.answers)
         await world.call(box, job_id, tasks, task_ms, 1e5)
-        answer = next(one for one in world.answers[known:] if one.job_id == job_id)
+        answer = next(answer for answer in world.answers[known:] if answer.job_id == job_id)
         return answer.result is not None and not answer.is_refused
 
     pattern = rng.choice(["once", "at once", "beside", "in turn", "in turn"])
@@ -179,23 +179,23 @@
 
 def broken_promises(world: ZonesWorld) -> list[Answer]:
     """Return refusals of jobs that started although every attempt was refused."""
-    not_refused = {one.job_id for one in world.answers if not one.is_refused}
+    not_refused = {answer.job_id for answer in world.answers if not answer.is_refused}
     return [
-        one
-        for one in world.answers
-        if one.is_refused and one.job_id not in not_refused and one.job_id in world.starts
+        answer
+        for answer in world.answers
+        if answer.is_refused and answer.job_id not in not_refused and answer.job_id in world.starts
     ]
 
 
 def started_during_refused_attempt(world: ZonesWorld) -> list[Answer]:
     """Return refused attempts during which any attempt of the same job started a task."""
     return [
-        one
-        for one in world.answers
-        if one.is_refused
+        answer
+        for answer in world.answers
+        if answer.is_refused
         and any(
-            one.sent_ms <= start.at_ms <= one.answered_ms
-            for start in world.starts.get(one.job_id, [])
+            answer.sent_ms <= start.at_ms <= answer.answered_ms
+            for start in world.starts.get(answer.job_id, [])
         )
     ]
 
@@ -206,12 +206,12 @@
     Valid only if no caller submits a job twice at the same box.
     """
     return [
-        one
-        for one in world.answers
-        if one.is_refused
+        answer
+        for answer in world.answers
+        if answer.is_refused
         and any(
-            one.box in world.wanted_by.get((start.run_id, start.endpoint), ())
-            for start in world.starts.get(one.job_id, [])
+            answer.box in world.wanted_by.get((start.run_id, start.endpoint), ())
+            for start in world.starts.get(answer.job_id, [])
         )
     ]
 
@@ -221,8 +221,8 @@
 
     A job submitted at two boxes may run twice, since owners of two zones share no state.
     """
-    tries = Counter(one.job_id for one in world.answers)
-    return [one for one in world.doubled if tries[one.run_id.task.job_id] == 1]
+    attempts = Counter(answer.job_id for answer in world.answers)
+    return [start for start in world.doubled if attempts[start.run_id.task.job_id] == 1]
 
 
 class Counts(NamedTuple):
@@ -253,13 +253,13 @@
 
 def counts_of(world: ZonesWorld) -> Counts:
     """Return the counts of a simulation."""
-    uncertain = [one for one in world.answers if one.may_have_run]
+    uncertain = [answer for answer in world.answers if answer.may_have_run]
     return Counts(
         answers=len(world.answers),
-        completed=sum(one.is_completed for one in world.answers),
-        refused=sum(one.is_refused for one in world.answers),
+        completed=sum(answer.is_completed for answer in world.answers),
+        refused=sum(answer.is_refused for answer in world.answers),
         may_have_run=len(uncertain),
-        needless=sum(one.job_id not in world.starts for one in uncertain),
+        needless=sum(answer.job_id not in world.starts for answer in uncertain),
         broken=len(broken_promises(world)),
         own=len(started_for_refusing_box(world)),
         beside=len(started_during_refused_attempt(world)),
--- a/tests/test_owners_two_stops.py
+++ b/tests/test_owners_two_stops.py
@@ -63,8 +63,8 @@
         )
         box = next(
             name
-            for name, one in world.boxes.items()
-            if one.zone == ZONES[0] and one.elector.owner is None
+            for name, candidate in world.boxes.items()
+            if candidate.zone == ZONES[0] and candidate.elector.owner is None
         )
         call = asyncio.create_task(world.call(box, _JOB, 1, _TASK_MS, leave_ms=_NEVER_MS))
         await asyncio.sleep(_CALLER_TIMEOUT_S - _BEFORE_DEADLINE_S)
@@ -86,5 +86,5 @@
     def test_nothing_that_ran_is_refused(self, waking: Waking) -> None:
         """A started job is not refused, whichever iteration the second pause begins at."""
         outcomes = {turns: _play(turns, waking) for turns in _TURNS}
-        assert all(one.has_started for one in outcomes.values())
-        assert [turns for turns, one in outcomes.items() if one.is_refused] == []
+        assert all(outcome.has_started for outcome in outcomes.values())
+        assert [turns for turns, outcome in outcomes.items() if outcome.is_refused] == []
