--- a/src/foldloom/seed_discovery/owners/reports.py
+++ b/src/foldloom/seed_discovery/owners/reports.py
@@ -1,11 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""An endpoint's report held against what its owner expects there.
+"""Reconciles endpoint reports with the owner's runs. Owns nothing.
 
-Owns nothing: the decisions are plain functions, and :func:`reconcile` carries them out on the
-lifecycle of runs. A report lists the runs that are present and the ends that the owner has not
-acknowledged. A run that is listed and that no box has delivered is an orphaned run: its box died,
-or has not reached this owner yet. An endpoint with orphaned runs gets no work, and they are stopped
-after ``ORPHAN_GRACE_MS``.
+A report lists the active runs and the ends that the owner has not acknowledged. An active run that
+does not match the owner's current run of its task is orphaned, for example because its box has
+died or has not delivered it to this owner yet. An endpoint with orphaned runs is not eligible for
+placement, and the runs are stopped after ``ORPHAN_GRACE_MS``.
 """
 
 from __future__ import annotations
@@ -21,41 +20,40 @@
 from foldloom.seed_discovery.scheduling.endpoints import OrphanedRun, ZoneEndpoint
 from foldloom.seed_discovery.scheduling.runs import Run, RunState
 
-# Milliseconds: entry boxes deliver what they have open to a new owner within one heartbeat
-# of it (100 ms), or three where heartbeats are lost.
+# Gives entry boxes time to deliver their open runs to a new owner, even if heartbeats are lost.
 ORPHAN_GRACE_MS = 300.0
 
 
 class ListedEnd(Enum):
-    """What the end of a run of a known task means."""
+    """Effect of a listed end on the current run of its task."""
 
     OUTDATED = "outdated"
-    """It is of an earlier attempt, or of one that is elsewhere."""
+    """Ignored: an earlier attempt, or a run on another endpoint."""
     ADVANCES = "advances"
-    """It shows only which attempt of a recovering run is the newest."""
+    """Only raises the attempt of a recovering run."""
     FINISHES = "finishes"
-    """The run is over."""
+    """Finishes the run."""
 
 
-def judge_end(run: Run, end: EndedRun, endpoint: str) -> ListedEnd:
-    """Return what *end*, listed by *endpoint*, means for the present run of its task."""
+def classify_end(run: Run, end: EndedRun, endpoint: str) -> ListedEnd:
+    """Return the effect of *end*, listed by *endpoint*, on its task's current run."""
     if run.attempt > end.run_id.attempt:
         return ListedEnd.OUTDATED
     if run.state is RunState.RECOVERING and end.how is not EndKind.DONE:
-        # Its box may not know of a later run that an earlier owner started elsewhere.
+        # An earlier owner may have started a later attempt on another endpoint.
         return ListedEnd.ADVANCES
     if run.state is RunState.RECOVERING or run.endpoint == endpoint:
         return ListedEnd.FINISHES
     return ListedEnd.OUTDATED
 
 
-def judge_absence(run: Run, asked_ms: float) -> EndCause | None:
-    """Return how a run has ended of which a report lists neither the run nor an end, if it has.
+def classify_absence(run: Run, asked_ms: float) -> EndCause | None:
+    """Return how a run that a report does not list has ended; ``None`` if it may be present.
 
     Args:
-        run: The run, which is thought to be on the endpoint.
-        asked_ms: When the owner asked for the report. One that was asked for before the newest
-            order took effect says nothing of it.
+        run: A run that is expected on the endpoint.
+        asked_ms: When the owner polled for the report. A report polled for before the latest order
+            took effect is inconclusive.
     """
     if max(run.since_ms, run.stop_known_ms) >= asked_ms:
         return None
@@ -67,28 +65,28 @@
 
 
 def is_orphan(run: Run | None, attempt: int, endpoint: str) -> bool:
-    """Return whether an *attempt* that is present on *endpoint* is not the *run* expected there."""
+    """Return whether an *attempt* listed by *endpoint* does not match the task's current *run*."""
     return run is None or run.endpoint != endpoint or run.attempt != attempt
 
 
 def reconcile(
     lifecycle: RunLifecycle, candidate: ZoneEndpoint, report: EndpointReport, now_ms: float
 ) -> None:
-    """Bring what is known into line with a *report* of *candidate*."""
+    """Apply a *report* of *candidate* to the runs."""
     for end in report.ended:
-        _note_end(lifecycle, candidate, end, now_ms)
-    # In the report's order, in which runs are adopted; a set has none.
-    present = {one.run_id: None for one in report.active}
-    _note_present(lifecycle, candidate, present, now_ms)
-    _note_absent(lifecycle, candidate, present, report.asked_ms, now_ms)
+        _reconcile_end(lifecycle, candidate, end, now_ms)
+    # A dict keeps the report's order, in which runs are adopted.
+    present = {active.run_id: None for active in report.active}
+    _reconcile_present(lifecycle, candidate, present, now_ms)
+    _reconcile_absent(lifecycle, candidate, present, report.asked_ms, now_ms)
 
 
 def orphans_to_stop(
     candidates: Mapping[str, ZoneEndpoint], now_ms: float
 ) -> list[tuple[str, RunId]]:
-    """Return the orphaned runs, by endpoint, that no entry box has delivered for too long.
+    """Return the endpoint and id of each run that has been orphaned beyond the grace period.
 
-    Each is named again after the same time, until it is gone.
+    A run that stays orphaned is returned again after each further grace period.
     """
     due = []
     for endpoint, candidate in candidates.items():
@@ -102,7 +100,7 @@
 def adopt_orphan(
     lifecycle: RunLifecycle, candidates: Mapping[str, ZoneEndpoint], run: Run, now_ms: float
 ) -> bool:
-    """Adopt a run of the task that an endpoint lists already; return whether one does."""
+    """Adopt an orphaned run of *run*'s task; return whether there is one."""
     for endpoint, candidate in candidates.items():
         orphan = candidate.orphans.pop(run.task, None)
         if orphan is not None:
@@ -111,7 +109,7 @@
     return False
 
 
-def _note_end(
+def _reconcile_end(
     lifecycle: RunLifecycle, candidate: ZoneEndpoint, end: EndedRun, now_ms: float
 ) -> None:
     endpoint = candidate.record.endpoint
@@ -122,16 +120,16 @@
     if run is None:
         lifecycle.tombstones.add_orphaned(end, endpoint, now_ms)
         return
-    verdict = judge_end(run, end, endpoint)
-    if verdict is ListedEnd.OUTDATED:
+    listed_end = classify_end(run, end, endpoint)
+    if listed_end is ListedEnd.OUTDATED:
         return
     run.attempt = attempt
-    if verdict is ListedEnd.FINISHES:
+    if listed_end is ListedEnd.FINISHES:
         run.endpoint = endpoint
         lifecycle.finish(run, CAUSE_OF_KIND[end.how], end.checkpoint, now_ms)
 
 
-def _note_present(
+def _reconcile_present(
     lifecycle: RunLifecycle, candidate: ZoneEndpoint, present: Collection[RunId], now_ms: float
 ) -> None:
     endpoint = candidate.record.endpoint
@@ -144,7 +142,7 @@
             candidate.orphans.setdefault(task, OrphanedRun(attempt, now_ms))
 
 
-def _note_absent(
+def _reconcile_absent(
     lifecycle: RunLifecycle,
     candidate: ZoneEndpoint,
     present: Collection[RunId],
@@ -161,6 +159,6 @@
         if run is None or run.endpoint != endpoint:
             candidate.room.release(task)
             continue
-        cause = None if run.run_id in present else judge_absence(run, asked_ms)
+        cause = None if run.run_id in present else classify_absence(run, asked_ms)
         if cause is not None:
             lifecycle.finish(run, cause, "", now_ms)
--- a/tests/test_owners_late_words.py
+++ b/tests/test_owners_late_words.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A refusal promises that nothing ran: what an owner forgets, and what is taken for its answer."""
+"""A refused job must never have run: late cancels, expired records and stale replies."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 from foldloom.settings_file import settings_from
 from foldloom.verdicts import Run
 from test_owners_client import Rig
-from test_owners_state import endpoint, owner_with, start_placed, submission
+from test_owners_state import endpoint, owner_with, start_waiting, submission
 
 _JOB = "0" * 16
 _TASK = TaskId(_JOB, 0, 0, 0)
@@ -50,26 +50,26 @@
 _QUEUE = Queue("q", "host", "/", "svc", 0, 3, 1_500, 1.6, 60)
 _E1 = HolderId("e1", 1)
 _E2 = HolderId("e2", 1)
-# Seconds until a box has connected to a peer on loopback; a message before that is lost.
-_CONNECTS_S = 0.5
-# Milliseconds between boxes until a delivery expires on its way: its reply's time-out and one more.
+# Messages sent before a peer on loopback is connected are lost.
+_CONNECT_S = 0.5
+# Time-to-live of a delivery: the timeout of its reply, and one more millisecond.
 _DELIVERY_TTL_MS = 151.0
 
 
-class _StartingOwner:
-    """An owner that starts what it is sent at once, on the system's clock."""
+class _ImmediateOwner:
+    """An owner that starts delivered runs at once, on the system's clock."""
 
     def __init__(self) -> None:
         self.state = owner_with(endpoint("w1"))
-        self.asked_late_ms: list[float] = []
+        self.cancel_delays_ms: list[float] = []
         self.deadline_ms = 0.0
 
     async def request(self, _box: str, message: Any, _timeout_ms: float) -> Any:
-        """Answer a message at once."""
+        """Answer a message without delay."""
         return self.cancel(message) if isinstance(message, CancelJob) else self.take(message)
 
     def take(self, message: SubmitRuns) -> SubmitReply:
-        """Take a delivery and start it."""
+        """Accept a delivery and start its runs."""
         now_ms = monotonic_ms()
         self.deadline_ms = now_ms + message.deadline_ms
         reply = self.state.submit(_E1, message, now_ms)
@@ -79,15 +79,15 @@
         return reply
 
     def cancel(self, message: CancelJob) -> Cancelled:
-        """Answer a cancel as the owner does, after one of its ticks."""
+        """Answer a cancel after a tick, as the real owner does."""
         now_ms = monotonic_ms()
-        self.asked_late_ms.append(now_ms - self.deadline_ms)
+        self.cancel_delays_ms.append(now_ms - self.deadline_ms)
         self._end_session(now_ms)
         self.state.tick(now_ms)
         return Cancelled(self.state.cancel(_E1, message.job_id, now_ms, message.delivery))
 
     def _end_session(self, now_ms: float) -> None:
-        """End the box's session, as the owner did while the box stood still; its run is gone."""
+        """End the box's session at a time during the box's pause, and its run with it."""
         self.state.end_session(_E1, now_ms - 1_500.0)
         for stop in self.state.actions.pop_stops():
             self.state.note_stop(stop.run_id, stop.endpoint, CallOutcome.DONE, now_ms - 1_400.0)
@@ -95,17 +95,17 @@
 
 
 class TestAskedLate:
-    """How late a box can ask an owner whose grant is unbroken."""
+    """A box that cancels too late must not trust the answer, even with an unbroken grant."""
 
     def test_two_pauses_with_a_heartbeat_between(self) -> None:
-        """Each pause is shorter than a grant, so the grant is unbroken; together they are longer.
+        """Neither pause breaks the grant, but together they outlast the owner's record of starts.
 
-        The owner starts the run, so whatever the box does then, a refusal would be false.
+        The owner has started the run, so a refusal would be false.
         """
 
         async def play() -> tuple[JobResult, list[float]]:
             rig = Rig(TimingSettings())
-            owner = _StartingOwner()
+            owner = _ImmediateOwner()
             rig.network.request = owner.request  # type: ignore[method-assign]
             rig.beat(1)
             runner = JobRunner(_JOB_OF_ONE, _QUEUE, rig.client, monotonic_ms() + 200.0)
@@ -114,26 +114,26 @@
             await asyncio.sleep(0.15)
             rig.beat(1)
             time.sleep(1.1)
-            # What waited in the socket is handled first.
+            # A message that was queued in the socket is handled first.
             rig.beat(1)
             await asyncio.sleep(0)
             time.sleep(1.1)
             result = await answer
             watching.cancel()
-            return result, owner.asked_late_ms
+            return result, owner.cancel_delays_ms
 
-        result, late_ms = asyncio.run(play())
-        assert result.error.run is Run.MAY_HAVE_RUN, f"asked {late_ms} ms after the deadline"
+        result, delays_ms = asyncio.run(play())
+        assert result.error.run is Run.MAY_HAVE_RUN, f"asked {delays_ms} ms after the deadline"
 
     def test_a_starved_box_that_owns_its_zone(self) -> None:
-        """Each turn of its event loop takes 0.7 s, and a heartbeat is handled in each of them.
+        """Each event-loop iteration takes 0.7 s and handles a heartbeat.
 
-        From the deadline to the question it takes some turns. It answers itself in the same turn.
+        The cancel follows the deadline only after several iterations.
         """
 
         async def play() -> tuple[JobResult, list[float]]:
             rig = Rig(TimingSettings())
-            owner = _StartingOwner()
+            owner = _ImmediateOwner()
             rig.network.request = owner.request  # type: ignore[method-assign]
             rig.beat(1)
             runner = JobRunner(_JOB_OF_ONE, _QUEUE, rig.client, monotonic_ms() + 200.0)
@@ -145,21 +145,21 @@
                 time.sleep(0.7)
                 await asyncio.sleep(0)
             watching.cancel()
-            return await answer, owner.asked_late_ms
+            return await answer, owner.cancel_delays_ms
 
-        result, late_ms = asyncio.run(play())
-        assert result.error.run is Run.MAY_HAVE_RUN, f"asked {late_ms} ms after the deadline"
+        result, delays_ms = asyncio.run(play())
+        assert result.error.run is Run.MAY_HAVE_RUN, f"asked {delays_ms} ms after the deadline"
 
 
 class TestSeveralDeadlines:
-    """One id, delivered by two boxes (or twice by one) before anything of it has started."""
+    """The record of a start lasts until the latest of several deadlines of one id."""
 
     def test_both_delivered_before_the_start(self) -> None:
-        """The run starts after both deliveries, and goes on for the box with the later deadline."""
+        """The run starts after deliveries by two boxes; the one with the later deadline cancels."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, submission(deadline_ms=1_500), 0.0)
         state.submit(_E2, submission(deadline_ms=2_800), 1_400.0)
-        start_placed(state, 1_450.0)
+        start_waiting(state, 1_450.0)
         state.cancel(_E1, _JOB, 1_500.0)
         for now_ms in (2_000.0, 3_000.0, 3_600.0, 4_200.0):
             state.tick(now_ms)
@@ -167,14 +167,14 @@
         assert state.cancel(_E2, _JOB, 4_200.0)
 
     def test_handed_in_again_at_the_same_box(self) -> None:
-        """The first caller left; the second's delivery attaches to the run that still waits."""
+        """The first caller cancels; the second one's delivery attached to the queued run."""
         state = owner_with(endpoint("w1"))
         first = submission(deadline_ms=1_500, orders=[RunOrder(0, 0, 1, delivery=1)])
         again = submission(deadline_ms=2_800, orders=[RunOrder(0, 0, 1, delivery=2)])
         state.submit(_E1, first, 0.0)
         state.submit(_E1, again, 1_400.0)
         state.cancel(_E1, _JOB, 1_401.0, delivery=1)
-        start_placed(state, 1_450.0)
+        start_waiting(state, 1_450.0)
         for now_ms in (2_000.0, 3_000.0, 3_600.0, 4_200.0):
             state.tick(now_ms)
         assert state.run_of(_TASK) is not None
@@ -182,10 +182,10 @@
 
 
 class TestCancelled:
-    """A delivery that its cancel has overtaken starts nothing."""
+    """A delivery that its cancel has overtaken must not start."""
 
     def test_an_older_cancel_arrives_later(self) -> None:
-        """A cancel of the first try, sent until it is answered, comes after that of the second."""
+        """A retransmitted cancel of the first submission arrives after that of the second."""
         state = owner_with(endpoint("w1"))
         assert not state.cancel(_E1, _JOB, 1.0, delivery=5)
         state.cancel(_E1, _JOB, 2.0, delivery=1)
@@ -196,28 +196,28 @@
         assert reply.status is SubmitStatus.REFUSED
 
     def test_an_owner_stands_still_between_age_and_handling(self) -> None:
-        """A delivery was young when its age was looked at; then the owner stood still for a right.
+        """The owner pauses between the check of a delivery's age and its handling.
 
-        Its box acknowledged a heartbeat right before that, so its right is not over yet.
+        The box acknowledged a heartbeat just before, so the session is still valid.
         """
         state = owner_with(endpoint("w1"))
         state.tick(0.0)
         assert not state.cancel(_E1, _JOB, 0.0, delivery=1)
-        right_ms = float(TimingSettings().session_ms)
-        handled_ms = _DELIVERY_TTL_MS + right_ms - 10.0
+        session_duration_ms = float(TimingSettings().session_ms)
+        handling_ms = _DELIVERY_TTL_MS + session_duration_ms - 10.0
         late = submission(orders=[RunOrder(0, 0, 1, delivery=1)])
-        state.submit(_E1, late, handled_ms)
-        state.place(handled_ms)
+        state.submit(_E1, late, handling_ms)
+        state.place(handling_ms)
         assert state.actions.pop_starts() == []
 
 
 class TestReplies:
-    """What is taken for the reply to a request."""
+    """A reply must belong to a request of the same incarnation."""
 
     def test_a_reply_to_an_earlier_life(self) -> None:
-        """Requests are numbered from 1 in each life of a box, and a reply names no life.
+        """A paused peer's reply to the previous incarnation is not matched to a new request.
 
-        A peer that stood still answers what the life before had asked.
+        Each incarnation of a box numbers its requests from 1.
         """
 
         async def play() -> Any:
@@ -227,14 +227,14 @@
             router.bind(f"tcp://{asked}")
             message = CancelJob(_JOB, 1, 1)
             try:
-                async with _started(own, 1, asked) as first:
+                async with _running_network(own, 1, asked) as first:
                     asking = asyncio.create_task(first.request(asked, message, 300))
                     before = decode_envelope((await router.recv_multipart())[-1])
                     await asyncio.gather(asking, return_exceptions=True)
                 reply = Cancelled(has_started=False)
                 number = before.frames[0].id
                 frame = Frame(kind_of(reply), 0, number, 1_000, encode_body(reply))
-                async with _started(own, 2, asked) as second:
+                async with _running_network(own, 2, asked) as second:
                     asking = asyncio.create_task(second.request(asked, message, 500))
                     await router.recv_multipart()
                     dealer.connect(f"tcp://{own}")
@@ -248,12 +248,12 @@
 
 
 @contextlib.asynccontextmanager
-async def _started(box: str, incarnation: int, peer: str) -> AsyncIterator[PeerNetwork]:
-    """Run a life of a box that is connected to *peer*."""
+async def _running_network(box: str, incarnation: int, peer: str) -> AsyncIterator[PeerNetwork]:
+    """Run an incarnation of a box that is connected to *peer*."""
     network = PeerNetwork(_seed_settings(box), incarnation, Metrics())
     await network.start()
     network.add_peer(peer)
-    await asyncio.sleep(_CONNECTS_S)
+    await asyncio.sleep(_CONNECT_S)
     try:
         yield network
     finally:
--- a/tests/test_owners_two_stops.py
+++ b/tests/test_owners_two_stops.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A box that stands still twice within some turns: over the real elector, owner and client."""
+"""A box that pauses twice in quick succession must not refuse a job that has run."""
 
 from __future__ import annotations
 
@@ -18,20 +18,19 @@
 _SEED = 1
 _SETTLE_S = 1.0
 _TASK_MS = 1_600.0
-# Seconds that the caller of a job of such tasks waits.
-_PATIENCE_S = 2.8
-# Seconds before the job's deadline at which the box stands still.
-_BEFORE_S = 0.02
-# Seconds for which it does, twice: shorter than the 1.152 of a grant.
-_STOPS_S = 1.04
+_CALLER_TIMEOUT_S = 2.8
+# Time of the first pause before the job's deadline.
+_BEFORE_DEADLINE_S = 0.02
+# Shorter than a grant.
+_PAUSE_S = 1.04
 _CLOCK_RATE = 0.98
-# Turns between the two.
+# Event-loop iterations between the two pauses.
 _TURNS = range(8, 24)
 _NEVER_MS = 1e5
 
 
-class TwiceLoop(TurnsLoop):
-    """A loop on which a life that goes on stands still once more, after some turns."""
+class DoublePauseLoop(TurnsLoop):
+    """Event loop that pauses an incarnation again some iterations after its first pause."""
 
     def __init__(self, turns: int) -> None:
         super().__init__(random.Random(_SEED))
@@ -42,18 +41,18 @@
         super()._go_on(life, waking)
         if self._is_first:
             self._is_first = False
-            self.stop_life(life, self._turns, _STOPS_S, waking)
+            self.stop_life(life, self._turns, _PAUSE_S, waking)
 
 
 class Outcome(NamedTuple):
-    """What the caller was told, and whether a task had started."""
+    """Whether the job was refused, and whether a task had started."""
 
     is_refused: bool
     has_started: bool
 
 
 def _play(turns: int, waking: Waking) -> Outcome:
-    loop = TwiceLoop(turns)
+    loop = DoublePauseLoop(turns)
     random.seed(_SEED)
 
     async def play() -> Outcome:
@@ -64,14 +63,14 @@
         )
         box = next(
             name
-            for name, one in world.boxes.items()
-            if one.zone == ZONES[0] and one.elector.owner is None
+            for name, candidate in world.boxes.items()
+            if candidate.zone == ZONES[0] and candidate.elector.owner is None
         )
         call = asyncio.create_task(world.call(box, _JOB, 1, _TASK_MS, leave_ms=_NEVER_MS))
-        await asyncio.sleep(_PATIENCE_S - _BEFORE_S)
-        # The end of what runs there is never listed: the endpoints crash, or can't be reached.
+        await asyncio.sleep(_CALLER_TIMEOUT_S - _BEFORE_DEADLINE_S)
+        # No end is ever listed: the endpoints are unreachable.
         world.conditions.cuts |= {(one, name) for one in world.boxes for name in world.endpoints}
-        loop.stop_life(world.context_of(box)[LIFE], 0, _STOPS_S, waking)
+        loop.stop_life(world.context_of(box)[LIFE], 0, _PAUSE_S, waking)
         await call
         (answer,) = world.answers
         return Outcome(answer.is_refused, _JOB in world.starts)
@@ -81,11 +80,11 @@
 
 
 class TestTwoStops:
-    """The grant is unbroken, since a heartbeat is handled between the two."""
+    """The grant stays unbroken, since a heartbeat is handled between the two pauses."""
 
     @pytest.mark.parametrize("waking", list(Waking))
     def test_nothing_that_ran_is_refused(self, waking: Waking) -> None:
-        """Whichever turn the second stop comes at."""
+        """A started job is not refused, whichever iteration the second pause begins at."""
         outcomes = {turns: _play(turns, waking) for turns in _TURNS}
-        assert all(one.has_started for one in outcomes.values())
-        assert [turns for turns, one in outcomes.items() if one.is_refused] == []
+        assert all(outcome.has_started for outcome in outcomes.values())
+        assert [turns for turns, outcome in outcomes.items() if outcome.is_refused] == []
