--- a/src/foldloom/static_peers/claims/acquire.py
+++ b/src/foldloom/static_peers/claims/acquire.py
@@ -23,7 +23,7 @@
 )
 from foldloom.static_peers.claims.replicas import ReplicaSets
 from foldloom.static_peers.claims.service import ClaimService
-from foldloom.static_peers.claims.votes import is_won, may_still_win
+from foldloom.static_peers.claims.votes import can_still_win, is_won
 
 
 class Acquisition(Enum):
@@ -78,32 +78,32 @@
             submission, digest, self._network.incarnation, attempt, replicas.epoch
         )
         replies: dict[str, ClaimReply] = {}
-        waiting = self._by_nearness(replicas)
+        waiting = self._by_proximity(replicas)
         first_count = self._first_count(replicas)
-        asking = {self._request(box, request) for box in waiting[:first_count]}
+        pending = {self._request(box, request) for box in waiting[:first_count]}
         waiting = waiting[first_count:]
         timeouts = self._settings.timings
-        while asking:
-            hedge = timeouts.claim_hedge_ms if waiting else timeouts.claim_timeout_ms
-            done, asking = await asyncio.wait(
-                asking, timeout=hedge / 1_000, return_when=asyncio.FIRST_COMPLETED
+        while pending:
+            hedge_ms = timeouts.claim_hedge_ms if waiting else timeouts.claim_timeout_ms
+            done, pending = await asyncio.wait(
+                pending, timeout=hedge_ms / 1_000, return_when=asyncio.FIRST_COMPLETED
             )
             for task in done:
                 box, reply = task.result()
                 if reply is not None:
                     replies[box] = reply
             if is_won(replicas, replies, self._network.known_incarnation):
-                _forget(asking)
+                _cancel_all(pending)
                 return AcquireResult(Acquisition.WON, [], "")
-            missed = any(task.result()[1] is None for task in done)
-            refused = any(reply.vote is not Vote.GRANTED for reply in replies.values())
-            if waiting and (not done or missed or refused):
-                asking |= {self._request(box, request) for box in waiting}
+            has_unanswered = any(task.result()[1] is None for task in done)
+            has_refusal = any(reply.vote is not Vote.GRANTED for reply in replies.values())
+            if waiting and (not done or has_unanswered or has_refusal):
+                pending |= {self._request(box, request) for box in waiting}
                 waiting = []
-            if self._is_lost(replicas, replies, len(asking)):
+            if self._is_lost(replicas, replies, len(pending)):
                 break
-        _forget(asking)
-        return self._judge_loss(replicas, replies)
+        _cancel_all(pending)
+        return self._failure_result(replicas, replies)
 
     def withdraw(self, submission: str, attempt: int) -> None:
         """Withdraw the claim at every replica; only for a job that started nothing."""
@@ -123,9 +123,9 @@
     def _request(
         self, box: str, request: ClaimRequest
     ) -> asyncio.Task[tuple[str, ClaimReply | None]]:
-        return asyncio.ensure_future(self._ask_one(box, request))
+        return asyncio.ensure_future(self._request_vote(box, request))
 
-    async def _ask_one(self, box: str, request: ClaimRequest) -> tuple[str, ClaimReply | None]:
+    async def _request_vote(self, box: str, request: ClaimRequest) -> tuple[str, ClaimReply | None]:
         if box == self._settings.box:
             return box, self._service.vote(box, request)
         try:
@@ -135,7 +135,7 @@
             # No vote: the caller asks the third replica, or says that there was no quorum.
             return box, None
 
-    def _by_nearness(self, replicas: ReplicaSets) -> list[str]:
+    def _by_proximity(self, replicas: ReplicaSets) -> list[str]:
         """Return the replicas: this box, then those of its zone, then the others."""
         zone = self._settings.zone
         own = self._settings.box
@@ -150,26 +150,30 @@
             return len(replicas.boxes)
         return len(replicas.boxes) // 2 + 1
 
-    def _is_lost(self, replicas: ReplicaSets, replies: dict[str, ClaimReply], asked: int) -> bool:
+    def _is_lost(
+        self, replicas: ReplicaSets, replies: dict[str, ClaimReply], pending_count: int
+    ) -> bool:
         """Return whether nothing that may still come can win the claim."""
-        if not asked:
+        if not pending_count:
             return True
         is_held = any(reply.vote is Vote.HELD for reply in replies.values())
-        return is_held and not may_still_win(replicas, replies)
+        return is_held and not can_still_win(replicas, replies)
 
-    def _judge_loss(self, replicas: ReplicaSets, replies: dict[str, ClaimReply]) -> AcquireResult:
+    def _failure_result(
+        self, replicas: ReplicaSets, replies: dict[str, ClaimReply]
+    ) -> AcquireResult:
         holders = list(
             dict.fromkeys(claim for reply in replies.values() for claim in reply.holders)
         )
-        said = [
+        vote_texts = [
             f"{box} {replies[box].vote.name.lower() if box in replies else 'silent'}"
             for box in replicas.boxes
         ]
         how = Acquisition.HELD if holders else Acquisition.NO_QUORUM
-        return AcquireResult(how, holders, ", ".join(said))
+        return AcquireResult(how, holders, ", ".join(vote_texts))
 
 
-def _forget(asking: set[asyncio.Task[tuple[str, ClaimReply | None]]]) -> None:
+def _cancel_all(pending: set[asyncio.Task[tuple[str, ClaimReply | None]]]) -> None:
     """Stop waiting for the tasks in *asking*."""
-    for task in asking:
+    for task in pending:
         task.cancel()
--- a/src/foldloom/static_peers/claims/recovery.py
+++ b/src/foldloom/static_peers/claims/recovery.py
@@ -65,7 +65,7 @@
         self._copied_from: set[str] = set()
         self._is_recorded = False
         self._has_copied_all = False
-        self._has_nothing_forgotten = False
+        self._has_no_lost_claims = False
         self._is_whole = False
 
     @property
@@ -77,7 +77,7 @@
         """Return whether this box may vote for a submission with these *replicas*."""
         if any(set(boxes) == {self._box} for boxes in replicas.sets):
             # Nobody else holds such a claim, so there is nobody to copy it from.
-            return self._has_nothing_forgotten
+            return self._has_no_lost_claims
         if self._is_whole:
             return True
         if not self._is_recorded:
@@ -88,28 +88,28 @@
     async def run(self) -> None:
         """Work until nothing that was forgotten counts any more."""
         waiting = {
-            asyncio.create_task(self._record_life()),
+            asyncio.create_task(self._record_incarnation()),
             asyncio.create_task(self._copy_all()),
             asyncio.create_task(self._wait_retention()),
         }
         try:
-            while not self._has_nothing_forgotten:
+            while not self._has_no_lost_claims:
                 done, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
                 _log_failures(done)
-                self._judge()
+                self._update_completeness()
         finally:
             for task in waiting:
                 task.cancel()
 
-    def _judge(self) -> None:
+    def _update_completeness(self) -> None:
         """Find out whether the memory is whole now."""
         has_copies = self._is_recorded and self._has_copied_all
-        if self._is_whole or not (has_copies or self._has_nothing_forgotten):
+        if self._is_whole or not (has_copies or self._has_no_lost_claims):
             return
         self._is_whole = True
         CLAIM_LOG.info("This box votes on every claim now.")
 
-    async def _record_life(self) -> None:
+    async def _record_incarnation(self) -> None:
         """Return once the controllers have this life on record."""
         command = IncarnationCommand(self._box, self._network.incarnation)
         while True:
@@ -122,7 +122,7 @@
             CLAIM_LOG.info("Life {} came before: copy claims first.", result.ok.number)
             return
         CLAIM_LOG.info("First life of this box: there are no earlier claims.")
-        self._has_nothing_forgotten = True
+        self._has_no_lost_claims = True
 
     async def _copy_all(self) -> None:
         """Return once the claims of every other box of the list are copied."""
@@ -140,12 +140,12 @@
         """Return once every claim of an earlier life has expired everywhere."""
         left_ms = self._started_ms + self._retention_ms - monotonic_ms()
         await asyncio.sleep(max(0.0, left_ms / 1_000))
-        self._has_nothing_forgotten = True
+        self._has_no_lost_claims = True
 
     async def _copy(self, box: str) -> None:
         """Copy from *box*; it counts only if one life of it served the whole copy."""
         position = 0
-        life = 0
+        copied_incarnation = 0
         copied = 0
         while True:
             try:
@@ -155,10 +155,12 @@
             except PeerUnreachableError:
                 # Asked again after a pause, until the copy is whole.
                 return
-            serving_life = self._network.known_incarnation(box)
-            if not reply.is_whole_memory or (life and serving_life != life):
+            server_incarnation = self._network.known_incarnation(box)
+            if not reply.is_whole_memory or (
+                copied_incarnation and server_incarnation != copied_incarnation
+            ):
                 return
-            life = serving_life
+            copied_incarnation = server_incarnation
             now_ms = int(monotonic_ms())
             for claim in reply.claims:
                 self._table.merge(claim, now_ms)
--- a/src/foldloom/static_peers/claims/replicas.py
+++ b/src/foldloom/static_peers/claims/replicas.py
@@ -55,8 +55,8 @@
     """
     zone = zone_of(submission)
     if zone:
-        inside = [box for box, box_zone in zone_by_box.items() if box_zone == zone]
-        return tuple(_ranked(submission, inside)[:REPLICAS])
+        in_zone = [box for box, box_zone in zone_by_box.items() if box_zone == zone]
+        return tuple(_ranked(submission, in_zone)[:REPLICAS])
     ranked = _ranked(submission, list(zone_by_box))
     first_of_zone: dict[str, str] = {}
     for box in ranked:
--- a/src/foldloom/static_peers/claims/service.py
+++ b/src/foldloom/static_peers/claims/service.py
@@ -64,7 +64,7 @@
         self._recovery = recovery
         self._box_list = box_list
         self._metrics = metrics
-        self._copies: dict[str, tuple[int, list[str]]] = {}
+        self._copy_snapshots: dict[str, tuple[int, list[str]]] = {}
         network.on(ClaimRequest, self._on_claim)
         network.on(Withdraw, self._on_withdraw)
         network.on(ReleaseHeld, self._on_release_held)
@@ -91,9 +91,9 @@
             holders = self._table.holders(request.submission)
             return self._reply(Vote.NOT_VOTING, replicas, holders)
         claim = Claim(request.digest, sender, request.incarnation, request.attempt)
-        judgement = self._table.judge(request.submission, claim, int(monotonic_ms()))
-        self._metrics.count(f"claims.{judgement.vote.name.lower()}")
-        return self._reply(judgement.vote, replicas, judgement.holders)
+        decision = self._table.judge(request.submission, claim, int(monotonic_ms()))
+        self._metrics.count(f"claims.{decision.vote.name.lower()}")
+        return self._reply(decision.vote, replicas, decision.holders)
 
     def withdraw(self, coordinator: str, message: Withdraw) -> None:
         """Withdraw *coordinator*'s claim."""
@@ -137,11 +137,11 @@
     def _on_copy(self, sender: str, request: CopyRequest) -> CopyReply:
         if not self._recovery.is_whole:
             return CopyReply(False, [], 0)
-        life = self._network.known_incarnation(sender)
-        known_life, submissions = self._copies.get(sender, (0, []))
-        if request.position == 0 or known_life != life:
+        incarnation = self._network.known_incarnation(sender)
+        copy_incarnation, submissions = self._copy_snapshots.get(sender, (0, []))
+        if request.position == 0 or copy_incarnation != incarnation:
             submissions = self._table.submissions()
-            self._copies[sender] = (life, submissions)
+            self._copy_snapshots[sender] = (incarnation, submissions)
         end = request.position + _COPY_CHUNK
         chunk = submissions[request.position : end]
         now_ms = int(monotonic_ms())
@@ -151,5 +151,5 @@
                 claims.extend(self._table.export(submission, now_ms))
         if end < len(submissions):
             return CopyReply(True, claims, end)
-        del self._copies[sender]
+        del self._copy_snapshots[sender]
         return CopyReply(True, claims, 0)
--- a/src/foldloom/static_peers/claims/table.py
+++ b/src/foldloom/static_peers/claims/table.py
@@ -25,7 +25,7 @@
     expires_ms: int
 
 
-class Judgement(NamedTuple):
+class VoteDecision(NamedTuple):
     """A vote and the claims that stand in the way."""
 
     vote: Vote
@@ -44,9 +44,9 @@
         self._retention_ms = retention_ms
         self._claims_max = claims_max
         self._held: dict[str, _Held] = {}
-        self._differing: dict[str, list[_Held]] = {}
+        self._conflicting: dict[str, list[_Held]] = {}
         self._withdrawn: dict[tuple[str, str, int], tuple[int, int]] = {}
-        self._lives: dict[int, int] = {}
+        self._incarnations: dict[int, int] = {}
 
     def __len__(self) -> int:
         """Return how many submissions have a claim here."""
@@ -57,38 +57,38 @@
         held = self._held.get(submission)
         if held is None:
             return []
-        return [_claim(held), *map(_claim, self._differing.get(submission, ()))]
+        return [_claim(held), *map(_claim, self._conflicting.get(submission, ()))]
 
-    def judge(self, submission: str, claim: Claim, now_ms: int) -> Judgement:
+    def judge(self, submission: str, claim: Claim, now_ms: int) -> VoteDecision:
         """Vote on *claim* and hold it if granted.
 
         Only a claim that is alone gets the vote: of two copies that differ neither does,
         until the losing coordinator itself has withdrawn.
         """
-        withdrawn, _ = self._withdrawn.get(_life_key(submission, claim), (-1, 0))
+        withdrawn, _ = self._withdrawn.get(_withdrawal_key(submission, claim), (-1, 0))
         if claim.attempt <= withdrawn:
-            return Judgement(Vote.WITHDRAWN, [])
+            return VoteDecision(Vote.WITHDRAWN, [])
         others = [held for held in self.holders(submission) if not _is_same(held, claim)]
-        own_older = [held for held in others if _is_older_attempt(held, claim)]
-        if own_older:
+        superseded = [held for held in others if _is_older_attempt(held, claim)]
+        if superseded:
             # The coordinator moved on to a newer attempt, so the older one is withdrawn.
-            for held in own_older:
+            for held in superseded:
                 self.release(submission, held, now_ms)
-            others = [held for held in others if held not in own_older]
+            others = [held for held in others if held not in superseded]
         if others:
-            return Judgement(Vote.HELD, others)
+            return VoteDecision(Vote.HELD, others)
         if submission in self._held:
-            return Judgement(Vote.GRANTED, [])
+            return VoteDecision(Vote.GRANTED, [])
         if len(self._held) >= self._claims_max:
-            return Judgement(Vote.FULL, [])
+            return VoteDecision(Vote.FULL, [])
         self._held[submission] = self._pack(claim, now_ms + self._retention_ms)
-        return Judgement(Vote.GRANTED, [])
+        return VoteDecision(Vote.GRANTED, [])
 
     def release(self, submission: str, claim: Claim, now_ms: int) -> None:
         """Drop *claim*, which its own coordinator withdrew, and remember that."""
-        key = _life_key(submission, claim)
-        known, _ = self._withdrawn.get(key, (-1, 0))
-        attempt = max(known, claim.attempt)
+        key = _withdrawal_key(submission, claim)
+        newest_withdrawn, _ = self._withdrawn.get(key, (-1, 0))
+        attempt = max(newest_withdrawn, claim.attempt)
         self._withdrawn.pop(key, None)
         self._withdrawn[key] = (attempt, now_ms + self._retention_ms)
         kept = [
@@ -104,7 +104,9 @@
 
     def merge(self, copied: CopiedClaim, now_ms: int) -> None:
         """Add a copied claim beside what is held; copies that differ are all kept."""
-        withdrawn, _ = self._withdrawn.get(_life_key(copied.submission, copied.claim), (-1, 0))
+        withdrawn, _ = self._withdrawn.get(
+            _withdrawal_key(copied.submission, copied.claim), (-1, 0)
+        )
         if copied.claim.attempt <= withdrawn:
             return
         present = self._all(copied.submission)
@@ -147,23 +149,23 @@
         held = self._held.get(submission)
         if held is None:
             return []
-        return [held, *self._differing.get(submission, ())]
+        return [held, *self._conflicting.get(submission, ())]
 
     def _put(self, submission: str, kept: list[_Held]) -> None:
-        self._differing.pop(submission, None)
+        self._conflicting.pop(submission, None)
         if not kept:
             self._held.pop(submission, None)
             return
         self._held[submission] = kept[0]
         if kept[1:]:
-            self._differing[submission] = kept[1:]
+            self._conflicting[submission] = kept[1:]
 
     def _pack(self, claim: Claim, expires_ms: int) -> _Held:
-        life = self._lives.setdefault(claim.incarnation, claim.incarnation)
+        incarnation = self._incarnations.setdefault(claim.incarnation, claim.incarnation)
         return _Held(
             bytes.fromhex(claim.digest),
             sys.intern(claim.coordinator),
-            life,
+            incarnation,
             claim.attempt,
             expires_ms,
         )
@@ -173,8 +175,8 @@
     return Claim(held.digest.hex(), held.coordinator, held.incarnation, held.attempt)
 
 
-def _is_same(one: Claim, other: Claim) -> bool:
-    return one == other
+def _is_same(claim: Claim, other: Claim) -> bool:
+    return claim == other
 
 
 def _is_older_attempt(held: Claim, claim: Claim) -> bool:
@@ -185,5 +187,5 @@
     )
 
 
-def _life_key(submission: str, claim: Claim) -> tuple[str, str, int]:
+def _withdrawal_key(submission: str, claim: Claim) -> tuple[str, str, int]:
     return submission, claim.coordinator, claim.incarnation
--- a/src/foldloom/static_peers/claims/votes.py
+++ b/src/foldloom/static_peers/claims/votes.py
@@ -21,20 +21,22 @@
     (*known_life*), knows of a newer life of its voter.
     """
     granted = {box: reply for box, reply in replies.items() if reply.vote is Vote.GRANTED}
-    living = {
+    valid = {
         box
         for box, reply in granted.items()
-        if _newest_life(box, granted, known_life) <= reply.incarnation
+        if _newest_incarnation(box, granted, known_life) <= reply.incarnation
     }
-    return replicas.is_majority(living)
+    return replicas.is_majority(valid)
 
 
-def may_still_win(replicas: ReplicaSets, replies: dict[str, ClaimReply]) -> bool:
+def can_still_win(replicas: ReplicaSets, replies: dict[str, ClaimReply]) -> bool:
     """Return whether the replicas that did not refuse can still be a majority."""
-    refusing = {box for box, reply in replies.items() if reply.vote is not Vote.GRANTED}
-    return replicas.is_majority(set(replicas.boxes) - refusing)
+    not_granted = {box for box, reply in replies.items() if reply.vote is not Vote.GRANTED}
+    return replicas.is_majority(set(replicas.boxes) - not_granted)
 
 
-def _newest_life(box: str, granted: dict[str, ClaimReply], known_life: Callable[[str], int]) -> int:
+def _newest_incarnation(
+    box: str, granted: dict[str, ClaimReply], known_life: Callable[[str], int]
+) -> int:
     known_by_voters = [reply.known.get(box, 0) for other, reply in granted.items() if other != box]
     return max(known_life(box), *known_by_voters, 0)
--- a/src/foldloom/static_peers/placement/admission.py
+++ b/src/foldloom/static_peers/placement/admission.py
@@ -20,10 +20,10 @@
 _ADMIT_SHARE = 0.8
 # Mean service times that a task is expected to run, because tasks are as long as twice the mean (50
 # to 500 ms).
-_RUN_MEANS = 2.0
+_EXPECTED_RUN_MEANS = 2.0
 
 
-class LoadSeen(NamedTuple):
+class AdmissionLoad(NamedTuple):
     """What a lease manager knows when a request comes.
 
     Args:
@@ -37,37 +37,39 @@
     """
 
     queued: int
-    queued_customer: int
+    queued_of_customer: int
     free_slots: int
     rate: float
     share: float
-    granted_rate: float
+    grant_rate: float
     mean_ms: float
 
 
-def judge(request: SlotRequest, seen: LoadSeen, limits: LimitSettings) -> SlotRefusal | None:
+def check_admission(
+    request: SlotRequest, load: AdmissionLoad, limits: LimitSettings
+) -> SlotRefusal | None:
     """Return a refusal if *request* overflows a queue or can't be served in time."""
     is_full = (
-        seen.queued + request.tasks > limits.queued_tasks_max
-        or seen.queued_customer + request.tasks > limits.queued_tasks_per_customer_max
+        load.queued + request.tasks > limits.queued_tasks_max
+        or load.queued_of_customer + request.tasks > limits.queued_tasks_per_customer_max
     )
-    wait_ms = expected_wait_ms(request.tasks, seen)
-    over_ms = wait_ms + _RUN_MEANS * seen.mean_ms - request.left_ms * _ADMIT_SHARE
-    if not is_full and (over_ms <= 0 or wait_ms <= 0):
+    wait_ms = expected_wait_ms(request.tasks, load)
+    excess_ms = wait_ms + _EXPECTED_RUN_MEANS * load.mean_ms - request.left_ms * _ADMIT_SHARE
+    if not is_full and (excess_ms <= 0 or wait_ms <= 0):
         return None
-    retry_after = int(min(RETRY_MAX_MS, max(_RETRY_MIN_MS, over_ms)))
+    retry_after = int(min(RETRY_MAX_MS, max(_RETRY_MIN_MS, excess_ms)))
     return SlotRefusal(request.request_id, "queue-full" if is_full else "too-late", retry_after)
 
 
-def expected_wait_ms(tasks: int, seen: LoadSeen) -> float:
+def expected_wait_ms(tasks: int, load: AdmissionLoad) -> float:
     """Return how long the last of *tasks* is expected to wait.
 
     A customer gets its share of what is active, or more where others leave some: then its
     measured rate of grants tells how much.
     """
-    if seen.rate <= 0.0:
+    if load.rate <= 0.0:
         return float(RETRY_MAX_MS)
-    if seen.queued + tasks <= seen.free_slots:
+    if load.queued + tasks <= load.free_slots:
         return 0.0
-    measured = min(seen.rate, seen.granted_rate)
-    return (seen.queued_customer + tasks) / max(seen.rate * seen.share, measured)
+    granted_per_ms = min(load.rate, load.grant_rate)
+    return (load.queued_of_customer + tasks) / max(load.rate * load.share, granted_per_ms)
--- a/src/foldloom/static_peers/placement/bounds.py
+++ b/src/foldloom/static_peers/placement/bounds.py
@@ -30,15 +30,15 @@
         """Return whether a customer with *running* tasks may start no more."""
         if self._config is None or customer not in self._config.customers:
             return False
-        most = self._config.customers[customer]["concurrency_max"]
-        return bool(most) and running >= most
+        limit = self._config.customers[customer]["concurrency_max"]
+        return bool(limit) and running >= limit
 
     def is_service_full(self, service: str, running: int) -> bool:
         """Return whether a service with *running* tasks may start no more."""
         if self._config is None or service not in self._config.services:
             return True
-        most = self._config.services[service]["concurrency_max"]
-        return bool(most) and running >= most
+        limit = self._config.services[service]["concurrency_max"]
+        return bool(limit) and running >= limit
 
     def slots_of(self, endpoint: str) -> int:
         """Return how many tasks *endpoint* runs at a time."""
--- a/src/foldloom/static_peers/placement/direct_slots.py
+++ b/src/foldloom/static_peers/placement/direct_slots.py
@@ -12,7 +12,7 @@
 from foldloom.clock import monotonic_ms
 from foldloom.static_peers.placement.messages import SlotRefusal, SlotUse
 from foldloom.static_peers.placement.policies import Policy, View, choose
-from foldloom.static_peers.placement.slots import RESEND_MS, Slot, SlotWaiter
+from foldloom.static_peers.placement.slots import RESEND_INTERVAL_MS, Slot, SlotWaiter
 
 
 class DirectSlots:
@@ -33,7 +33,7 @@
         self._policy = policy
         self._candidates = candidates
         self._reported = reported
-        self._local: dict[str, int] = {}
+        self._local_counts: dict[str, int] = {}
         self._ids = itertools.count(1)
 
     def open_waiter(
@@ -47,14 +47,18 @@
         reported = self._reported()
         for _ in range(count):
             view = View(
-                self._candidates(waiter.service), local_count=self._local, reported_count=reported
+                self._candidates(waiter.service),
+                local_count=self._local_counts,
+                reported_count=reported,
             )
             choice = choose(self._policy, view)
             if choice is None:
-                waiter.arrivals.put_nowait(SlotRefusal(waiter.request_id, "no-worker", RESEND_MS))
+                waiter.arrivals.put_nowait(
+                    SlotRefusal(waiter.request_id, "no-worker", RESEND_INTERVAL_MS)
+                )
                 return
             endpoint = choice.endpoint
-            self._local[endpoint] = self._local.get(endpoint, 0) + 1
+            self._local_counts[endpoint] = self._local_counts.get(endpoint, 0) + 1
             now_ms = monotonic_ms()
             slot = Slot(0, endpoint, waiter.service, waiter.customer, now_ms, waiter.deadline_ms)
             waiter.arrivals.put_nowait(slot)
@@ -68,4 +72,4 @@
 
     def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
         """Return a slot."""
-        self._local[slot.endpoint] = self._local.get(slot.endpoint, 1) - 1
+        self._local_counts[slot.endpoint] = self._local_counts.get(slot.endpoint, 1) - 1
--- a/src/foldloom/static_peers/placement/health.py
+++ b/src/foldloom/static_peers/placement/health.py
@@ -16,7 +16,7 @@
 _PROBE_SUCCESSES = 2
 
 
-class Condition(NamedTuple):
+class EndpointHealth(NamedTuple):
     """What is known of one endpoint's health.
 
     Args:
@@ -30,7 +30,7 @@
     successes: int = 0
 
 
-_WELL = Condition()
+_HEALTHY = EndpointHealth()
 
 
 class Health:
@@ -44,37 +44,37 @@
     def __init__(self, ejection_ms: int, share_max: float) -> None:
         self._ejection_ms = ejection_ms
         self._share_max = share_max
-        self._conditions: dict[str, Condition] = {}
+        self._states: dict[str, EndpointHealth] = {}
 
     def is_ejected(self, endpoint: str) -> bool:
         """Return whether *endpoint* is ejected."""
-        return self._conditions.get(endpoint, _WELL).ejected_until_ms > 0
+        return self._states.get(endpoint, _HEALTHY).ejected_until_ms > 0
 
     def may_probe(self, endpoint: str, now_ms: float) -> bool:
         """Return whether an ejected *endpoint* is due for a probe."""
-        return now_ms >= self._conditions.get(endpoint, _WELL).ejected_until_ms
+        return now_ms >= self._states.get(endpoint, _HEALTHY).ejected_until_ms
 
-    def note_success(self, endpoint: str) -> bool:
+    def record_success(self, endpoint: str) -> bool:
         """Note a task that went well; return whether *endpoint* is trusted again for it."""
-        known = self._conditions.get(endpoint)
-        if known is None:
+        state = self._states.get(endpoint)
+        if state is None:
             return False
-        if not known.ejected_until_ms:
-            del self._conditions[endpoint]
+        if not state.ejected_until_ms:
+            del self._states[endpoint]
             return False
-        successes = known.successes + 1
+        successes = state.successes + 1
         if successes >= _PROBE_SUCCESSES:
-            del self._conditions[endpoint]
+            del self._states[endpoint]
             return True
-        self._conditions[endpoint] = known._replace(successes=successes, ejected_until_ms=1.0)
+        self._states[endpoint] = state._replace(successes=successes, ejected_until_ms=1.0)
         return False
 
-    def note_failure(self, endpoint: str, endpoint_count: int, now_ms: float) -> bool:
+    def record_failure(self, endpoint: str, endpoint_count: int, now_ms: float) -> bool:
         """Note a failure; return whether *endpoint* is ejected for it."""
-        known = self._conditions.get(endpoint, _WELL)
-        failures = known.failures + 1
-        self._conditions[endpoint] = known._replace(failures=failures, successes=0)
-        if known.ejected_until_ms:
+        state = self._states.get(endpoint, _HEALTHY)
+        failures = state.failures + 1
+        self._states[endpoint] = state._replace(failures=failures, successes=0)
+        if state.ejected_until_ms:
             return self.eject(endpoint, endpoint_count, now_ms)
         if failures < _FAILURES_TO_EJECT:
             return False
@@ -82,10 +82,10 @@
 
     def eject(self, endpoint: str, endpoint_count: int, now_ms: float) -> bool:
         """Eject *endpoint* unless too many are; return whether it is ejected."""
-        known = self._conditions.get(endpoint, _WELL)
-        ejected = sum(1 for one in self._conditions.values() if one.ejected_until_ms)
-        if not known.ejected_until_ms and ejected + 1 > endpoint_count * self._share_max:
+        state = self._states.get(endpoint, _HEALTHY)
+        ejected = sum(1 for other in self._states.values() if other.ejected_until_ms)
+        if not state.ejected_until_ms and ejected + 1 > endpoint_count * self._share_max:
             return False
-        until = now_ms + self._ejection_ms
-        self._conditions[endpoint] = known._replace(ejected_until_ms=until, successes=0)
+        until_ms = now_ms + self._ejection_ms
+        self._states[endpoint] = state._replace(ejected_until_ms=until_ms, successes=0)
         return True
--- a/src/foldloom/static_peers/placement/lease_manager.py
+++ b/src/foldloom/static_peers/placement/lease_manager.py
@@ -28,14 +28,14 @@
 )
 from foldloom.static_peers.placement.policies import Policy
 from foldloom.static_peers.placement.shard import Shard
-from foldloom.static_peers.placement.shards import may_take, shard_names
+from foldloom.static_peers.placement.shards import is_in_reachable_zone, shard_names
 from foldloom.tasks import TaskSet
 
 # Seconds between two ticks: small against a lease (2,000 ms).
 _TICK_S = 0.1
 # Milliseconds in which holders report their leases to a new manager, before it grants: above a
 # heartbeat (250 ms), by which they learn of it.
-_SETTLE_MS = 300
+_REPORT_WINDOW_MS = 300
 # Milliseconds for which a grant is of use: far below a lease.
 _GRANT_TTL_MS = 500
 # Bits of the first lease's id, drawn at random: managers do not share ids, and all of them fit 64
@@ -53,7 +53,7 @@
     """
 
     manager_of: Callable[[str], str]
-    proves_life: Callable[[str], Awaitable[bool]]
+    check_liveness: Callable[[str], Awaitable[bool]]
     is_live: Callable[[str], bool]
 
 
@@ -82,7 +82,7 @@
         self._policy = policy
         self._queries = queries
         self._shards: dict[str, Shard] = {}
-        self._settled_ms: dict[str, float] = {}
+        self._grants_from_ms: dict[str, float] = {}
         self._shard_of_endpoint: dict[str, str] = {}
         self._tasks = TaskSet()
         # A random start keeps ids of different lease managers apart.
@@ -111,16 +111,16 @@
         self._shard_of_endpoint = {
             endpoint: shard for shard, endpoints in names.items() for endpoint in endpoints
         }
-        for gone in set(self._shards) - set(names):
-            self._leave(gone)
+        for removed in set(self._shards) - set(names):
+            self._release_shard(removed)
         usable = {
             name
             for name, endpoint in config.endpoints.items()
-            if name not in leaving and may_take(endpoint, reachable_zones)
+            if name not in leaving and is_in_reachable_zone(endpoint, reachable_zones)
         }
         for name, endpoints in names.items():
             if self._queries.manager_of(name) != self._settings.box:
-                self._leave(name)
+                self._release_shard(name)
                 continue
             shard = self._shards.get(name) or self._take_over(name)
             shard.set_endpoints(config, endpoints, usable)
@@ -132,30 +132,30 @@
             now_ms = monotonic_ms()
             for name, shard in list(self._shards.items()):
                 shard.tick(now_ms)
-                shard.drop_lost(self._queries.is_live)
-                for endpoint in shard.ejection.to_prove(now_ms):
-                    shard.ejection.note_dead(endpoint, now_ms)
-                    self._tasks.spawn(self._prove(shard, endpoint))
-                self._hand_out(name, shard)
+                shard.drop_dead_coordinators(self._queries.is_live)
+                for endpoint in shard.ejection.due_for_liveness_check(now_ms):
+                    shard.ejection.record_unresponsive(endpoint, now_ms)
+                    self._tasks.spawn(self._check_liveness(shard, endpoint))
+                self._send_grants(name, shard)
                 self._metrics.gauge(f"leases.{name}", shard.lease_count)
                 self._metrics.gauge(f"queue.{name}", shard.queued)
 
-    async def _prove(self, shard: Shard, endpoint: str) -> None:
+    async def _check_liveness(self, shard: Shard, endpoint: str) -> None:
         self._metrics.count("messages.wasted.probe")
-        if await self._queries.proves_life(endpoint):
-            shard.ejection.prove(endpoint)
+        if await self._queries.check_liveness(endpoint):
+            shard.ejection.mark_responsive(endpoint)
 
     def _take_over(self, name: str) -> Shard:
         shard = Shard(self._settings, self._policy, self._lease_ids)
         self._shards[name] = shard
         # Others' leases are not known yet: wait for their holders to report them.
-        self._settled_ms[name] = monotonic_ms() + _SETTLE_MS
+        self._grants_from_ms[name] = monotonic_ms() + _REPORT_WINDOW_MS
         PLACE_LOG.info("Manage the leases of shard {}.", name)
         return shard
 
-    def _leave(self, name: str) -> None:
+    def _release_shard(self, name: str) -> None:
         if self._shards.pop(name, None) is not None:
-            self._settled_ms.pop(name, None)
+            self._grants_from_ms.pop(name, None)
             PLACE_LOG.info("Leave the leases of shard {} to another box.", name)
 
     def _on_request(self, sender: str, message: SlotRequest) -> None:
@@ -173,7 +173,7 @@
             )
             self._network.send(sender, refusal)
             return
-        self._hand_out(message.shard, shard)
+        self._send_grants(message.shard, shard)
 
     def _on_cancel(self, sender: str, message: SlotCancel) -> None:
         for shard in self._shards.values():
@@ -186,7 +186,7 @@
             self._metrics.count("messages.wasted.return")
             return
         shard.give_back(message, monotonic_ms())
-        self._hand_out(name, shard)
+        self._send_grants(name, shard)
 
     def _on_hold(self, sender: str, message: SlotHold) -> None:
         now_ms = monotonic_ms()
@@ -195,8 +195,8 @@
             if shard is not None:
                 shard.hold(sender, held, now_ms)
 
-    def _hand_out(self, name: str, shard: Shard) -> None:
-        if monotonic_ms() < self._settled_ms.get(name, 0.0):
+    def _send_grants(self, name: str, shard: Shard) -> None:
+        if monotonic_ms() < self._grants_from_ms.get(name, 0.0):
             return
         for grant in shard.match(monotonic_ms()):
             self._network.send(grant.coordinator, grant.message, _GRANT_TTL_MS)
--- a/src/foldloom/static_peers/placement/leased_slots.py
+++ b/src/foldloom/static_peers/placement/leased_slots.py
@@ -28,17 +28,17 @@
     SlotUse,
 )
 from foldloom.static_peers.placement.shards import shard_names
-from foldloom.static_peers.placement.slots import RESEND_MS, Slot, SlotWaiter
+from foldloom.static_peers.placement.slots import RESEND_INTERVAL_MS, Slot, SlotWaiter
 
 # Seconds between two checks for requests to send again.
 _CHECK_S = 0.1
 # Milliseconds without a grant after which a request is sent again while managers change: a
 # heartbeat (250 ms).
-_RESEND_UNSETTLED_MS = 250
+_FAST_RESEND_INTERVAL_MS = 250
 # Milliseconds for which managers count as changing: above a silent peer (1,000 ms).
-_UNSETTLED_MS = 2_500
+_FAST_RESEND_PERIOD_MS = 2_500
 # Milliseconds before a lease's end at which its holder gives it up: above a message's delay.
-_SAFETY_MS = 100
+_EXPIRY_MARGIN_MS = 100
 
 
 class LeasedSlots:
@@ -74,7 +74,7 @@
         self._shards: tuple[int, dict[str, list[str]]] = (-1, {})
         self._shard_of: dict[str, str] = {}
         self._managers: dict[str, str] = {}
-        self._unsettled_ms = 0.0
+        self._fast_resend_until_ms = 0.0
         network.on(SlotGrant, self._on_grant)
         network.on(SlotRefusal, self._on_refusal)
 
@@ -90,7 +90,7 @@
         """Ask for *count* more slots."""
         if waiter.outstanding:
             # One request at a time: a number that is sent again counts once.
-            self._send(SlotCancel(waiter.request_id), waiter.asked_of)
+            self._send(SlotCancel(waiter.request_id), waiter.sent_to)
             del self._waiters[waiter.request_id]
             waiter.request_id = next(self._ids)
             self._waiters[waiter.request_id] = waiter
@@ -101,7 +101,7 @@
         """Wait no more: what still arrives goes back unused."""
         self._waiters.pop(waiter.request_id, None)
         if waiter.outstanding:
-            self._send(SlotCancel(waiter.request_id), waiter.asked_of)
+            self._send(SlotCancel(waiter.request_id), waiter.sent_to)
             waiter.outstanding = 0
         while not waiter.arrivals.empty():
             arrival = waiter.arrivals.get_nowait()
@@ -122,24 +122,26 @@
         while True:
             await asyncio.sleep(_CHECK_S)
             now_ms = monotonic_ms()
-            changed = self._note_managers()
+            changed = self._refresh_managers()
             if changed or now_ms - renewed_ms > self._settings.timings.lease_ttl_ms / 4:
                 renewed_ms = now_ms
                 self._renew(now_ms)
-            self.ask_again(now_ms, changed)
+            self.resend_requests(now_ms, changed)
 
-    def ask_again(self, now_ms: float, has_changed: bool) -> None:
+    def resend_requests(self, now_ms: float, has_manager_changed: bool) -> None:
         """Send requests again that a lost or a new lease manager may not have.
 
         A new one may not know yet that it is: it drops what comes too early. So for a while
         after a change requests go again and again; sent twice they count once.
         """
-        if has_changed:
-            self._unsettled_ms = now_ms + _UNSETTLED_MS
-        limit_ms = _RESEND_UNSETTLED_MS if now_ms < self._unsettled_ms else RESEND_MS
+        if has_manager_changed:
+            self._fast_resend_until_ms = now_ms + _FAST_RESEND_PERIOD_MS
+        limit_ms = (
+            _FAST_RESEND_INTERVAL_MS if now_ms < self._fast_resend_until_ms else RESEND_INTERVAL_MS
+        )
         for waiter in list(self._waiters.values()):
-            is_stale = now_ms - waiter.touched_ms > limit_ms
-            is_moved = self._managers.get(waiter.shard) != waiter.asked_of
+            is_stale = now_ms - waiter.last_activity_ms > limit_ms
+            is_moved = self._managers.get(waiter.shard) != waiter.sent_to
             if waiter.outstanding and (is_stale or is_moved):
                 self._send_request(waiter)
 
@@ -153,7 +155,7 @@
             }
         return self._shards[1]
 
-    def _note_managers(self) -> bool:
+    def _refresh_managers(self) -> bool:
         """Return whether a shard has another lease manager than at the last call."""
         managers = {shard: self._manager_of(shard) for shard in self._shard_names()}
         changed = managers != self._managers
@@ -173,20 +175,22 @@
         loads = self._loads()
         zone = self._settings.zone
 
-        def room(shard: str) -> tuple[bool, bool, int]:
+        def preference(shard: str) -> tuple[bool, bool, int]:
             load = loads.get(shard)
-            spare = 0 if load is None else load.free_slots - load.queued
-            return spare > 0, shard.partition("/")[0] == zone, spare
+            spare_slots = 0 if load is None else load.free_slots - load.queued
+            return spare_slots > 0, shard.partition("/")[0] == zone, spare_slots
 
-        return max(names, key=room)
+        return max(names, key=preference)
 
     def _send_request(self, waiter: SlotWaiter) -> None:
         now_ms = monotonic_ms()
         waiter.shard = self._pick_shard()
-        waiter.asked_of = self._manager_of(waiter.shard)
-        waiter.touched_ms = now_ms
+        waiter.sent_to = self._manager_of(waiter.shard)
+        waiter.last_activity_ms = now_ms
         if not waiter.shard:
-            waiter.arrivals.put_nowait(SlotRefusal(waiter.request_id, "no-worker", RESEND_MS))
+            waiter.arrivals.put_nowait(
+                SlotRefusal(waiter.request_id, "no-worker", RESEND_INTERVAL_MS)
+            )
             return
         message = SlotRequest(
             waiter.request_id,
@@ -197,7 +201,7 @@
             int(waiter.deadline_ms - now_ms),
             waiter.job_tasks,
         )
-        self._send(message, waiter.asked_of)
+        self._send(message, waiter.sent_to)
 
     def _send(self, message: object, box: str) -> None:
         if box:
@@ -211,8 +215,8 @@
             self.give_back(slot, 0.0, SlotUse.UNUSED)
             return
         waiter.outstanding -= 1
-        waiter.touched_ms = now_ms
-        expires_ms = now_ms + message.ttl_ms - _SAFETY_MS
+        waiter.last_activity_ms = now_ms
+        expires_ms = now_ms + message.ttl_ms - _EXPIRY_MARGIN_MS
         slot = Slot(
             message.lease_id, message.endpoint, waiter.service, waiter.customer, now_ms, expires_ms
         )
--- a/src/foldloom/static_peers/placement/leases.py
+++ b/src/foldloom/static_peers/placement/leases.py
@@ -77,10 +77,10 @@
 
     def renew(self, lease_id: int, now_ms: float) -> bool:
         """Renew a lease; return whether it is out."""
-        known = self._leases.get(lease_id)
-        if known is None:
+        lease = self._leases.get(lease_id)
+        if lease is None:
             return False
-        self._leases[lease_id] = known._replace(renewed_ms=now_ms)
+        self._leases[lease_id] = lease._replace(renewed_ms=now_ms)
         return True
 
     def add(self, lease: Lease) -> None:
@@ -93,7 +93,7 @@
         del self._leases[lease.lease_id]
         self._count(lease, -1)
 
-    def _count(self, lease: Lease, by: int) -> None:
-        self._busy[lease.endpoint] = self._busy.get(lease.endpoint, 0) + by
-        self._by_customer[lease.customer] = self._by_customer.get(lease.customer, 0) + by
-        self._by_service[lease.service] = self._by_service.get(lease.service, 0) + by
+    def _count(self, lease: Lease, delta: int) -> None:
+        self._busy[lease.endpoint] = self._busy.get(lease.endpoint, 0) + delta
+        self._by_customer[lease.customer] = self._by_customer.get(lease.customer, 0) + delta
+        self._by_service[lease.service] = self._by_service.get(lease.service, 0) + delta
--- a/src/foldloom/static_peers/placement/policies.py
+++ b/src/foldloom/static_peers/placement/policies.py
@@ -77,7 +77,7 @@
             single lucky measurement must not make all others look slow.
     """
 
-    alike: float = 1.4
+    fast_ratio: float = 1.4
     reference_share: float = 0.25
 
 
@@ -109,7 +109,7 @@
     if not view.endpoints:
         return None
     fewest = min(view.local_count.get(endpoint, 0) for endpoint in view.endpoints)
-    least = [one for one in view.endpoints if view.local_count.get(one, 0) == fewest]
+    least = [endpoint for endpoint in view.endpoints if view.local_count.get(endpoint, 0) == fewest]
     return Choice(random.choice(least))
 
 
@@ -118,7 +118,7 @@
     if not view.endpoints:
         return None
     pair = random.sample(view.endpoints, min(2, len(view.endpoints)))
-    return Choice(min(pair, key=lambda one: _known_count(view, one)))
+    return Choice(min(pair, key=lambda endpoint: _estimated_count(view, endpoint)))
 
 
 @choose.register
@@ -127,16 +127,16 @@
         return None
     reference = view.endpoints[int(len(view.endpoints) * policy.reference_share)]
     reference_ms = view.mean_ms[reference]
-    fast, slow = _split(view, reference_ms * policy.alike)
-    most_free = max(fast, key=lambda one: view.free_slots[one])
+    fast, slow = _split(view, reference_ms * policy.fast_ratio)
+    most_free = max(fast, key=lambda endpoint: view.free_slots[endpoint])
     if view.free_slots[most_free] > 0:
         return Choice(most_free)
-    fastest_free = next((one for one in slow if view.free_slots[one] > 0), None)
+    fastest_free = next((endpoint for endpoint in slow if view.free_slots[endpoint] > 0), None)
     if fastest_free is None:
         return None
     # Busy fast slots come free at a rate of one each mean service time: the k-th comes
     # after k means over their number.
-    busy = sum(view.busy_slots.get(one, 0) for one in fast)
+    busy = sum(view.busy_slots.get(endpoint, 0) for endpoint in fast)
     if busy == 0:
         return Choice(fastest_free, is_fast=False)
     wait_ms = (view.queued_ahead + 1) * reference_ms / busy
@@ -165,11 +165,14 @@
 
 def _split(view: View, fast_limit_ms: float) -> tuple[Sequence[str], Sequence[str]]:
     """Return the fast endpoints and the slow ones; there is always a fast one."""
-    place = 1
-    while place < len(view.endpoints) and view.mean_ms[view.endpoints[place]] <= fast_limit_ms:
-        place += 1
-    return view.endpoints[:place], view.endpoints[place:]
+    fast_count = 1
+    while (
+        fast_count < len(view.endpoints)
+        and view.mean_ms[view.endpoints[fast_count]] <= fast_limit_ms
+    ):
+        fast_count += 1
+    return view.endpoints[:fast_count], view.endpoints[fast_count:]
 
 
-def _known_count(view: View, endpoint: str) -> int:
+def _estimated_count(view: View, endpoint: str) -> int:
     return view.reported_count.get(endpoint, 0) + view.local_count.get(endpoint, 0)
--- a/src/foldloom/static_peers/placement/queue.py
+++ b/src/foldloom/static_peers/placement/queue.py
@@ -14,7 +14,7 @@
 Key = tuple[str, int]
 
 
-class Pending:
+class PendingRequest:
     """A request of which some tasks still wait.
 
     Args:
@@ -44,12 +44,12 @@
     """
 
     def __init__(self, quota_of: Callable[[str], int]) -> None:
-        self._pending: dict[Key, Pending] = {}
-        self._by_customer: dict[str, dict[Key, Pending]] = {}
-        self._by_service: dict[str, dict[Key, Pending]] = {}
+        self._pending: dict[Key, PendingRequest] = {}
+        self._by_customer: dict[str, dict[Key, PendingRequest]] = {}
+        self._by_service: dict[str, dict[Key, PendingRequest]] = {}
         self._tasks_of_customer: dict[str, int] = {}
         self._tasks_of_service: dict[str, int] = {}
-        self._turns = RoundRobin(quota_of)
+        self._round_robin = RoundRobin(quota_of)
 
     def __bool__(self) -> bool:
         """Return whether any request waits."""
@@ -87,31 +87,31 @@
         """Return how many tasks of *service* wait."""
         return self._tasks_of_service.get(service, 0)
 
-    def in_turn(self) -> Iterator[Pending]:
+    def in_round_robin_order(self) -> Iterator[PendingRequest]:
         """Yield every request: the customer's whose turn it is first, its oldest first."""
-        for customer in self._turns.order():
+        for customer in self._round_robin.order():
             yield from self._by_customer[customer].values()
 
-    def of_service(self, service: str) -> Iterator[Pending]:
+    def of_service(self, service: str) -> Iterator[PendingRequest]:
         """Yield the requests of *service*, the oldest first."""
         yield from self._by_service.get(service, {}).values()
 
-    def newest_of(self, service: str) -> Pending:
+    def newest_of(self, service: str) -> PendingRequest:
         """Return the newest request of *service*, which has one."""
         return next(reversed(self._by_service[service].values()))
 
-    def add(self, pending: Pending) -> None:
+    def add(self, pending: PendingRequest) -> None:
         """Queue a request."""
         customer, service = pending.request.customer, pending.request.service
         self._pending[pending.key] = pending
         self._by_customer.setdefault(customer, {})[pending.key] = pending
         self._by_service.setdefault(service, {})[pending.key] = pending
         self._count(pending, pending.left)
-        self._turns.add(customer)
+        self._round_robin.add(customer)
 
-    def take_one(self, pending: Pending) -> None:
+    def grant_one(self, pending: PendingRequest) -> None:
         """Note that one task of a request got its slot; charge it to the customer."""
-        self._turns.charge(pending.request.customer)
+        self._round_robin.charge(pending.request.customer)
         pending.left -= 1
         self._count(pending, -1)
         if pending.left == 0:
@@ -129,14 +129,14 @@
             del self._by_service[service], self._tasks_of_service[service]
         if not self._by_customer[customer]:
             del self._by_customer[customer], self._tasks_of_customer[customer]
-            self._turns.remove(customer)
+            self._round_robin.remove(customer)
 
-    def drop_all_of(self, coordinator: str) -> None:
+    def drop_requests_of(self, coordinator: str) -> None:
         """Forget every request of a box that is gone."""
         for key in [key for key in self._pending if key[0] == coordinator]:
             self.drop(key)
 
-    def _count(self, pending: Pending, by: int) -> None:
+    def _count(self, pending: PendingRequest, delta: int) -> None:
         customer, service = pending.request.customer, pending.request.service
-        self._tasks_of_customer[customer] = self._tasks_of_customer.get(customer, 0) + by
-        self._tasks_of_service[service] = self._tasks_of_service.get(service, 0) + by
+        self._tasks_of_customer[customer] = self._tasks_of_customer.get(customer, 0) + delta
+        self._tasks_of_service[service] = self._tasks_of_service.get(service, 0) + delta
--- a/src/foldloom/static_peers/placement/retries.py
+++ b/src/foldloom/static_peers/placement/retries.py
@@ -13,7 +13,7 @@
 _TOKENS_START = 10.0
 # Retries that can be saved up, to bound a storm after a calm time.
 _TOKENS_MAX = 100.0
-_ENDPOINT_DEATHS = ("worker-lost",)
+_ENDPOINT_DEATH_REASONS = ("worker-lost",)
 # Endpoints that may die under a task before it is given up: it may be what kills them.
 ENDPOINT_DEATHS_MAX = 2
 
@@ -48,7 +48,7 @@
 
 def is_endpoint_death(problem: Problem) -> bool:
     """Return whether an attempt ended so because its endpoint died under it."""
-    return problem.reason in _ENDPOINT_DEATHS
+    return problem.reason in _ENDPOINT_DEATH_REASONS
 
 
 def may_retry(problem: Problem, service: Service, is_repeatable: bool, deaths: int = 1) -> bool:
--- a/src/foldloom/static_peers/placement/shard.py
+++ b/src/foldloom/static_peers/placement/shard.py
@@ -14,7 +14,7 @@
 
 from foldloom.controllers.config import Config, endpoints_of
 from foldloom.settings import Settings
-from foldloom.static_peers.placement.admission import RETRY_MAX_MS, LoadSeen, judge
+from foldloom.static_peers.placement.admission import RETRY_MAX_MS, AdmissionLoad, check_admission
 from foldloom.static_peers.placement.bounds import Bounds
 from foldloom.static_peers.placement.ejection import Ejection
 from foldloom.static_peers.placement.health import Health
@@ -28,7 +28,7 @@
     SlotUse,
 )
 from foldloom.static_peers.placement.policies import Choice, Policy, choose, job_size
-from foldloom.static_peers.placement.queue import Pending, RequestQueue
+from foldloom.static_peers.placement.queue import PendingRequest, RequestQueue
 from foldloom.static_peers.placement.shares import GrantRates
 from foldloom.static_peers.placement.speeds import SpeedTable
 from foldloom.static_peers.placement.views import ViewTable
@@ -70,11 +70,11 @@
         self._endpoints_of: dict[str, list[str]] = {}
         self._leases = LeaseTable()
         self._queue = RequestQueue(self._bounds.quota_of)
-        self._granted = GrantRates()
+        self._grant_rates = GrantRates()
         self._speeds = SpeedTable()
         self._events: list[str] = []
         health = Health(settings.timings.ejection_ms, settings.limits.ejected_share_max)
-        self._ejection = Ejection(health, self._speeds, self._note_event)
+        self._ejection = Ejection(health, self._speeds, self._add_event)
         self._views = ViewTable(self._bounds, self._leases, self._speeds, self._ejection)
 
     @property
@@ -118,38 +118,38 @@
         """Queue *request*, or return why it is refused at once."""
         if (coordinator, request.request_id) in self._queue:
             return None
-        refusal = self._judge(request)
+        refusal = self._check_admission(request)
         if refusal is None:
-            self._queue.add(Pending(coordinator, request))
+            self._queue.add(PendingRequest(coordinator, request))
         return refusal
 
     def cancel(self, coordinator: str, request_id: int) -> None:
         """Drop a request."""
         self._queue.drop((coordinator, request_id))
 
-    def drop_lost(self, is_live: Callable[[str], bool]) -> None:
+    def drop_dead_coordinators(self, is_live: Callable[[str], bool]) -> None:
         """Drop the requests of coordinators that are gone."""
         for coordinator in self._queue.coordinators:
             if not is_live(coordinator):
-                self._queue.drop_all_of(coordinator)
+                self._queue.drop_requests_of(coordinator)
 
     def hold(self, coordinator: str, held: HeldSlot, now_ms: float) -> None:
         """Renew a lease, or learn of one that an earlier lease manager made."""
         if self._leases.renew(held.lease_id, now_ms):
             return
-        self._lend(reported_lease(held, coordinator, now_ms))
+        self._add_lease(reported_lease(held, coordinator, now_ms))
 
     def give_back(self, message: SlotReturn, now_ms: float) -> None:
         """End the lease of a returned slot, and learn from the outcome of its task."""
         lease = self._leases.get(message.lease_id)
         if lease is not None:
-            self._end(lease)
+            self._remove_lease(lease)
         if message.use is SlotUse.DONE:
             self._speeds.note(message.service, message.endpoint, message.service_ms, now_ms)
             peer_mean_ms = self._views.peer_mean_ms(message.service, message.endpoint)
-            self._ejection.note_success(message, peer_mean_ms, now_ms)
+            self._ejection.record_success(message, peer_mean_ms, now_ms)
         elif message.use in (SlotUse.FAILED, SlotUse.NOT_RUN):
-            self._ejection.note_failure(message.endpoint, now_ms)
+            self._ejection.record_failure(message.endpoint, now_ms)
 
     def tick(self, now_ms: float) -> None:
         """End leases that were not renewed and eject endpoints whose tasks are overdue."""
@@ -158,7 +158,7 @@
         for lease in self._leases.present():
             if now_ms - lease.renewed_ms > ttl:
                 self._events.append(f"Lease {lease.lease_id} on {lease.endpoint} ran out.")
-                self._end(lease)
+                self._remove_lease(lease)
                 continue
             limit = _OVERDUE_RATIO * self._speeds.mean_ms(lease.service, lease.endpoint)
             if now_ms - lease.since_ms > max(_OVERDUE_MIN_MS, limit):
@@ -166,15 +166,15 @@
         for endpoint, count in overdue.items():
             if count * 2 >= self._leases.busy.get(endpoint, 0):
                 self._ejection.note_overdue(endpoint, now_ms)
-        self._speeds.doubt_stale(now_ms)
-        self._granted.refresh(now_ms)
+        self._speeds.mark_stale(now_ms)
+        self._grant_rates.refresh(now_ms)
         self._views.refresh(now_ms)
 
     def match(self, now_ms: float) -> list[Grant]:
         """Grant slots to whoever is next, as long as that is better than to wait."""
         grants: list[Grant] = []
         while self._queue:
-            grant = self._match_one(now_ms)
+            grant = self._match_next(now_ms)
             if grant is None:
                 break
             grants.append(grant)
@@ -188,10 +188,10 @@
         excess = self.queued - self.free_slots
         return max(0.0, excess / rate)
 
-    def _match_one(self, now_ms: float) -> Grant | None:
+    def _match_next(self, now_ms: float) -> Grant | None:
         """Hand out one slot; ``None`` if nobody gets one now."""
         choices: dict[str, Choice | None] = {}
-        for pending in self._queue.in_turn():
+        for pending in self._queue.in_round_robin_order():
             if self._is_customer_full(pending.request.customer):
                 continue
             service = pending.request.service
@@ -199,8 +199,10 @@
                 choices[service] = self._choose(service)
             choice = choices[service]
             if choice is not None:
-                taker = pending if choice.is_fast else self._taker_of_slow(service, pending)
-                return self._grant(taker, choice, now_ms)
+                recipient = (
+                    pending if choice.is_fast else self._recipient_of_slow_slot(service, pending)
+                )
+                return self._grant(recipient, choice, now_ms)
             if len(choices) == self._queue.service_count and not any(choices.values()):
                 return None
         return None
@@ -210,7 +212,7 @@
         view = self._views.view_of(service)
         if view is None or self._is_service_full(service):
             return None
-        for endpoint in self._ejection.proven:
+        for endpoint in self._ejection.responsive:
             if self._views.has_free_slot(endpoint) and endpoint in view.endpoints:
                 return Choice(endpoint, is_fast=False)
         newest = self._queue.newest_of(service)
@@ -218,7 +220,7 @@
         queued_ahead = self._queue.tasks_of_service(service) - 1
         return choose(self._policy, view._replace(queued_ahead=queued_ahead, job_size=size))
 
-    def _taker_of_slow(self, service: str, first: Pending) -> Pending:
+    def _recipient_of_slow_slot(self, service: str, first: PendingRequest) -> PendingRequest:
         """Return which request gets a slow slot.
 
         One that has a slow one already, as its job ends late anyway; else the newest, which
@@ -238,12 +240,12 @@
             newest = pending
         return newest
 
-    def _grant(self, pending: Pending, choice: Choice, now_ms: float) -> Grant:
+    def _grant(self, pending: PendingRequest, choice: Choice, now_ms: float) -> Grant:
         request, endpoint = pending.request, choice.endpoint
         pending.has_slow = pending.has_slow or not choice.is_fast
         lease_id = next(self._lease_ids)
-        self._ejection.note_grant(endpoint)
-        self._lend(
+        self._ejection.record_grant(endpoint)
+        self._add_lease(
             Lease(
                 lease_id,
                 endpoint,
@@ -254,28 +256,28 @@
                 now_ms,
             )
         )
-        self._queue.take_one(pending)
-        self._granted.note(request.customer)
+        self._queue.grant_one(pending)
+        self._grant_rates.note(request.customer)
         ttl = self._settings.timings.lease_ttl_ms
         message = SlotGrant(request.request_id, endpoint, lease_id, ttl)
         return Grant(pending.coordinator, message)
 
-    def _judge(self, request: SlotRequest) -> SlotRefusal | None:
+    def _check_admission(self, request: SlotRequest) -> SlotRefusal | None:
         """Return a refusal if the request can't be served in time."""
         endpoints = self._endpoints_of.get(request.service, ())
         if not any(endpoint in self._usable for endpoint in endpoints):
             return SlotRefusal(request.request_id, "no-worker", _NO_ENDPOINT_RETRY_MS)
-        active = self._queue.customers | self._granted.customers | {request.customer}
-        seen = LoadSeen(
+        active = self._queue.customers | self._grant_rates.customers | {request.customer}
+        load = AdmissionLoad(
             self.queued,
             self._queue.tasks_of_customer(request.customer),
             self.free_slots,
             self._views.rate_of(request.service),
             self._bounds.quota_of(request.customer) / sum(map(self._bounds.quota_of, active)),
-            self._granted.rate_of(request.customer),
+            self._grant_rates.rate_of(request.customer),
             self._speeds.service_mean_ms(request.service),
         )
-        return judge(request, seen, self._settings.limits)
+        return check_admission(request, load, self._settings.limits)
 
     def _is_customer_full(self, customer: str) -> bool:
         return self._bounds.is_customer_full(customer, self._leases.running_of_customer(customer))
@@ -283,13 +285,13 @@
     def _is_service_full(self, service: str) -> bool:
         return self._bounds.is_service_full(service, self._leases.running_of_service(service))
 
-    def _note_event(self, sentence: str) -> None:
+    def _add_event(self, sentence: str) -> None:
         self._events.append(sentence)
 
-    def _lend(self, lease: Lease) -> None:
+    def _add_lease(self, lease: Lease) -> None:
         self._leases.add(lease)
         self._views.refresh_free(lease.endpoint, lease.renewed_ms)
 
-    def _end(self, lease: Lease) -> None:
+    def _remove_lease(self, lease: Lease) -> None:
         self._leases.remove(lease)
         self._views.refresh_free(lease.endpoint, lease.renewed_ms)
--- a/src/foldloom/static_peers/placement/shards.py
+++ b/src/foldloom/static_peers/placement/shards.py
@@ -41,8 +41,8 @@
     A zone's shard is managed in its zone while a box there is live.
     """
     zone = shard.partition("/")[0]
-    inside = [box for box, box_zone in zone_by_box.items() if box_zone == zone]
-    boxes = inside or list(zone_by_box)
+    in_zone = [box for box, box_zone in zone_by_box.items() if box_zone == zone]
+    boxes = in_zone or list(zone_by_box)
     if not boxes:
         return ""
     return max(boxes, key=lambda box: (xxhash.xxh3_64_intdigest(f"{shard}|{box}".encode()), box))
@@ -58,16 +58,16 @@
         kept_ms: For how long an answer is kept.
     """
 
-    def __init__(self, serving: Callable[[], dict[str, str]], kept_ms: float) -> None:
+    def __init__(self, serving: Callable[[], dict[str, str]], cache_ttl_ms: float) -> None:
         self._serving = serving
-        self._kept_ms = kept_ms
-        self._looked_ms = 0.0
+        self._cache_ttl_ms = cache_ttl_ms
+        self._cached_ms = 0.0
         self._managers: dict[str, str] = {}
 
     def manager_of(self, shard: str, now_ms: float) -> str:
         """Return the lease manager of *shard*, or an empty string."""
-        if now_ms - self._looked_ms > self._kept_ms:
-            self._looked_ms = now_ms
+        if now_ms - self._cached_ms > self._cache_ttl_ms:
+            self._cached_ms = now_ms
             self._managers.clear()
         if shard not in self._managers:
             self._managers[shard] = manager_of(shard, self._serving())
@@ -78,7 +78,7 @@
         self._managers.clear()
 
 
-def may_take(endpoint: Endpoint, reachable_zones: set[str]) -> bool:
+def is_in_reachable_zone(endpoint: Endpoint, reachable_zones: set[str]) -> bool:
     """Return whether *endpoint* lies in a zone that can be reached."""
     return endpoint["zone"] in reachable_zones
 
--- a/src/foldloom/static_peers/placement/shares.py
+++ b/src/foldloom/static_peers/placement/shares.py
@@ -48,11 +48,11 @@
         deficit = self._deficits.get(customer)
         if deficit is None:
             return
-        left = deficit - _QUANTUM
-        if left >= _QUANTUM:
-            self._deficits[customer] = left
+        remaining = deficit - _QUANTUM
+        if remaining >= _QUANTUM:
+            self._deficits[customer] = remaining
             return
-        self._deficits[customer] = left + _QUANTUM * self._quota_of(customer)
+        self._deficits[customer] = remaining + _QUANTUM * self._quota_of(customer)
         self._deficits.move_to_end(customer)
 
 
@@ -85,7 +85,7 @@
         self._refreshed_ms = now_ms
         for customer in {*self._counts, *self._rates}:
             fresh = self._counts.pop(customer, 0) / elapsed_ms
-            known = self._rates.get(customer, fresh)
-            self._rates[customer] = known + _RATE_ALPHA * (fresh - known)
+            average = self._rates.get(customer, fresh)
+            self._rates[customer] = average + _RATE_ALPHA * (fresh - average)
             if self._rates[customer] < _RATE_MIN_PER_MS:
                 del self._rates[customer]
--- a/src/foldloom/static_peers/placement/slots.py
+++ b/src/foldloom/static_peers/placement/slots.py
@@ -14,7 +14,7 @@
 
 # Milliseconds after which a job should ask again when no endpoint may serve it, or no grant has
 # come: a request is numbered, so a copy of it counts once.
-RESEND_MS = 3_000
+RESEND_INTERVAL_MS = 3_000
 
 
 class Slot(NamedTuple):
@@ -60,8 +60,8 @@
         self.job_tasks = job_tasks
         self.outstanding = 0
         self.shard = ""
-        self.asked_of = ""
-        self.touched_ms = 0.0
+        self.sent_to = ""
+        self.last_activity_ms = 0.0
         self.arrivals: asyncio.Queue[Any] = asyncio.Queue()
 
 
--- a/src/foldloom/static_peers/placement/speeds.py
+++ b/src/foldloom/static_peers/placement/speeds.py
@@ -13,13 +13,13 @@
 _ALPHA = 0.03
 # Milliseconds that a task of an unknown service is expected to take: within the brief's 50 to 500
 # ms.
-_DEFAULT_MS = 200.0
+_DEFAULT_MEAN_MS = 200.0
 # Tasks after which an endpoint's mean counts.
-_SAMPLES_TO_TRUST = 6
+_SAMPLES_MIN = 6
 # Tasks that an endpoint must run again after its mean has become stale.
-_SAMPLES_TO_RENEW = 2
+_SAMPLES_TO_REFRESH = 2
 # Sizes of tasks that are kept of a service: enough for shares of 3% and more.
-_SIZES_KEPT = 200
+_SIZES_MAX = 200
 # Milliseconds without a task after which a mean is doubted.
 _STALE_MS = 30_000
 
@@ -54,28 +54,28 @@
         now_ms: float = 0.0,
     ) -> None:
         """Take in that a task of *service* took *service_ms* on *endpoint*."""
-        known = self._by_endpoint.get((service, endpoint))
-        if known is not None and known.samples >= _SAMPLES_TO_TRUST:
-            sizes = self._sizes.setdefault(service, deque(maxlen=_SIZES_KEPT))
-            sizes.append(service_ms / known.mean_ms)
-        self._by_endpoint[service, endpoint] = _averaged(known, service_ms, _ALPHA, now_ms)
-        before = self._by_service.get(service)
-        self._by_service[service] = _averaged(before, service_ms, _ALPHA, now_ms)
+        average = self._by_endpoint.get((service, endpoint))
+        if average is not None and average.samples >= _SAMPLES_MIN:
+            sizes = self._sizes.setdefault(service, deque(maxlen=_SIZES_MAX))
+            sizes.append(service_ms / average.mean_ms)
+        self._by_endpoint[service, endpoint] = _updated_mean(average, service_ms, _ALPHA, now_ms)
+        service_average = self._by_service.get(service)
+        self._by_service[service] = _updated_mean(service_average, service_ms, _ALPHA, now_ms)
 
     def service_mean_ms(self, service: str) -> float:
         """Return the mean service time of *service* over all endpoints."""
-        known = self._by_service.get(service)
-        return _DEFAULT_MS if known is None else known.mean_ms
+        average = self._by_service.get(service)
+        return _DEFAULT_MEAN_MS if average is None else average.mean_ms
 
     def mean_ms(self, service: str, endpoint: str) -> float:
         """Return the expected service time of *service* on *endpoint*.
 
         An endpoint with few samples is taken for average, so that it gets work and is measured.
         """
-        known = self._by_endpoint.get((service, endpoint))
-        if known is None or known.samples < _SAMPLES_TO_TRUST:
+        average = self._by_endpoint.get((service, endpoint))
+        if average is None or average.samples < _SAMPLES_MIN:
             return self.service_mean_ms(service)
-        return known.mean_ms
+        return average.mean_ms
 
     def sizes(self, service: str) -> list[float]:
         """Return the latest tasks' sizes, in rising order; 1 is a mean task."""
@@ -86,18 +86,18 @@
         for key in [key for key in self._by_endpoint if key[1] == endpoint]:
             del self._by_endpoint[key]
 
-    def doubt_stale(self, now_ms: float) -> None:
+    def mark_stale(self, now_ms: float) -> None:
         """Trust no average that is old, so that an endpoint that nobody picks is measured again."""
-        for key, known in self._by_endpoint.items():
-            if now_ms - known.seen_ms > _STALE_MS and known.samples >= _SAMPLES_TO_TRUST:
-                doubted = known._replace(samples=_SAMPLES_TO_TRUST - _SAMPLES_TO_RENEW)
-                self._by_endpoint[key] = doubted
+        for key, average in self._by_endpoint.items():
+            if now_ms - average.seen_ms > _STALE_MS and average.samples >= _SAMPLES_MIN:
+                stale = average._replace(samples=_SAMPLES_MIN - _SAMPLES_TO_REFRESH)
+                self._by_endpoint[key] = stale
 
 
-def _averaged(known: Speed | None, value: float, alpha: float, now_ms: float) -> Speed:
+def _updated_mean(average: Speed | None, value: float, alpha: float, now_ms: float) -> Speed:
     """Return *known* with *value* taken in; early values weigh as in a plain mean."""
-    if known is None:
+    if average is None:
         return Speed(value, 1, now_ms)
-    weight = max(alpha, 1 / (known.samples + 1))
-    mean_ms = known.mean_ms + weight * (value - known.mean_ms)
-    return Speed(mean_ms, known.samples + 1, now_ms)
+    weight = max(alpha, 1 / (average.samples + 1))
+    mean_ms = average.mean_ms + weight * (value - average.mean_ms)
+    return Speed(mean_ms, average.samples + 1, now_ms)
--- a/src/foldloom/static_peers/placement/views.py
+++ b/src/foldloom/static_peers/placement/views.py
@@ -75,19 +75,19 @@
             usable: Those that get work.
         """
         self._endpoints_of = endpoints_of
-        self._free = {endpoint: self._free_of(endpoint, 0.0) for endpoint in usable}
+        self._free = {endpoint: self._free_slots_of(endpoint, 0.0) for endpoint in usable}
         self._refresh_views()
 
     def refresh(self, now_ms: float) -> None:
         """Work out the free slots and the views anew."""
         for endpoint in self._free:
-            self._free[endpoint] = self._free_of(endpoint, now_ms)
+            self._free[endpoint] = self._free_slots_of(endpoint, now_ms)
         self._refresh_views()
 
     def refresh_free(self, endpoint: str, now_ms: float) -> None:
         """Count the free slots of *endpoint* anew."""
         if endpoint in self._free:
-            self._free[endpoint] = self._free_of(endpoint, now_ms)
+            self._free[endpoint] = self._free_slots_of(endpoint, now_ms)
 
     def _refresh_views(self) -> None:
         """Order each service's endpoints by speed anew."""
@@ -98,9 +98,9 @@
             order = sorted(means, key=lambda one: (means[one], one))
             self._views[service] = View(order, means, self._free, self._leases.busy)
             self._sizes[service] = self._speeds.sizes(service)
-            self._rates[service] = self._rate_now(service)
+            self._rates[service] = self._service_rate(service)
 
-    def _free_of(self, endpoint: str, now_ms: float) -> int:
+    def _free_slots_of(self, endpoint: str, now_ms: float) -> int:
         """Return the free slots of *endpoint*; an ejected one has one if it may be probed."""
         slots = self._bounds.slots_of(endpoint)
         busy = self._leases.busy.get(endpoint, 0)
@@ -109,7 +109,7 @@
             return 1 if may_probe and not busy else 0
         return max(0, slots - busy)
 
-    def _rate_now(self, service: str) -> float:
+    def _service_rate(self, service: str) -> float:
         return sum(
             self._bounds.slots_of(endpoint) / mean_ms
             for endpoint, mean_ms in self._views[service].mean_ms.items()
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -6,7 +6,7 @@
 from foldloom.static_peers.claims.messages import Claim, ClaimReply, CopiedClaim, Vote
 from foldloom.static_peers.claims.replicas import ReplicaSets
 from foldloom.static_peers.claims.table import ClaimTable
-from foldloom.static_peers.claims.votes import is_won, may_still_win
+from foldloom.static_peers.claims.votes import can_still_win, is_won
 
 _DIGEST = "ab" * 16
 _X = Claim(_DIGEST, "x1", 1, 1)
@@ -95,5 +95,5 @@
     def test_may_still_win(self) -> None:
         """With two refusals nothing can be won any more."""
         refused = _vote(1, {}, Vote.HELD)
-        assert may_still_win(_SETS, {"a1": refused})
-        assert not may_still_win(_SETS, {"a1": refused, "b1": refused})
+        assert can_still_win(_SETS, {"a1": refused})
+        assert not can_still_win(_SETS, {"a1": refused, "b1": refused})
--- a/tests/test_claims_faults.py
+++ b/tests/test_claims_faults.py
@@ -57,9 +57,9 @@
         """Return the submission's claim replicas."""
         return claim_replicas(submission, {box: box[0] for box in self.cluster.boxes})
 
-    def submission_with(self, coordinator_is_replica: bool, box: str, stem: str) -> str:
+    def submission_with(self, coordinator_is_replica: bool, box: str, prefix: str) -> str:
         """Return an id of which *box* is, or is not, a claim replica."""
-        names = (f"{stem}-{n}" for n in range(1000))
+        names = (f"{prefix}-{n}" for n in range(1000))
         return next(
             name for name in names if (box in self.replicas(name)) == coordinator_is_replica
         )
@@ -68,20 +68,20 @@
 @pytest.fixture(scope="class")
 def rig(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Rig]:
     """A rig for tests that leave it as they found it."""
-    made = Rig(tmp_path_factory.mktemp("claims"))
-    yield made
-    made.close()
+    started_rig = Rig(tmp_path_factory.mktemp("claims"))
+    yield started_rig
+    started_rig.close()
 
 
 @pytest.fixture
 def own_rig(tmp_path: Path) -> Iterator[Rig]:
     """A rig for a test that kills boxes."""
-    made = Rig(tmp_path)
-    yield made
-    made.close()
+    started_rig = Rig(tmp_path)
+    yield started_rig
+    started_rig.close()
 
 
-def _assert_truthful(answer: HttpAnswer, started: list[int]) -> None:
+def _assert_consistent(answer: HttpAnswer, started: list[int]) -> None:
     """A whole answer, or a problem; refused means that no endpoint saw it."""
     if answer.status == 200:
         return
@@ -140,7 +140,7 @@
                 started = rig.started(submission)
                 assert all(count == 1 for count in started)
                 for answer in answers:
-                    _assert_truthful(answer, started)
+                    _assert_consistent(answer, started)
         finally:
             rig.proxy.delay(0.0)
 
@@ -157,7 +157,7 @@
             assert answer.fields["retry_after_ms"] > 0
         finally:
             rig.cluster.signal("a2", signal.SIGCONT)
-        _assert_truthful(first.result(), rig.started(submission))
+        _assert_consistent(first.result(), rig.started(submission))
         assert max(rig.started(submission)) == 1
         wait_until(lambda: rig.cluster.status("b1")["boxes"]["a2"]["is_live"], "a2 heard again")
         again = rig.cluster.submit("b1", submission, [{"ms": 300}] * 12)
--- a/tests/test_claims_forgotten.py
+++ b/tests/test_claims_forgotten.py
@@ -51,12 +51,12 @@
     """They write lives down while a majority of them is there."""
 
     def __init__(self) -> None:
-        self.is_there = True
+        self.has_quorum = True
         self._newest = 0
 
     async def propose(self, command: Any, _timeout_ms: int) -> Result[Answer, Problem]:
         """Record a life and return the one before."""
-        if not self.is_there:
+        if not self.has_quorum:
             await asyncio.sleep(_WAIT_S)
             return Error(not_run("no-quorum"))
         before, self._newest = self._newest, command.incarnation
@@ -82,9 +82,9 @@
 
         async def play() -> None:
             controllers = _Controllers()
-            controllers.is_there = False
+            controllers.has_quorum = False
             first = await _recovered(_Peers(1), controllers)
-            controllers.is_there = True
+            controllers.has_quorum = True
             second = await _recovered(_Peers(2, fails=True), controllers)
             assert not (first.may_vote(_SETS) and second.may_vote(_SETS))
 
--- a/tests/test_claims_recovery.py
+++ b/tests/test_claims_recovery.py
@@ -45,17 +45,17 @@
 class _Controllers:
     """They know of a life before this one, or of none."""
 
-    def __init__(self, life_before: int) -> None:
-        self._life_before = life_before
+    def __init__(self, previous_incarnation: int) -> None:
+        self._previous_incarnation = previous_incarnation
 
     async def propose(self, _command: object, _timeout_ms: int) -> Any:
         """Record the life."""
-        return Ok(Answer(200, 1, number=self._life_before))
+        return Ok(Answer(200, 1, number=self._previous_incarnation))
 
 
-async def _recovered(peers: Any, life_before: int = 5) -> Recovery:
+async def _recovered(peers: Any, previous_incarnation: int = 5) -> Recovery:
     """Return the recovery of a1 after a while."""
-    controllers: Any = _Controllers(life_before)
+    controllers: Any = _Controllers(previous_incarnation)
     table = ClaimTable(_RETENTION_MS, 10)
     recovery = Recovery("a1", peers, controllers, table, lambda: _BOXES, _RETENTION_MS)
     running = asyncio.create_task(recovery.run())
@@ -69,7 +69,7 @@
 
     def test_first_life(self) -> None:
         """There is nothing to know."""
-        assert asyncio.run(_recovered(_Peers(), life_before=0)).may_vote(_SETS)
+        assert asyncio.run(_recovered(_Peers(), previous_incarnation=0)).may_vote(_SETS)
 
     def test_not_before_both_others_are_copied(self) -> None:
         """One copy is not enough: the claim may be held by the other one alone."""
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -37,7 +37,7 @@
 from foldloom.static_peers.placement.speeds import SpeedTable
 from foldloom.verdicts import may_have_run, not_run
 
-_LONG_MS = 10**7
+_FAR_DEADLINE_MS = 10**7
 
 
 def _config(
@@ -73,7 +73,7 @@
 
 
 def _request(
-    number: int, tasks: int = 1, customer: str = "m1", left: int = _LONG_MS
+    number: int, tasks: int = 1, customer: str = "m1", left: int = _FAR_DEADLINE_MS
 ) -> SlotRequest:
     return SlotRequest(number, FLEET, "s", customer, tasks, left, tasks)
 
@@ -307,7 +307,7 @@
         health = Health(1_000, 0.34)
         for endpoint in ("w0", "w1"):
             for _ in range(3):
-                health.note_failure(endpoint, 3, 0.0)
+                health.record_failure(endpoint, 3, 0.0)
         assert health.is_ejected("w0")
         assert not health.is_ejected("w1")
 
@@ -317,8 +317,8 @@
         health.eject("w0", 1, 0.0)
         assert not health.may_probe("w0", 500.0)
         assert health.may_probe("w0", 1_000.0)
-        assert not health.note_success("w0")
-        assert health.note_success("w0")
+        assert not health.record_success("w0")
+        assert health.record_success("w0")
         assert not health.is_ejected("w0")
 
     def test_overdue_tasks_eject(self) -> None:
@@ -346,8 +346,8 @@
             shard.tick(0.0)
         shard.add("a1", _request(2, 8))
         assert "w3" not in {grant.message.endpoint for grant in shard.match(0.0)}
-        assert shard.ejection.to_prove(5_000.0) == ["w3"]
-        shard.ejection.prove("w3")
+        assert shard.ejection.due_for_liveness_check(5_000.0) == ["w3"]
+        shard.ejection.mark_responsive("w3")
         shard.tick(5_000.0)
         probes = [g for g in shard.match(5_000.0) if g.message.endpoint == "w3"]
         assert len(probes) == 1
@@ -364,7 +364,7 @@
             speeds.note("s", "fast", 100.0, 0.0)
         assert speeds.mean_ms("s", "slow") > 2 * speeds.mean_ms("s", "fast")
         speeds.note("s", "fast", 100.0, 40_000.0)
-        speeds.doubt_stale(40_000.0)
+        speeds.mark_stale(40_000.0)
         assert speeds.mean_ms("s", "slow") == speeds.service_mean_ms("s")
         assert speeds.mean_ms("s", "fast") == pytest.approx(100.0)
 
@@ -408,7 +408,7 @@
         assert allowed in (9, 10)
 
 
-class Sent:
+class RecordingNetwork:
     """A network that keeps what is sent."""
 
     def __init__(self) -> None:
@@ -428,22 +428,22 @@
 
     def test_asks_a_new_manager_until_it_must_know(self) -> None:
         """After a change of the lease manager a request goes again soon, later seldom."""
-        network: Any = Sent()
+        network: Any = RecordingNetwork()
         config = _config(1)
         slots = LeasedSlots(
             _shard(config)._settings, network, Metrics(), lambda: config, lambda _shard: "b1", dict
         )
         waiter = slots.open_waiter("s", "m1", 1e12, 1)
         slots.request(waiter, 1)
-        slots._note_managers()
-        began = waiter.touched_ms
-        slots.ask_again(began, has_changed=True)
-        slots.ask_again(began + 300, has_changed=False)
+        slots._refresh_managers()
+        began = waiter.last_activity_ms
+        slots.resend_requests(began, has_manager_changed=True)
+        slots.resend_requests(began + 300, has_manager_changed=False)
         assert len(network.messages) == 2
-        waiter.touched_ms = began + 2_600
-        slots.ask_again(began + 3_000, has_changed=False)
+        waiter.last_activity_ms = began + 2_600
+        slots.resend_requests(began + 3_000, has_manager_changed=False)
         assert len(network.messages) == 2
-        slots.ask_again(began + 6_000, has_changed=False)
+        slots.resend_requests(began + 6_000, has_manager_changed=False)
         assert len(network.messages) == 3
 
 
@@ -472,21 +472,21 @@
 class TestManagers:
     """Who manages a shard, as a box sees it."""
 
-    _KEPT_MS = 100.0
+    _CACHE_TTL_MS = 100.0
 
     def test_an_answer_is_kept(self) -> None:
         """Who serves is not looked at for each lease."""
-        looks: list[int] = []
+        lookups: list[int] = []
 
         def serving() -> dict[str, str]:
-            looks.append(1)
+            lookups.append(1)
             return {"a1": "a"}
 
-        managers = Managers(serving, self._KEPT_MS)
+        managers = Managers(serving, self._CACHE_TTL_MS)
         assert [managers.manager_of("a/0", at_ms) for at_ms in (1_000.0, 1_050.0)] == ["a1", "a1"]
-        assert len(looks) == 1
+        assert len(lookups) == 1
         managers.manager_of("a/0", 1_101.0)
-        assert len(looks) == 2
+        assert len(lookups) == 2
 
     def test_a_change_is_seen_at_once(self) -> None:
         """When the manager is gone, the next one is known before the kept answer is old.
@@ -495,7 +495,7 @@
         asked for the manager, got the dead one, and nobody managed the shard for 30 s.
         """
         zones = {"a1": "a", "a2": "a"}
-        managers = Managers(lambda: dict(zones), self._KEPT_MS)
+        managers = Managers(lambda: dict(zones), self._CACHE_TTL_MS)
         first = managers.manager_of("a/0", 1_000.0)
         del zones[first]
         managers.look_again()
--- a/tests/test_placement_ejection.py
+++ b/tests/test_placement_ejection.py
@@ -14,7 +14,7 @@
 _ENDPOINTS = {"w1", "w2", "w3", "w4"}
 
 
-def _returned(service_ms: float) -> SlotReturn:
+def _slot_return(service_ms: float) -> SlotReturn:
     return SlotReturn(1, "w1", "sign", service_ms, SlotUse.DONE)
 
 
@@ -39,10 +39,10 @@
     def test_failures_in_a_row(self) -> None:
         """One failure leaves nobody out, three do."""
         ejection, sentences = self._ejection()
-        ejection.note_failure("w1", 0.0)
+        ejection.record_failure("w1", 0.0)
         assert not ejection.is_ejected("w1")
-        ejection.note_failure("w1", 1.0)
-        ejection.note_failure("w1", 2.0)
+        ejection.record_failure("w1", 1.0)
+        ejection.record_failure("w1", 2.0)
         assert sentences == ["Eject w1: it failed again and again."]
 
     def test_no_probe_without_a_sign_of_life(self) -> None:
@@ -50,18 +50,18 @@
         ejection, _ = self._ejection()
         ejection.note_overdue("w1", 0.0)
         assert not ejection.may_probe("w1", _EJECTION_MS)
-        assert ejection.to_prove(_EJECTION_MS - 1) == []
-        assert ejection.to_prove(_EJECTION_MS) == ["w1"]
-        ejection.prove("w1")
-        assert ejection.to_prove(_EJECTION_MS) == []
+        assert ejection.due_for_liveness_check(_EJECTION_MS - 1) == []
+        assert ejection.due_for_liveness_check(_EJECTION_MS) == ["w1"]
+        ejection.mark_responsive("w1")
+        assert ejection.due_for_liveness_check(_EJECTION_MS) == []
         assert ejection.may_probe("w1", _EJECTION_MS)
 
     def test_a_probe_uses_the_sign_of_life_up(self) -> None:
         """The next probe needs another one, or a success."""
         ejection, sentences = self._ejection()
         ejection.note_overdue("w1", 0.0)
-        ejection.prove("w1")
-        ejection.note_grant("w1")
+        ejection.mark_responsive("w1")
+        ejection.record_grant("w1")
         assert not ejection.may_probe("w1", _EJECTION_MS)
         assert sentences[-1] == "Probe w1 with one task."
 
@@ -69,9 +69,9 @@
         """Two probes that are not slow bring it back."""
         ejection, sentences = self._ejection()
         ejection.note_overdue("w1", 0.0)
-        ejection.note_success(_returned(100.0), 100.0, _EJECTION_MS)
+        ejection.record_success(_slot_return(100.0), 100.0, _EJECTION_MS)
         assert ejection.is_ejected("w1")
-        ejection.note_success(_returned(100.0), 100.0, _EJECTION_MS)
+        ejection.record_success(_slot_return(100.0), 100.0, _EJECTION_MS)
         assert not ejection.is_ejected("w1")
         assert sentences[-1] == "w1 is well again."
 
@@ -79,8 +79,8 @@
         """A probe of over four times the peers' mean keeps it out for another while."""
         ejection, _ = self._ejection()
         ejection.note_overdue("w1", 0.0)
-        ejection.note_success(_returned(401.0), 100.0, 500.0)
-        ejection.prove("w1")
+        ejection.record_success(_slot_return(401.0), 100.0, 500.0)
+        ejection.mark_responsive("w1")
         assert not ejection.may_probe("w1", _EJECTION_MS)
         assert ejection.may_probe("w1", 500.0 + _EJECTION_MS)
 
--- a/tests/test_placement_faults.py
+++ b/tests/test_placement_faults.py
@@ -22,10 +22,10 @@
     return sum(http("GET", f"http://127.0.0.1:{port}/starts").fields["starts"].values())
 
 
-def _run_jobs(cluster: Cluster, stem: str, jobs: int, tasks: int = 2) -> list[int]:
+def _run_jobs(cluster: Cluster, prefix: str, jobs: int, tasks: int = 2) -> list[int]:
     def run(number: int) -> int:
         box = cluster.boxes[number % len(cluster.boxes)]
-        return cluster.submit(box, f"{stem}-{number}", [{"ms": 20}] * tasks).status
+        return cluster.submit(box, f"{prefix}-{number}", [{"ms": 20}] * tasks).status
 
     with ThreadPoolExecutor(8) as pool:
         return list(pool.map(run, range(jobs)))
@@ -40,7 +40,7 @@
             assert set(_run_jobs(cluster, "before", 20)) == {200}
             version = cluster.confirm([{"kind": "worker-leaving", "name": "aw1"}])
             cluster.wait_version(version)
-            wait_until(lambda: _is_quiet(cluster, "aw1"), "aw1 gets no more work")
+            wait_until(lambda: _receives_no_work(cluster, "aw1"), "aw1 gets no more work")
             before = _starts_on(cluster, "aw1")
             assert set(_run_jobs(cluster, "after", 40)) == {200}
             assert _starts_on(cluster, "aw1") == before
@@ -75,7 +75,7 @@
                         lambda box=box: "Leaving by the platform's list: bw1" in cluster.log(box),
                         f"{box} has the list",
                     )
-                wait_until(lambda: _is_quiet(cluster, "bw1"), "bw1 gets no more work")
+                wait_until(lambda: _receives_no_work(cluster, "bw1"), "bw1 gets no more work")
                 before = _starts_on(cluster, "bw1")
                 assert set(_run_jobs(cluster, "listed", 40)) == {200}
                 assert _starts_on(cluster, "bw1") == before
@@ -83,7 +83,7 @@
             server.shutdown()
 
 
-def _is_quiet(cluster: Cluster, endpoint: str) -> bool:
+def _receives_no_work(cluster: Cluster, endpoint: str) -> bool:
     before = _starts_on(cluster, endpoint)
     _run_jobs(cluster, f"quiet-{len(cluster.starts())}", 6)
     return _starts_on(cluster, endpoint) == before
@@ -109,7 +109,7 @@
             wait_until(lambda: _logged(cluster, "Eject aw1"), "aw1 is ejected")
             assert set(_run_jobs(cluster, "meanwhile", 30)) == {200}
             cluster.signal("workers-a", signal.SIGCONT)
-            assert {one.result().status for one in hung} == {200}
+            assert {submission.result().status for submission in hung} == {200}
         rounds = itertools.count()
         wait_until(
             lambda: (
@@ -125,12 +125,12 @@
         assert set(_run_jobs(cluster, "warm", 60)) == {200}
         cluster.control_endpoint("bw1", speed=0.1)
 
-        def is_left_alone() -> bool:
+        def is_avoided() -> bool:
             before = _starts_on(cluster, "bw1")
             assert set(_run_jobs(cluster, f"slow-{len(cluster.starts())}", 24)) == {200}
             return _starts_on(cluster, "bw1") - before <= 2
 
-        wait_until(is_left_alone, "bw1 gets at most 2 of 48 tasks")
+        wait_until(is_avoided, "bw1 gets at most 2 of 48 tasks")
 
     def test_dead_endpoints_are_left_out(self, cluster: Cluster) -> None:
         """Jobs go on when an endpoint's process is gone: its attempts certainly did not run."""
@@ -159,7 +159,7 @@
             )
             others = [box for box in cluster.boxes if box != manager]
             with ThreadPoolExecutor(16) as pool:
-                sent = [
+                submissions = [
                     pool.submit(
                         cluster.submit, others[n % len(others)], f"over-{n}", [{"ms": 100}] * 8
                     )
@@ -170,6 +170,6 @@
                     cluster.kill(manager)
                 else:
                     cluster.signal(manager, signal.SIGSTOP)
-                answers = [one.result() for one in sent]
+                answers = [submission.result() for submission in submissions]
             assert {answer.status for answer in answers} == {200}
             assert max(cluster.starts().values()) == 1
