--- a/src/foldloom/static_peers/claims/__init__.py
+++ b/src/foldloom/static_peers/claims/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""Claims: each submission runs once."""
+"""Claims: at-most-once execution of each submission."""
--- a/src/foldloom/static_peers/claims/acquire.py
+++ b/src/foldloom/static_peers/claims/acquire.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How a coordinator gets the claim of a submission: two of three votes, nearest first.
-
-Owns nothing between calls. Relies on claim replicas; no vote of one that lost its memory counts.
-"""
+"""Acquisition of a submission's claim by a majority of its claim replicas, nearest first."""
 
 from __future__ import annotations
 
@@ -27,7 +24,7 @@
 
 
 class Acquisition(Enum):
-    """How a try for a claim ended."""
+    """Outcome of an attempt to acquire a claim."""
 
     WON = "won"
     HELD = "held"
@@ -35,12 +32,12 @@
 
 
 class AcquireResult(NamedTuple):
-    """The end of one try.
+    """Result of an attempt to acquire a claim.
 
     Args:
-        how: The end.
-        holders: Other coordinators' claims that were met.
-        detail: For people: what each replica said.
+        how: The outcome.
+        holders: Conflicting claims of other coordinators.
+        detail: Each replica's vote, as text.
     """
 
     how: Acquisition
@@ -49,12 +46,12 @@
 
 
 class ClaimAcquirer:
-    """Ask claim replicas on behalf of this box's jobs.
+    """Requests claims from the claim replicas on behalf of this box's jobs.
 
     Args:
         settings: This box's settings.
-        network: The peers.
-        service: This box's own claim replica; its vote costs no message.
+        network: Messages to the peers.
+        service: This box's claim replica, called without a message.
     """
 
     def __init__(self, settings: Settings, network: PeerNetwork, service: ClaimService) -> None:
@@ -63,15 +60,15 @@
         self._service = service
 
     def is_own(self, claim: Claim) -> bool:
-        """Return whether this very life of this box made *claim*."""
+        """Return whether the present incarnation of this box holds *claim*."""
         is_own_box = claim.coordinator == self._settings.box
         return is_own_box and claim.incarnation == self._network.incarnation
 
     async def acquire(self, submission: str, digest: str, attempt: int) -> AcquireResult:
-        """Try once to get the claim of *submission*.
+        """Try once to acquire the claim of *submission*.
 
-        The claim is won only by a majority of votes of which no voter knows that another
-        one has lost its memory since.
+        The claim is acquired by a majority of valid votes. A vote is invalid if another voter or
+        this box knows a newer incarnation of its voter, which has lost the earlier claims.
         """
         replicas = self._service.replicas_of(submission)
         request = ClaimRequest(
@@ -106,7 +103,7 @@
         return self._failure_result(replicas, replies)
 
     def withdraw(self, submission: str, attempt: int) -> None:
-        """Withdraw the claim at every replica; only for a job that started nothing."""
+        """Withdraw the claim at every replica; only for a job that started no task."""
         message = Withdraw(submission, self._network.incarnation, attempt)
         for box in self._service.replicas_of(submission).boxes:
             if box == self._settings.box:
@@ -115,7 +112,7 @@
                 self._network.send(box, message)
 
     def release_held(self, submission: str, claim: Claim) -> None:
-        """Notify the replicas that *claim*'s own coordinator said it is withdrawn."""
+        """Notify the replicas that the coordinator of *claim* has withdrawn it."""
         message = ReleaseHeld(submission, claim.coordinator, claim.incarnation, claim.attempt)
         for box in self._service.replicas_of(submission).boxes:
             self._network.send(box, message)
@@ -132,11 +129,11 @@
             timeout_ms = self._settings.timings.claim_timeout_ms
             return box, await self._network.request(box, request, timeout_ms)
         except PeerUnreachableError:
-            # No vote: the caller asks the third replica, or says that there was no quorum.
+            # No vote: the caller requests the remaining replicas or reports a missing quorum.
             return box, None
 
     def _by_proximity(self, replicas: ReplicaSets) -> list[str]:
-        """Return the replicas: this box, then those of its zone, then the others."""
+        """Return the replicas: this box, then boxes of its zone, then the others."""
         zone = self._settings.zone
         own = self._settings.box
         return sorted(
@@ -145,7 +142,7 @@
         )
 
     def _first_count(self, replicas: ReplicaSets) -> int:
-        """Return how many to ask first: as few as can be a majority."""
+        """Return the number of replicas requested first: a majority, or all of them while joint."""
         if len(replicas.sets) > 1:
             return len(replicas.boxes)
         return len(replicas.boxes) // 2 + 1
@@ -153,7 +150,7 @@
     def _is_lost(
         self, replicas: ReplicaSets, replies: dict[str, ClaimReply], pending_count: int
     ) -> bool:
-        """Return whether nothing that may still come can win the claim."""
+        """Return whether the outstanding replies can no longer win the claim."""
         if not pending_count:
             return True
         is_held = any(reply.vote is Vote.HELD for reply in replies.values())
@@ -174,6 +171,6 @@
 
 
 def _cancel_all(pending: set[asyncio.Task[tuple[str, ClaimReply | None]]]) -> None:
-    """Stop waiting for the tasks in *asking*."""
+    """Cancel the tasks in *pending*."""
     for task in pending:
         task.cancel()
--- a/src/foldloom/static_peers/claims/messages.py
+++ b/src/foldloom/static_peers/claims/messages.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Messages about claims. The coordinator of a claim is always the message's sender.
+"""Messages about claims. The coordinator of a requested claim is the message's sender.
 
-Owns the numbers of these messages, which are never used again. Relies on the codec of
-:mod:`foldloom.peers.messages`.
+Message numbers are never reused. The codec is :mod:`foldloom.peers.messages`.
 """
 
 from __future__ import annotations
@@ -14,13 +13,13 @@
 
 
 class Claim(NamedTuple):
-    """The right of one coordinator to start one submission.
+    """The exclusive right of one coordinator to start a submission.
 
     Args:
-        digest: The content's digest.
-        coordinator: The box that may start it.
-        incarnation: That box's life.
-        attempt: Rises with each new claim of the same submission by the same life.
+        digest: Digest of the submission's content.
+        coordinator: The box that holds the claim.
+        incarnation: Incarnation of that box.
+        attempt: Increases with each new claim of the submission by the same incarnation.
     """
 
     digest: str
@@ -30,7 +29,7 @@
 
 
 class Vote(IntEnum):
-    """A claim replica's answer to a claim."""
+    """A claim replica's response to a claim request."""
 
     GRANTED = 0
     HELD = 1
@@ -41,7 +40,7 @@
 
 
 class ClaimRequest(NamedTuple):
-    """The sender asks for the claim of *submission* under the box list of *epoch*."""
+    """Request of the sender for the claim of *submission* under the box list of *epoch*."""
 
     submission: str
     digest: str
@@ -54,10 +53,10 @@
     """A vote.
 
     Args:
-        vote: The answer.
-        incarnation: The voter's life.
-        known: The newest lives that the voter knows of the submission's other replicas.
-        holders: Other claims that stand in the way.
+        vote: The response.
+        incarnation: Incarnation of the voter.
+        known: Newest incarnation of each other replica of the submission known to the voter.
+        holders: Conflicting claims.
     """
 
     vote: Vote
@@ -67,7 +66,7 @@
 
 
 class Withdraw(NamedTuple):
-    """The sender, which started nothing, gives the claim back."""
+    """The sender withdraws its claim; it has started no task."""
 
     submission: str
     incarnation: int
@@ -75,7 +74,7 @@
 
 
 class ReleaseHeld(NamedTuple):
-    """Notice, by any box, that a claim's own coordinator has withdrawn it."""
+    """Any box reports that a claim's coordinator has withdrawn it."""
 
     submission: str
     coordinator: str
@@ -84,26 +83,26 @@
 
 
 class Lookup(NamedTuple):
-    """Any box asks which claims a replica holds; nothing changes."""
+    """Read-only query for the claims that a replica holds."""
 
     submission: str
 
 
 class LookupReply(NamedTuple):
-    """The claims that a replica holds, and whether its memory is whole."""
+    """The claims that a replica holds, and whether it may vote."""
 
     can_vote: bool
     holders: list[Claim]
 
 
 class CopyRequest(NamedTuple):
-    """A restarted replica asks for the claims that it should hold, from *position* on."""
+    """Request of a restarted replica for its claims, from *position* on."""
 
     position: int
 
 
 class CopiedClaim(NamedTuple):
-    """One claim of a copy and how long it is still to be kept, in milliseconds."""
+    """A claim in a copy, with its remaining retention in milliseconds."""
 
     submission: str
     claim: Claim
@@ -111,12 +110,12 @@
 
 
 class CopyReply(NamedTuple):
-    """A part of the copy.
+    """One chunk of a copy.
 
     Args:
-        is_whole_memory: Whether the server's own memory is whole; if not, it doesn't count.
+        is_whole_memory: Whether the server's own claims are complete; if not, the copy is invalid.
         claims: The claims.
-        next_position: Where to go on; 0 at the end.
+        next_position: Start of the next chunk; 0 at the end.
     """
 
     is_whole_memory: bool
--- a/src/foldloom/static_peers/claims/recovery.py
+++ b/src/foldloom/static_peers/claims/recovery.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""How a restarted claim replica gets its memory back before it votes again.
+"""Recovery of a restarted claim replica: it copies the claims before it votes again.
 
-Owns from whom this replica has copied in this life. Relies on the other replicas of the box list,
-and on the controllers for the life before.
+The claims come from the other replicas of the box list; the controllers record each box's
+incarnations.
 """
 
 from __future__ import annotations
@@ -21,29 +21,29 @@
 from foldloom.static_peers.claims.replicas import ReplicaSets
 from foldloom.static_peers.claims.table import ClaimTable
 
-# Milliseconds for one part of a copy: far above 500 claims on a slow link.
+# Timeout of the request for one chunk of a copy, in milliseconds.
 _COPY_TIMEOUT_MS = 2_000
-# Seconds until a replica that did not answer is asked again.
+# Seconds between attempts to copy or to record the incarnation.
 _PAUSE_S = 0.2
-# Milliseconds to record a life with the controllers: above two elections.
+# Timeout to record an incarnation with the controllers, in milliseconds.
 _RECORD_TIMEOUT_MS = 2_000
 
 
 class Recovery:
-    """Know for which submissions this box may vote.
+    """Decides for which submissions this box may vote.
 
-    It may once this life is on record with the controllers and it has copied the claims of both
-    other replicas, or if this is its first life, or after every claim of an earlier life has
-    expired. A life that voted and is on no record would be forgotten: the next one would be told
-    that it is the first.
+    It may vote once its incarnation is recorded with the controllers and it has copied the claims
+    of both other replicas, in its first incarnation, or once all claims of earlier incarnations
+    have expired. An unrecorded incarnation must not vote: the next incarnation would take itself
+    for the first.
 
     Args:
         box: This box.
-        network: The peers.
-        client: The controllers, which record every box's lives.
-        table: Where copied claims go.
+        network: Messages to the peers.
+        client: Client of the controllers, which record the incarnations of each box.
+        table: The table that receives copied claims.
         box_list: Returns the box list in force.
-        retention_ms: How long claims are kept.
+        retention_ms: Retention of claims.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
     def may_vote(self, replicas: ReplicaSets) -> bool:
         """Return whether this box may vote for a submission with these *replicas*."""
         if any(set(boxes) == {self._box} for boxes in replicas.sets):
-            # Nobody else holds such a claim, so there is nobody to copy it from.
+            # No other box holds a copy of such claims.
             return self._has_no_lost_claims
         if self._is_whole:
             return True
@@ -86,7 +86,7 @@
         return others <= self._copied_from
 
     async def run(self) -> None:
-        """Work until nothing that was forgotten counts any more."""
+        """Run until no claim of an earlier incarnation can be missing."""
         waiting = {
             asyncio.create_task(self._record_incarnation()),
             asyncio.create_task(self._copy_all()),
@@ -102,15 +102,15 @@
                 task.cancel()
 
     def _update_completeness(self) -> None:
-        """Find out whether the memory is whole now."""
+        """Recompute whether this box may vote for all replicated submissions."""
         has_copies = self._is_recorded and self._has_copied_all
         if self._is_whole or not (has_copies or self._has_no_lost_claims):
             return
         self._is_whole = True
-        CLAIM_LOG.info("This box votes on every claim now.")
+        CLAIM_LOG.info("Claim recovery complete: this box votes on all claims.")
 
     async def _record_incarnation(self) -> None:
-        """Return once the controllers have this life on record."""
+        """Return once the controllers have recorded this incarnation."""
         command = IncarnationCommand(self._box, self._network.incarnation)
         while True:
             result = await self._client.propose(command, _RECORD_TIMEOUT_MS)
@@ -119,7 +119,9 @@
             await asyncio.sleep(_PAUSE_S)
         self._is_recorded = True
         if result.ok.number:
-            CLAIM_LOG.info("Life {} came before: copy claims first.", result.ok.number)
+            CLAIM_LOG.info(
+                "Previous incarnation was {}: copying claims before voting.", result.ok.number
+            )
             return
         CLAIM_LOG.info("First life of this box: there are no earlier claims.")
         self._has_no_lost_claims = True
@@ -137,13 +139,13 @@
             await asyncio.sleep(_PAUSE_S)
 
     async def _wait_retention(self) -> None:
-        """Return once every claim of an earlier life has expired everywhere."""
+        """Return once all claims of earlier incarnations have expired."""
         left_ms = self._started_ms + self._retention_ms - monotonic_ms()
         await asyncio.sleep(max(0.0, left_ms / 1_000))
         self._has_no_lost_claims = True
 
     async def _copy(self, box: str) -> None:
-        """Copy from *box*; it counts only if one life of it served the whole copy."""
+        """Copy the claims of *box*; valid only if a single incarnation serves the whole copy."""
         position = 0
         copied_incarnation = 0
         copied = 0
@@ -153,7 +155,7 @@
                     box, CopyRequest(position), _COPY_TIMEOUT_MS
                 )
             except PeerUnreachableError:
-                # Asked again after a pause, until the copy is whole.
+                # Retried by the caller after a pause.
                 return
             server_incarnation = self._network.known_incarnation(box)
             if not reply.is_whole_memory or (
@@ -173,8 +175,8 @@
 
 
 def _log_failures(ended: set[asyncio.Task[None]]) -> None:
-    """Log what went wrong; the end of the retention is waited for then."""
+    """Log failed recovery steps; voting then resumes after the retention time."""
     for task in ended:
         error = task.exception()
         if error is not None:
-            CLAIM_LOG.error("Recovery of claims: {!r}.", error)
+            CLAIM_LOG.error("Claim recovery failed: {!r}.", error)
--- a/src/foldloom/static_peers/claims/replicas.py
+++ b/src/foldloom/static_peers/claims/replicas.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which boxes hold the claim of a submission: rendezvous hashing over the box list.
-
-Owns nothing. Relies on the box list of the configuration in force.
-"""
+"""Claim replicas of a submission: rendezvous hashing over the box list."""
 
 from __future__ import annotations
 
@@ -13,7 +10,7 @@
 from foldloom.controllers.config import BoxList
 from foldloom.ids import zone_of
 
-# Claim replicas of a submission: a majority of three outlives the loss of one.
+# Claim replicas per submission.
 REPLICAS = 3
 
 
@@ -21,8 +18,8 @@
     """The claim replicas of one submission.
 
     Args:
-        epoch: The box list's epoch.
-        sets: One set, or two (old and new) while a change of the list is joint; a claim
+        epoch: Epoch of the box list.
+        sets: One set, or the old and the new set during a joint change of the box list; a claim
             needs a majority of each.
     """
 
@@ -31,11 +28,11 @@
 
     @property
     def boxes(self) -> list[str]:
-        """Every box of every set, each once."""
+        """The distinct boxes of all sets."""
         return list(dict.fromkeys(box for boxes in self.sets for box in boxes))
 
     def is_majority(self, votes: set[str]) -> bool:
-        """Return whether *votes* are more than half of each set."""
+        """Return whether *votes* contain a majority of each set."""
         return all(len(votes.intersection(boxes)) > len(boxes) // 2 for boxes in self.sets)
 
 
@@ -50,8 +47,9 @@
 def claim_replicas(submission: str, zone_by_box: dict[str, str]) -> tuple[str, ...]:
     """Return the claim replicas of *submission*.
 
-    A plain id has one in each of three zones; an id tagged with a zone, or a system of one
-    zone, has three in that zone. A smaller list gives as many as it has.
+    An id without a zone tag has one replica in each of three zones. An id tagged with a zone, or a
+    system with a single zone, has three replicas in that zone. Fewer boxes or zones give fewer
+    replicas.
     """
     zone = zone_of(submission)
     if zone:
@@ -67,7 +65,7 @@
 
 
 def _ranked(submission: str, boxes: list[str]) -> list[str]:
-    """Return *boxes* by falling hash of (submission, box)."""
+    """Return *boxes* by descending hash of (submission, box)."""
     return sorted(boxes, key=lambda box: _weight(submission, box), reverse=True)
 
 
--- a/src/foldloom/static_peers/claims/service.py
+++ b/src/foldloom/static_peers/claims/service.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The claim replica of one box: answers to claims, withdrawals, look-ups and copies.
-
-Owns the handlers. Relies on the table for votes, and on recovery for whether it may vote.
-"""
+"""Claim replica of one box: handlers for claims, withdrawals, look-ups and copies."""
 
 from __future__ import annotations
 
@@ -31,20 +28,20 @@
 from foldloom.static_peers.claims.replicas import ReplicaSets, replica_sets
 from foldloom.static_peers.claims.table import ClaimTable
 
-# Claims in one part of a copy: some 50 kilobytes.
+# Submissions per chunk of a copy: some 50 kilobytes.
 _COPY_CHUNK = 500
-# Seconds between two checks for claims to forget: small against their retention.
+# Seconds between scans for expired claims.
 _EXPIRE_INTERVAL_S = 1.0
 
 
 class ClaimService:
-    """Vote on claims and serve copies.
+    """Votes on claims and serves copies.
 
     Args:
         box: This box.
-        network: The peers.
-        table: The claims held here.
-        recovery: Whether this box may vote.
+        network: Messages to the peers.
+        table: The claims held by this box.
+        recovery: Determines whether this box may vote.
         box_list: Returns the box list in force.
         metrics: Counters.
     """
@@ -73,15 +70,15 @@
 
     @property
     def can_vote(self) -> bool:
-        """Whether this box votes on every claim."""
+        """Whether this box may vote for every submission that has another replica."""
         return self._recovery.is_whole
 
     def replicas_of(self, submission: str) -> ReplicaSets:
-        """Return the claim replicas of *submission* now."""
+        """Return the claim replicas of *submission* under the box list in force."""
         return replica_sets(submission, self._box_list())
 
     def vote(self, sender: str, request: ClaimRequest) -> ClaimReply:
-        """Vote on *sender*'s claim."""
+        """Vote on a claim of *sender*."""
         replicas = self.replicas_of(request.submission)
         if request.epoch != replicas.epoch or self._box not in replicas.boxes:
             return self._reply(Vote.OTHER_LIST, replicas, [])
@@ -96,12 +93,12 @@
         return self._reply(decision.vote, replicas, decision.holders)
 
     def withdraw(self, coordinator: str, message: Withdraw) -> None:
-        """Withdraw *coordinator*'s claim."""
+        """Withdraw the claim of *coordinator*."""
         claim = Claim("", coordinator, message.incarnation, message.attempt)
         self._table.release(message.submission, claim, int(monotonic_ms()))
 
     def holders(self, submission: str) -> list[Claim]:
-        """Return the claims that this box holds of *submission*."""
+        """Return the claims of *submission* held by this box."""
         return self._table.holders(submission)
 
     async def run(self) -> None:
@@ -120,7 +117,9 @@
     def _on_claim(self, sender: str, request: ClaimRequest) -> ClaimReply:
         reply = self.vote(sender, request)
         if reply.vote is not Vote.GRANTED:
-            CLAIM_LOG.info("No vote for {} to {}: {}.", request.submission, sender, reply.vote.name)
+            CLAIM_LOG.info(
+                "Claim of {} by {} not granted: {}.", request.submission, sender, reply.vote.name
+            )
         return reply
 
     def _on_withdraw(self, sender: str, message: Withdraw) -> None:
--- a/src/foldloom/static_peers/claims/table.py
+++ b/src/foldloom/static_peers/claims/table.py
@@ -1,10 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The claims that one box holds in memory, and how it votes.
+"""In-memory table of the claims held by one incarnation of a box, and its votes.
 
-Owns the claims of one life of this box. Relies on its caller for the time.
-
-Kept small: one short tuple a claim, names and lives shared between claims. Claims expire in
-the order in which they came, so the oldest are always at the front.
+The representation is compact: one tuple per claim, with names and incarnations shared between
+claims. Claims are kept in order of insertion, which is the order of expiry except for copies.
 """
 
 from __future__ import annotations
@@ -16,7 +14,7 @@
 
 
 class _Held(NamedTuple):
-    """A claim as the table keeps it."""
+    """Compact form of a claim."""
 
     digest: bytes
     coordinator: str
@@ -26,7 +24,7 @@
 
 
 class VoteDecision(NamedTuple):
-    """A vote and the claims that stand in the way."""
+    """A vote and the conflicting claims."""
 
     vote: Vote
     holders: list[Claim]
@@ -36,8 +34,8 @@
     """Claims by submission.
 
     Args:
-        retention_ms: How long a claim is kept.
-        claims_max: How many claims are kept; more are refused, none is dropped early.
+        retention_ms: Retention of a claim.
+        claims_max: Capacity; further claims are refused, and none is evicted before it expires.
     """
 
     def __init__(self, retention_ms: int, claims_max: int) -> None:
@@ -49,21 +47,21 @@
         self._incarnations: dict[int, int] = {}
 
     def __len__(self) -> int:
-        """Return how many submissions have a claim here."""
+        """Return the number of submissions with a claim."""
         return len(self._held)
 
     def holders(self, submission: str) -> list[Claim]:
-        """Return every claim held of *submission*."""
+        """Return all claims of *submission*."""
         held = self._held.get(submission)
         if held is None:
             return []
         return [_claim(held), *map(_claim, self._conflicting.get(submission, ()))]
 
     def judge(self, submission: str, claim: Claim, now_ms: int) -> VoteDecision:
-        """Vote on *claim* and hold it if granted.
+        """Vote on *claim*, and store it if granted.
 
-        Only a claim that is alone gets the vote: of two copies that differ neither does,
-        until the losing coordinator itself has withdrawn.
+        With conflicting copies no claim is granted until the coordinators of all but one have
+        withdrawn.
         """
         withdrawn, _ = self._withdrawn.get(_withdrawal_key(submission, claim), (-1, 0))
         if claim.attempt <= withdrawn:
@@ -71,7 +69,7 @@
         others = [held for held in self.holders(submission) if not _is_same(held, claim)]
         superseded = [held for held in others if _is_older_attempt(held, claim)]
         if superseded:
-            # The coordinator moved on to a newer attempt, so the older one is withdrawn.
+            # A newer attempt implies withdrawal of the older one.
             for held in superseded:
                 self.release(submission, held, now_ms)
             others = [held for held in others if held not in superseded]
@@ -85,7 +83,7 @@
         return VoteDecision(Vote.GRANTED, [])
 
     def release(self, submission: str, claim: Claim, now_ms: int) -> None:
-        """Drop *claim*, which its own coordinator withdrew, and remember that."""
+        """Remove *claim* after its coordinator withdrew it, and keep a tombstone."""
         key = _withdrawal_key(submission, claim)
         newest_withdrawn, _ = self._withdrawn.get(key, (-1, 0))
         attempt = max(newest_withdrawn, claim.attempt)
@@ -103,7 +101,7 @@
         self._put(submission, kept)
 
     def merge(self, copied: CopiedClaim, now_ms: int) -> None:
-        """Add a copied claim beside what is held; copies that differ are all kept."""
+        """Add a copied claim; conflicting copies are kept side by side."""
         withdrawn, _ = self._withdrawn.get(
             _withdrawal_key(copied.submission, copied.claim), (-1, 0)
         )
@@ -116,24 +114,24 @@
         self._put(copied.submission, [*present, fresh])
 
     def export(self, submission: str, now_ms: int) -> list[CopiedClaim]:
-        """Return the claims of *submission* for a copy."""
+        """Return the claims of *submission* with their remaining retention."""
         return [
             CopiedClaim(submission, _claim(held), max(0, held.expires_ms - now_ms))
             for held in self._all(submission)
         ]
 
     def submissions(self) -> list[str]:
-        """Return every submission that has a claim."""
+        """Return all submissions with a claim."""
         return list(self._held)
 
     def expire(self, now_ms: int) -> int:
-        """Drop the claims whose time has passed and return how many."""
+        """Drop expired claims and tombstones; return the number of submissions dropped."""
         dropped = 0
         while self._held:
             submission = next(iter(self._held))
             if self._held[submission].expires_ms > now_ms:
                 break
-            # A copied claim may have come later than the one before it.
+            # A copied claim may expire later than the first claim of its submission.
             kept = [held for held in self._all(submission) if held.expires_ms > now_ms]
             self._put(submission, [])
             self._put(submission, kept)
--- a/src/foldloom/static_peers/claims/votes.py
+++ b/src/foldloom/static_peers/claims/votes.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How votes on a claim are counted.
-
-Owns nothing: decisions only. Relies on the replicas of a submission.
-"""
+"""Counting of votes on a claim."""
 
 from __future__ import annotations
 
@@ -15,10 +12,10 @@
 def is_won(
     replicas: ReplicaSets, replies: dict[str, ClaimReply], known_life: Callable[[str], int]
 ) -> bool:
-    """Return whether *replies* give the claim: a majority of votes that are all still alive.
+    """Return whether *replies* contain a majority of valid votes.
 
-    A vote dies with its voter's memory: it does not count once another voter, or this box
-    (*known_life*), knows of a newer life of its voter.
+    A vote is valid unless another voter, or this box (*known_life*), knows a newer incarnation of
+    its voter, which has lost the claims of the earlier one.
     """
     granted = {box: reply for box, reply in replies.items() if reply.vote is Vote.GRANTED}
     valid = {
@@ -30,7 +27,7 @@
 
 
 def can_still_win(replicas: ReplicaSets, replies: dict[str, ClaimReply]) -> bool:
-    """Return whether the replicas that did not refuse can still be a majority."""
+    """Return whether the replicas that have not refused can form a majority."""
     not_granted = {box for box, reply in replies.items() if reply.vote is not Vote.GRANTED}
     return replicas.is_majority(set(replicas.boxes) - not_granted)
 
--- a/src/foldloom/static_peers/placement/__init__.py
+++ b/src/foldloom/static_peers/placement/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""Placement: slot leases, shares, limits, health."""
+"""Placement: slot leases, fair shares, concurrency limits, endpoint health."""
--- a/src/foldloom/static_peers/placement/admission.py
+++ b/src/foldloom/static_peers/placement/admission.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Whether a request for slots is taken: at once, and with when to come back if not.
-
-Owns nothing: decisions only. Relies on what the shard has counted.
-"""
+"""Admission control of slot requests: immediate refusal with a retry-after."""
 
 from __future__ import annotations
 
@@ -11,29 +8,28 @@
 from foldloom.settings import LimitSettings
 from foldloom.static_peers.placement.messages import SlotRefusal, SlotRequest
 
-# Milliseconds, bounds of when a refused caller should come back.
+# Upper bound of the retry-after, in milliseconds.
 RETRY_MAX_MS = 10_000
-# The lower of the two.
+# Lower bound of the retry-after, in milliseconds.
 _RETRY_MIN_MS = 50
-# Share of the time left that the expected wait and run may take: below 1 because expectations are
-# means.
+# Share of the remaining time that the expected wait and run time may use; the margin covers
+# variation around the means.
 _ADMIT_SHARE = 0.8
-# Mean service times that a task is expected to run, because tasks are as long as twice the mean (50
-# to 500 ms).
+# Run time assumed for a task, in mean service times.
 _EXPECTED_RUN_MEANS = 2.0
 
 
 class AdmissionLoad(NamedTuple):
-    """What a lease manager knows when a request comes.
+    """Load of a shard at the arrival of a request.
 
     Args:
-        queued: Tasks that wait.
-        queued_customer: Those of the request's customer.
-        free_slots: Slots that no lease holds.
-        rate: Tasks of the service that the shard can finish a millisecond.
-        share: The customer's part of the quotas of the customers active lately.
-        granted_rate: Slots a millisecond that the customer was granted lately.
-        mean_ms: The service's mean service time.
+        queued: Queued tasks.
+        queued_of_customer: Queued tasks of the requesting customer.
+        free_slots: Slots without a lease.
+        rate: Tasks of the service that the shard can complete per millisecond.
+        share: The customer's share of the quotas of the recently active customers.
+        grant_rate: Slots per millisecond recently granted to the customer.
+        mean_ms: Mean service time of the service.
     """
 
     queued: int
@@ -48,7 +44,7 @@
 def check_admission(
     request: SlotRequest, load: AdmissionLoad, limits: LimitSettings
 ) -> SlotRefusal | None:
-    """Return a refusal if *request* overflows a queue or can't be served in time."""
+    """Return a refusal if *request* exceeds a queue limit or can't be served by its deadline."""
     is_full = (
         load.queued + request.tasks > limits.queued_tasks_max
         or load.queued_of_customer + request.tasks > limits.queued_tasks_per_customer_max
@@ -57,15 +53,15 @@
     excess_ms = wait_ms + _EXPECTED_RUN_MEANS * load.mean_ms - request.left_ms * _ADMIT_SHARE
     if not is_full and (excess_ms <= 0 or wait_ms <= 0):
         return None
-    retry_after = int(min(RETRY_MAX_MS, max(_RETRY_MIN_MS, excess_ms)))
-    return SlotRefusal(request.request_id, "queue-full" if is_full else "too-late", retry_after)
+    retry_after_ms = int(min(RETRY_MAX_MS, max(_RETRY_MIN_MS, excess_ms)))
+    return SlotRefusal(request.request_id, "queue-full" if is_full else "too-late", retry_after_ms)
 
 
 def expected_wait_ms(tasks: int, load: AdmissionLoad) -> float:
-    """Return how long the last of *tasks* is expected to wait.
+    """Return the expected wait of the last of *tasks*.
 
-    A customer gets its share of what is active, or more where others leave some: then its
-    measured rate of grants tells how much.
+    The service rate of a customer is its share of the shard's rate, or its measured grant rate if
+    that is higher because other customers use less than their share.
     """
     if load.rate <= 0.0:
         return float(RETRY_MAX_MS)
--- a/src/foldloom/static_peers/placement/direct_slots.py
+++ b/src/foldloom/static_peers/placement/direct_slots.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Slots without leases: an endpoint at once by a baseline policy, for comparisons.
+"""Slots without leases: endpoints picked at once by a baseline policy, for comparisons.
 
-Owns the count of the own running tasks on each endpoint. Relies on the endpoints' lagging reports.
+Counts this box's running tasks per endpoint; the endpoints' reports lag behind.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class DirectSlots:
-    """An endpoint at once by a baseline policy.
+    """Slot source that picks endpoints at once by a baseline policy.
 
     Args:
-        policy: The policy.
-        candidates: Returns the usable endpoints of a service and their mean service times.
-        reported: Returns each endpoint's running tasks by its lagging report.
+        policy: The placement policy.
+        candidates: Returns the endpoints eligible for a service.
+        reported: Returns the running tasks of each endpoint according to its last report.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
     def open_waiter(
         self, service: str, customer: str, deadline_ms: float, job_tasks: int
     ) -> SlotWaiter:
-        """Begin to wait for slots; nothing is asked yet."""
+        """Open a waiter without requesting slots."""
         return SlotWaiter(next(self._ids), service, customer, deadline_ms, job_tasks)
 
     def request(self, waiter: SlotWaiter, count: int) -> None:
@@ -64,7 +64,7 @@
             waiter.arrivals.put_nowait(slot)
 
     def close(self, waiter: SlotWaiter) -> None:
-        """Wait no more: what was picked and not used is given back."""
+        """Close the waiter and return the picked slots that were not used."""
         while not waiter.arrivals.empty():
             arrival = waiter.arrivals.get_nowait()
             if isinstance(arrival, Slot):
--- a/src/foldloom/static_peers/placement/health.py
+++ b/src/foldloom/static_peers/placement/health.py
@@ -1,28 +1,26 @@
 # SPDX-License-Identifier: MIT
-"""Which endpoints are sick: ejected on failures, on tasks overdue, or far slower than peers.
+"""Failure counts and ejection state of a shard's endpoints.
 
-Owns the failures and ejections of a shard's endpoints. Relies on its caller for the time.
-
-An ejected endpoint gets one task at a time as a probe; no more than a set share is ejected.
+An ejected endpoint is probed with one task at a time. The share of ejected endpoints is bounded.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# Failures in a row after which an endpoint is left out.
+# Consecutive failures before an endpoint is ejected.
 _FAILURES_TO_EJECT = 3
-# Probes in a row that must succeed before it is trusted again.
+# Consecutive successful probes before an ejected endpoint is restored.
 _PROBE_SUCCESSES = 2
 
 
 class EndpointHealth(NamedTuple):
-    """What is known of one endpoint's health.
+    """Health of one endpoint.
 
     Args:
-        failures: Failures in a row.
-        ejected_until_ms: While ejected, when the next probe may go; else 0.
-        successes: Probes in a row that went well.
+        failures: Consecutive failures.
+        ejected_until_ms: Earliest time of the next probe while ejected; 0 otherwise.
+        successes: Consecutive successful probes.
     """
 
     failures: int = 0
@@ -34,11 +32,11 @@
 
 
 class Health:
-    """The health of a shard's endpoints.
+    """Health of a shard's endpoints.
 
     Args:
-        ejection_ms: How long until an ejected endpoint is probed.
-        share_max: The most endpoints ejected at a time, as a share.
+        ejection_ms: Time until an ejected endpoint is probed.
+        share_max: Largest share of endpoints that may be ejected at once.
     """
 
     def __init__(self, ejection_ms: int, share_max: float) -> None:
@@ -51,11 +49,11 @@
         return self._states.get(endpoint, _HEALTHY).ejected_until_ms > 0
 
     def may_probe(self, endpoint: str, now_ms: float) -> bool:
-        """Return whether an ejected *endpoint* is due for a probe."""
+        """Return whether the ejected *endpoint* is due for a probe."""
         return now_ms >= self._states.get(endpoint, _HEALTHY).ejected_until_ms
 
     def record_success(self, endpoint: str) -> bool:
-        """Note a task that went well; return whether *endpoint* is trusted again for it."""
+        """Record a successful task; return whether it ends the endpoint's ejection."""
         state = self._states.get(endpoint)
         if state is None:
             return False
@@ -70,7 +68,7 @@
         return False
 
     def record_failure(self, endpoint: str, endpoint_count: int, now_ms: float) -> bool:
-        """Note a failure; return whether *endpoint* is ejected for it."""
+        """Record a failure; return whether *endpoint* is ejected as a result."""
         state = self._states.get(endpoint, _HEALTHY)
         failures = state.failures + 1
         self._states[endpoint] = state._replace(failures=failures, successes=0)
@@ -81,7 +79,7 @@
         return self.eject(endpoint, endpoint_count, now_ms)
 
     def eject(self, endpoint: str, endpoint_count: int, now_ms: float) -> bool:
-        """Eject *endpoint* unless too many are; return whether it is ejected."""
+        """Eject *endpoint* unless the limit is reached; return whether it is ejected."""
         state = self._states.get(endpoint, _HEALTHY)
         ejected = sum(1 for other in self._states.values() if other.ejected_until_ms)
         if not state.ejected_until_ms and ejected + 1 > endpoint_count * self._share_max:
--- a/src/foldloom/static_peers/placement/lease_manager.py
+++ b/src/foldloom/static_peers/placement/lease_manager.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The lease manager of one box: the shards that it manages now, and their messages.
+"""Lease manager: the shards managed by this box and their messages.
 
-Owns the shards that this box manages now; they are rebuilt from their holders' reports. Relies on
-membership for which box manages which.
+Shard state is soft: a new lease manager rebuilds it from the holders' renewals. Membership
+determines which box manages which shard.
 """
 
 from __future__ import annotations
@@ -31,24 +31,23 @@
 from foldloom.static_peers.placement.shards import is_in_reachable_zone, shard_names
 from foldloom.tasks import TaskSet
 
-# Seconds between two ticks: small against a lease (2,000 ms).
+# Seconds between ticks.
 _TICK_S = 0.1
-# Milliseconds in which holders report their leases to a new manager, before it grants: above a
-# heartbeat (250 ms), by which they learn of it.
+# Milliseconds for which a new manager collects the holders' leases before it grants: above one
+# heartbeat, by which they learn of the change.
 _REPORT_WINDOW_MS = 300
-# Milliseconds for which a grant is of use: far below a lease.
+# Time-to-live of a grant message, in milliseconds.
 _GRANT_TTL_MS = 500
-# Bits of the first lease's id, drawn at random: managers do not share ids, and all of them fit 64
-# bits.
+# Bits of the random first lease id.
 _LEASE_ID_BITS = 62
 
 
 class BoxQueries(NamedTuple):
-    """What a lease manager asks its box.
+    """Callbacks into the box.
 
     Args:
-        manager_of: Returns the lease manager of a shard, as this box sees it.
-        proves_life: Asks an endpoint for a sign of life.
+        manager_of: Returns the lease manager of a shard in this box's view.
+        check_liveness: Returns whether an endpoint answers a liveness check.
         is_live: Returns whether a box is live.
     """
 
@@ -58,14 +57,14 @@
 
 
 class LeaseManager:
-    """Manage the shards that fall to this box.
+    """Manages the shards assigned to this box.
 
     Args:
         settings: This box's settings.
-        network: The peers.
+        network: Messages to the peers.
         metrics: Counters.
-        policy: How a slot is chosen.
-        queries: What it asks its box.
+        policy: The placement policy.
+        queries: Callbacks into the box.
     """
 
     def __init__(
@@ -85,7 +84,7 @@
         self._grants_from_ms: dict[str, float] = {}
         self._shard_of_endpoint: dict[str, str] = {}
         self._tasks = TaskSet()
-        # A random start keeps ids of different lease managers apart.
+        # A random start makes collisions between lease managers unlikely.
         self._lease_ids = itertools.count(random.getrandbits(_LEASE_ID_BITS))
         network.on(SlotRequest, self._on_request)
         network.on(SlotCancel, self._on_cancel)
@@ -94,7 +93,7 @@
 
     @property
     def loads(self) -> list[ShardLoad]:
-        """How loaded each managed shard is, for the heartbeat."""
+        """Load of each managed shard, for the heartbeat."""
         return [
             ShardLoad(name, shard.free_slots, shard.queued, 0.0)
             for name, shard in self._shards.items()
@@ -102,11 +101,11 @@
 
     @property
     def shards(self) -> dict[str, Shard]:
-        """The shards that this box manages, by name."""
+        """The managed shards by name."""
         return dict(self._shards)
 
     def follow(self, config: Config, leaving: set[str], reachable_zones: set[str]) -> None:
-        """Begin or end to manage shards, and adopt the endpoints' states."""
+        """Apply a configuration: take over or release shards and update their endpoints."""
         names = shard_names(config, self._settings.limits.lease_shard_endpoints)
         self._shard_of_endpoint = {
             endpoint: shard for shard, endpoints in names.items() for endpoint in endpoints
@@ -126,7 +125,7 @@
             shard.set_endpoints(config, endpoints, usable)
 
     async def run(self) -> None:
-        """End leases, probe sick endpoints and hand out slots, until cancelled."""
+        """Expire leases, check ejected endpoints and grant slots, until cancelled."""
         while True:
             await asyncio.sleep(_TICK_S)
             now_ms = monotonic_ms()
@@ -148,15 +147,15 @@
     def _take_over(self, name: str) -> Shard:
         shard = Shard(self._settings, self._policy, self._lease_ids)
         self._shards[name] = shard
-        # Others' leases are not known yet: wait for their holders to report them.
+        # Existing leases are unknown until their holders report them.
         self._grants_from_ms[name] = monotonic_ms() + _REPORT_WINDOW_MS
-        PLACE_LOG.info("Manage the leases of shard {}.", name)
+        PLACE_LOG.info("Took over the leases of shard {}.", name)
         return shard
 
     def _release_shard(self, name: str) -> None:
         if self._shards.pop(name, None) is not None:
             self._grants_from_ms.pop(name, None)
-            PLACE_LOG.info("Leave the leases of shard {} to another box.", name)
+            PLACE_LOG.info("Released the leases of shard {}: no longer its lease manager.", name)
 
     def _on_request(self, sender: str, message: SlotRequest) -> None:
         shard = self._shards.get(message.shard)
@@ -165,7 +164,7 @@
         refusal = shard.add(sender, message)
         if refusal is not None:
             PLACE_LOG.info(
-                "Refuse {} tasks of {} for {}: {}.",
+                "Refused {} tasks of service {} for customer {}: {}.",
                 message.tasks,
                 message.service,
                 message.customer,
--- a/src/foldloom/static_peers/placement/leased_slots.py
+++ b/src/foldloom/static_peers/placement/leased_slots.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Slots by lease: asked of lease managers, renewed while they are held.
+"""Slots by lease: requests to lease managers and renewal of held leases.
 
-Owns a box's open requests and the leases that it holds. Relies on the lease managers, on the
-configuration in force and on the load of each shard that heartbeats tell.
+Holds a box's open requests and its leases. The lease managers follow from the configuration in
+force and the shard loads from the heartbeats.
 """
 
 from __future__ import annotations
@@ -30,27 +30,27 @@
 from foldloom.static_peers.placement.shards import shard_names
 from foldloom.static_peers.placement.slots import RESEND_INTERVAL_MS, Slot, SlotWaiter
 
-# Seconds between two checks for requests to send again.
+# Seconds between checks for renewals and retransmissions.
 _CHECK_S = 0.1
-# Milliseconds without a grant after which a request is sent again while managers change: a
-# heartbeat (250 ms).
+# Retransmission interval after a change of lease managers, in milliseconds: one heartbeat.
 _FAST_RESEND_INTERVAL_MS = 250
-# Milliseconds for which managers count as changing: above a silent peer (1,000 ms).
+# Milliseconds of fast retransmission after a change of lease managers: above the time to detect a
+# silent peer.
 _FAST_RESEND_PERIOD_MS = 2_500
-# Milliseconds before a lease's end at which its holder gives it up: above a message's delay.
+# Milliseconds before a lease's expiry at which the holder stops using it: covers message delay.
 _EXPIRY_MARGIN_MS = 100
 
 
 class LeasedSlots:
-    """Slots by lease.
+    """Slot source that requests leases from lease managers.
 
     Args:
         settings: This box's settings.
-        network: The peers.
+        network: Messages to the peers.
         metrics: Counters.
         config: Returns the configuration in force.
-        manager_of: Returns the lease manager of a shard, as this box sees it.
-        loads: Returns the last known load of each shard.
+        manager_of: Returns the lease manager of a shard in this box's view.
+        loads: Returns the last reported load of each shard.
     """
 
     def __init__(
@@ -81,15 +81,16 @@
     def open_waiter(
         self, service: str, customer: str, deadline_ms: float, job_tasks: int
     ) -> SlotWaiter:
-        """Begin to wait for slots; nothing is asked yet."""
+        """Open a waiter without requesting slots."""
         waiter = SlotWaiter(next(self._ids), service, customer, deadline_ms, job_tasks)
         self._waiters[waiter.request_id] = waiter
         return waiter
 
     def request(self, waiter: SlotWaiter, count: int) -> None:
-        """Ask for *count* more slots."""
+        """Request *count* more slots."""
         if waiter.outstanding:
-            # One request at a time: a number that is sent again counts once.
+            # One open request per waiter: the new total needs a new id, since a repeated id is
+            # treated as a retransmission.
             self._send(SlotCancel(waiter.request_id), waiter.sent_to)
             del self._waiters[waiter.request_id]
             waiter.request_id = next(self._ids)
@@ -98,7 +99,7 @@
         self._send_request(waiter)
 
     def close(self, waiter: SlotWaiter) -> None:
-        """Wait no more: what still arrives goes back unused."""
+        """Close the waiter; slots that arrive later are returned unused."""
         self._waiters.pop(waiter.request_id, None)
         if waiter.outstanding:
             self._send(SlotCancel(waiter.request_id), waiter.sent_to)
@@ -117,7 +118,7 @@
         self._send(message, self._manager_of_endpoint(slot.endpoint))
 
     async def run(self) -> None:
-        """Renew leases, and ask again where a lease manager was lost, until cancelled."""
+        """Renew leases and retransmit requests until cancelled."""
         renewed_ms = monotonic_ms()
         while True:
             await asyncio.sleep(_CHECK_S)
@@ -129,10 +130,11 @@
             self.resend_requests(now_ms, changed)
 
     def resend_requests(self, now_ms: float, has_manager_changed: bool) -> None:
-        """Send requests again that a lost or a new lease manager may not have.
+        """Retransmit requests that were not answered in time or whose lease manager changed.
 
-        A new one may not know yet that it is: it drops what comes too early. So for a while
-        after a change requests go again and again; sent twice they count once.
+        A new lease manager drops requests that arrive before it takes over the shard. Requests are
+        therefore retransmitted at a short interval for a while after a change; lease managers
+        deduplicate them.
         """
         if has_manager_changed:
             self._fast_resend_until_ms = now_ms + _FAST_RESEND_PERIOD_MS
@@ -156,7 +158,7 @@
         return self._shards[1]
 
     def _refresh_managers(self) -> bool:
-        """Return whether a shard has another lease manager than at the last call."""
+        """Look up the lease managers; return whether one has changed since the last call."""
         managers = {shard: self._manager_of(shard) for shard in self._shard_names()}
         changed = managers != self._managers
         self._managers = managers
@@ -168,7 +170,7 @@
         return self._manager_of(shard) if shard else ""
 
     def _pick_shard(self) -> str:
-        """Return the own zone's shard with room, else the one with the most room."""
+        """Return a shard with free capacity, preferably in this zone, else the least loaded one."""
         names = self._shard_names()
         if len(names) <= 1:
             return next(iter(names), "")
--- a/src/foldloom/static_peers/placement/leases.py
+++ b/src/foldloom/static_peers/placement/leases.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""The leases of one shard's slots, and how many each endpoint, customer and service holds.
+"""The leases of one shard, with counts per endpoint, customer and service.
 
-Owns the leases and their counts; decides nothing. The shard says when a lease begins and ends.
+The shard decides when a lease begins and ends.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 
 class Lease(NamedTuple):
-    """A slot that a coordinator holds.
+    """A slot held by a coordinator.
 
     Args:
         lease_id: Unique among all lease managers.
-        endpoint: Whose slot it is.
-        service: What the task asks for.
-        customer: For whom it runs.
-        coordinator: The box that holds it.
-        since_ms: When the slot was granted, by the lease manager's steady clock.
-        renewed_ms: When the coordinator last renewed it, by the same clock.
+        endpoint: The endpoint that owns the slot.
+        service: The requested service.
+        customer: The customer whose quota is charged.
+        coordinator: The box that holds the lease.
+        since_ms: Time of the grant, on the lease manager's monotonic clock.
+        renewed_ms: Time of the last renewal, on the same clock.
     """
 
     lease_id: int
@@ -42,7 +42,7 @@
 
 
 class LeaseTable:
-    """The leases that are out."""
+    """The active leases."""
 
     def __init__(self) -> None:
         self._leases: dict[int, Lease] = {}
@@ -52,31 +52,31 @@
 
     @property
     def busy(self) -> dict[str, int]:
-        """How many leases each endpoint has; it changes with the table."""
+        """Active leases per endpoint, as a live view of the table."""
         return self._busy
 
     def __len__(self) -> int:
-        """Return how many leases are out."""
+        """Return the number of active leases."""
         return len(self._leases)
 
     def get(self, lease_id: int) -> Lease | None:
-        """Return a lease that is out."""
+        """Return an active lease, or ``None``."""
         return self._leases.get(lease_id)
 
     def present(self) -> list[Lease]:
-        """Return the leases that are out, as of now."""
+        """Return a copy of the active leases."""
         return list(self._leases.values())
 
     def running_of_customer(self, customer: str) -> int:
-        """Return how many leases a customer has."""
+        """Return the number of active leases of *customer*."""
         return self._by_customer.get(customer, 0)
 
     def running_of_service(self, service: str) -> int:
-        """Return how many leases a service has."""
+        """Return the number of active leases of *service*."""
         return self._by_service.get(service, 0)
 
     def renew(self, lease_id: int, now_ms: float) -> bool:
-        """Renew a lease; return whether it is out."""
+        """Renew a lease; return ``False`` if it is not active."""
         lease = self._leases.get(lease_id)
         if lease is None:
             return False
@@ -84,12 +84,12 @@
         return True
 
     def add(self, lease: Lease) -> None:
-        """Note a lease that begins."""
+        """Add a lease."""
         self._leases[lease.lease_id] = lease
         self._count(lease, 1)
 
     def remove(self, lease: Lease) -> None:
-        """Note a lease that ends."""
+        """Remove a lease."""
         del self._leases[lease.lease_id]
         self._count(lease, -1)
 
--- a/src/foldloom/static_peers/placement/messages.py
+++ b/src/foldloom/static_peers/placement/messages.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
 """Messages between coordinators and lease managers.
 
-Owns the numbers of these messages, which are never used again. Relies on the codec of
-:mod:`foldloom.peers.messages`.
+Message numbers are never reused. The codec is :mod:`foldloom.peers.messages`.
 """
 
 from __future__ import annotations
@@ -14,16 +13,16 @@
 
 
 class SlotRequest(NamedTuple):
-    """A coordinator wants ``tasks`` slots.
+    """A coordinator requests ``tasks`` slots.
 
     Args:
-        request_id: The coordinator's number for it; sent again it counts once.
-        shard: The shard whose slots are wanted.
-        service: Whose endpoints may serve.
-        customer: On whose account.
-        tasks: How many tasks wait.
-        left_ms: How long until the job's deadline.
-        job_tasks: How many tasks the whole job has.
+        request_id: Request id of the coordinator; a retransmission counts once.
+        shard: The shard that the slots belong to.
+        service: The service that the endpoints must provide.
+        customer: The customer whose quota is charged.
+        tasks: Number of waiting tasks.
+        left_ms: Time left until the job's deadline.
+        job_tasks: Number of tasks in the whole job.
     """
 
     request_id: int
@@ -36,13 +35,13 @@
 
 
 class SlotGrant(NamedTuple):
-    """A lease manager hands out one slot.
+    """A lease manager grants one slot.
 
     Args:
-        request_id: The request that it serves.
+        request_id: The request that the grant serves.
         endpoint: The endpoint's name.
-        lease_id: Unique among all leases ever made.
-        ttl_ms: How long the lease lasts if it is not renewed.
+        lease_id: Unique among all leases.
+        ttl_ms: Time-to-live of the lease without renewal.
     """
 
     request_id: int
@@ -52,7 +51,7 @@
 
 
 class SlotRefusal(NamedTuple):
-    """A lease manager gives up on a request; what it granted before stands."""
+    """A lease manager refuses the rest of a request; earlier grants remain valid."""
 
     request_id: int
     reason: str
@@ -60,13 +59,13 @@
 
 
 class SlotCancel(NamedTuple):
-    """A coordinator needs no more slots for a request."""
+    """A coordinator cancels a request."""
 
     request_id: int
 
 
 class SlotUse(IntEnum):
-    """What came of a slot."""
+    """Outcome of a slot's use."""
 
     DONE = 0
     NOT_RUN = 1
@@ -75,14 +74,14 @@
 
 
 class SlotReturn(NamedTuple):
-    """A coordinator gives a slot back.
+    """A coordinator returns a slot.
 
     Args:
         lease_id: The lease.
         endpoint: The endpoint's name.
-        service: The service whose task ran.
-        service_ms: How long the task took at the endpoint.
-        use: What came of it.
+        service: The service of the task.
+        service_ms: Service time of the task at the endpoint.
+        use: Outcome of the slot's use.
     """
 
     lease_id: int
@@ -93,7 +92,7 @@
 
 
 class HeldSlot(NamedTuple):
-    """A lease that a coordinator holds."""
+    """A lease in a renewal message, with its age."""
 
     lease_id: int
     endpoint: str
@@ -103,7 +102,7 @@
 
 
 class SlotHold(NamedTuple):
-    """A coordinator renews its leases; a new lease manager learns of them by it."""
+    """A coordinator renews its leases; a new lease manager rebuilds its table from them."""
 
     leases: list[HeldSlot]
 
--- a/src/foldloom/static_peers/placement/policies.py
+++ b/src/foldloom/static_peers/placement/policies.py
@@ -1,9 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Which endpoint a task goes to: one function, a policy for each way.
+"""Placement policies: the choice of an endpoint for a task.
 
-Owns nothing: decisions only.
-
-Every policy sees the same :class:`View` and returns a :class:`Choice`, or ``None`` to wait.
+Every policy maps a :class:`View` to a :class:`Choice`, or to ``None`` to keep the task queued.
 """
 
 from __future__ import annotations
@@ -14,29 +12,27 @@
 from functools import singledispatch
 from typing import Any, NamedTuple
 
-# Which of a service's task sizes, as a share from the shortest, a wait is weighed against: this for
-# a lone task, more for each doubling of a job's tasks, up to the maximum. From the trial in
-# docs/design/placement.md.
+# Quantile of a service's task sizes that a wait is compared with, for a job of one task.
 _SHORT_SHARE = 0.03
-# The addition for each doubling.
+# Increase of the quantile for each doubling of the job's tasks.
 _SHARE_PER_DOUBLING = 0.035
-# The maximum: the middle size.
+# Upper bound of the quantile.
 _SHARE_MAX = 0.5
 
 
 class View(NamedTuple):
-    """What a decision is made on; the maps are by endpoint.
+    """Input of a placement decision; the maps are keyed by endpoint.
 
     Args:
-        endpoints: The endpoints that may serve the task, the fastest first.
-        mean_ms: The expected service time there.
-        free_slots: Slots that no lease holds.
-        busy_slots: Slots that a lease holds.
-        local_count: Tasks that this box has running there.
-        reported_count: Tasks running there by its lagging report.
-        queued_ahead: Tasks that wait before this one.
-        job_size: How long the job's ideal is expected to be, in mean tasks; a wait weighs
-            the more, the shorter the job.
+        endpoints: Endpoints eligible for the task, fastest first.
+        mean_ms: Expected service time.
+        free_slots: Slots without a lease.
+        busy_slots: Slots with a lease.
+        local_count: Running tasks started by this box.
+        reported_count: Running tasks according to the endpoint's last report.
+        queued_ahead: Queued tasks ahead of this task.
+        job_size: Expected duration of the job without queueing, in mean tasks. The shorter the
+            job, the more a wait counts.
     """
 
     endpoints: Sequence[str]
@@ -50,31 +46,31 @@
 
 
 class Choice(NamedTuple):
-    """An endpoint, and whether it is one of the fast ones."""
+    """An endpoint, and whether it belongs to the fast ones."""
 
     endpoint: str
     is_fast: bool = True
 
 
 class RandomChoice(NamedTuple):
-    """Any endpoint, evenly."""
+    """Selects an endpoint uniformly at random."""
 
 
 class LeastLocalCount(NamedTuple):
-    """The endpoint with the fewest of this box's own tasks."""
+    """Selects the endpoint with the fewest running tasks of this box."""
 
 
 class PowerOfTwo(NamedTuple):
-    """The lesser loaded of two random endpoints, by the lagging report."""
+    """Selects the less loaded of two random endpoints by their reports and this box's tasks."""
 
 
 class SlotLeases(NamedTuple):
-    """A free slot by least expected finish time, from leases.
+    """Selects a free slot by least expected finish time, from the lease table.
 
     Args:
-        alike: Endpoints within this ratio of the reference count as fast.
-        reference_share: The reference is the endpoint at this share of the order by speed: a
-            single lucky measurement must not make all others look slow.
+        fast_ratio: Endpoints within this ratio of the reference endpoint count as fast.
+        reference_share: Quantile of the order by speed at which the reference endpoint is taken,
+            so that a single short sample can't make all other endpoints look slow.
     """
 
     fast_ratio: float = 1.4
@@ -93,7 +89,7 @@
 
 @singledispatch
 def choose(policy: Any, _view: View) -> Choice | None:
-    """Return the endpoint for one task under *policy*, or ``None`` to wait."""
+    """Return the endpoint for a task under *policy*, or ``None`` to keep the task queued."""
     raise TypeError(f"no policy {type(policy).__name__}")
 
 
@@ -134,8 +130,7 @@
     fastest_free = next((endpoint for endpoint in slow if view.free_slots[endpoint] > 0), None)
     if fastest_free is None:
         return None
-    # Busy fast slots come free at a rate of one each mean service time: the k-th comes
-    # after k means over their number.
+    # With *busy* fast slots, the k-th one is expected to be released after k * mean / busy.
     busy = sum(view.busy_slots.get(endpoint, 0) for endpoint in fast)
     if busy == 0:
         return Choice(fastest_free, is_fast=False)
@@ -148,14 +143,14 @@
 
 
 def job_size(sizes: Sequence[float], job_tasks: int) -> float:
-    """Return against how short a task a wait is weighed, in mean tasks.
+    """Return the task size that a wait is compared with, in mean tasks.
 
-    A wait hurts a short lone task most, so nearly the shortest one counts; the longest task of a
-    job hides a wait, the more so the more tasks there are.
+    Waiting hurts a job of one short task most, so a low quantile of the sizes is used. In a larger
+    job the longest task hides the wait, so the quantile rises with the number of tasks.
 
     Args:
-        sizes: The service's latest tasks in mean tasks, in rising order; 1 without any.
-        job_tasks: How many tasks the job has.
+        sizes: Recent task sizes of the service in mean tasks, ascending; if empty, the result is 1.
+        job_tasks: Number of tasks in the job.
     """
     if not sizes:
         return 1.0
@@ -164,7 +159,7 @@
 
 
 def _split(view: View, fast_limit_ms: float) -> tuple[Sequence[str], Sequence[str]]:
-    """Return the fast endpoints and the slow ones; there is always a fast one."""
+    """Return the fast endpoints, at least one, and the slow ones."""
     fast_count = 1
     while (
         fast_count < len(view.endpoints)
--- a/src/foldloom/static_peers/placement/queue.py
+++ b/src/foldloom/static_peers/placement/queue.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The requests that wait at a lease manager, by customer and by service.
-
-Owns the requests that wait. Relies on shares for whose turn it is.
-"""
+"""Queue of slot requests at a lease manager, indexed by customer and service."""
 
 from __future__ import annotations
 
@@ -15,11 +12,11 @@
 
 
 class PendingRequest:
-    """A request of which some tasks still wait.
+    """A request with tasks that still wait for slots.
 
     Args:
-        coordinator: Who asked.
-        request: What for.
+        coordinator: The requesting box.
+        request: The request.
     """
 
     __slots__ = ("coordinator", "has_slow", "left", "request")
@@ -32,12 +29,12 @@
 
     @property
     def key(self) -> Key:
-        """The coordinator and its number for the request."""
+        """The coordinator and its request id."""
         return self.coordinator, self.request.request_id
 
 
 class RequestQueue:
-    """Requests in order of arrival, customers in order of their turns.
+    """Slot requests: round robin between customers, first come first served within a customer.
 
     Args:
         quota_of: Returns a customer's weight.
@@ -52,52 +49,52 @@
         self._round_robin = RoundRobin(quota_of)
 
     def __bool__(self) -> bool:
-        """Return whether any request waits."""
+        """Return whether the queue has a request."""
         return bool(self._pending)
 
     def __contains__(self, key: Key) -> bool:
-        """Return whether the request *key* waits."""
+        """Return whether the request *key* is queued."""
         return key in self._pending
 
     @property
     def tasks(self) -> int:
-        """How many tasks wait."""
+        """Number of queued tasks."""
         return sum(self._tasks_of_service.values())
 
     @property
     def customers(self) -> set[str]:
-        """The customers with requests."""
+        """The customers with queued requests."""
         return set(self._by_customer)
 
     @property
     def service_count(self) -> int:
-        """How many services have requests."""
+        """Number of services with queued requests."""
         return len(self._by_service)
 
     @property
     def coordinators(self) -> set[str]:
-        """The boxes with requests."""
+        """The boxes with queued requests."""
         return {coordinator for coordinator, _ in self._pending}
 
     def tasks_of_customer(self, customer: str) -> int:
-        """Return how many tasks of *customer* wait."""
+        """Return the number of queued tasks of *customer*."""
         return self._tasks_of_customer.get(customer, 0)
 
     def tasks_of_service(self, service: str) -> int:
-        """Return how many tasks of *service* wait."""
+        """Return the number of queued tasks of *service*."""
         return self._tasks_of_service.get(service, 0)
 
     def in_round_robin_order(self) -> Iterator[PendingRequest]:
-        """Yield every request: the customer's whose turn it is first, its oldest first."""
+        """Yield every request, customer by customer in round-robin order, oldest first."""
         for customer in self._round_robin.order():
             yield from self._by_customer[customer].values()
 
     def of_service(self, service: str) -> Iterator[PendingRequest]:
-        """Yield the requests of *service*, the oldest first."""
+        """Yield the requests of *service*, oldest first."""
         yield from self._by_service.get(service, {}).values()
 
     def newest_of(self, service: str) -> PendingRequest:
-        """Return the newest request of *service*, which has one."""
+        """Return the newest request of *service*, which must have one."""
         return next(reversed(self._by_service[service].values()))
 
     def add(self, pending: PendingRequest) -> None:
@@ -110,7 +107,7 @@
         self._round_robin.add(customer)
 
     def grant_one(self, pending: PendingRequest) -> None:
-        """Note that one task of a request got its slot; charge it to the customer."""
+        """Remove one task of a request from the queue and charge it to the customer."""
         self._round_robin.charge(pending.request.customer)
         pending.left -= 1
         self._count(pending, -1)
@@ -118,7 +115,7 @@
             self.drop(pending.key)
 
     def drop(self, key: Key) -> None:
-        """Forget a request, if it waits."""
+        """Remove a request if it is queued."""
         pending = self._pending.pop(key, None)
         if pending is None:
             return
@@ -132,7 +129,7 @@
             self._round_robin.remove(customer)
 
     def drop_requests_of(self, coordinator: str) -> None:
-        """Forget every request of a box that is gone."""
+        """Remove every request of *coordinator*."""
         for key in [key for key in self._pending if key[0] == coordinator]:
             self.drop(key)
 
--- a/src/foldloom/static_peers/placement/retries.py
+++ b/src/foldloom/static_peers/placement/retries.py
@@ -1,28 +1,25 @@
 # SPDX-License-Identifier: MIT
-"""The one place that decides whether an attempt may be made again, and the retry budget.
-
-Owns the budget of one box. Relies on the configuration for what a service lets be started again.
-"""
+"""Retry decisions and the retry budget of one box."""
 
 from __future__ import annotations
 
 from foldloom.controllers.config import RESTART_AFTER_ENDPOINT_DEATH, Service
 from foldloom.verdicts import Problem, Run
 
-# Retries that are allowed at the start, before any task has started.
+# Initial retry budget.
 _TOKENS_START = 10.0
-# Retries that can be saved up, to bound a storm after a calm time.
+# Largest retry budget that can accumulate.
 _TOKENS_MAX = 100.0
 _ENDPOINT_DEATH_REASONS = ("worker-lost",)
-# Endpoints that may die under a task before it is given up: it may be what kills them.
+# Crashed endpoints after which a task is not retried: the task may be the cause.
 ENDPOINT_DEATHS_MAX = 2
 
 
 class RetryBudget:
-    """Allow retries as a share of recent starts, so that a failing zone makes no storm.
+    """Limits retries to a share of recent starts, which prevents retry storms.
 
     Args:
-        share: Retries for each start, on average.
+        share: Retries added per start.
     """
 
     def __init__(self, share: float) -> None:
@@ -31,7 +28,7 @@
 
     @property
     def tokens(self) -> float:
-        """How many retries are allowed now."""
+        """Retries available now."""
         return self._tokens
 
     def note_start(self) -> None:
@@ -39,7 +36,7 @@
         self._tokens = min(_TOKENS_MAX, self._tokens + self._share)
 
     def spend(self) -> bool:
-        """Spend one retry of the budget; return whether there was one."""
+        """Consume one retry; return ``False`` if none is available."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -47,16 +44,16 @@
 
 
 def is_endpoint_death(problem: Problem) -> bool:
-    """Return whether an attempt ended so because its endpoint died under it."""
+    """Return whether the attempt failed because its endpoint crashed."""
     return problem.reason in _ENDPOINT_DEATH_REASONS
 
 
 def may_retry(problem: Problem, service: Service, is_repeatable: bool, deaths: int = 1) -> bool:
-    """Return whether a task may be attempted again after *problem*.
+    """Return whether a task may be retried after *problem*.
 
-    An attempt that certainly did not run may always be. One that may have run may be only
-    after its endpoint died, only if the service says so and the request is repeatable, and not
-    once *deaths* endpoints have died under the task.
+    An attempt that did not run may always be retried. One that may have run is retried only after a
+    crash of its endpoint, if the service permits a restart, the request is repeatable and *deaths*
+    is below the limit.
     """
     if problem.run is Run.NOT_RUN:
         return True
--- a/src/foldloom/static_peers/placement/shard.py
+++ b/src/foldloom/static_peers/placement/shard.py
@@ -1,10 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""One shard's soft state: free slots, leases, the queue, and who gets the next slot.
+"""Soft state of one shard: free slots, leases, the request queue and the order of grants.
 
-Owns the queue and who has got how much; leases, views and ejections are parts of their own. Relies
-on its caller for the time.
-
-Nothing here waits or sends; a lease manager calls it and sends what it returns.
+The code here does no I/O and reads no clock: the lease manager passes the time and sends the
+resulting messages.
 """
 
 from __future__ import annotations
@@ -33,20 +31,18 @@
 from foldloom.static_peers.placement.speeds import SpeedTable
 from foldloom.static_peers.placement.views import ViewTable
 
-# Times its endpoint's mean, after which a task counts as overdue: above the spread of tasks (50 to
-# 500 ms).
+# Multiple of the endpoint's mean service time after which a task is overdue.
 _OVERDUE_RATIO = 6.0
-# Milliseconds before which none counts as overdue: twice the longest task.
+# Minimum age of an overdue task, in milliseconds.
 _OVERDUE_MIN_MS = 1_000
-# Mean service times of waiting from which a slow slot goes to the oldest job
-# (docs/design/placement.md, point 3).
+# Expected wait, in mean service times, above which a slow slot goes to the first request in turn.
 _LONG_QUEUE_MEANS = 3.0
-# Milliseconds after which a caller should come back if no endpoint may serve.
+# Retry-after of a refusal for lack of an eligible endpoint, in milliseconds.
 _NO_ENDPOINT_RETRY_MS = 1_000
 
 
 class Grant(NamedTuple):
-    """A grant and the coordinator that it goes to."""
+    """A grant and the coordinator it is sent to."""
 
     coordinator: str
     message: SlotGrant
@@ -57,8 +53,8 @@
 
     Args:
         settings: Limits and timings.
-        policy: How a slot is chosen.
-        lease_ids: Gives each lease its id.
+        policy: The placement policy.
+        lease_ids: Source of lease ids.
     """
 
     def __init__(self, settings: Settings, policy: Policy, lease_ids: Iterator[int]) -> None:
@@ -79,31 +75,37 @@
 
     @property
     def ejection(self) -> Ejection:
-        """Which endpoints are left out."""
+        """Ejection state of the endpoints."""
         return self._ejection
 
     @property
     def queued(self) -> int:
-        """How many tasks wait."""
+        """Number of queued tasks."""
         return self._queue.tasks
 
     @property
     def free_slots(self) -> int:
-        """How many slots no lease holds, on endpoints that get work."""
+        """Unleased slots on the endpoints eligible for placement."""
         return self._views.free_slots
 
     @property
     def lease_count(self) -> int:
-        """How many leases are out."""
+        """Number of active leases."""
         return len(self._leases)
 
     def take_events(self) -> list[str]:
-        """Return and clear the sentences to log."""
+        """Return and clear the pending log sentences."""
         events, self._events = self._events, []
         return events
 
     def set_endpoints(self, config: Config, names: list[str], usable: set[str]) -> None:
-        """Adopt the configuration: *names* are this shard's endpoints, *usable* get work."""
+        """Apply a configuration.
+
+        Args:
+            config: The configuration in force.
+            names: The endpoints of this shard.
+            usable: The endpoints eligible for placement, of any shard.
+        """
         self._bounds.follow(config)
         self._usable = usable.intersection(names)
         self._ejection.follow(self._usable)
@@ -115,7 +117,7 @@
         self._views.follow(self._endpoints_of, self._usable)
 
     def add(self, coordinator: str, request: SlotRequest) -> SlotRefusal | None:
-        """Queue *request*, or return why it is refused at once."""
+        """Queue *request*, or return a refusal. A retransmission has no effect."""
         if (coordinator, request.request_id) in self._queue:
             return None
         refusal = self._check_admission(request)
@@ -124,23 +126,23 @@
         return refusal
 
     def cancel(self, coordinator: str, request_id: int) -> None:
-        """Drop a request."""
+        """Remove a request from the queue."""
         self._queue.drop((coordinator, request_id))
 
     def drop_dead_coordinators(self, is_live: Callable[[str], bool]) -> None:
-        """Drop the requests of coordinators that are gone."""
+        """Remove the requests of coordinators that are not live."""
         for coordinator in self._queue.coordinators:
             if not is_live(coordinator):
                 self._queue.drop_requests_of(coordinator)
 
     def hold(self, coordinator: str, held: HeldSlot, now_ms: float) -> None:
-        """Renew a lease, or learn of one that an earlier lease manager made."""
+        """Renew a lease, or add one that an earlier lease manager granted."""
         if self._leases.renew(held.lease_id, now_ms):
             return
         self._add_lease(reported_lease(held, coordinator, now_ms))
 
     def give_back(self, message: SlotReturn, now_ms: float) -> None:
-        """End the lease of a returned slot, and learn from the outcome of its task."""
+        """End the lease of a returned slot and record the outcome of its task."""
         lease = self._leases.get(message.lease_id)
         if lease is not None:
             self._remove_lease(lease)
@@ -152,12 +154,12 @@
             self._ejection.record_failure(message.endpoint, now_ms)
 
     def tick(self, now_ms: float) -> None:
-        """End leases that were not renewed and eject endpoints whose tasks are overdue."""
+        """Expire leases that were not renewed and eject endpoints whose tasks are overdue."""
         ttl = self._settings.timings.lease_ttl_ms
         overdue: dict[str, int] = {}
         for lease in self._leases.present():
             if now_ms - lease.renewed_ms > ttl:
-                self._events.append(f"Lease {lease.lease_id} on {lease.endpoint} ran out.")
+                self._events.append(f"Lease {lease.lease_id} on {lease.endpoint} expired.")
                 self._remove_lease(lease)
                 continue
             limit = _OVERDUE_RATIO * self._speeds.mean_ms(lease.service, lease.endpoint)
@@ -171,7 +173,7 @@
         self._views.refresh(now_ms)
 
     def match(self, now_ms: float) -> list[Grant]:
-        """Grant slots to whoever is next, as long as that is better than to wait."""
+        """Grant slots until no queued request can be served now."""
         grants: list[Grant] = []
         while self._queue:
             grant = self._match_next(now_ms)
@@ -181,7 +183,7 @@
         return grants
 
     def expected_wait_ms(self, service: str) -> float:
-        """Return how long a new task of *service* is expected to wait."""
+        """Return the expected wait of a new task of *service*."""
         rate = self._views.rate_of(service)
         if rate <= 0.0:
             return float(RETRY_MAX_MS)
@@ -189,7 +191,7 @@
         return max(0.0, excess / rate)
 
     def _match_next(self, now_ms: float) -> Grant | None:
-        """Hand out one slot; ``None`` if nobody gets one now."""
+        """Grant one slot, or return ``None`` if no request can be served now."""
         choices: dict[str, Choice | None] = {}
         for pending in self._queue.in_round_robin_order():
             if self._is_customer_full(pending.request.customer):
@@ -208,7 +210,7 @@
         return None
 
     def _choose(self, service: str) -> Choice | None:
-        """Return the slot for the last task in the queue, which would wait longest."""
+        """Return the slot for the last queued task of *service*, which would wait longest."""
         view = self._views.view_of(service)
         if view is None or self._is_service_full(service):
             return None
@@ -221,11 +223,11 @@
         return choose(self._policy, view._replace(queued_ahead=queued_ahead, job_size=size))
 
     def _recipient_of_slow_slot(self, service: str, first: PendingRequest) -> PendingRequest:
-        """Return which request gets a slow slot.
+        """Return the request that receives a slow slot.
 
-        One that has a slow one already, as its job ends late anyway; else the newest, which
-        has waited least and would wait longest for a fast one. Once the queue is long, the
-        first: everybody waits for longer than a slow endpoint takes.
+        A request that already has a slow slot comes first, since its job finishes late anyway; then
+        the newest, which has the longest wait for a fast slot ahead. If the queue is long, the
+        first request in turn receives it: every wait is then longer than a slow endpoint takes.
         """
         if self.expected_wait_ms(service) > _LONG_QUEUE_MEANS * self._speeds.service_mean_ms(
             service
--- a/src/foldloom/static_peers/placement/shards.py
+++ b/src/foldloom/static_peers/placement/shards.py
@@ -1,12 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Which lease manager hands out which endpoints' slots.
+"""Assignment of endpoints to shards and of shards to lease managers.
 
-Owns nothing but the managers that were worked out last. Relies on the configuration and on which
-boxes serve.
-
-Endpoints are grouped into shards; each shard has one lease manager: the live entry box that
-rendezvous hashing picks. A small fleet is one shard, so that one queue sees every slot; a
-larger one is split by zone, then by hash.
+Each shard has one lease manager, chosen among the live entry boxes by rendezvous hashing. A small
+fleet is a single shard, so that one queue covers every slot; a larger one is split by zone, then
+by hash.
 """
 
 from __future__ import annotations
@@ -21,7 +18,7 @@
 
 
 def shard_names(config: Config, shard_endpoints_max: int) -> dict[str, list[str]]:
-    """Return the endpoints of each shard, by the shard's name."""
+    """Return the endpoints of each shard, by shard name."""
     if len(config.endpoints) <= shard_endpoints_max:
         return {FLEET: list(config.endpoints)} if config.endpoints else {}
     by_zone: dict[str, list[str]] = {}
@@ -38,7 +35,7 @@
 def manager_of(shard: str, zone_by_box: dict[str, str]) -> str:
     """Return the lease manager of *shard* among the live boxes, or an empty string.
 
-    A zone's shard is managed in its zone while a box there is live.
+    A shard of a zone is managed in that zone while a box there is live.
     """
     zone = shard.partition("/")[0]
     in_zone = [box for box, box_zone in zone_by_box.items() if box_zone == zone]
@@ -49,13 +46,11 @@
 
 
 class Managers:
-    """Who manages which shard, as this box sees it.
-
-    It is asked for with each lease, so an answer is kept for a while.
+    """Cache of the lease manager of each shard.
 
     Args:
-        serving: Returns the zones of the live boxes that are not stopping, by box.
-        kept_ms: For how long an answer is kept.
+        serving: Returns the zone of each live box that is not stopping.
+        cache_ttl_ms: Time-to-live of the cache.
     """
 
     def __init__(self, serving: Callable[[], dict[str, str]], cache_ttl_ms: float) -> None:
@@ -74,12 +69,12 @@
         return self._managers[shard]
 
     def look_again(self) -> None:
-        """Forget every answer: who serves has changed."""
+        """Invalidate the cache after a change of the serving boxes."""
         self._managers.clear()
 
 
 def is_in_reachable_zone(endpoint: Endpoint, reachable_zones: set[str]) -> bool:
-    """Return whether *endpoint* lies in a zone that can be reached."""
+    """Return whether *endpoint* is in a reachable zone."""
     return endpoint["zone"] in reachable_zones
 
 
--- a/src/foldloom/static_peers/placement/shares.py
+++ b/src/foldloom/static_peers/placement/shares.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Whose turn it is: deficit round robin between customers, and what each has got lately.
+"""Fair shares between customers: deficit round robin and moving averages of grant rates.
 
-Owns the deficits and the rates of one shard. The first is deficit round robin (Shreedhar and
-Varghese, 1996).
+Deficit round robin follows Shreedhar and Varghese (1996).
 """
 
 from __future__ import annotations
@@ -10,17 +9,16 @@
 from collections import Counter, OrderedDict
 from collections.abc import Callable
 
-# Slots that a turn gives to a customer of quota 1 (deficit round robin, Shreedhar and Varghese,
-# 1996).
+# Slots added per turn and unit of quota.
 _QUANTUM = 1.0
-# Weight of a new interval in a customer's rate of grants.
+# Weight of a new interval in a customer's grant rate.
 _RATE_ALPHA = 0.2
-# Grants a millisecond below which a customer counts as idle: one in 10 s.
+# Grants per millisecond below which a customer counts as idle: one in 10 s.
 _RATE_MIN_PER_MS = 1e-4
 
 
 class RoundRobin:
-    """Deficit round robin over customers that have something queued.
+    """Deficit round robin over the customers with queued requests.
 
     Args:
         quota_of: Returns a customer's weight.
@@ -31,20 +29,20 @@
         self._deficits: OrderedDict[str, float] = OrderedDict()
 
     def add(self, customer: str) -> None:
-        """Let *customer* take part from now on."""
+        """Add *customer* to the rotation."""
         if customer not in self._deficits:
             self._deficits[customer] = _QUANTUM * self._quota_of(customer)
 
     def remove(self, customer: str) -> None:
-        """Let *customer* take part no more: it has nothing queued."""
+        """Remove *customer* from the rotation."""
         self._deficits.pop(customer, None)
 
     def order(self) -> list[str]:
-        """Return the customers, the one whose turn it is first."""
+        """Return the customers in the order of their turns."""
         return list(self._deficits)
 
     def charge(self, customer: str) -> None:
-        """Count one task against *customer*; when its turn is used up the next one's begins."""
+        """Charge one task to *customer*; a used-up deficit is refilled and ends the turn."""
         deficit = self._deficits.get(customer)
         if deficit is None:
             return
@@ -57,7 +55,7 @@
 
 
 class GrantRates:
-    """Moving averages of the slots that each customer was granted a millisecond."""
+    """Moving averages of each customer's granted slots per millisecond."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
@@ -66,11 +64,11 @@
 
     @property
     def customers(self) -> set[str]:
-        """The customers that were granted slots lately."""
+        """The customers with a grant rate above the idle threshold."""
         return set(self._rates)
 
     def rate_of(self, customer: str) -> float:
-        """Return the customer's grants a millisecond, lately."""
+        """Return the customer's grants per millisecond."""
         return self._rates.get(customer, 0.0)
 
     def note(self, customer: str) -> None:
@@ -78,7 +76,7 @@
         self._counts[customer] += 1
 
     def refresh(self, now_ms: float) -> None:
-        """Take the grants since the last call into the averages."""
+        """Update the averages with the grants since the last call."""
         elapsed_ms = now_ms - self._refreshed_ms
         if elapsed_ms <= 0:
             return
--- a/src/foldloom/static_peers/placement/slots.py
+++ b/src/foldloom/static_peers/placement/slots.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What a job needs of slots: ask for them, hold them, give them back.
+"""Slot types and the interface that both slot sources implement.
 
-Owns nothing: the types, and the calls that both sources have. :mod:`.leased_slots` asks lease
-managers; :mod:`.direct_slots` picks an endpoint at once by a baseline policy, without any lease.
+:mod:`.leased_slots` requests slots from lease managers; :mod:`.direct_slots` picks an endpoint
+by a baseline policy, without leases.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 
 from foldloom.static_peers.placement.messages import SlotUse
 
-# Milliseconds after which a job should ask again when no endpoint may serve it, or no grant has
-# come: a request is numbered, so a copy of it counts once.
+# Milliseconds until a job repeats a request that was not granted or had no eligible endpoint.
+# Request ids make the retransmission idempotent.
 RESEND_INTERVAL_MS = 3_000
 
 
 class Slot(NamedTuple):
-    """A slot that this box may use now.
+    """A slot that this box may use.
 
     Args:
         lease_id: The lease; 0 for a direct pick.
         endpoint: The endpoint's name.
-        service: The service it was asked for.
-        customer: On whose account.
-        granted_ms: Own monotonic clock at its arrival.
-        expires_ms: After this no task may start on it.
+        service: The requested service.
+        customer: The customer whose quota is charged.
+        granted_ms: Time of arrival, on the local monotonic clock.
+        expires_ms: No task may start on the slot after this time.
     """
 
     lease_id: int
@@ -38,16 +38,16 @@
 
 
 class SlotWaiter:
-    """A job that waits for slots; slots and a refusal come out of ``arrivals``.
+    """A job's open request; slots and refusals are delivered through ``arrivals``.
 
-    The job may put events of its own there, so as to wait at one place only.
+    The job may put its own events into the same queue, to wait on a single queue.
 
     Args:
-        request_id: This box's number for it.
-        service: Whose endpoints may serve.
-        customer: On whose account.
-        deadline_ms: The job's deadline on the own monotonic clock.
-        job_tasks: How many tasks the whole job has.
+        request_id: Request id, unique within this box.
+        service: The requested service.
+        customer: The customer whose quota is charged.
+        deadline_ms: The job's deadline, on the local monotonic clock.
+        job_tasks: Number of tasks in the whole job.
     """
 
     def __init__(
@@ -66,18 +66,18 @@
 
 
 class SlotSource(Protocol):
-    """What a job needs of either source."""
+    """Interface of a slot source, as used by jobs."""
 
     def open_waiter(
         self, service: str, customer: str, deadline_ms: float, job_tasks: int
     ) -> SlotWaiter:
-        """Begin to wait for slots; nothing is asked yet."""
+        """Open a waiter without requesting slots."""
 
     def request(self, waiter: SlotWaiter, count: int) -> None:
-        """Ask for *count* more slots."""
+        """Request *count* more slots."""
 
     def close(self, waiter: SlotWaiter) -> None:
-        """Wait no more: what still arrives goes back unused."""
+        """Close the waiter; slots that arrive later are returned unused."""
 
     def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
         """Return a slot with the outcome of its task."""
--- a/src/foldloom/static_peers/placement/speeds.py
+++ b/src/foldloom/static_peers/placement/speeds.py
@@ -1,36 +1,32 @@
 # SPDX-License-Identifier: MIT
-"""How fast each endpoint runs each service, from what its tasks took.
-
-Owns the averages of one shard. Relies on its caller for the time.
-"""
+"""Moving averages of service times per endpoint and service."""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import NamedTuple
 
-# Weight of a new task in a mean, to average over some 30 tasks of very different sizes.
+# Weight of a new sample in a moving average.
 _ALPHA = 0.03
-# Milliseconds that a task of an unknown service is expected to take: within the brief's 50 to 500
-# ms.
+# Mean service time of a service without samples, in milliseconds.
 _DEFAULT_MEAN_MS = 200.0
-# Tasks after which an endpoint's mean counts.
+# Samples before an endpoint's own mean is used.
 _SAMPLES_MIN = 6
-# Tasks that an endpoint must run again after its mean has become stale.
+# Samples needed to refresh a stale mean.
 _SAMPLES_TO_REFRESH = 2
-# Sizes of tasks that are kept of a service: enough for shares of 3% and more.
+# Relative task sizes retained per service.
 _SIZES_MAX = 200
-# Milliseconds without a task after which a mean is doubted.
+# Milliseconds without a sample after which a mean is stale.
 _STALE_MS = 30_000
 
 
 class Speed(NamedTuple):
-    """The moving average of an endpoint's service time.
+    """Moving average of an endpoint's service time.
 
     Args:
-        mean_ms: The average, milliseconds.
-        samples: How many tasks it rests on.
-        seen_ms: When the last one ended; own monotonic clock.
+        mean_ms: The average, in milliseconds.
+        samples: Number of samples.
+        seen_ms: Time of the last sample, on the local monotonic clock.
     """
 
     mean_ms: float
@@ -39,7 +35,7 @@
 
 
 class SpeedTable:
-    """Moving averages for each service and endpoint."""
+    """Moving averages of service times."""
 
     def __init__(self) -> None:
         self._by_endpoint: dict[tuple[str, str], Speed] = {}
@@ -53,7 +49,7 @@
         service_ms: float,
         now_ms: float = 0.0,
     ) -> None:
-        """Take in that a task of *service* took *service_ms* on *endpoint*."""
+        """Record that a task of *service* took *service_ms* on *endpoint*."""
         average = self._by_endpoint.get((service, endpoint))
         if average is not None and average.samples >= _SAMPLES_MIN:
             sizes = self._sizes.setdefault(service, deque(maxlen=_SIZES_MAX))
@@ -70,7 +66,7 @@
     def mean_ms(self, service: str, endpoint: str) -> float:
         """Return the expected service time of *service* on *endpoint*.
 
-        An endpoint with few samples is taken for average, so that it gets work and is measured.
+        An endpoint with few samples gets the mean over all endpoints, so that it is sampled.
         """
         average = self._by_endpoint.get((service, endpoint))
         if average is None or average.samples < _SAMPLES_MIN:
@@ -78,16 +74,16 @@
         return average.mean_ms
 
     def sizes(self, service: str) -> list[float]:
-        """Return the latest tasks' sizes, in rising order; 1 is a mean task."""
+        """Return the sizes of recent tasks in ascending order, relative to the endpoint's mean."""
         return sorted(self._sizes.get(service, ()))
 
     def forget(self, endpoint: str) -> None:
-        """Drop what is known of *endpoint*."""
+        """Drop the averages of *endpoint*."""
         for key in [key for key in self._by_endpoint if key[1] == endpoint]:
             del self._by_endpoint[key]
 
     def mark_stale(self, now_ms: float) -> None:
-        """Trust no average that is old, so that an endpoint that nobody picks is measured again."""
+        """Reset the sample count of old averages, so that unused endpoints are sampled again."""
         for key, average in self._by_endpoint.items():
             if now_ms - average.seen_ms > _STALE_MS and average.samples >= _SAMPLES_MIN:
                 stale = average._replace(samples=_SAMPLES_MIN - _SAMPLES_TO_REFRESH)
@@ -95,7 +91,7 @@
 
 
 def _updated_mean(average: Speed | None, value: float, alpha: float, now_ms: float) -> Speed:
-    """Return *known* with *value* taken in; early values weigh as in a plain mean."""
+    """Return *average* updated with *value*; the first samples form a plain mean."""
     if average is None:
         return Speed(value, 1, now_ms)
     weight = max(alpha, 1 / (average.samples + 1))
--- a/src/foldloom/static_peers/placement/views.py
+++ b/src/foldloom/static_peers/placement/views.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""What a policy sees of a shard's endpoints: free slots, and each service's endpoints by speed.
+"""Per-service views of a shard's endpoints for the placement policies.
 
-Owns the free slots and the views, which are worked out anew at each tick. Relies on bounds, leases,
-learned speeds and on which endpoints are left out.
+Free slots and views are recomputed on each tick.
 """
 
 from __future__ import annotations
@@ -20,10 +19,10 @@
     """The views of one shard.
 
     Args:
-        bounds: What the configuration allows.
-        leases: The leases that are out.
-        speeds: The learned speeds.
-        ejection: Which endpoints are left out.
+        bounds: Limits of the configuration.
+        leases: The active leases.
+        speeds: Learned service times.
+        ejection: Ejection state of the endpoints.
     """
 
     def __init__(
@@ -41,23 +40,23 @@
 
     @property
     def free_slots(self) -> int:
-        """How many slots no lease holds, on endpoints that get work."""
+        """Unleased slots on the endpoints eligible for placement."""
         return sum(self._free.values())
 
     def has_free_slot(self, endpoint: str) -> bool:
-        """Return whether *endpoint* has a slot that no lease holds."""
+        """Return whether *endpoint* has an unleased slot."""
         return bool(self._free.get(endpoint))
 
     def view_of(self, service: str) -> View | None:
-        """Return the endpoints of *service* by speed."""
+        """Return the view of *service*, fastest endpoint first."""
         return self._views.get(service)
 
     def sizes_of(self, service: str) -> Sequence[float]:
-        """Return the learned sizes of the tasks of *service*."""
+        """Return the learned task sizes of *service*."""
         return self._sizes.get(service, ())
 
     def rate_of(self, service: str) -> float:
-        """Return how many tasks of *service* the shard can finish a millisecond."""
+        """Return the tasks of *service* that the shard can complete per millisecond."""
         return self._rates.get(service, 0.0)
 
     def peer_mean_ms(self, service: str, endpoint: str) -> float:
@@ -68,29 +67,29 @@
         return view.mean_ms[view.endpoints[len(view.endpoints) // 2]]
 
     def follow(self, endpoints_of: dict[str, list[str]], usable: set[str]) -> None:
-        """Use other endpoints.
+        """Set the endpoints.
 
         Args:
             endpoints_of: The shard's endpoints by service.
-            usable: Those that get work.
+            usable: The endpoints eligible for placement.
         """
         self._endpoints_of = endpoints_of
         self._free = {endpoint: self._free_slots_of(endpoint, 0.0) for endpoint in usable}
         self._refresh_views()
 
     def refresh(self, now_ms: float) -> None:
-        """Work out the free slots and the views anew."""
+        """Recompute the free slots and the views."""
         for endpoint in self._free:
             self._free[endpoint] = self._free_slots_of(endpoint, now_ms)
         self._refresh_views()
 
     def refresh_free(self, endpoint: str, now_ms: float) -> None:
-        """Count the free slots of *endpoint* anew."""
+        """Recompute the free slots of *endpoint*."""
         if endpoint in self._free:
             self._free[endpoint] = self._free_slots_of(endpoint, now_ms)
 
     def _refresh_views(self) -> None:
-        """Order each service's endpoints by speed anew."""
+        """Rebuild each service's view, ordered by speed."""
         for service, names in self._endpoints_of.items():
             means = {
                 name: self._speeds.mean_ms(service, name) for name in names if name in self._free
@@ -101,7 +100,7 @@
             self._rates[service] = self._service_rate(service)
 
     def _free_slots_of(self, endpoint: str, now_ms: float) -> int:
-        """Return the free slots of *endpoint*; an ejected one has one if it may be probed."""
+        """Return the free slots of *endpoint*; an ejected endpoint has at most one, for a probe."""
         slots = self._bounds.slots_of(endpoint)
         busy = self._leases.busy.get(endpoint, 0)
         if self._ejection.is_ejected(endpoint):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -333,7 +333,7 @@
                 held = HeldSlot(grant.message.lease_id, "w0", "s", "m1", 0)
                 shard.hold("a1", held, 1_900.0)
         shard.tick(2_000.0)
-        assert "Eject w0" in " ".join(shard.take_events())
+        assert "Ejected w0" in " ".join(shard.take_events())
 
     def test_far_slower_is_ejected_and_probed_only_after_a_sign_of_life(self) -> None:
         """An endpoint ten times slower than its peers is ejected; a probe needs proof of life."""
--- a/tests/test_placement_ejection.py
+++ b/tests/test_placement_ejection.py
@@ -34,7 +34,7 @@
         ejection.note_overdue("w1", 0.0)
         ejection.note_overdue("w1", 10.0)
         assert ejection.is_ejected("w1")
-        assert sentences == ["Eject w1: its tasks are overdue."]
+        assert sentences == ["Ejected w1: its tasks are overdue."]
 
     def test_failures_in_a_row(self) -> None:
         """One failure leaves nobody out, three do."""
@@ -43,7 +43,7 @@
         assert not ejection.is_ejected("w1")
         ejection.record_failure("w1", 1.0)
         ejection.record_failure("w1", 2.0)
-        assert sentences == ["Eject w1: it failed again and again."]
+        assert sentences == ["Ejected w1: consecutive failures."]
 
     def test_no_probe_without_a_sign_of_life(self) -> None:
         """A task goes to an ejected endpoint only after it answered, and after its time."""
@@ -63,7 +63,7 @@
         ejection.mark_responsive("w1")
         ejection.record_grant("w1")
         assert not ejection.may_probe("w1", _EJECTION_MS)
-        assert sentences[-1] == "Probe w1 with one task."
+        assert sentences[-1] == "Probing w1 with one task."
 
     def test_back_after_probes(self) -> None:
         """Two probes that are not slow bring it back."""
@@ -73,7 +73,7 @@
         assert ejection.is_ejected("w1")
         ejection.record_success(_slot_return(100.0), 100.0, _EJECTION_MS)
         assert not ejection.is_ejected("w1")
-        assert sentences[-1] == "w1 is well again."
+        assert sentences[-1] == "w1 is healthy again."
 
     def test_a_slow_probe_counts_against_it(self) -> None:
         """A probe of over four times the peers' mean keeps it out for another while."""
--- a/tests/test_placement_faults.py
+++ b/tests/test_placement_faults.py
@@ -106,7 +106,7 @@
             hung = [
                 pool.submit(cluster.submit, "a1", f"hung-{n}", [{"ms": 20}] * 6) for n in range(4)
             ]
-            wait_until(lambda: _logged(cluster, "Eject aw1"), "aw1 is ejected")
+            wait_until(lambda: _logged(cluster, "Ejected aw1"), "aw1 is ejected")
             assert set(_run_jobs(cluster, "meanwhile", 30)) == {200}
             cluster.signal("workers-a", signal.SIGCONT)
             assert {submission.result().status for submission in hung} == {200}
@@ -114,7 +114,7 @@
         wait_until(
             lambda: (
                 _run_jobs(cluster, f"probe-{next(rounds)}", 4)
-                and _logged(cluster, "aw1 is well again")
+                and _logged(cluster, "aw1 is healthy again")
             ),
             "aw1 is back",
         )
