--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Decisions about claims, one at a time: votes, withdrawals, copies, counting."""
+"""Decisions on claims: votes, withdrawals, copies, majorities."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class TestClaimTable:
-    """One replica's memory."""
+    """Claim table of one replica."""
 
     def test_first_claim_is_granted_and_held(self) -> None:
-        """The first claim gets the vote, again when asked again; another one does not."""
+        """The first claim is granted, also on retransmission; a second one is refused."""
         table = _table()
         assert table.judge("s", _X, 0).vote is Vote.GRANTED
         assert table.judge("s", _X, 0).vote is Vote.GRANTED
@@ -34,7 +34,7 @@
         assert (other.vote, other.holders) == (Vote.HELD, [_X])
 
     def test_differing_copies_are_all_kept(self) -> None:
-        """Of two copies that differ neither gets the vote until one is withdrawn."""
+        """With two conflicting copies neither claim is granted until the other is withdrawn."""
         table = _table()
         for claim in (_X, _Y):
             table.merge(CopiedClaim("s", claim, 900), 0)
@@ -44,7 +44,7 @@
         assert table.judge("s", _X, 0).vote is Vote.GRANTED
 
     def test_late_withdrawal_leaves_the_newer_attempt(self) -> None:
-        """A withdrawal of an earlier attempt takes nothing of a later one."""
+        """Withdrawal of an earlier attempt does not release a later one."""
         table = _table()
         newer = _X._replace(attempt=2)
         table.judge("s", newer, 0)
@@ -53,21 +53,21 @@
         assert table.judge("s", _Y, 0).vote is Vote.HELD
 
     def test_request_after_its_own_withdrawal(self) -> None:
-        """A claim request that arrives after its withdrawal is not granted."""
+        """A claim request that arrives after its withdrawal is refused."""
         table = _table()
         table.release("s", _X, 0)
         assert table.judge("s", _X, 0).vote is Vote.WITHDRAWN
         assert table.judge("s", _X._replace(attempt=2), 0).vote is Vote.GRANTED
 
     def test_copy_of_a_withdrawn_claim_is_not_taken(self) -> None:
-        """A copy does not bring back a claim whose withdrawal was heard."""
+        """A copy does not restore a withdrawn claim."""
         table = _table()
         table.release("s", _X, 0)
         table.merge(CopiedClaim("s", _X, 900), 0)
         assert table.holders("s") == []
 
     def test_expiry_and_bound(self) -> None:
-        """Claims go after the retention time and never before; over the bound none is taken."""
+        """A claim expires at its retention time, not before; a full table refuses new claims."""
         table = _table(claims_max=1)
         table.judge("s", _X, 0)
         assert table.judge("t", _X, 0).vote is Vote.FULL
@@ -77,7 +77,7 @@
 
 
 class TestVotes:
-    """Counting."""
+    """Counting of votes."""
 
     def test_majority(self) -> None:
         """Two of three votes win; one does not."""
@@ -86,14 +86,14 @@
         assert not is_won(_SETS, {"a1": votes["a1"]}, lambda _box: 0)
 
     def test_vote_dies_with_its_voters_memory(self) -> None:
-        """A vote does not count once another voter, or this box, knows a newer life of it."""
+        """A vote is invalid once another voter or this box knows a newer incarnation of it."""
         votes = {"a1": _vote(1, {"b1": 1}), "b1": _vote(1, {"a1": 2})}
         assert not is_won(_SETS, votes, lambda _box: 0)
         fresh = {"a1": _vote(1, {}), "b1": _vote(1, {})}
         assert not is_won(_SETS, fresh, {"a1": 2, "b1": 0}.__getitem__)
 
     def test_may_still_win(self) -> None:
-        """With two refusals nothing can be won any more."""
+        """Two refusals of three rule out a majority."""
         refused = _vote(1, {}, Vote.HELD)
         assert can_still_win(_SETS, {"a1": refused})
         assert not can_still_win(_SETS, {"a1": refused, "b1": refused})
--- a/tests/test_claims_faults.py
+++ b/tests/test_claims_faults.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Submissions run once, verdicts are true, answers are whole: real processes under faults.
+"""At-most-once execution, accurate verdicts and complete answers of real processes under faults.
 
-At most once is counted at the endpoints; "not run" is checked by no endpoint having seen it.
+Starts are counted at the endpoints, which also verifies each "not run".
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 
 
 class Rig:
-    """Six boxes in three zones behind a fault proxy, with a pool of callers."""
+    """Six boxes in three zones behind a fault proxy, with a thread pool of callers."""
 
     def __init__(self, folder: Path) -> None:
-        """Start everything."""
+        """Start the processes."""
         self.proxy = FaultProxy()
         self.cluster = Cluster(
             folder, boxes_per_zone=2, overrides=_SHORT, address_of=self.proxy.address_of
@@ -35,30 +35,30 @@
         self.cluster.start()
 
     def close(self) -> None:
-        """End everything."""
+        """Stop the processes."""
         self.cluster.end()
         self.proxy.close()
         self.pool.shutdown()
 
     def send(self, box: str, submission: str, payloads: list[Any]) -> Future[HttpAnswer]:
-        """Submit in the background."""
+        """Submit a job in the background."""
         return self.pool.submit(self.cluster.submit, box, submission, payloads)
 
     def started(self, submission: str) -> list[int]:
-        """Return how often each started task of *submission* was started."""
+        """Return the number of starts of each started task of *submission*."""
         starts = self.cluster.starts()
         return [count for key, count in starts.items() if key.startswith(f"{submission}/")]
 
     def wait_started(self, submission: str) -> None:
-        """Wait until an endpoint has seen the submission."""
+        """Wait until an endpoint has started a task of *submission*."""
         wait_until(lambda: self.started(submission), f"{submission} started")
 
     def replicas(self, submission: str) -> tuple[str, ...]:
-        """Return the submission's claim replicas."""
+        """Return the claim replicas of *submission*."""
         return claim_replicas(submission, {box: box[0] for box in self.cluster.boxes})
 
     def submission_with(self, coordinator_is_replica: bool, box: str, prefix: str) -> str:
-        """Return an id of which *box* is, or is not, a claim replica."""
+        """Return an id for which *box* is, or is not, a claim replica."""
         names = (f"{prefix}-{n}" for n in range(1000))
         return next(
             name for name in names if (box in self.replicas(name)) == coordinator_is_replica
@@ -67,7 +67,7 @@
 
 @pytest.fixture(scope="class")
 def rig(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Rig]:
-    """A rig for tests that leave it as they found it."""
+    """A shared rig for tests that restore its state."""
     started_rig = Rig(tmp_path_factory.mktemp("claims"))
     yield started_rig
     started_rig.close()
@@ -82,7 +82,7 @@
 
 
 def _assert_consistent(answer: HttpAnswer, started: list[int]) -> None:
-    """A whole answer, or a problem; refused means that no endpoint saw it."""
+    """Assert that a failure is well formed and that a refused job started no task."""
     if answer.status == 200:
         return
     assert answer.fields["verdict"] in ("failed", "refused")
@@ -93,11 +93,11 @@
 
 
 class TestSameSubmissionAtOnce:
-    """One submission sent to several boxes at the same time."""
+    """One submission sent to several boxes concurrently."""
 
     @pytest.mark.parametrize("count", [2, 3, 6])
     def test_runs_once_and_all_get_the_answer(self, rig: Rig, count: int) -> None:
-        """Every caller gets the same whole answer and each task starts once."""
+        """Every caller gets the same complete answer and each task starts once."""
         payloads = [{"ms": 30, "n": n} for n in range(4)]
         for round_number in range(10):
             submission = f"at-once-{count}-{round_number}"
@@ -110,7 +110,7 @@
             assert rig.started(submission) == [1] * 4
 
     def test_resent_mid_run_and_after(self, rig: Rig) -> None:
-        """A resubmission to another box, mid-run or after the end, gets the same answer."""
+        """A resubmission to another box, during or after the run, gets the same answer."""
         first = rig.send("a1", "mid-run", [{"ms": 500}])
         rig.wait_started("mid-run")
         second = rig.send("b2", "mid-run", [{"ms": 500}])
@@ -119,7 +119,7 @@
         assert rig.started("mid-run") == [1]
 
     def test_lost_answer(self, rig: Rig) -> None:
-        """A caller that leaves before the answer does not stop the job; a resend gets it."""
+        """A job survives its caller's disconnect; a resubmission gets the answer."""
         with pytest.raises(OSError, match="timed out"):
             rig.cluster.submit("a1", "lost", [{"ms": 600}], timeout_s=0.3)
         assert rig.cluster.submit("b1", "lost", [{"ms": 600}]).status == 200
@@ -127,10 +127,10 @@
 
 
 class TestDelaysAndFreezes:
-    """Messages late, boxes frozen."""
+    """Delayed messages and frozen boxes."""
 
     def test_delayed_links(self, rig: Rig) -> None:
-        """With every link slowed by 40 ms, submissions at three boxes at once run once."""
+        """With 40 ms of delay on every link, concurrent submissions run at most once."""
         rig.proxy.delay(0.04)
         try:
             for number in range(5):
@@ -145,7 +145,7 @@
             rig.proxy.delay(0.0)
 
     def test_frozen_coordinator(self, rig: Rig) -> None:
-        """A frozen coordinator's job is not started again; awake, it starts nothing twice."""
+        """A frozen coordinator's job is not started elsewhere, nor twice after it resumes."""
         submission = rig.submission_with(False, "a2", "frozen")
         first = rig.send("a2", submission, [{"ms": 300}] * 12)
         rig.wait_started(submission)
@@ -159,22 +159,22 @@
             rig.cluster.signal("a2", signal.SIGCONT)
         _assert_consistent(first.result(), rig.started(submission))
         assert max(rig.started(submission)) == 1
-        wait_until(lambda: rig.cluster.status("b1")["boxes"]["a2"]["is_live"], "a2 heard again")
+        wait_until(lambda: rig.cluster.status("b1")["boxes"]["a2"]["is_live"], "a2 is live again")
         again = rig.cluster.submit("b1", submission, [{"ms": 300}] * 12)
         assert again.status in (200, first.result().status)
         assert max(rig.started(submission)) == 1
 
 
 class TestCutZones:
-    """Zones cut off from each other."""
+    """Network partitions between zones."""
 
     @pytest.mark.parametrize("zone", ["a", "b", "c"])
     def test_each_zone_in_turn(self, rig: Rig, zone: str) -> None:
-        """Plain ids go on where two zones meet; tagged ids go on inside the cut-off zone."""
+        """With a zone partitioned, the majority serves plain ids and the zone its tagged ids."""
         others = [other for other in rig.cluster.zones if other != zone]
         rig.proxy.cut_zone(zone)
         try:
-            wait_until(lambda: _sees_cut(rig, zone), "the cut is noticed")
+            wait_until(lambda: _sees_partition(rig, zone), "the partition is detected")
             majority = rig.cluster.submit(f"{others[0]}1", f"plain-{zone}", [{"ms": 10}])
             assert majority.status == 200
             tagged = rig.cluster.submit(f"{zone}1", f"{zone}~cut-{zone}", [{"ms": 10}])
@@ -185,17 +185,20 @@
             assert f"{zone}~" in plain.fields["detail"]
         finally:
             rig.proxy.heal()
-            wait_until(lambda: _sees_heal(rig, zone), "the cut is healed")
+            wait_until(lambda: _sees_no_partition(rig, zone), "the partition is healed")
         assert rig.cluster.submit(f"{zone}1", f"plain-{zone}", [{"ms": 10}]).status == 200
         assert rig.started(f"plain-{zone}") == [1]
         assert rig.started(f"{zone}~cut-{zone}") == [1]
 
     def test_share_served(self, rig: Rig) -> None:
-        """All zones apart: tagged ids only; a plain id is never called not-run."""
+        """With all zones partitioned only tagged ids are served; plain ids report may-have-run."""
         for zone in rig.cluster.zones:
             rig.proxy.cut_zone(zone)
         try:
-            wait_until(lambda: all(_sees_cut(rig, zone) for zone in "abc"), "the cuts are noticed")
+            wait_until(
+                lambda: all(_sees_partition(rig, zone) for zone in "abc"),
+                "the partitions are detected",
+            )
             for zone in rig.cluster.zones:
                 plain = rig.cluster.submit(f"{zone}1", "apart", [{"ms": 10}])
                 assert (plain.status, plain.fields["run"]) == (503, "may-have-run")
@@ -203,7 +206,10 @@
                 assert tagged.status == 200
         finally:
             rig.proxy.heal()
-            wait_until(lambda: all(_sees_heal(rig, zone) for zone in "abc"), "the cuts are healed")
+            wait_until(
+                lambda: all(_sees_no_partition(rig, zone) for zone in "abc"),
+                "the partitions are healed",
+            )
         assert rig.started("apart") == []
         wait_until(
             lambda: rig.cluster.submit("a1", "apart", [{"ms": 10}]).status == 200, "served again"
@@ -211,7 +217,7 @@
 
 
 def _live_pairs(rig: Rig, zone: str) -> set[bool]:
-    """Return what the boxes inside and outside *zone* say of each other being live."""
+    """Return whether boxes inside and outside *zone* see each other as live."""
     seen = {box: rig.cluster.status(box)["boxes"] for box in rig.cluster.boxes}
     inside = [box for box in seen if box[0] == zone]
     outside = [box for box in seen if box[0] != zone]
@@ -223,21 +229,21 @@
     }
 
 
-def _sees_cut(rig: Rig, zone: str) -> bool:
-    """Whether every box of *zone* and every one outside see each other as silent."""
+def _sees_partition(rig: Rig, zone: str) -> bool:
+    """Return whether all boxes of *zone* and all others see each other as not live."""
     return _live_pairs(rig, zone) == {False}
 
 
-def _sees_heal(rig: Rig, zone: str) -> bool:
-    """Whether they all see each other as live."""
+def _sees_no_partition(rig: Rig, zone: str) -> bool:
+    """Return whether all boxes of *zone* and all others see each other as live."""
     return _live_pairs(rig, zone) == {True}
 
 
 class TestLostMemory:
-    """Boxes killed with SIGKILL: their memory is gone."""
+    """Boxes killed with SIGKILL, which lose their in-memory claims."""
 
     def test_killed_coordinator(self, own_rig: Rig) -> None:
-        """A killed coordinator's job fails for good once it is back, and starts nowhere else."""
+        """A killed coordinator's job fails permanently once it is back and starts nowhere else."""
         rig = own_rig
         submission = rig.submission_with(True, "a1", "killed")
         first = rig.send("a1", submission, [{"ms": 300}] * 12)
@@ -254,13 +260,13 @@
         assert max(rig.started(submission)) == 1
 
     def test_second_loss_before_recovery(self, own_rig: Rig) -> None:
-        """Two claim replicas lost, the second before the first recovered: refuse, never guess."""
+        """Two claim replicas lost before either has recovered: the submission is not restarted."""
         rig = own_rig
         submission = rig.submission_with(False, "a1", "two-lost")
         lost = [box for box in rig.replicas(submission) if box != "a2"]
         assert rig.cluster.submit("a1", submission, [{"ms": 10}]).status == 200
         rig.cluster.kill("a1")
-        # The second dies while the first is down: neither can copy from the other.
+        # Both are down at the same time, so neither can copy from the other.
         for box in lost:
             rig.cluster.kill(box)
         for box in lost:
@@ -272,7 +278,7 @@
         assert rig.started(submission) == [1]
 
     def test_restarted_replica_votes_after_copy(self, own_rig: Rig) -> None:
-        """A replica killed and restarted empty copies its claims and then votes again."""
+        """A restarted claim replica copies its claims, then votes again."""
         rig = own_rig
         submission = rig.submission_with(False, "a1", "copied")
         replica = rig.replicas(submission)[1]
@@ -286,7 +292,7 @@
         assert rig.started(submission) == [1]
 
     def test_planned_stop_hands_answers_over(self, own_rig: Rig) -> None:
-        """After a planned stop, and after the box is back, another box gives the answer."""
+        """After a planned stop another box serves the answer, also after the restart."""
         rig = own_rig
         first = rig.cluster.submit("a1", "handed", [{"ms": 10}])
         assert rig.cluster.stop("a1") == 0
@@ -298,11 +304,11 @@
 
 
 class TestEndpointFaults:
-    """Endpoints that answer badly or die."""
+    """Endpoints with invalid answers or crashes."""
 
     @pytest.mark.parametrize("fault", ["cut-short", "crossed", "oversized", "error"])
     def test_bad_answer_is_never_passed_on(self, rig: Rig, fault: str) -> None:
-        """A bad answer fails the whole job at once and the task is not started again."""
+        """An invalid answer fails the whole job at once; the task is not retried."""
         began = time.monotonic()
         payloads = [{"ms": 10}, {"ms": 10, "fault": fault}, {"ms": 4_000}]
         answer = rig.cluster.submit("a1", f"bad-{fault}", payloads)
@@ -312,7 +318,7 @@
         assert time.monotonic() - began < 4.0
 
     def test_late_answer(self, rig: Rig) -> None:
-        """An answer after the deadline is never passed on, nor is the task started again."""
+        """An answer after the deadline is discarded, and the task is not retried."""
         late = rig.cluster.submit("a1", "late", [{"ms": 1_500}], deadline_ms=500)
         assert (late.status, late.fields["run"]) == (504, "may-have-run")
         time.sleep(1.5)
@@ -321,13 +327,13 @@
         assert rig.started("late") == [1]
 
     def test_refused_everywhere_is_not_run(self, rig: Rig) -> None:
-        """A task that every endpoint truly refuses makes a job that is refused as not run."""
+        """A task refused by every endpoint makes the job refused and not run."""
         answer = rig.cluster.submit("a1", "none-takes", [{"fault": "refuse"}], deadline_ms=3_000)
         assert (answer.fields["verdict"], answer.fields["run"]) == ("refused", "not-run")
         assert rig.started("none-takes") == []
 
     def test_endpoint_killed_mid_task(self, own_rig: Rig) -> None:
-        """Not restarted by default; restarted by confirmed intent, if marked repeatable."""
+        """A task is restarted after a crash only if its service permits it and it is repeatable."""
         rig = own_rig
         restart = "after-worker-death"
         services = [
--- a/tests/test_claims_forgotten.py
+++ b/tests/test_claims_forgotten.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A claim replica votes only if it can't have forgotten a claim that still counts."""
+"""A restarted claim replica votes only if it can't lack a valid claim."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class _Peers:
-    """The other replicas, whose memory is whole and empty.
+    """The other replicas, with complete and empty claim tables.
 
     Args:
-        incarnation: The life of the box that asks.
-        fails: Whether asking them fails in a way that nobody foresaw.
+        incarnation: Incarnation of the requesting box.
+        fails: Whether requests raise an unexpected exception.
     """
 
     def __init__(self, incarnation: int, fails: bool = False) -> None:
@@ -37,25 +37,25 @@
         self._fails = fails
 
     def known_incarnation(self, _box: str) -> int:
-        """Return one life for each."""
+        """Return the same incarnation for each box."""
         return 1
 
     async def request(self, _box: str, _message: object, _timeout_ms: float) -> CopyReply:
-        """Serve a copy of nothing."""
+        """Return an empty copy."""
         if self._fails:
             raise ValueError("a copy that can't be read")
         return CopyReply(True, [], 0)
 
 
 class _Controllers:
-    """They write lives down while a majority of them is there."""
+    """Controllers that record incarnations while they have a quorum."""
 
     def __init__(self) -> None:
         self.has_quorum = True
         self._newest = 0
 
     async def propose(self, command: Any, _timeout_ms: int) -> Result[Answer, Problem]:
-        """Record a life and return the one before."""
+        """Record an incarnation and return the previous one."""
         if not self.has_quorum:
             await asyncio.sleep(_WAIT_S)
             return Error(not_run("no-quorum"))
@@ -64,7 +64,7 @@
 
 
 async def _recovered(peers: Any, controllers: Any, retention_ms: int = _RETENTION_MS) -> Recovery:
-    """Return the recovery of a life of a1 after a while."""
+    """Return the recovery of an incarnation of a1 after it has run for a while."""
     table = ClaimTable(retention_ms, 10)
     recovery = Recovery("a1", peers, controllers, table, lambda: _BOXES, retention_ms)
     running = asyncio.create_task(recovery.run())
@@ -75,10 +75,10 @@
 
 
 class TestLivesOnRecord:
-    """No life is taken for the first one after a life that voted."""
+    """No incarnation takes itself for the first one after another has voted."""
 
     def test_no_vote_by_a_life_that_is_not_on_record(self) -> None:
-        """It copied from all others; the next life would be told that it is the first."""
+        """An unrecorded incarnation must not vote, even after copying from all replicas."""
 
         async def play() -> None:
             controllers = _Controllers()
@@ -91,7 +91,7 @@
         asyncio.run(play())
 
     def test_a_life_on_record_votes_after_its_copies(self) -> None:
-        """The life before it is on record too."""
+        """A recorded incarnation votes after copying, if the previous one is recorded too."""
 
         async def play() -> None:
             controllers = _Controllers()
@@ -104,10 +104,10 @@
 
 
 class TestCopying:
-    """What does not count as a copy."""
+    """Replicas that can't copy."""
 
     def test_a_copy_that_fails_unforeseen(self) -> None:
-        """A failure is no end of the work."""
+        """An unexpected exception while copying neither stops the recovery nor permits a vote."""
 
         async def play() -> None:
             controllers = _Controllers()
@@ -119,7 +119,7 @@
         asyncio.run(play())
 
     def test_alone_nobody_has_a_copy(self) -> None:
-        """The only replica of a submission waits until all that it forgot has expired."""
+        """The sole replica of a submission votes only after its lost claims have expired."""
 
         async def play() -> None:
             controllers = _Controllers()
@@ -135,10 +135,10 @@
 
 
 class TestExpiry:
-    """Each claim of a submission has a time of its own."""
+    """Separate expiry of each claim of a submission."""
 
     def test_a_copy_outlives_an_older_claim(self) -> None:
-        """A claim that was withdrawn unheard expires, and takes no other one with it."""
+        """Expiry of one claim does not drop a conflicting copy that expires later."""
         table = ClaimTable(100, 10)
         withdrawn, held = Claim(_DIGEST, "x1", 1, 1), Claim(_DIGEST, "y1", 1, 1)
         table.judge("s", withdrawn, 0)
--- a/tests/test_claims_machine.py
+++ b/tests/test_claims_machine.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The claim replicas' real code, driven at random against the protocol's invariants."""
+"""Stateful property test of the claim replicas."""
 
 from __future__ import annotations
 
@@ -26,26 +26,26 @@
 
 
 class Lives:
-    """A network's memory of lives, without a network."""
+    """Incarnations known to a replica, without a network."""
 
     def __init__(self, incarnation: int) -> None:
-        """Begin a life."""
+        """Start an incarnation."""
         self.incarnation = incarnation
         self.known: dict[str, int] = {}
 
     def on(self, _message_type: type, _handler: Any) -> None:
-        """Take no handler: the machine calls the service itself."""
+        """Ignore the handler: the state machine calls the service directly."""
 
     def known_incarnation(self, box: str) -> int:
-        """Return the newest life heard of."""
+        """Return the newest known incarnation."""
         return self.known.get(box, 0)
 
 
 class Replica:
-    """One life of one claim replica: the real service over the real table."""
+    """One incarnation of a claim replica, with the real service and table."""
 
     def __init__(self, box: str, life: int, is_whole: bool) -> None:
-        """Start empty."""
+        """Start with an empty table."""
         self.lives = Lives(life)
         self.table = ClaimTable(_RETENTION_MS, 100)
         network: Any = self.lives
@@ -58,10 +58,10 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Two coordinators, three replicas; requests and votes late, doubled or lost."""
+    """Two coordinators, three replicas; requests and votes are delayed, duplicated or lost."""
 
     def __init__(self) -> None:
-        """Start in the first life of every replica."""
+        """Start the first incarnation of every replica."""
         super().__init__()
         self.replicas = {box: Replica(box, 1, is_whole=True) for box in _BOXES}
         self.attempts = [1, 1]
@@ -71,12 +71,12 @@
         self.starts = [0, 0]
 
     def name(self, who: int) -> str:
-        """Return a coordinator's box."""
+        """Return the box of a coordinator."""
         return f"x{who}"
 
     @rule(who=coordinator_numbers, number=replica_numbers)
     def deliver_request(self, who: int, number: int) -> None:
-        """A request of the present attempt arrives, perhaps once more."""
+        """Deliver a request of the current attempt, possibly again."""
         box = _BOXES[number]
         request = ClaimRequest("s", _DIGEST, 1, self.attempts[who], 0)
         reply = self.replicas[box].service.vote(self.name(who), request)
@@ -85,7 +85,7 @@
     @precondition(lambda self: self.late[0] or self.late[1])
     @rule(who=coordinator_numbers)
     def deliver_vote(self, who: int) -> None:
-        """The oldest vote under way arrives."""
+        """Deliver the oldest vote in flight."""
         if not self.late[who]:
             return
         attempt, box, reply = self.late[who].pop(0)
@@ -94,7 +94,7 @@
 
     @rule(who=coordinator_numbers)
     def start(self, who: int) -> None:
-        """A coordinator that holds the claim starts, once."""
+        """Start a coordinator that holds the claim, once."""
         if self.is_withdrawn[who] or self.starts[who]:
             return
         if is_won(_REPLICAS, self.votes[who], lambda _box: 0):
@@ -102,35 +102,35 @@
 
     @rule(who=coordinator_numbers)
     def withdraw(self, who: int) -> None:
-        """A coordinator that did not start gives up this attempt."""
+        """Withdraw the current attempt of a coordinator that has not started."""
         if not self.starts[who]:
             self.is_withdrawn[who] = True
             self.votes[who].clear()
 
     @rule(who=coordinator_numbers, number=replica_numbers)
     def deliver_withdrawal(self, who: int, number: int) -> None:
-        """A withdrawal arrives, of this attempt or late of the one before."""
+        """Deliver a withdrawal of the current attempt, or a late one of the previous attempt."""
         attempt = self.attempts[who] if self.is_withdrawn[who] else self.attempts[who] - 1
         service = self.replicas[_BOXES[number]].service
         service.withdraw(self.name(who), Withdraw("s", 1, attempt))
 
     @rule(who=coordinator_numbers)
     def try_again(self, who: int) -> None:
-        """A withdrawn coordinator makes another attempt."""
+        """Begin a new attempt after a withdrawal."""
         if self.is_withdrawn[who] and self.attempts[who] < 4:
             self.attempts[who] += 1
             self.is_withdrawn[who] = False
 
     @rule(number=replica_numbers)
     def lose_memory(self, number: int) -> None:
-        """A replica restarts empty and does not vote."""
+        """Restart a replica with an empty table; it does not vote."""
         box = _BOXES[number]
         life = self.replicas[box].lives.incarnation + 1
         self.replicas[box] = Replica(box, life, is_whole=False)
 
     @rule(asker=replica_numbers, server=replica_numbers)
     def copy(self, asker: int, server: int) -> None:
-        """A restarted replica copies from another one."""
+        """Copy claims from one replica to a restarted one."""
         if asker == server:
             return
         asking, serving = self.replicas[_BOXES[asker]], self.replicas[_BOXES[server]]
@@ -147,7 +147,7 @@
 
     @invariant()
     def at_most_one_starts(self) -> None:
-        """No two coordinators ever start."""
+        """At most one coordinator starts."""
         assert sum(self.starts) <= 1
 
 
--- a/tests/test_claims_model.py
+++ b/tests/test_claims_model.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The claim protocol, checked exhaustively on its small specification."""
+"""Exhaustive model checking of the claim protocol."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         [Bounds(0, (1, 1)), Bounds(0, (2, 2)), Bounds(1, (2, 1)), Bounds(2, (1, 1))],
     )
     def test_at_most_one_starter(self, bounds: Bounds) -> None:
-        """At most one coordinator starts, and not-run is true, in every reachable state."""
+        """At most one coordinator starts, and "not run" is accurate, in every reachable state."""
         assert _check(Rules(), bounds) == {"one_starter": True, "not_run_is_true": True}
 
     @pytest.mark.parametrize(
@@ -46,7 +46,7 @@
         ],
     )
     def test_every_rule_is_needed(self, rule: str, bounds: Bounds, broken: str) -> None:
-        """Leaving out one rule gives a counterexample."""
+        """Removing any rule yields a counterexample."""
         assert _check(Rules()._replace(**{rule: False}), bounds)[broken] is False
 
 
@@ -54,14 +54,14 @@
     """A change of the box list: old, joint, new."""
 
     def test_at_most_one_starter(self) -> None:
-        """At most one coordinator starts while the list changes under it."""
+        """At most one coordinator starts during a change of the box list."""
         result = check_safety(boxlist_protocol(BoxListRules()), max_states=_STATES_MAX)
         assert result["exhaustive"]
         assert result["properties"]["one_starter"]["holds"] is True
 
     @pytest.mark.parametrize("rule", ["joint_needs_both", "new_waits_for_window"])
     def test_every_rule_is_needed(self, rule: str) -> None:
-        """Leaving out the joint majority or the window gives a counterexample."""
+        """Removing the joint majority or the waiting window yields a counterexample."""
         broken = BoxListRules()._replace(**{rule: False})
         result = check_safety(boxlist_protocol(broken), max_states=_STATES_MAX)
         assert result["properties"]["one_starter"]["holds"] is False
--- a/tests/test_claims_recovery.py
+++ b/tests/test_claims_recovery.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""When a claim replica that was restarted may vote again."""
+"""Conditions under which a restarted claim replica votes again."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class _Peers:
-    """The other replicas: those in *serving* answer a copy, the others nothing."""
+    """The other replicas; only those in *serving* answer a copy request."""
 
     incarnation = 7
 
@@ -31,11 +31,11 @@
         self._is_whole = is_whole
 
     def known_incarnation(self, _box: str) -> int:
-        """Return one life for each."""
+        """Return the same incarnation for each box."""
         return 1
 
     async def request(self, box: str, _message: object, _timeout_ms: float) -> CopyReply:
-        """Serve a copy of nothing."""
+        """Return an empty copy."""
         if box not in self._serving:
             raise PeerUnreachableError(box)
         claims: list[CopiedClaim] = []
@@ -43,18 +43,18 @@
 
 
 class _Controllers:
-    """They know of a life before this one, or of none."""
+    """Controllers with or without a recorded previous incarnation."""
 
     def __init__(self, previous_incarnation: int) -> None:
         self._previous_incarnation = previous_incarnation
 
     async def propose(self, _command: object, _timeout_ms: int) -> Any:
-        """Record the life."""
+        """Record the incarnation."""
         return Ok(Answer(200, 1, number=self._previous_incarnation))
 
 
 async def _recovered(peers: Any, previous_incarnation: int = 5) -> Recovery:
-    """Return the recovery of a1 after a while."""
+    """Return the recovery of a1 after it has run for a while."""
     controllers: Any = _Controllers(previous_incarnation)
     table = ClaimTable(_RETENTION_MS, 10)
     recovery = Recovery("a1", peers, controllers, table, lambda: _BOXES, _RETENTION_MS)
@@ -65,19 +65,19 @@
 
 
 class TestVotingAgain:
-    """A replica that lost its memory votes only once it knows what it may have voted for."""
+    """A replica votes only after recovering the claims that it may have granted."""
 
     def test_first_life(self) -> None:
-        """There is nothing to know."""
+        """The first incarnation has no earlier claims and votes at once."""
         assert asyncio.run(_recovered(_Peers(), previous_incarnation=0)).may_vote(_SETS)
 
     def test_not_before_both_others_are_copied(self) -> None:
-        """One copy is not enough: the claim may be held by the other one alone."""
+        """One copy is not enough: the other replica may be the only holder of a claim."""
         assert not asyncio.run(_recovered(_Peers())).may_vote(_SETS)
         assert not asyncio.run(_recovered(_Peers("b1"))).may_vote(_SETS)
         assert asyncio.run(_recovered(_Peers("b1", "c1"))).may_vote(_SETS)
 
     def test_a_copy_of_one_without_its_memory_does_not_count(self) -> None:
-        """Two that were lost together can't copy from each other."""
+        """Replicas that lost their claims together can't recover from each other."""
         peers = _Peers("b1", "c1", is_whole=False)
         assert not asyncio.run(_recovered(peers)).may_vote(_SETS)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Decisions of placement: slots, shares, limits, health, retries. No sockets, no clock."""
+"""Placement decisions without sockets or clock: slots, shares, limits, health, retries."""
 
 from __future__ import annotations
 
@@ -84,20 +84,20 @@
 
 
 class TestPolicies:
-    """One decision."""
+    """A single placement decision."""
 
     @pytest.mark.parametrize("name", POLICIES)
     def test_nothing_to_choose_from(self, name: str) -> None:
-        """Without an endpoint every policy waits."""
+        """Without an eligible endpoint every policy keeps the task queued."""
         assert choose(POLICIES[name], View([])) is None
 
     def test_least_local_count(self) -> None:
-        """The endpoint with the fewest own tasks is chosen."""
+        """The endpoint with the fewest local tasks is chosen."""
         view = View(["w0", "w1"], local_count={"w0": 2, "w1": 1})
         assert choose(POLICIES["least-local-count"], view) == Choice("w1")
 
     def test_power_of_two(self) -> None:
-        """Of two, the one with the lesser reported and own load is chosen."""
+        """The endpoint with the lower sum of reported and local load is chosen."""
         view = View(["w0", "w1"], reported_count={"w0": 3, "w1": 1}, local_count={"w1": 1})
         assert choose(POLICIES["power-of-two"], view) == Choice("w1")
 
@@ -118,28 +118,28 @@
         queued_ahead: int,
         expected: Choice | None,
     ) -> None:
-        """Fast first; wait if a fast slot is due sooner than a slow one would end; else slow."""
+        """A slow slot is used only if it finishes before a fast slot is expected to be free."""
         view = View(["f", "s"], {"f": 100.0, "s": 200.0}, free, busy, {}, {}, queued_ahead)
         assert choose(SlotLeases(), view) == expected
 
 
 class TestJobSize:
-    """Against how short a task a wait is weighed."""
+    """The task size that a wait is compared with."""
 
     @pytest.mark.parametrize(
         ("job_tasks", "expected"), [(1, 4.0), (2, 7.0), (8, 14.0), (1_700, 41.0)]
     )
     def test_more_tasks_hide_a_wait(self, job_tasks: int, expected: float) -> None:
-        """Nearly the shortest for a lone task, a longer one for a job of more tasks."""
+        """The quantile of the sizes rises with the number of tasks of the job."""
         sizes = [float(size) for size in range(1, 101)]
         assert job_size(sizes, job_tasks) == expected
 
     def test_at_most_the_middle(self) -> None:
-        """Beyond some number of tasks it is the middle size."""
+        """The quantile is bounded by the median."""
         assert job_size([1.0, 2.0, 3.0, 4.0], 1 << 20) == 3.0
 
     def test_nothing_known(self) -> None:
-        """A service without a finished task counts as one of mean tasks."""
+        """A service without samples has size 1."""
         assert job_size([], 8) == 1.0
 
 
@@ -148,7 +148,7 @@
 
     @pytest.mark.parametrize(("quota", "expected"), [(1, 50), (3, 75)])
     def test_flood_takes_no_more_than_its_share(self, quota: int, expected: int) -> None:
-        """With a flood of one customer queued first, another gets its share by quota."""
+        """A customer's long queue does not keep another one from its share by quota."""
         customers = {
             "flood": Customer(quota=1, concurrency_max=0),
             "calm": Customer(quota=quota, concurrency_max=0),
@@ -166,7 +166,7 @@
         assert abs(got[2] - expected) <= 1
 
     def test_customer_limit(self) -> None:
-        """A customer at its concurrency bound waits; another one goes on."""
+        """A customer at its concurrency limit does not block another one."""
         customers = {
             "m1": Customer(quota=1, concurrency_max=1),
             "m2": Customer(quota=1, concurrency_max=0),
@@ -177,17 +177,17 @@
         assert Counter(g.message.request_id for g in shard.match(0.0)) == {1: 1, 2: 2}
 
     def test_service_limit(self) -> None:
-        """A service at its concurrency bound waits."""
+        """A service never exceeds its concurrency limit."""
         shard = _shard(_config(2, None, concurrency_max=3))
         shard.add("a1", _request(1, 4))
         assert len(shard.match(0.0)) == 3
 
 
 class TestAdmission:
-    """Requests that are refused at once."""
+    """Admission control."""
 
     def test_flooding_customer_is_judged_by_what_it_gets(self) -> None:
-        """A customer whose slots others also use is refused as soon as its own queue is long."""
+        """Admission uses the customer's own grant rate, not the rate of the whole shard."""
         customers = {
             "calm": Customer(quota=1, concurrency_max=0),
             "flood": Customer(quota=1, concurrency_max=0),
@@ -207,8 +207,8 @@
                     "a1", HeldSlot(lease.lease_id, lease.endpoint, "s", "m", 0), step * 100.0
                 )
             shard.tick(step * 100.0)
-        # Four slots of 100 ms are 40 tasks a second; calm takes 10 of them, so the queue lasts
-        # for its length over 30, not over 40.
+        # Four slots of 100 ms complete 40 tasks per second, of which calm uses 10; the queue of
+        # flood drains at 30 per second.
         in_time_s = shard.queued / 35
         left_ms = int(in_time_s / 0.8 * 1_000)
         assert shard.queued > 100
@@ -218,7 +218,7 @@
         assert shard.add("a1", _request(next(numbers), 1, "calm", 2_000)) is None
 
     def test_too_late(self) -> None:
-        """A job that can't be done by its deadline is refused with when to come back."""
+        """A job that can't meet its deadline is refused with a retry-after."""
         shard = _shard(_config(1))
         assert shard.add("a1", _request(1, 100)) is None
         refusal = shard.add("a1", _request(2, 1, left=1_000))
@@ -227,11 +227,11 @@
         assert refusal.retry_after_ms > 0
 
     def test_free_slots_are_never_refused(self) -> None:
-        """With a free slot even a short deadline is tried."""
+        """With a free slot a request is admitted despite a short deadline."""
         assert _shard(_config(1)).add("a1", _request(1, 1, left=50)) is None
 
     def test_queue_full(self) -> None:
-        """A request over a customer's bound is refused; one of another customer is not."""
+        """A request over its customer's queue limit is refused; another customer's is not."""
         shard = _shard(_config(1), queued_tasks_per_member_max=10)
         shard.add("a1", _request(1, 10))
         refusal = shard.add("a1", _request(2, 1))
@@ -240,24 +240,24 @@
         assert shard.add("a1", _request(4, 1, "m2")) is None
 
     def test_no_endpoint(self) -> None:
-        """A service that no usable endpoint serves is refused."""
+        """A service without an eligible endpoint is refused."""
         refusal = _shard(_config(1, None, workers=["x*"])).add("a1", _request(1))
         assert refusal is not None
         assert refusal.reason == "no-worker"
 
 
 class TestLeases:
-    """Soft state."""
+    """Soft state of a shard."""
 
     def test_resent_request_counts_once(self) -> None:
-        """The same request sent again is queued once."""
+        """A retransmitted request is queued once."""
         shard = _shard(_config(1))
         shard.add("a1", _request(1, 5))
         shard.add("a1", _request(1, 5))
         assert shard.queued == 5
 
     def test_lease_runs_out(self) -> None:
-        """A lease that nobody renews is free again; one that is renewed stays."""
+        """A lease that is not renewed expires; a renewed one stays."""
         shard = _shard(_config(1))
         shard.add("a1", _request(1, 2))
         kept, _lost = shard.match(0.0)
@@ -267,14 +267,14 @@
         assert shard.lease_count == 1
 
     def test_new_manager_learns_leases(self) -> None:
-        """A new lease manager takes over leases that holders report."""
+        """A new lease manager does not grant slots that holders report as leased."""
         shard = _shard(_config(1))
         shard.hold("b1", HeldSlot(77, "w0", "s", "m1", 10), 0.0)
         shard.add("a1", _request(1, 5))
         assert len(shard.match(0.0)) == 1
 
     def test_leaving_endpoint_gets_nothing(self) -> None:
-        """A leaving endpoint gets no grant from the moment that it is known."""
+        """An endpoint in state leaving gets no grant."""
         config = _config(2)
         shard = _shard(config)
         leaving = {**config.endpoints["w0"], "state": LEAVING}
@@ -284,7 +284,7 @@
         assert {grant.message.endpoint for grant in shard.match(0.0)} == {"w1"}
 
     def test_slow_slot_goes_to_job_that_has_one(self) -> None:
-        """A slow slot goes to the job that is late anyway, not to one on fast endpoints only."""
+        """Slow slots go to one job instead of delaying several."""
         shard = _shard(_config(2))
         for _ in range(20):
             shard.add("a1", _request(1, 4))
@@ -303,7 +303,7 @@
     """Ejection of endpoints."""
 
     def test_failures_eject_up_to_the_share(self) -> None:
-        """Three failures in a row eject an endpoint, never more than the share."""
+        """Three consecutive failures eject an endpoint, up to the largest ejected share."""
         health = Health(1_000, 0.34)
         for endpoint in ("w0", "w1"):
             for _ in range(3):
@@ -312,7 +312,7 @@
         assert not health.is_ejected("w1")
 
     def test_probe_brings_back(self) -> None:
-        """After the ejection time probes go one at a time; two that go well bring it back."""
+        """An ejected endpoint is restored by two successful probes after the ejection time."""
         health = Health(1_000, 1.0)
         health.eject("w0", 1, 0.0)
         assert not health.may_probe("w0", 500.0)
@@ -322,7 +322,7 @@
         assert not health.is_ejected("w0")
 
     def test_overdue_tasks_eject(self) -> None:
-        """An endpoint that answers none of its tasks for long is ejected."""
+        """An endpoint whose tasks are all overdue is ejected."""
         shard = _shard(_config(3))
         shard.add("a1", _request(1, 6))
         grants = shard.match(0.0)
@@ -336,7 +336,7 @@
         assert "Ejected w0" in " ".join(shard.take_events())
 
     def test_far_slower_is_ejected_and_probed_only_after_a_sign_of_life(self) -> None:
-        """An endpoint ten times slower than its peers is ejected; a probe needs proof of life."""
+        """An endpoint ten times slower than its peers gets a probe only after a liveness check."""
         shard = _shard(_config(4))
         for number in range(160):
             endpoint = f"w{number % 4}"
@@ -354,10 +354,10 @@
 
 
 class TestSpeeds:
-    """Measured speeds."""
+    """Moving averages of service times."""
 
     def test_stale_average_is_measured_again(self) -> None:
-        """An endpoint that nobody picked for long counts as average until it is measured again."""
+        """An average without recent samples falls back to the service's mean."""
         speeds = SpeedTable()
         for _ in range(10):
             speeds.note("s", "slow", 500.0, 0.0)
@@ -370,7 +370,7 @@
 
 
 class TestRetries:
-    """The one place that decides on retries."""
+    """Retry decisions."""
 
     @pytest.mark.parametrize(
         ("problem", "restart", "repeatable", "expected"),
@@ -384,19 +384,19 @@
         ],
     )
     def test_may_retry(self, problem: Any, restart: str, repeatable: bool, expected: bool) -> None:
-        """Not run: yes. May have run: only after a death, by intent, if repeatable."""
+        """A task that may have run is retried only after a crash, if permitted and repeatable."""
         service = Service(workers=["*"], concurrency_max=0, restart=restart)
         assert may_retry(problem, service, repeatable) is expected
 
     @pytest.mark.parametrize(("deaths", "expected"), [(1, True), (2, False), (3, False)])
     def test_a_task_that_kills_its_endpoints(self, deaths: int, expected: bool) -> None:
-        """After two endpoints have died under it, it is given up."""
+        """A task is not retried after it has crashed two endpoints."""
         service = Service(workers=["*"], concurrency_max=0, restart="after-worker-death")
         assert may_retry(may_have_run("worker-lost"), service, True, deaths) is expected
         assert may_retry(not_run("worker-refused"), service, True, deaths)
 
     def test_budget_is_a_share_of_starts(self) -> None:
-        """After the first few, retries are a share of the starts."""
+        """Beyond the initial budget, retries are a share of the starts."""
         budget = RetryBudget(0.1)
         while budget.spend():
             pass
@@ -409,25 +409,25 @@
 
 
 class RecordingNetwork:
-    """A network that keeps what is sent."""
+    """A network that records the messages sent."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create it without messages."""
         self.messages: list[tuple[str, object]] = []
 
     def on(self, _message_type: type, _handler: object) -> None:
-        """Take no handler."""
+        """Ignore the handler."""
 
     def send(self, box: str, message: object, _ttl_ms: int = 0) -> None:
-        """Keep a message."""
+        """Record a message."""
         self.messages.append((box, message))
 
 
 class TestLeasedSlots:
-    """A coordinator's side of leases."""
+    """The coordinator's side of leases."""
 
     def test_asks_a_new_manager_until_it_must_know(self) -> None:
-        """After a change of the lease manager a request goes again soon, later seldom."""
+        """After a change of lease manager, requests are retransmitted quickly, later slowly."""
         network: Any = RecordingNetwork()
         config = _config(1)
         slots = LeasedSlots(
@@ -448,10 +448,10 @@
 
 
 class TestShards:
-    """Who manages which endpoints."""
+    """Assignment of endpoints to shards and of shards to boxes."""
 
     def test_small_fleet_is_one_shard(self) -> None:
-        """Up to the bound all endpoints are one shard, managed by one live box."""
+        """Up to the limit all endpoints form one shard, managed by one live box."""
         assert list(shard_names(_config(24), 64)) == [FLEET]
         boxes = {"a1": "a", "b1": "b", "c1": "c"}
         manager = manager_of(FLEET, boxes)
@@ -460,7 +460,7 @@
         assert manager_of(FLEET, {}) == ""
 
     def test_large_fleet_is_split_within_zones(self) -> None:
-        """Over the bound every endpoint is in one shard of its own zone, managed there."""
+        """Beyond the limit each endpoint is in one shard of its own zone, managed in that zone."""
         names = shard_names(_config(200), 64)
         assert sorted(w for endpoints in names.values() for w in endpoints) == sorted(
             _config(200).endpoints
@@ -470,12 +470,12 @@
 
 
 class TestManagers:
-    """Who manages a shard, as a box sees it."""
+    """Cached lease managers."""
 
     _CACHE_TTL_MS = 100.0
 
     def test_an_answer_is_kept(self) -> None:
-        """Who serves is not looked at for each lease."""
+        """A cached lease manager is not looked up again before its time-to-live."""
         lookups: list[int] = []
 
         def serving() -> dict[str, str]:
@@ -489,11 +489,7 @@
         assert len(lookups) == 2
 
     def test_a_change_is_seen_at_once(self) -> None:
-        """When the manager is gone, the next one is known before the kept answer is old.
-
-        Seen in test_placement_faults.py::TestLostManager: a box was told of the change once,
-        asked for the manager, got the dead one, and nobody managed the shard for 30 s.
-        """
+        """A shard whose manager is gone gets a new one before the cached entry expires."""
         zones = {"a1": "a", "a2": "a"}
         managers = Managers(lambda: dict(zones), self._CACHE_TTL_MS)
         first = managers.manager_of("a/0", 1_000.0)
--- a/tests/test_placement_ejection.py
+++ b/tests/test_placement_ejection.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which endpoints of a shard are left out, and what the configuration allows."""
+"""Ejection of endpoints, and the limits of the configuration."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class TestEjection:
-    """Out for a cause, and back by a sign of life and probes."""
+    """Ejection and recovery of an endpoint."""
 
     def _ejection(self) -> tuple[Ejection, list[str]]:
         sentences: list[str] = []
@@ -29,7 +29,7 @@
         return ejection, sentences
 
     def test_overdue_tasks(self) -> None:
-        """An endpoint whose tasks are overdue is left out once, with a sentence."""
+        """An endpoint with overdue tasks is ejected and logged once."""
         ejection, sentences = self._ejection()
         ejection.note_overdue("w1", 0.0)
         ejection.note_overdue("w1", 10.0)
@@ -37,7 +37,7 @@
         assert sentences == ["Ejected w1: its tasks are overdue."]
 
     def test_failures_in_a_row(self) -> None:
-        """One failure leaves nobody out, three do."""
+        """Three consecutive failures eject an endpoint; one does not."""
         ejection, sentences = self._ejection()
         ejection.record_failure("w1", 0.0)
         assert not ejection.is_ejected("w1")
@@ -46,7 +46,7 @@
         assert sentences == ["Ejected w1: consecutive failures."]
 
     def test_no_probe_without_a_sign_of_life(self) -> None:
-        """A task goes to an ejected endpoint only after it answered, and after its time."""
+        """An ejected endpoint is probed only after its ejection time and a liveness check."""
         ejection, _ = self._ejection()
         ejection.note_overdue("w1", 0.0)
         assert not ejection.may_probe("w1", _EJECTION_MS)
@@ -57,7 +57,7 @@
         assert ejection.may_probe("w1", _EJECTION_MS)
 
     def test_a_probe_uses_the_sign_of_life_up(self) -> None:
-        """The next probe needs another one, or a success."""
+        """A probe needs a new liveness check if the previous one has been used."""
         ejection, sentences = self._ejection()
         ejection.note_overdue("w1", 0.0)
         ejection.mark_responsive("w1")
@@ -66,7 +66,7 @@
         assert sentences[-1] == "Probing w1 with one task."
 
     def test_back_after_probes(self) -> None:
-        """Two probes that are not slow bring it back."""
+        """Two probes at normal speed restore an endpoint."""
         ejection, sentences = self._ejection()
         ejection.note_overdue("w1", 0.0)
         ejection.record_success(_slot_return(100.0), 100.0, _EJECTION_MS)
@@ -76,7 +76,7 @@
         assert sentences[-1] == "w1 is healthy again."
 
     def test_a_slow_probe_counts_against_it(self) -> None:
-        """A probe of over four times the peers' mean keeps it out for another while."""
+        """A probe above four times the peers' mean extends the ejection."""
         ejection, _ = self._ejection()
         ejection.note_overdue("w1", 0.0)
         ejection.record_success(_slot_return(401.0), 100.0, 500.0)
@@ -86,17 +86,17 @@
 
 
 class TestBounds:
-    """What the configuration in force allows."""
+    """Limits of the configuration in force."""
 
     def test_before_a_configuration(self) -> None:
-        """Nothing is served, and nobody is favoured."""
+        """Without a configuration no service has capacity, and all customers have a quota of 1."""
         bounds = Bounds()
         assert bounds.is_service_full("sign", 0)
         assert bounds.slots_of("w1") == 0
         assert bounds.quota_of("x") == 1
 
     def test_a_customers_tasks_at_a_time(self) -> None:
-        """0 means no bound."""
+        """A concurrency limit of 0 means no limit."""
         bounds = Bounds()
         customers = {
             "calm": Customer(quota=3, concurrency_max=2),
--- a/tests/test_placement_faults.py
+++ b/tests/test_placement_faults.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Placement under faults: real processes, endpoints leaving, frozen, slow; managers killed."""
+"""Placement under faults of real processes: leaving, frozen and slow endpoints, lost managers."""
 
 from __future__ import annotations
 
@@ -32,28 +32,28 @@
 
 
 class TestLeavingEndpoints:
-    """Endpoints that leave get no new work."""
+    """Leaving endpoints get no new tasks."""
 
     def test_by_confirmed_intent(self, tmp_path: Path) -> None:
-        """Once a drain is in force everywhere, the endpoint gets nothing; others serve."""
+        """An endpoint drained by a confirmed intent gets no new tasks."""
         with Cluster(tmp_path) as cluster:
             assert set(_run_jobs(cluster, "before", 20)) == {200}
             version = cluster.confirm([{"kind": "worker-leaving", "name": "aw1"}])
             cluster.wait_version(version)
-            wait_until(lambda: _receives_no_work(cluster, "aw1"), "aw1 gets no more work")
+            wait_until(lambda: _gets_no_tasks(cluster, "aw1"), "aw1 gets no new tasks")
             before = _starts_on(cluster, "aw1")
             assert set(_run_jobs(cluster, "after", 40)) == {200}
             assert _starts_on(cluster, "aw1") == before
 
     def test_by_platform_list(self, tmp_path: Path) -> None:
-        """An endpoint that the platform's lagging list calls leaving gets nothing either."""
+        """An endpoint that the platform lists as leaving gets no new tasks."""
         listed: list[dict[str, str]] = []
 
         class Handler(BaseHTTPRequestHandler):
-            """The platform's list."""
+            """Serves the platform's list."""
 
             def do_GET(self) -> None:  # noqa: N802
-                """Give the list."""
+                """Send the list."""
                 body = json.dumps({"boxes": listed}).encode()
                 self.send_response(200)
                 self.send_header("Content-Length", str(len(body)))
@@ -61,7 +61,7 @@
                 self.wfile.write(body)
 
             def log_message(self, *_arguments: object) -> None:
-                """Keep quiet."""
+                """Suppress request logs."""
 
         port = free_port()
         server = ThreadingHTTPServer(("127.0.0.1", port), Handler)
@@ -75,7 +75,7 @@
                         lambda box=box: "Leaving by the platform's list: bw1" in cluster.log(box),
                         f"{box} has the list",
                     )
-                wait_until(lambda: _receives_no_work(cluster, "bw1"), "bw1 gets no more work")
+                wait_until(lambda: _gets_no_tasks(cluster, "bw1"), "bw1 gets no new tasks")
                 before = _starts_on(cluster, "bw1")
                 assert set(_run_jobs(cluster, "listed", 40)) == {200}
                 assert _starts_on(cluster, "bw1") == before
@@ -83,14 +83,14 @@
             server.shutdown()
 
 
-def _receives_no_work(cluster: Cluster, endpoint: str) -> bool:
+def _gets_no_tasks(cluster: Cluster, endpoint: str) -> bool:
     before = _starts_on(cluster, endpoint)
     _run_jobs(cluster, f"quiet-{len(cluster.starts())}", 6)
     return _starts_on(cluster, endpoint) == before
 
 
 class TestSickEndpoints:
-    """Endpoints that hang or slow down."""
+    """Endpoints that hang, slow down or crash."""
 
     @pytest.fixture
     def cluster(self, tmp_path: Path) -> Iterator[Cluster]:
@@ -99,7 +99,7 @@
             yield running
 
     def test_frozen_endpoint(self, cluster: Cluster) -> None:
-        """A frozen endpoint is ejected, others serve; awake, it is probed and comes back."""
+        """A frozen endpoint is ejected without failing jobs, and restored after it resumes."""
         assert set(_run_jobs(cluster, "warm", 30)) == {200}
         cluster.signal("workers-a", signal.SIGSTOP)
         with ThreadPoolExecutor(8) as pool:
@@ -121,7 +121,7 @@
         assert max(cluster.starts().values()) == 1
 
     def test_ten_times_slower(self, cluster: Cluster) -> None:
-        """An endpoint that becomes ten times slower is left alone while others have slots."""
+        """An endpoint ten times slower gets almost no tasks while others have free slots."""
         assert set(_run_jobs(cluster, "warm", 60)) == {200}
         cluster.control_endpoint("bw1", speed=0.1)
 
@@ -133,7 +133,7 @@
         wait_until(is_avoided, "bw1 gets at most 2 of 48 tasks")
 
     def test_dead_endpoints_are_left_out(self, cluster: Cluster) -> None:
-        """Jobs go on when an endpoint's process is gone: its attempts certainly did not run."""
+        """Jobs are still served after an endpoint's process is killed."""
         assert set(_run_jobs(cluster, "warm", 20)) == {200}
         cluster.kill("workers-c")
         assert set(_run_jobs(cluster, "gone", 40)) <= {200, 502}
@@ -145,11 +145,11 @@
 
 
 class TestLostManager:
-    """The lease manager's box goes away."""
+    """Loss of the lease manager's box."""
 
     @pytest.mark.parametrize("how", ["kill", "freeze"])
     def test_another_takes_over(self, tmp_path: Path, how: str) -> None:
-        """Jobs at other boxes complete although the lease manager is gone; none starts twice."""
+        """Other boxes' jobs complete after the lease manager is lost; no task starts twice."""
         with Cluster(tmp_path, boxes_per_zone=2) as cluster:
             assert set(_run_jobs(cluster, "warm", 12)) == {200}
             manager = next(
@@ -165,7 +165,7 @@
                     )
                     for n in range(16)
                 ]
-                wait_until(cluster.starts, "some started")
+                wait_until(cluster.starts, "a task has started")
                 if how == "kill":
                     cluster.kill(manager)
                 else:
--- a/tests/test_placement_leases.py
+++ b/tests/test_placement_leases.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The table of a shard's leases."""
+"""Lease table of a shard."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class TestLeaseTable:
-    """What is out, and what it occupies."""
+    """Active leases and their counts."""
 
     def test_counts(self) -> None:
-        """Each lease counts for its endpoint, customer and service until it ends."""
+        """Counts per endpoint, customer and service follow the active leases."""
         table = LeaseTable()
         table.add(lease(1))
         table.add(lease(2, endpoint="w2"))
@@ -35,7 +35,7 @@
         assert table.running_of_service("route") == 0
 
     def test_renew(self) -> None:
-        """A renewal counts from its own time, and changes no count."""
+        """A renewal updates its time and leaves the counts unchanged."""
         table = LeaseTable()
         table.add(lease(1))
         assert table.renew(1, 50.0)
@@ -44,5 +44,5 @@
         assert table.busy == {"w1": 1}
 
     def test_renew_unknown(self) -> None:
-        """A lease that is not out is not renewed."""
+        """A lease that is not active can't be renewed."""
         assert not LeaseTable().renew(1, 50.0)
