--- a/src/foldloom/static_peers/claims/recovery.py
+++ b/src/foldloom/static_peers/claims/recovery.py
@@ -123,7 +123,7 @@
                 "Previous incarnation was {}: copying claims before voting.", result.ok.number
             )
             return
-        CLAIM_LOG.info("First life of this box: there are no earlier claims.")
+        CLAIM_LOG.info("First incarnation of this box: no earlier claims to copy.")
         self._has_no_lost_claims = True
 
     async def _copy_all(self) -> None:
--- a/src/foldloom/static_peers/placement/ejection.py
+++ b/src/foldloom/static_peers/placement/ejection.py
@@ -90,16 +90,16 @@
         if is_ejected and not was_ejected:
             self._emit_event(f"Ejected {endpoint}: consecutive failures.")
 
-    def record_success(self, message: SlotReturn, peer_mean_ms: float, now_ms: float) -> None:
+    def record_success(self, message: SlotReturn, peer_median_ms: float, now_ms: float) -> None:
         """Eject an endpoint that is far slower than its peers, or count a successful probe.
 
         Args:
             message: The returned slot.
-            peer_mean_ms: Median service time of the service's endpoints.
+            peer_median_ms: Median of the service's mean service times over its endpoints.
             now_ms: Time on the local monotonic clock.
         """
         endpoint = message.endpoint
-        slow_limit_ms = _SLOW_RATIO * peer_mean_ms
+        slow_limit_ms = _SLOW_RATIO * peer_median_ms
         if not self._health.is_ejected(endpoint):
             if self._speeds.mean_ms(message.service, endpoint) > slow_limit_ms:
                 self._eject(endpoint, "it is far slower than its peers", now_ms)
@@ -114,6 +114,6 @@
             self._speeds.forget(endpoint)
             self._emit_event(f"{endpoint} is healthy again.")
 
-    def _eject(self, endpoint: str, why: str, now_ms: float) -> None:
+    def _eject(self, endpoint: str, reason: str, now_ms: float) -> None:
         if self._health.eject(endpoint, len(self._usable), now_ms):
-            self._emit_event(f"Ejected {endpoint}: {why}.")
+            self._emit_event(f"Ejected {endpoint}: {reason}.")
--- a/src/foldloom/static_peers/placement/shard.py
+++ b/src/foldloom/static_peers/placement/shard.py
@@ -148,8 +148,8 @@
             self._remove_lease(lease)
         if message.use is SlotUse.DONE:
             self._speeds.note(message.service, message.endpoint, message.service_ms, now_ms)
-            peer_mean_ms = self._views.peer_mean_ms(message.service, message.endpoint)
-            self._ejection.record_success(message, peer_mean_ms, now_ms)
+            peer_median_ms = self._views.peer_median_ms(message.service, message.endpoint)
+            self._ejection.record_success(message, peer_median_ms, now_ms)
         elif message.use in (SlotUse.FAILED, SlotUse.NOT_RUN):
             self._ejection.record_failure(message.endpoint, now_ms)
 
--- a/src/foldloom/static_peers/placement/views.py
+++ b/src/foldloom/static_peers/placement/views.py
@@ -59,8 +59,8 @@
         """Return the tasks of *service* that the shard can complete per millisecond."""
         return self._rates.get(service, 0.0)
 
-    def peer_mean_ms(self, service: str, endpoint: str) -> float:
-        """Return the median service time of the endpoints of *service*."""
+    def peer_median_ms(self, service: str, endpoint: str) -> float:
+        """Return the median of the endpoints' mean service times of *service*."""
         view = self._views.get(service)
         if view is None or not view.endpoints:
             return self._speeds.mean_ms(service, endpoint)
@@ -94,7 +94,7 @@
             means = {
                 name: self._speeds.mean_ms(service, name) for name in names if name in self._free
             }
-            order = sorted(means, key=lambda one: (means[one], one))
+            order = sorted(means, key=lambda name: (means[name], name))
             self._views[service] = View(order, means, self._free, self._leases.busy)
             self._sizes[service] = self._speeds.sizes(service)
             self._rates[service] = self._service_rate(service)
