--- a/src/foldloom/static_peers/claims/service.py
+++ b/src/foldloom/static_peers/claims/service.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The claim replica of one box: answers to claims, withdrawals, look-ups and copies.
-
-Owns the handlers. Relies on the table for votes, and on recovery for whether it may vote.
-"""
+"""Claim replica of one box: handlers for claims, withdrawals, look-ups and copies."""
 
 from __future__ import annotations
 
@@ -31,20 +28,20 @@
 from foldloom.static_peers.claims.replicas import ReplicaSets, replica_sets
 from foldloom.static_peers.claims.table import ClaimTable
 
-# Claims in one part of a copy: some 50 kilobytes.
+# Submissions per chunk of a copy: some 50 kilobytes.
 _COPY_CHUNK = 500
-# Seconds between two checks for claims to forget: small against their retention.
+# Seconds between scans for expired claims.
 _EXPIRE_INTERVAL_S = 1.0
 
 
 class ClaimService:
-    """Vote on claims and serve copies.
+    """Votes on claims and serves copies.
 
     Args:
         box: This box.
-        network: The peers.
-        table: The claims held here.
-        recovery: Whether this box may vote.
+        network: Messages to the peers.
+        table: The claims held by this box.
+        recovery: Determines whether this box may vote.
         box_list: Returns the box list in force.
         metrics: Counters.
     """
@@ -64,7 +61,7 @@
         self._recovery = recovery
         self._box_list = box_list
         self._metrics = metrics
-        self._copies: dict[str, tuple[int, list[str]]] = {}
+        self._copy_snapshots: dict[str, tuple[int, list[str]]] = {}
         network.on(ClaimRequest, self._on_claim)
         network.on(Withdraw, self._on_withdraw)
         network.on(ReleaseHeld, self._on_release_held)
@@ -73,15 +70,15 @@
 
     @property
     def can_vote(self) -> bool:
-        """Whether this box votes on every claim."""
+        """Whether this box may vote for every submission that has another replica."""
         return self._recovery.is_whole
 
     def replicas_of(self, submission: str) -> ReplicaSets:
-        """Return the claim replicas of *submission* now."""
+        """Return the claim replicas of *submission* under the box list in force."""
         return replica_sets(submission, self._box_list())
 
     def vote(self, sender: str, request: ClaimRequest) -> ClaimReply:
-        """Vote on *sender*'s claim."""
+        """Vote on a claim of *sender*."""
         replicas = self.replicas_of(request.submission)
         if request.epoch != replicas.epoch or self._box not in replicas.boxes:
             return self._reply(Vote.OTHER_LIST, replicas, [])
@@ -91,17 +88,17 @@
             holders = self._table.holders(request.submission)
             return self._reply(Vote.NOT_VOTING, replicas, holders)
         claim = Claim(request.digest, sender, request.incarnation, request.attempt)
-        judgement = self._table.judge(request.submission, claim, int(monotonic_ms()))
-        self._metrics.count(f"claims.{judgement.vote.name.lower()}")
-        return self._reply(judgement.vote, replicas, judgement.holders)
+        decision = self._table.judge(request.submission, claim, int(monotonic_ms()))
+        self._metrics.count(f"claims.{decision.vote.name.lower()}")
+        return self._reply(decision.vote, replicas, decision.holders)
 
     def withdraw(self, coordinator: str, message: Withdraw) -> None:
-        """Withdraw *coordinator*'s claim."""
+        """Withdraw the claim of *coordinator*."""
         claim = Claim("", coordinator, message.incarnation, message.attempt)
         self._table.release(message.submission, claim, int(monotonic_ms()))
 
     def holders(self, submission: str) -> list[Claim]:
-        """Return the claims that this box holds of *submission*."""
+        """Return the claims of *submission* held by this box."""
         return self._table.holders(submission)
 
     async def run(self) -> None:
@@ -120,7 +117,9 @@
     def _on_claim(self, sender: str, request: ClaimRequest) -> ClaimReply:
         reply = self.vote(sender, request)
         if reply.vote is not Vote.GRANTED:
-            CLAIM_LOG.info("No vote for {} to {}: {}.", request.submission, sender, reply.vote.name)
+            CLAIM_LOG.info(
+                "Claim of {} by {} not granted: {}.", request.submission, sender, reply.vote.name
+            )
         return reply
 
     def _on_withdraw(self, sender: str, message: Withdraw) -> None:
@@ -137,11 +136,11 @@
     def _on_copy(self, sender: str, request: CopyRequest) -> CopyReply:
         if not self._recovery.is_whole:
             return CopyReply(False, [], 0)
-        life = self._network.known_incarnation(sender)
-        known_life, submissions = self._copies.get(sender, (0, []))
-        if request.position == 0 or known_life != life:
+        incarnation = self._network.known_incarnation(sender)
+        copy_incarnation, submissions = self._copy_snapshots.get(sender, (0, []))
+        if request.position == 0 or copy_incarnation != incarnation:
             submissions = self._table.submissions()
-            self._copies[sender] = (life, submissions)
+            self._copy_snapshots[sender] = (incarnation, submissions)
         end = request.position + _COPY_CHUNK
         chunk = submissions[request.position : end]
         now_ms = int(monotonic_ms())
@@ -151,5 +150,5 @@
                 claims.extend(self._table.export(submission, now_ms))
         if end < len(submissions):
             return CopyReply(True, claims, end)
-        del self._copies[sender]
+        del self._copy_snapshots[sender]
         return CopyReply(True, claims, 0)
--- a/src/foldloom/static_peers/claims/table.py
+++ b/src/foldloom/static_peers/claims/table.py
@@ -1,10 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The claims that one box holds in memory, and how it votes.
+"""In-memory table of the claims held by one incarnation of a box, and its votes.
 
-Owns the claims of one life of this box. Relies on its caller for the time.
-
-Kept small: one short tuple a claim, names and lives shared between claims. Claims expire in
-the order in which they came, so the oldest are always at the front.
+The representation is compact: one tuple per claim, with names and incarnations shared between
+claims. Claims are kept in order of insertion, which is the order of expiry except for copies.
 """
 
 from __future__ import annotations
@@ -16,7 +14,7 @@
 
 
 class _Held(NamedTuple):
-    """A claim as the table keeps it."""
+    """Compact form of a claim."""
 
     digest: bytes
     coordinator: str
@@ -25,8 +23,8 @@
     expires_ms: int
 
 
-class Judgement(NamedTuple):
-    """A vote and the claims that stand in the way."""
+class VoteDecision(NamedTuple):
+    """A vote and the conflicting claims."""
 
     vote: Vote
     holders: list[Claim]
@@ -36,59 +34,59 @@
     """Claims by submission.
 
     Args:
-        retention_ms: How long a claim is kept.
-        claims_max: How many claims are kept; more are refused, none is dropped early.
+        retention_ms: Retention of a claim.
+        claims_max: Capacity; further claims are refused, and none is evicted before it expires.
     """
 
     def __init__(self, retention_ms: int, claims_max: int) -> None:
         self._retention_ms = retention_ms
         self._claims_max = claims_max
         self._held: dict[str, _Held] = {}
-        self._differing: dict[str, list[_Held]] = {}
+        self._conflicting: dict[str, list[_Held]] = {}
         self._withdrawn: dict[tuple[str, str, int], tuple[int, int]] = {}
-        self._lives: dict[int, int] = {}
+        self._incarnations: dict[int, int] = {}
 
     def __len__(self) -> int:
-        """Return how many submissions have a claim here."""
+        """Return the number of submissions with a claim."""
         return len(self._held)
 
     def holders(self, submission: str) -> list[Claim]:
-        """Return every claim held of *submission*."""
+        """Return all claims of *submission*."""
         held = self._held.get(submission)
         if held is None:
             return []
-        return [_claim(held), *map(_claim, self._differing.get(submission, ()))]
+        return [_claim(held), *map(_claim, self._conflicting.get(submission, ()))]
 
-    def judge(self, submission: str, claim: Claim, now_ms: int) -> Judgement:
-        """Vote on *claim* and hold it if granted.
+    def judge(self, submission: str, claim: Claim, now_ms: int) -> VoteDecision:
+        """Vote on *claim*, and store it if granted.
 
-        Only a claim that is alone gets the vote: of two copies that differ neither does,
-        until the losing coordinator itself has withdrawn.
+        With conflicting copies no claim is granted until the coordinators of all but one have
+        withdrawn.
         """
-        withdrawn, _ = self._withdrawn.get(_life_key(submission, claim), (-1, 0))
+        withdrawn, _ = self._withdrawn.get(_withdrawal_key(submission, claim), (-1, 0))
         if claim.attempt <= withdrawn:
-            return Judgement(Vote.WITHDRAWN, [])
+            return VoteDecision(Vote.WITHDRAWN, [])
         others = [held for held in self.holders(submission) if not _is_same(held, claim)]
-        own_older = [held for held in others if _is_older_attempt(held, claim)]
-        if own_older:
-            # The coordinator moved on to a newer attempt, so the older one is withdrawn.
-            for held in own_older:
+        superseded = [held for held in others if _is_older_attempt(held, claim)]
+        if superseded:
+            # A newer attempt implies withdrawal of the older one.
+            for held in superseded:
                 self.release(submission, held, now_ms)
-            others = [held for held in others if held not in own_older]
+            others = [held for held in others if held not in superseded]
         if others:
-            return Judgement(Vote.HELD, others)
+            return VoteDecision(Vote.HELD, others)
         if submission in self._held:
-            return Judgement(Vote.GRANTED, [])
+            return VoteDecision(Vote.GRANTED, [])
         if len(self._held) >= self._claims_max:
-            return Judgement(Vote.FULL, [])
+            return VoteDecision(Vote.FULL, [])
         self._held[submission] = self._pack(claim, now_ms + self._retention_ms)
-        return Judgement(Vote.GRANTED, [])
+        return VoteDecision(Vote.GRANTED, [])
 
     def release(self, submission: str, claim: Claim, now_ms: int) -> None:
-        """Drop *claim*, which its own coordinator withdrew, and remember that."""
-        key = _life_key(submission, claim)
-        known, _ = self._withdrawn.get(key, (-1, 0))
-        attempt = max(known, claim.attempt)
+        """Remove *claim* after its coordinator withdrew it, and keep a tombstone."""
+        key = _withdrawal_key(submission, claim)
+        newest_withdrawn, _ = self._withdrawn.get(key, (-1, 0))
+        attempt = max(newest_withdrawn, claim.attempt)
         self._withdrawn.pop(key, None)
         self._withdrawn[key] = (attempt, now_ms + self._retention_ms)
         kept = [
@@ -103,8 +101,10 @@
         self._put(submission, kept)
 
     def merge(self, copied: CopiedClaim, now_ms: int) -> None:
-        """Add a copied claim beside what is held; copies that differ are all kept."""
-        withdrawn, _ = self._withdrawn.get(_life_key(copied.submission, copied.claim), (-1, 0))
+        """Add a copied claim; conflicting copies are kept side by side."""
+        withdrawn, _ = self._withdrawn.get(
+            _withdrawal_key(copied.submission, copied.claim), (-1, 0)
+        )
         if copied.claim.attempt <= withdrawn:
             return
         present = self._all(copied.submission)
@@ -114,24 +114,24 @@
         self._put(copied.submission, [*present, fresh])
 
     def export(self, submission: str, now_ms: int) -> list[CopiedClaim]:
-        """Return the claims of *submission* for a copy."""
+        """Return the claims of *submission* with their remaining retention."""
         return [
             CopiedClaim(submission, _claim(held), max(0, held.expires_ms - now_ms))
             for held in self._all(submission)
         ]
 
     def submissions(self) -> list[str]:
-        """Return every submission that has a claim."""
+        """Return all submissions with a claim."""
         return list(self._held)
 
     def expire(self, now_ms: int) -> int:
-        """Drop the claims whose time has passed and return how many."""
+        """Drop expired claims and tombstones; return the number of submissions dropped."""
         dropped = 0
         while self._held:
             submission = next(iter(self._held))
             if self._held[submission].expires_ms > now_ms:
                 break
-            # A copied claim may have come later than the one before it.
+            # A copied claim may expire later than the first claim of its submission.
             kept = [held for held in self._all(submission) if held.expires_ms > now_ms]
             self._put(submission, [])
             self._put(submission, kept)
@@ -147,23 +147,23 @@
         held = self._held.get(submission)
         if held is None:
             return []
-        return [held, *self._differing.get(submission, ())]
+        return [held, *self._conflicting.get(submission, ())]
 
     def _put(self, submission: str, kept: list[_Held]) -> None:
-        self._differing.pop(submission, None)
+        self._conflicting.pop(submission, None)
         if not kept:
             self._held.pop(submission, None)
             return
         self._held[submission] = kept[0]
         if kept[1:]:
-            self._differing[submission] = kept[1:]
+            self._conflicting[submission] = kept[1:]
 
     def _pack(self, claim: Claim, expires_ms: int) -> _Held:
-        life = self._lives.setdefault(claim.incarnation, claim.incarnation)
+        incarnation = self._incarnations.setdefault(claim.incarnation, claim.incarnation)
         return _Held(
             bytes.fromhex(claim.digest),
             sys.intern(claim.coordinator),
-            life,
+            incarnation,
             claim.attempt,
             expires_ms,
         )
@@ -173,8 +173,8 @@
     return Claim(held.digest.hex(), held.coordinator, held.incarnation, held.attempt)
 
 
-def _is_same(one: Claim, other: Claim) -> bool:
-    return one == other
+def _is_same(claim: Claim, other: Claim) -> bool:
+    return claim == other
 
 
 def _is_older_attempt(held: Claim, claim: Claim) -> bool:
@@ -185,5 +185,5 @@
     )
 
 
-def _life_key(submission: str, claim: Claim) -> tuple[str, str, int]:
+def _withdrawal_key(submission: str, claim: Claim) -> tuple[str, str, int]:
     return submission, claim.coordinator, claim.incarnation
--- a/src/foldloom/static_peers/claims/votes.py
+++ b/src/foldloom/static_peers/claims/votes.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How votes on a claim are counted.
-
-Owns nothing: decisions only. Relies on the replicas of a submission.
-"""
+"""Counting of votes on a claim."""
 
 from __future__ import annotations
 
@@ -15,26 +12,28 @@
 def is_won(
     replicas: ReplicaSets, replies: dict[str, ClaimReply], known_life: Callable[[str], int]
 ) -> bool:
-    """Return whether *replies* give the claim: a majority of votes that are all still alive.
+    """Return whether *replies* contain a majority of valid votes.
 
-    A vote dies with its voter's memory: it does not count once another voter, or this box
-    (*known_life*), knows of a newer life of its voter.
+    A vote is valid unless another voter, or this box (*known_life*), knows a newer incarnation of
+    its voter, which has lost the claims of the earlier one.
     """
     granted = {box: reply for box, reply in replies.items() if reply.vote is Vote.GRANTED}
-    living = {
+    valid = {
         box
         for box, reply in granted.items()
-        if _newest_life(box, granted, known_life) <= reply.incarnation
+        if _newest_incarnation(box, granted, known_life) <= reply.incarnation
     }
-    return replicas.is_majority(living)
+    return replicas.is_majority(valid)
 
 
-def may_still_win(replicas: ReplicaSets, replies: dict[str, ClaimReply]) -> bool:
-    """Return whether the replicas that did not refuse can still be a majority."""
-    refusing = {box for box, reply in replies.items() if reply.vote is not Vote.GRANTED}
-    return replicas.is_majority(set(replicas.boxes) - refusing)
+def can_still_win(replicas: ReplicaSets, replies: dict[str, ClaimReply]) -> bool:
+    """Return whether the replicas that have not refused can form a majority."""
+    not_granted = {box for box, reply in replies.items() if reply.vote is not Vote.GRANTED}
+    return replicas.is_majority(set(replicas.boxes) - not_granted)
 
 
-def _newest_life(box: str, granted: dict[str, ClaimReply], known_life: Callable[[str], int]) -> int:
+def _newest_incarnation(
+    box: str, granted: dict[str, ClaimReply], known_life: Callable[[str], int]
+) -> int:
     known_by_voters = [reply.known.get(box, 0) for other, reply in granted.items() if other != box]
     return max(known_life(box), *known_by_voters, 0)
--- a/src/foldloom/static_peers/placement/direct_slots.py
+++ b/src/foldloom/static_peers/placement/direct_slots.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Slots without leases: an endpoint at once by a baseline policy, for comparisons.
+"""Slots without leases: endpoints picked at once by a baseline policy, for comparisons.
 
-Owns the count of the own running tasks on each endpoint. Relies on the endpoints' lagging reports.
+Counts this box's running tasks per endpoint; the endpoints' reports lag behind.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from foldloom.clock import monotonic_ms
 from foldloom.static_peers.placement.messages import SlotRefusal, SlotUse
 from foldloom.static_peers.placement.policies import Policy, View, choose
-from foldloom.static_peers.placement.slots import RESEND_MS, Slot, SlotWaiter
+from foldloom.static_peers.placement.slots import RESEND_INTERVAL_MS, Slot, SlotWaiter
 
 
 class DirectSlots:
-    """An endpoint at once by a baseline policy.
+    """Slot source that picks endpoints at once by a baseline policy.
 
     Args:
-        policy: The policy.
-        candidates: Returns the usable endpoints of a service and their mean service times.
-        reported: Returns each endpoint's running tasks by its lagging report.
+        policy: The placement policy.
+        candidates: Returns the endpoints eligible for a service.
+        reported: Returns the running tasks of each endpoint according to its last report.
     """
 
     def __init__(
@@ -33,13 +33,13 @@
         self._policy = policy
         self._candidates = candidates
         self._reported = reported
-        self._local: dict[str, int] = {}
+        self._local_counts: dict[str, int] = {}
         self._ids = itertools.count(1)
 
     def open_waiter(
         self, service: str, customer: str, deadline_ms: float, job_tasks: int
     ) -> SlotWaiter:
-        """Begin to wait for slots; nothing is asked yet."""
+        """Open a waiter without requesting slots."""
         return SlotWaiter(next(self._ids), service, customer, deadline_ms, job_tasks)
 
     def request(self, waiter: SlotWaiter, count: int) -> None:
@@ -47,20 +47,24 @@
         reported = self._reported()
         for _ in range(count):
             view = View(
-                self._candidates(waiter.service), local_count=self._local, reported_count=reported
+                self._candidates(waiter.service),
+                local_count=self._local_counts,
+                reported_count=reported,
             )
             choice = choose(self._policy, view)
             if choice is None:
-                waiter.arrivals.put_nowait(SlotRefusal(waiter.request_id, "no-worker", RESEND_MS))
+                waiter.arrivals.put_nowait(
+                    SlotRefusal(waiter.request_id, "no-worker", RESEND_INTERVAL_MS)
+                )
                 return
             endpoint = choice.endpoint
-            self._local[endpoint] = self._local.get(endpoint, 0) + 1
+            self._local_counts[endpoint] = self._local_counts.get(endpoint, 0) + 1
             now_ms = monotonic_ms()
             slot = Slot(0, endpoint, waiter.service, waiter.customer, now_ms, waiter.deadline_ms)
             waiter.arrivals.put_nowait(slot)
 
     def close(self, waiter: SlotWaiter) -> None:
-        """Wait no more: what was picked and not used is given back."""
+        """Close the waiter and return the picked slots that were not used."""
         while not waiter.arrivals.empty():
             arrival = waiter.arrivals.get_nowait()
             if isinstance(arrival, Slot):
@@ -68,4 +72,4 @@
 
     def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
         """Return a slot."""
-        self._local[slot.endpoint] = self._local.get(slot.endpoint, 1) - 1
+        self._local_counts[slot.endpoint] = self._local_counts.get(slot.endpoint, 1) - 1
--- a/src/foldloom/static_peers/placement/lease_manager.py
+++ b/src/foldloom/static_peers/placement/lease_manager.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The lease manager of one box: the shards that it manages now, and their messages.
+"""Lease manager: the shards managed by this box and their messages.
 
-Owns the shards that this box manages now; they are rebuilt from their holders' reports. Relies on
-membership for which box manages which.
+Shard state is soft: a new lease manager rebuilds it from the holders' renewals. Membership
+determines which box manages which shard.
 """
 
 from __future__ import annotations
@@ -28,44 +28,43 @@
 )
 from foldloom.static_peers.placement.policies import Policy
 from foldloom.static_peers.placement.shard import Shard
-from foldloom.static_peers.placement.shards import may_take, shard_names
+from foldloom.static_peers.placement.shards import is_in_reachable_zone, shard_names
 from foldloom.tasks import TaskSet
 
-# Seconds between two ticks: small against a lease (2,000 ms).
+# Seconds between ticks.
 _TICK_S = 0.1
-# Milliseconds in which holders report their leases to a new manager, before it grants: above a
-# heartbeat (250 ms), by which they learn of it.
-_SETTLE_MS = 300
-# Milliseconds for which a grant is of use: far below a lease.
+# Milliseconds for which a new manager collects the holders' leases before it grants: above one
+# heartbeat, by which they learn of the change.
+_REPORT_WINDOW_MS = 300
+# Time-to-live of a grant message, in milliseconds.
 _GRANT_TTL_MS = 500
-# Bits of the first lease's id, drawn at random: managers do not share ids, and all of them fit 64
-# bits.
+# Bits of the random first lease id.
 _LEASE_ID_BITS = 62
 
 
 class BoxQueries(NamedTuple):
-    """What a lease manager asks its box.
+    """Callbacks into the box.
 
     Args:
-        manager_of: Returns the lease manager of a shard, as this box sees it.
-        proves_life: Asks an endpoint for a sign of life.
+        manager_of: Returns the lease manager of a shard in this box's view.
+        check_liveness: Returns whether an endpoint answers a liveness check.
         is_live: Returns whether a box is live.
     """
 
     manager_of: Callable[[str], str]
-    proves_life: Callable[[str], Awaitable[bool]]
+    check_liveness: Callable[[str], Awaitable[bool]]
     is_live: Callable[[str], bool]
 
 
 class LeaseManager:
-    """Manage the shards that fall to this box.
+    """Manages the shards assigned to this box.
 
     Args:
         settings: This box's settings.
-        network: The peers.
+        network: Messages to the peers.
         metrics: Counters.
-        policy: How a slot is chosen.
-        queries: What it asks its box.
+        policy: The placement policy.
+        queries: Callbacks into the box.
     """
 
     def __init__(
@@ -82,10 +81,10 @@
         self._policy = policy
         self._queries = queries
         self._shards: dict[str, Shard] = {}
-        self._settled_ms: dict[str, float] = {}
+        self._grants_from_ms: dict[str, float] = {}
         self._shard_of_endpoint: dict[str, str] = {}
         self._tasks = TaskSet()
-        # A random start keeps ids of different lease managers apart.
+        # A random start makes collisions between lease managers unlikely.
         self._lease_ids = itertools.count(random.getrandbits(_LEASE_ID_BITS))
         network.on(SlotRequest, self._on_request)
         network.on(SlotCancel, self._on_cancel)
@@ -94,7 +93,7 @@
 
     @property
     def loads(self) -> list[ShardLoad]:
-        """How loaded each managed shard is, for the heartbeat."""
+        """Load of each managed shard, for the heartbeat."""
         return [
             ShardLoad(name, shard.free_slots, shard.queued, 0.0)
             for name, shard in self._shards.items()
@@ -102,61 +101,61 @@
 
     @property
     def shards(self) -> dict[str, Shard]:
-        """The shards that this box manages, by name."""
+        """The managed shards by name."""
         return dict(self._shards)
 
     def follow(self, config: Config, leaving: set[str], reachable_zones: set[str]) -> None:
-        """Begin or end to manage shards, and adopt the endpoints' states."""
+        """Apply a configuration: take over or release shards and update their endpoints."""
         names = shard_names(config, self._settings.limits.lease_shard_endpoints)
         self._shard_of_endpoint = {
             endpoint: shard for shard, endpoints in names.items() for endpoint in endpoints
         }
-        for gone in set(self._shards) - set(names):
-            self._leave(gone)
+        for removed in set(self._shards) - set(names):
+            self._release_shard(removed)
         usable = {
             name
             for name, endpoint in config.endpoints.items()
-            if name not in leaving and may_take(endpoint, reachable_zones)
+            if name not in leaving and is_in_reachable_zone(endpoint, reachable_zones)
         }
         for name, endpoints in names.items():
             if self._queries.manager_of(name) != self._settings.box:
-                self._leave(name)
+                self._release_shard(name)
                 continue
             shard = self._shards.get(name) or self._take_over(name)
             shard.set_endpoints(config, endpoints, usable)
 
     async def run(self) -> None:
-        """End leases, probe sick endpoints and hand out slots, until cancelled."""
+        """Expire leases, check ejected endpoints and grant slots, until cancelled."""
         while True:
             await asyncio.sleep(_TICK_S)
             now_ms = monotonic_ms()
             for name, shard in list(self._shards.items()):
                 shard.tick(now_ms)
-                shard.drop_lost(self._queries.is_live)
-                for endpoint in shard.ejection.to_prove(now_ms):
-                    shard.ejection.note_dead(endpoint, now_ms)
-                    self._tasks.spawn(self._prove(shard, endpoint))
-                self._hand_out(name, shard)
+                shard.drop_dead_coordinators(self._queries.is_live)
+                for endpoint in shard.ejection.due_for_liveness_check(now_ms):
+                    shard.ejection.record_unresponsive(endpoint, now_ms)
+                    self._tasks.spawn(self._check_liveness(shard, endpoint))
+                self._send_grants(name, shard)
                 self._metrics.gauge(f"leases.{name}", shard.lease_count)
                 self._metrics.gauge(f"queue.{name}", shard.queued)
 
-    async def _prove(self, shard: Shard, endpoint: str) -> None:
+    async def _check_liveness(self, shard: Shard, endpoint: str) -> None:
         self._metrics.count("messages.wasted.probe")
-        if await self._queries.proves_life(endpoint):
-            shard.ejection.prove(endpoint)
+        if await self._queries.check_liveness(endpoint):
+            shard.ejection.mark_responsive(endpoint)
 
     def _take_over(self, name: str) -> Shard:
         shard = Shard(self._settings, self._policy, self._lease_ids)
         self._shards[name] = shard
-        # Others' leases are not known yet: wait for their holders to report them.
-        self._settled_ms[name] = monotonic_ms() + _SETTLE_MS
-        PLACE_LOG.info("Manage the leases of shard {}.", name)
+        # Existing leases are unknown until their holders report them.
+        self._grants_from_ms[name] = monotonic_ms() + _REPORT_WINDOW_MS
+        PLACE_LOG.info("Took over the leases of shard {}.", name)
         return shard
 
-    def _leave(self, name: str) -> None:
+    def _release_shard(self, name: str) -> None:
         if self._shards.pop(name, None) is not None:
-            self._settled_ms.pop(name, None)
-            PLACE_LOG.info("Leave the leases of shard {} to another box.", name)
+            self._grants_from_ms.pop(name, None)
+            PLACE_LOG.info("Released the leases of shard {}: no longer its lease manager.", name)
 
     def _on_request(self, sender: str, message: SlotRequest) -> None:
         shard = self._shards.get(message.shard)
@@ -165,7 +164,7 @@
         refusal = shard.add(sender, message)
         if refusal is not None:
             PLACE_LOG.info(
-                "Refuse {} tasks of {} for {}: {}.",
+                "Refused {} tasks of service {} for customer {}: {}.",
                 message.tasks,
                 message.service,
                 message.customer,
@@ -173,7 +172,7 @@
             )
             self._network.send(sender, refusal)
             return
-        self._hand_out(message.shard, shard)
+        self._send_grants(message.shard, shard)
 
     def _on_cancel(self, sender: str, message: SlotCancel) -> None:
         for shard in self._shards.values():
@@ -186,7 +185,7 @@
             self._metrics.count("messages.wasted.return")
             return
         shard.give_back(message, monotonic_ms())
-        self._hand_out(name, shard)
+        self._send_grants(name, shard)
 
     def _on_hold(self, sender: str, message: SlotHold) -> None:
         now_ms = monotonic_ms()
@@ -195,8 +194,8 @@
             if shard is not None:
                 shard.hold(sender, held, now_ms)
 
-    def _hand_out(self, name: str, shard: Shard) -> None:
-        if monotonic_ms() < self._settled_ms.get(name, 0.0):
+    def _send_grants(self, name: str, shard: Shard) -> None:
+        if monotonic_ms() < self._grants_from_ms.get(name, 0.0):
             return
         for grant in shard.match(monotonic_ms()):
             self._network.send(grant.coordinator, grant.message, _GRANT_TTL_MS)
--- a/src/foldloom/static_peers/placement/leased_slots.py
+++ b/src/foldloom/static_peers/placement/leased_slots.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Slots by lease: asked of lease managers, renewed while they are held.
+"""Slots by lease: requests to lease managers and renewal of held leases.
 
-Owns a box's open requests and the leases that it holds. Relies on the lease managers, on the
-configuration in force and on the load of each shard that heartbeats tell.
+Holds a box's open requests and its leases. The lease managers follow from the configuration in
+force and the shard loads from the heartbeats.
 """
 
 from __future__ import annotations
@@ -28,29 +28,29 @@
     SlotUse,
 )
 from foldloom.static_peers.placement.shards import shard_names
-from foldloom.static_peers.placement.slots import RESEND_MS, Slot, SlotWaiter
+from foldloom.static_peers.placement.slots import RESEND_INTERVAL_MS, Slot, SlotWaiter
 
-# Seconds between two checks for requests to send again.
+# Seconds between checks for renewals and retransmissions.
 _CHECK_S = 0.1
-# Milliseconds without a grant after which a request is sent again while managers change: a
-# heartbeat (250 ms).
-_RESEND_UNSETTLED_MS = 250
-# Milliseconds for which managers count as changing: above a silent peer (1,000 ms).
-_UNSETTLED_MS = 2_500
-# Milliseconds before a lease's end at which its holder gives it up: above a message's delay.
-_SAFETY_MS = 100
+# Retransmission interval after a change of lease managers, in milliseconds: one heartbeat.
+_FAST_RESEND_INTERVAL_MS = 250
+# Milliseconds of fast retransmission after a change of lease managers: above the time to detect a
+# silent peer.
+_FAST_RESEND_PERIOD_MS = 2_500
+# Milliseconds before a lease's expiry at which the holder stops using it: covers message delay.
+_EXPIRY_MARGIN_MS = 100
 
 
 class LeasedSlots:
-    """Slots by lease.
+    """Slot source that requests leases from lease managers.
 
     Args:
         settings: This box's settings.
-        network: The peers.
+        network: Messages to the peers.
         metrics: Counters.
         config: Returns the configuration in force.
-        manager_of: Returns the lease manager of a shard, as this box sees it.
-        loads: Returns the last known load of each shard.
+        manager_of: Returns the lease manager of a shard in this box's view.
+        loads: Returns the last reported load of each shard.
     """
 
     def __init__(
@@ -74,23 +74,24 @@
         self._shards: tuple[int, dict[str, list[str]]] = (-1, {})
         self._shard_of: dict[str, str] = {}
         self._managers: dict[str, str] = {}
-        self._unsettled_ms = 0.0
+        self._fast_resend_until_ms = 0.0
         network.on(SlotGrant, self._on_grant)
         network.on(SlotRefusal, self._on_refusal)
 
     def open_waiter(
         self, service: str, customer: str, deadline_ms: float, job_tasks: int
     ) -> SlotWaiter:
-        """Begin to wait for slots; nothing is asked yet."""
+        """Open a waiter without requesting slots."""
         waiter = SlotWaiter(next(self._ids), service, customer, deadline_ms, job_tasks)
         self._waiters[waiter.request_id] = waiter
         return waiter
 
     def request(self, waiter: SlotWaiter, count: int) -> None:
-        """Ask for *count* more slots."""
+        """Request *count* more slots."""
         if waiter.outstanding:
-            # One request at a time: a number that is sent again counts once.
-            self._send(SlotCancel(waiter.request_id), waiter.asked_of)
+            # One open request per waiter: the new total needs a new id, since a repeated id is
+            # treated as a retransmission.
+            self._send(SlotCancel(waiter.request_id), waiter.sent_to)
             del self._waiters[waiter.request_id]
             waiter.request_id = next(self._ids)
             self._waiters[waiter.request_id] = waiter
@@ -98,10 +99,10 @@
         self._send_request(waiter)
 
     def close(self, waiter: SlotWaiter) -> None:
-        """Wait no more: what still arrives goes back unused."""
+        """Close the waiter; slots that arrive later are returned unused."""
         self._waiters.pop(waiter.request_id, None)
         if waiter.outstanding:
-            self._send(SlotCancel(waiter.request_id), waiter.asked_of)
+            self._send(SlotCancel(waiter.request_id), waiter.sent_to)
             waiter.outstanding = 0
         while not waiter.arrivals.empty():
             arrival = waiter.arrivals.get_nowait()
@@ -117,29 +118,32 @@
         self._send(message, self._manager_of_endpoint(slot.endpoint))
 
     async def run(self) -> None:
-        """Renew leases, and ask again where a lease manager was lost, until cancelled."""
+        """Renew leases and retransmit requests until cancelled."""
         renewed_ms = monotonic_ms()
         while True:
             await asyncio.sleep(_CHECK_S)
             now_ms = monotonic_ms()
-            changed = self._note_managers()
+            changed = self._refresh_managers()
             if changed or now_ms - renewed_ms > self._settings.timings.lease_ttl_ms / 4:
                 renewed_ms = now_ms
                 self._renew(now_ms)
-            self.ask_again(now_ms, changed)
+            self.resend_requests(now_ms, changed)
 
-    def ask_again(self, now_ms: float, has_changed: bool) -> None:
-        """Send requests again that a lost or a new lease manager may not have.
+    def resend_requests(self, now_ms: float, has_manager_changed: bool) -> None:
+        """Retransmit requests that were not answered in time or whose lease manager changed.
 
-        A new one may not know yet that it is: it drops what comes too early. So for a while
-        after a change requests go again and again; sent twice they count once.
+        A new lease manager drops requests that arrive before it takes over the shard. Requests are
+        therefore retransmitted at a short interval for a while after a change; lease managers
+        deduplicate them.
         """
-        if has_changed:
-            self._unsettled_ms = now_ms + _UNSETTLED_MS
-        limit_ms = _RESEND_UNSETTLED_MS if now_ms < self._unsettled_ms else RESEND_MS
+        if has_manager_changed:
+            self._fast_resend_until_ms = now_ms + _FAST_RESEND_PERIOD_MS
+        limit_ms = (
+            _FAST_RESEND_INTERVAL_MS if now_ms < self._fast_resend_until_ms else RESEND_INTERVAL_MS
+        )
         for waiter in list(self._waiters.values()):
-            is_stale = now_ms - waiter.touched_ms > limit_ms
-            is_moved = self._managers.get(waiter.shard) != waiter.asked_of
+            is_stale = now_ms - waiter.last_activity_ms > limit_ms
+            is_moved = self._managers.get(waiter.shard) != waiter.sent_to
             if waiter.outstanding and (is_stale or is_moved):
                 self._send_request(waiter)
 
@@ -153,8 +157,8 @@
             }
         return self._shards[1]
 
-    def _note_managers(self) -> bool:
-        """Return whether a shard has another lease manager than at the last call."""
+    def _refresh_managers(self) -> bool:
+        """Look up the lease managers; return whether one has changed since the last call."""
         managers = {shard: self._manager_of(shard) for shard in self._shard_names()}
         changed = managers != self._managers
         self._managers = managers
@@ -166,27 +170,29 @@
         return self._manager_of(shard) if shard else ""
 
     def _pick_shard(self) -> str:
-        """Return the own zone's shard with room, else the one with the most room."""
+        """Return a shard with free capacity, preferably in this zone, else the least loaded one."""
         names = self._shard_names()
         if len(names) <= 1:
             return next(iter(names), "")
         loads = self._loads()
         zone = self._settings.zone
 
-        def room(shard: str) -> tuple[bool, bool, int]:
+        def preference(shard: str) -> tuple[bool, bool, int]:
             load = loads.get(shard)
-            spare = 0 if load is None else load.free_slots - load.queued
-            return spare > 0, shard.partition("/")[0] == zone, spare
+            spare_slots = 0 if load is None else load.free_slots - load.queued
+            return spare_slots > 0, shard.partition("/")[0] == zone, spare_slots
 
-        return max(names, key=room)
+        return max(names, key=preference)
 
     def _send_request(self, waiter: SlotWaiter) -> None:
         now_ms = monotonic_ms()
         waiter.shard = self._pick_shard()
-        waiter.asked_of = self._manager_of(waiter.shard)
-        waiter.touched_ms = now_ms
+        waiter.sent_to = self._manager_of(waiter.shard)
+        waiter.last_activity_ms = now_ms
         if not waiter.shard:
-            waiter.arrivals.put_nowait(SlotRefusal(waiter.request_id, "no-worker", RESEND_MS))
+            waiter.arrivals.put_nowait(
+                SlotRefusal(waiter.request_id, "no-worker", RESEND_INTERVAL_MS)
+            )
             return
         message = SlotRequest(
             waiter.request_id,
@@ -197,7 +203,7 @@
             int(waiter.deadline_ms - now_ms),
             waiter.job_tasks,
         )
-        self._send(message, waiter.asked_of)
+        self._send(message, waiter.sent_to)
 
     def _send(self, message: object, box: str) -> None:
         if box:
@@ -211,8 +217,8 @@
             self.give_back(slot, 0.0, SlotUse.UNUSED)
             return
         waiter.outstanding -= 1
-        waiter.touched_ms = now_ms
-        expires_ms = now_ms + message.ttl_ms - _SAFETY_MS
+        waiter.last_activity_ms = now_ms
+        expires_ms = now_ms + message.ttl_ms - _EXPIRY_MARGIN_MS
         slot = Slot(
             message.lease_id, message.endpoint, waiter.service, waiter.customer, now_ms, expires_ms
         )
--- a/src/foldloom/static_peers/placement/shard.py
+++ b/src/foldloom/static_peers/placement/shard.py
@@ -1,10 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""One shard's soft state: free slots, leases, the queue, and who gets the next slot.
+"""Soft state of one shard: free slots, leases, the request queue and the order of grants.
 
-Owns the queue and who has got how much; leases, views and ejections are parts of their own. Relies
-on its caller for the time.
-
-Nothing here waits or sends; a lease manager calls it and sends what it returns.
+The code here does no I/O and reads no clock: the lease manager passes the time and sends the
+resulting messages.
 """
 
 from __future__ import annotations
@@ -14,7 +12,7 @@
 
 from foldloom.controllers.config import Config, endpoints_of
 from foldloom.settings import Settings
-from foldloom.static_peers.placement.admission import RETRY_MAX_MS, LoadSeen, judge
+from foldloom.static_peers.placement.admission import RETRY_MAX_MS, AdmissionLoad, check_admission
 from foldloom.static_peers.placement.bounds import Bounds
 from foldloom.static_peers.placement.ejection import Ejection
 from foldloom.static_peers.placement.health import Health
@@ -28,25 +26,23 @@
     SlotUse,
 )
 from foldloom.static_peers.placement.policies import Choice, Policy, choose, job_size
-from foldloom.static_peers.placement.queue import Pending, RequestQueue
+from foldloom.static_peers.placement.queue import PendingRequest, RequestQueue
 from foldloom.static_peers.placement.shares import GrantRates
 from foldloom.static_peers.placement.speeds import SpeedTable
 from foldloom.static_peers.placement.views import ViewTable
 
-# Times its endpoint's mean, after which a task counts as overdue: above the spread of tasks (50 to
-# 500 ms).
+# Multiple of the endpoint's mean service time after which a task is overdue.
 _OVERDUE_RATIO = 6.0
-# Milliseconds before which none counts as overdue: twice the longest task.
+# Minimum age of an overdue task, in milliseconds.
 _OVERDUE_MIN_MS = 1_000
-# Mean service times of waiting from which a slow slot goes to the oldest job
-# (docs/design/placement.md, point 3).
+# Expected wait, in mean service times, above which a slow slot goes to the first request in turn.
 _LONG_QUEUE_MEANS = 3.0
-# Milliseconds after which a caller should come back if no endpoint may serve.
+# Retry-after of a refusal for lack of an eligible endpoint, in milliseconds.
 _NO_ENDPOINT_RETRY_MS = 1_000
 
 
 class Grant(NamedTuple):
-    """A grant and the coordinator that it goes to."""
+    """A grant and the coordinator it is sent to."""
 
     coordinator: str
     message: SlotGrant
@@ -57,8 +53,8 @@
 
     Args:
         settings: Limits and timings.
-        policy: How a slot is chosen.
-        lease_ids: Gives each lease its id.
+        policy: The placement policy.
+        lease_ids: Source of lease ids.
     """
 
     def __init__(self, settings: Settings, policy: Policy, lease_ids: Iterator[int]) -> None:
@@ -70,40 +66,46 @@
         self._endpoints_of: dict[str, list[str]] = {}
         self._leases = LeaseTable()
         self._queue = RequestQueue(self._bounds.quota_of)
-        self._granted = GrantRates()
+        self._grant_rates = GrantRates()
         self._speeds = SpeedTable()
         self._events: list[str] = []
         health = Health(settings.timings.ejection_ms, settings.limits.ejected_share_max)
-        self._ejection = Ejection(health, self._speeds, self._note_event)
+        self._ejection = Ejection(health, self._speeds, self._add_event)
         self._views = ViewTable(self._bounds, self._leases, self._speeds, self._ejection)
 
     @property
     def ejection(self) -> Ejection:
-        """Which endpoints are left out."""
+        """Ejection state of the endpoints."""
         return self._ejection
 
     @property
     def queued(self) -> int:
-        """How many tasks wait."""
+        """Number of queued tasks."""
         return self._queue.tasks
 
     @property
     def free_slots(self) -> int:
-        """How many slots no lease holds, on endpoints that get work."""
+        """Unleased slots on the endpoints eligible for placement."""
         return self._views.free_slots
 
     @property
     def lease_count(self) -> int:
-        """How many leases are out."""
+        """Number of active leases."""
         return len(self._leases)
 
     def take_events(self) -> list[str]:
-        """Return and clear the sentences to log."""
+        """Return and clear the pending log sentences."""
         events, self._events = self._events, []
         return events
 
     def set_endpoints(self, config: Config, names: list[str], usable: set[str]) -> None:
-        """Adopt the configuration: *names* are this shard's endpoints, *usable* get work."""
+        """Apply a configuration.
+
+        Args:
+            config: The configuration in force.
+            names: The endpoints of this shard.
+            usable: The endpoints eligible for placement, of any shard.
+        """
         self._bounds.follow(config)
         self._usable = usable.intersection(names)
         self._ejection.follow(self._usable)
@@ -115,50 +117,50 @@
         self._views.follow(self._endpoints_of, self._usable)
 
     def add(self, coordinator: str, request: SlotRequest) -> SlotRefusal | None:
-        """Queue *request*, or return why it is refused at once."""
+        """Queue *request*, or return a refusal. A retransmission has no effect."""
         if (coordinator, request.request_id) in self._queue:
             return None
-        refusal = self._judge(request)
+        refusal = self._check_admission(request)
         if refusal is None:
-            self._queue.add(Pending(coordinator, request))
+            self._queue.add(PendingRequest(coordinator, request))
         return refusal
 
     def cancel(self, coordinator: str, request_id: int) -> None:
-        """Drop a request."""
+        """Remove a request from the queue."""
         self._queue.drop((coordinator, request_id))
 
-    def drop_lost(self, is_live: Callable[[str], bool]) -> None:
-        """Drop the requests of coordinators that are gone."""
+    def drop_dead_coordinators(self, is_live: Callable[[str], bool]) -> None:
+        """Remove the requests of coordinators that are not live."""
         for coordinator in self._queue.coordinators:
             if not is_live(coordinator):
-                self._queue.drop_all_of(coordinator)
+                self._queue.drop_requests_of(coordinator)
 
     def hold(self, coordinator: str, held: HeldSlot, now_ms: float) -> None:
-        """Renew a lease, or learn of one that an earlier lease manager made."""
+        """Renew a lease, or add one that an earlier lease manager granted."""
         if self._leases.renew(held.lease_id, now_ms):
             return
-        self._lend(reported_lease(held, coordinator, now_ms))
+        self._add_lease(reported_lease(held, coordinator, now_ms))
 
     def give_back(self, message: SlotReturn, now_ms: float) -> None:
-        """End the lease of a returned slot, and learn from the outcome of its task."""
+        """End the lease of a returned slot and record the outcome of its task."""
         lease = self._leases.get(message.lease_id)
         if lease is not None:
-            self._end(lease)
+            self._remove_lease(lease)
         if message.use is SlotUse.DONE:
             self._speeds.note(message.service, message.endpoint, message.service_ms, now_ms)
-            peer_mean_ms = self._views.peer_mean_ms(message.service, message.endpoint)
-            self._ejection.note_success(message, peer_mean_ms, now_ms)
+            peer_median_ms = self._views.peer_median_ms(message.service, message.endpoint)
+            self._ejection.record_success(message, peer_median_ms, now_ms)
         elif message.use in (SlotUse.FAILED, SlotUse.NOT_RUN):
-            self._ejection.note_failure(message.endpoint, now_ms)
+            self._ejection.record_failure(message.endpoint, now_ms)
 
     def tick(self, now_ms: float) -> None:
-        """End leases that were not renewed and eject endpoints whose tasks are overdue."""
+        """Expire leases that were not renewed and eject endpoints whose tasks are overdue."""
         ttl = self._settings.timings.lease_ttl_ms
         overdue: dict[str, int] = {}
         for lease in self._leases.present():
             if now_ms - lease.renewed_ms > ttl:
-                self._events.append(f"Lease {lease.lease_id} on {lease.endpoint} ran out.")
-                self._end(lease)
+                self._events.append(f"Lease {lease.lease_id} on {lease.endpoint} expired.")
+                self._remove_lease(lease)
                 continue
             limit = _OVERDUE_RATIO * self._speeds.mean_ms(lease.service, lease.endpoint)
             if now_ms - lease.since_ms > max(_OVERDUE_MIN_MS, limit):
@@ -166,32 +168,32 @@
         for endpoint, count in overdue.items():
             if count * 2 >= self._leases.busy.get(endpoint, 0):
                 self._ejection.note_overdue(endpoint, now_ms)
-        self._speeds.doubt_stale(now_ms)
-        self._granted.refresh(now_ms)
+        self._speeds.mark_stale(now_ms)
+        self._grant_rates.refresh(now_ms)
         self._views.refresh(now_ms)
 
     def match(self, now_ms: float) -> list[Grant]:
-        """Grant slots to whoever is next, as long as that is better than to wait."""
+        """Grant slots until no queued request can be served now."""
         grants: list[Grant] = []
         while self._queue:
-            grant = self._match_one(now_ms)
+            grant = self._match_next(now_ms)
             if grant is None:
                 break
             grants.append(grant)
         return grants
 
     def expected_wait_ms(self, service: str) -> float:
-        """Return how long a new task of *service* is expected to wait."""
+        """Return the expected wait of a new task of *service*."""
         rate = self._views.rate_of(service)
         if rate <= 0.0:
             return float(RETRY_MAX_MS)
         excess = self.queued - self.free_slots
         return max(0.0, excess / rate)
 
-    def _match_one(self, now_ms: float) -> Grant | None:
-        """Hand out one slot; ``None`` if nobody gets one now."""
+    def _match_next(self, now_ms: float) -> Grant | None:
+        """Grant one slot, or return ``None`` if no request can be served now."""
         choices: dict[str, Choice | None] = {}
-        for pending in self._queue.in_turn():
+        for pending in self._queue.in_round_robin_order():
             if self._is_customer_full(pending.request.customer):
                 continue
             service = pending.request.service
@@ -199,18 +201,20 @@
                 choices[service] = self._choose(service)
             choice = choices[service]
             if choice is not None:
-                taker = pending if choice.is_fast else self._taker_of_slow(service, pending)
-                return self._grant(taker, choice, now_ms)
+                recipient = (
+                    pending if choice.is_fast else self._recipient_of_slow_slot(service, pending)
+                )
+                return self._grant(recipient, choice, now_ms)
             if len(choices) == self._queue.service_count and not any(choices.values()):
                 return None
         return None
 
     def _choose(self, service: str) -> Choice | None:
-        """Return the slot for the last task in the queue, which would wait longest."""
+        """Return the slot for the last queued task of *service*, which would wait longest."""
         view = self._views.view_of(service)
         if view is None or self._is_service_full(service):
             return None
-        for endpoint in self._ejection.proven:
+        for endpoint in self._ejection.responsive:
             if self._views.has_free_slot(endpoint) and endpoint in view.endpoints:
                 return Choice(endpoint, is_fast=False)
         newest = self._queue.newest_of(service)
@@ -218,12 +222,12 @@
         queued_ahead = self._queue.tasks_of_service(service) - 1
         return choose(self._policy, view._replace(queued_ahead=queued_ahead, job_size=size))
 
-    def _taker_of_slow(self, service: str, first: Pending) -> Pending:
-        """Return which request gets a slow slot.
+    def _recipient_of_slow_slot(self, service: str, first: PendingRequest) -> PendingRequest:
+        """Return the request that receives a slow slot.
 
-        One that has a slow one already, as its job ends late anyway; else the newest, which
-        has waited least and would wait longest for a fast one. Once the queue is long, the
-        first: everybody waits for longer than a slow endpoint takes.
+        A request that already has a slow slot comes first, since its job finishes late anyway; then
+        the newest, which has the longest wait for a fast slot ahead. If the queue is long, the
+        first request in turn receives it: every wait is then longer than a slow endpoint takes.
         """
         if self.expected_wait_ms(service) > _LONG_QUEUE_MEANS * self._speeds.service_mean_ms(
             service
@@ -238,12 +242,12 @@
             newest = pending
         return newest
 
-    def _grant(self, pending: Pending, choice: Choice, now_ms: float) -> Grant:
+    def _grant(self, pending: PendingRequest, choice: Choice, now_ms: float) -> Grant:
         request, endpoint = pending.request, choice.endpoint
         pending.has_slow = pending.has_slow or not choice.is_fast
         lease_id = next(self._lease_ids)
-        self._ejection.note_grant(endpoint)
-        self._lend(
+        self._ejection.record_grant(endpoint)
+        self._add_lease(
             Lease(
                 lease_id,
                 endpoint,
@@ -254,28 +258,28 @@
                 now_ms,
             )
         )
-        self._queue.take_one(pending)
-        self._granted.note(request.customer)
+        self._queue.grant_one(pending)
+        self._grant_rates.note(request.customer)
         ttl = self._settings.timings.lease_ttl_ms
         message = SlotGrant(request.request_id, endpoint, lease_id, ttl)
         return Grant(pending.coordinator, message)
 
-    def _judge(self, request: SlotRequest) -> SlotRefusal | None:
+    def _check_admission(self, request: SlotRequest) -> SlotRefusal | None:
         """Return a refusal if the request can't be served in time."""
         endpoints = self._endpoints_of.get(request.service, ())
         if not any(endpoint in self._usable for endpoint in endpoints):
             return SlotRefusal(request.request_id, "no-worker", _NO_ENDPOINT_RETRY_MS)
-        active = self._queue.customers | self._granted.customers | {request.customer}
-        seen = LoadSeen(
+        active = self._queue.customers | self._grant_rates.customers | {request.customer}
+        load = AdmissionLoad(
             self.queued,
             self._queue.tasks_of_customer(request.customer),
             self.free_slots,
             self._views.rate_of(request.service),
             self._bounds.quota_of(request.customer) / sum(map(self._bounds.quota_of, active)),
-            self._granted.rate_of(request.customer),
+            self._grant_rates.rate_of(request.customer),
             self._speeds.service_mean_ms(request.service),
         )
-        return judge(request, seen, self._settings.limits)
+        return check_admission(request, load, self._settings.limits)
 
     def _is_customer_full(self, customer: str) -> bool:
         return self._bounds.is_customer_full(customer, self._leases.running_of_customer(customer))
@@ -283,13 +287,13 @@
     def _is_service_full(self, service: str) -> bool:
         return self._bounds.is_service_full(service, self._leases.running_of_service(service))
 
-    def _note_event(self, sentence: str) -> None:
+    def _add_event(self, sentence: str) -> None:
         self._events.append(sentence)
 
-    def _lend(self, lease: Lease) -> None:
+    def _add_lease(self, lease: Lease) -> None:
         self._leases.add(lease)
         self._views.refresh_free(lease.endpoint, lease.renewed_ms)
 
-    def _end(self, lease: Lease) -> None:
+    def _remove_lease(self, lease: Lease) -> None:
         self._leases.remove(lease)
         self._views.refresh_free(lease.endpoint, lease.renewed_ms)
--- a/tests/test_placement_faults.py
+++ b/tests/test_placement_faults.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Placement under faults: real processes, endpoints leaving, frozen, slow; managers killed."""
+"""Placement under faults of real processes: leaving, frozen and slow endpoints, lost managers."""
 
 from __future__ import annotations
 
@@ -22,38 +22,38 @@
     return sum(http("GET", f"http://127.0.0.1:{port}/starts").fields["starts"].values())
 
 
-def _run_jobs(cluster: Cluster, stem: str, jobs: int, tasks: int = 2) -> list[int]:
+def _run_jobs(cluster: Cluster, prefix: str, jobs: int, tasks: int = 2) -> list[int]:
     def run(number: int) -> int:
         box = cluster.boxes[number % len(cluster.boxes)]
-        return cluster.submit(box, f"{stem}-{number}", [{"ms": 20}] * tasks).status
+        return cluster.submit(box, f"{prefix}-{number}", [{"ms": 20}] * tasks).status
 
     with ThreadPoolExecutor(8) as pool:
         return list(pool.map(run, range(jobs)))
 
 
 class TestLeavingEndpoints:
-    """Endpoints that leave get no new work."""
+    """Leaving endpoints get no new tasks."""
 
     def test_by_confirmed_intent(self, tmp_path: Path) -> None:
-        """Once a drain is in force everywhere, the endpoint gets nothing; others serve."""
+        """An endpoint drained by a confirmed intent gets no new tasks."""
         with Cluster(tmp_path) as cluster:
             assert set(_run_jobs(cluster, "before", 20)) == {200}
             version = cluster.confirm([{"kind": "worker-leaving", "name": "aw1"}])
             cluster.wait_version(version)
-            wait_until(lambda: _is_quiet(cluster, "aw1"), "aw1 gets no more work")
+            wait_until(lambda: _gets_no_tasks(cluster, "aw1"), "aw1 gets no new tasks")
             before = _starts_on(cluster, "aw1")
             assert set(_run_jobs(cluster, "after", 40)) == {200}
             assert _starts_on(cluster, "aw1") == before
 
     def test_by_platform_list(self, tmp_path: Path) -> None:
-        """An endpoint that the platform's lagging list calls leaving gets nothing either."""
+        """An endpoint that the platform lists as leaving gets no new tasks."""
         listed: list[dict[str, str]] = []
 
         class Handler(BaseHTTPRequestHandler):
-            """The platform's list."""
+            """Serves the platform's list."""
 
             def do_GET(self) -> None:  # noqa: N802
-                """Give the list."""
+                """Send the list."""
                 body = json.dumps({"boxes": listed}).encode()
                 self.send_response(200)
                 self.send_header("Content-Length", str(len(body)))
@@ -61,7 +61,7 @@
                 self.wfile.write(body)
 
             def log_message(self, *_arguments: object) -> None:
-                """Keep quiet."""
+                """Suppress request logs."""
 
         port = free_port()
         server = ThreadingHTTPServer(("127.0.0.1", port), Handler)
@@ -75,7 +75,7 @@
                         lambda box=box: "Leaving by the platform's list: bw1" in cluster.log(box),
                         f"{box} has the list",
                     )
-                wait_until(lambda: _is_quiet(cluster, "bw1"), "bw1 gets no more work")
+                wait_until(lambda: _gets_no_tasks(cluster, "bw1"), "bw1 gets no new tasks")
                 before = _starts_on(cluster, "bw1")
                 assert set(_run_jobs(cluster, "listed", 40)) == {200}
                 assert _starts_on(cluster, "bw1") == before
@@ -83,14 +83,14 @@
             server.shutdown()
 
 
-def _is_quiet(cluster: Cluster, endpoint: str) -> bool:
+def _gets_no_tasks(cluster: Cluster, endpoint: str) -> bool:
     before = _starts_on(cluster, endpoint)
     _run_jobs(cluster, f"quiet-{len(cluster.starts())}", 6)
     return _starts_on(cluster, endpoint) == before
 
 
 class TestSickEndpoints:
-    """Endpoints that hang or slow down."""
+    """Endpoints that hang, slow down or crash."""
 
     @pytest.fixture
     def cluster(self, tmp_path: Path) -> Iterator[Cluster]:
@@ -99,41 +99,41 @@
             yield running
 
     def test_frozen_endpoint(self, cluster: Cluster) -> None:
-        """A frozen endpoint is ejected, others serve; awake, it is probed and comes back."""
+        """A frozen endpoint is ejected without failing jobs, and restored after it resumes."""
         assert set(_run_jobs(cluster, "warm", 30)) == {200}
         cluster.signal("workers-a", signal.SIGSTOP)
         with ThreadPoolExecutor(8) as pool:
             hung = [
                 pool.submit(cluster.submit, "a1", f"hung-{n}", [{"ms": 20}] * 6) for n in range(4)
             ]
-            wait_until(lambda: _logged(cluster, "Eject aw1"), "aw1 is ejected")
+            wait_until(lambda: _logged(cluster, "Ejected aw1"), "aw1 is ejected")
             assert set(_run_jobs(cluster, "meanwhile", 30)) == {200}
             cluster.signal("workers-a", signal.SIGCONT)
-            assert {one.result().status for one in hung} == {200}
+            assert {submission.result().status for submission in hung} == {200}
         rounds = itertools.count()
         wait_until(
             lambda: (
                 _run_jobs(cluster, f"probe-{next(rounds)}", 4)
-                and _logged(cluster, "aw1 is well again")
+                and _logged(cluster, "aw1 is healthy again")
             ),
             "aw1 is back",
         )
         assert max(cluster.starts().values()) == 1
 
     def test_ten_times_slower(self, cluster: Cluster) -> None:
-        """An endpoint that becomes ten times slower is left alone while others have slots."""
+        """An endpoint ten times slower gets almost no tasks while others have free slots."""
         assert set(_run_jobs(cluster, "warm", 60)) == {200}
         cluster.control_endpoint("bw1", speed=0.1)
 
-        def is_left_alone() -> bool:
+        def is_avoided() -> bool:
             before = _starts_on(cluster, "bw1")
             assert set(_run_jobs(cluster, f"slow-{len(cluster.starts())}", 24)) == {200}
             return _starts_on(cluster, "bw1") - before <= 2
 
-        wait_until(is_left_alone, "bw1 gets at most 2 of 48 tasks")
+        wait_until(is_avoided, "bw1 gets at most 2 of 48 tasks")
 
     def test_dead_endpoints_are_left_out(self, cluster: Cluster) -> None:
-        """Jobs go on when an endpoint's process is gone: its attempts certainly did not run."""
+        """Jobs are still served after an endpoint's process is killed."""
         assert set(_run_jobs(cluster, "warm", 20)) == {200}
         cluster.kill("workers-c")
         assert set(_run_jobs(cluster, "gone", 40)) <= {200, 502}
@@ -145,11 +145,11 @@
 
 
 class TestLostManager:
-    """The lease manager's box goes away."""
+    """Loss of the lease manager's box."""
 
     @pytest.mark.parametrize("how", ["kill", "freeze"])
     def test_another_takes_over(self, tmp_path: Path, how: str) -> None:
-        """Jobs at other boxes complete although the lease manager is gone; none starts twice."""
+        """Other boxes' jobs complete after the lease manager is lost; no task starts twice."""
         with Cluster(tmp_path, boxes_per_zone=2) as cluster:
             assert set(_run_jobs(cluster, "warm", 12)) == {200}
             manager = next(
@@ -159,17 +159,17 @@
             )
             others = [box for box in cluster.boxes if box != manager]
             with ThreadPoolExecutor(16) as pool:
-                sent = [
+                submissions = [
                     pool.submit(
                         cluster.submit, others[n % len(others)], f"over-{n}", [{"ms": 100}] * 8
                     )
                     for n in range(16)
                 ]
-                wait_until(cluster.starts, "some started")
+                wait_until(cluster.starts, "a task has started")
                 if how == "kill":
                     cluster.kill(manager)
                 else:
                     cluster.signal(manager, signal.SIGSTOP)
-                answers = [one.result() for one in sent]
+                answers = [submission.result() for submission in submissions]
             assert {answer.status for answer in answers} == {200}
             assert max(cluster.starts().values()) == 1
