--- a/src/foldloom/seed_discovery/controller_box.py
+++ b/src/foldloom/seed_discovery/controller_box.py
@@ -39,7 +39,7 @@
 ReadServices = Callable[[Publication], Container[str] | None]
 
 
-def _name_none(_publication: Publication) -> None:
+def _services_unknown(_publication: Publication) -> None:
     """Read no services out of a document whose form is not known."""
 
 
@@ -59,7 +59,7 @@
         settings: Settings,
         is_first_start: bool,
         label: str = "",
-        read_services: ReadServices = _name_none,
+        read_services: ReadServices = _services_unknown,
     ) -> None:
         self._settings = settings
         self._read_services = read_services
--- a/src/foldloom/seed_discovery/endpoints/catalog.py
+++ b/src/foldloom/seed_discovery/endpoints/catalog.py
@@ -2,7 +2,7 @@
 """The list of endpoints, merged from heartbeats that may arrive late, twice or by many ways.
 
 Owns the newest record of each endpoint. Relies on the order of two records
-(:func:`foldloom.seed_discovery.endpoints.records.judge_report`).
+(:func:`foldloom.seed_discovery.endpoints.records.classify_report`).
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from foldloom.seed_discovery.endpoints.records import (
     EndpointRecord,
     EndpointState,
-    is_farewell_of,
-    judge_report,
+    accepts_deregistration,
+    classify_report,
 )
 
 # Endpoints that are gone and still known: above the 1,700 of the size to design for, at some
 # hundred bytes each.
-_GONE_KEPT = 2_000
+_GONE_RETAINED_MAX = 2_000
 
 
-class ListedEndpoint(NamedTuple):
+class CatalogEntry(NamedTuple):
     """An endpoint's newest record and what is known of its age.
 
     Args:
@@ -43,7 +43,7 @@
     """
 
     def __init__(self) -> None:
-        self._entries: dict[str, ListedEndpoint] = {}
+        self._entries: dict[str, CatalogEntry] = {}
         self._revision = 0
         self._forgotten = 0
 
@@ -79,18 +79,18 @@
 
     def merge(self, record: EndpointRecord, now_ms: float) -> bool:
         """Adopt *record* if it is newer; return whether anything but its age changed."""
-        if not judge_report(record, self.get(record.endpoint)).is_taken:
+        if not classify_report(record, self.get(record.endpoint)).is_accepted:
             return False
         known = self._entries.get(record.endpoint)
-        if known is not None and known.record.says_the_same(record):
-            self._entries[record.endpoint] = ListedEndpoint(record, now_ms, known.revision)
+        if known is not None and known.record.is_equivalent_to(record):
+            self._entries[record.endpoint] = CatalogEntry(record, now_ms, known.revision)
             return False
         return self._set(record, now_ms)
 
     def note_farewell(self, endpoint: str, now_ms: float) -> bool:
         """Note that a life of *endpoint* has left; return whether that changed anything."""
         known = self.get(endpoint)
-        if known is None or not is_farewell_of(known):
+        if known is None or not accepts_deregistration(known):
             return False
         return self.end_life(endpoint, known.born_ms, now_ms)
 
@@ -120,15 +120,15 @@
     def _set(self, record: EndpointRecord, now_ms: float) -> bool:
         self._revision += 1
         self._entries.pop(record.endpoint, None)
-        self._entries[record.endpoint] = ListedEndpoint(record, now_ms, self._revision)
-        self._forget_some_gone()
+        self._entries[record.endpoint] = CatalogEntry(record, now_ms, self._revision)
+        self._evict_gone()
         return True
 
-    def _forget_some_gone(self) -> None:
+    def _evict_gone(self) -> None:
         gone = [
             endpoint
             for endpoint, entry in self._entries.items()
             if entry.record.state is EndpointState.GONE
         ]
-        for endpoint in gone[:-_GONE_KEPT]:
+        for endpoint in gone[:-_GONE_RETAINED_MAX]:
             del self._entries[endpoint]
--- a/src/foldloom/seed_discovery/endpoints/records.py
+++ b/src/foldloom/seed_discovery/endpoints/records.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 """What endpoints say of themselves in their heartbeats, and which of two reports holds.
 
-Owns nothing: types, and the decision in :func:`judge_report`.
+Owns nothing: types, and the decision in :func:`classify_report`.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
     remaining_ms: int = 0
     born_ms: int = 0
 
-    def says_the_same(self, other: EndpointRecord) -> bool:
+    def is_equivalent_to(self, other: EndpointRecord) -> bool:
         """Return whether *other* differs in nothing that decisions use."""
         return self._replace(sequence=0, cold_left_ms=0, remaining_ms=0) == other._replace(
             sequence=0, cold_left_ms=0, remaining_ms=0
@@ -71,7 +71,7 @@
     HAS_LEFT = "has left"
 
     @property
-    def is_taken(self) -> bool:
+    def is_accepted(self) -> bool:
         """Whether the report replaces what is known."""
         return self in (ReportVerdict.FIRST, ReportVerdict.NEXT_LIFE, ReportVerdict.NEWER)
 
@@ -80,7 +80,7 @@
 _STATES_IN_ORDER = (EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE)
 
 
-def judge_report(record: EndpointRecord, known: EndpointRecord | None) -> ReportVerdict:
+def classify_report(record: EndpointRecord, known: EndpointRecord | None) -> ReportVerdict:
     """Return whether *record* holds over what is *known* of its endpoint.
 
     Reports are ordered by life, then by state, then by sequence, so that the same one holds at
@@ -99,11 +99,11 @@
         # One that does not say when it was born is not from the endpoint: that one does.
         return ReportVerdict.EARLIER_LIFE
     if record.state is not known.state:
-        return _judge_state(record.state, known.state)
+        return _classify_state_change(record.state, known.state)
     return ReportVerdict.NEWER if record.sequence >= known.sequence else ReportVerdict.LATE
 
 
-def _judge_state(state: EndpointState, known: EndpointState) -> ReportVerdict:
+def _classify_state_change(state: EndpointState, known: EndpointState) -> ReportVerdict:
     if _STATES_IN_ORDER.index(state) > _STATES_IN_ORDER.index(known):
         return ReportVerdict.NEWER
     if known is EndpointState.GONE:
@@ -111,7 +111,7 @@
     return ReportVerdict.LEAVES_ALREADY
 
 
-def is_farewell_of(known: EndpointRecord) -> bool:
+def accepts_deregistration(known: EndpointRecord) -> bool:
     """Return whether a farewell, which does not say of which life it is, is of the *known* one.
 
     A life says that it is draining before it bids farewell. One that is ready has not: the
--- a/src/foldloom/seed_discovery/entry_box.py
+++ b/src/foldloom/seed_discovery/entry_box.py
@@ -77,7 +77,7 @@
             self._holder,
             self._catalog,
             settings.timings.join_ms,
-            self._follow_endpoints,
+            self._on_endpoints_pushed,
         )
         self._client = OwnerClient(self._view, self._network, settings.timings)
         self._jobs = JobRegistry(self._client, self._metrics)
@@ -85,7 +85,7 @@
             self._view, self._network, settings.timings, self._make_owner, self._on_heartbeat
         )
         OwnerDispatch(self._network, self._view, lambda: self._elector.owner)
-        self._is_configured = asyncio.Event()
+        self._configured = asyncio.Event()
         self._tasks = TaskSet()
 
     @property
@@ -123,7 +123,7 @@
         """Return the queues as soon as there are some, or ``None`` after *timeout_ms*."""
         try:
             async with TimeLimit(timeout_ms):
-                await self._is_configured.wait()
+                await self._configured.wait()
         except TimeoutError:
             # Not configured yet: the caller answers that, with when to come back.
             return None
@@ -152,7 +152,7 @@
         timings = self._settings.timings
         await sleep(timings.stop_timeout_ms - timings.drain_ms)
         ENTRY_LOG.event("process.gives_up", jobs=self._jobs.running_count)
-        self._jobs.give_up_all()
+        self._jobs.cancel_all()
 
     async def stop(self) -> None:
         """End every part."""
@@ -164,9 +164,9 @@
 
     def _on_publication(self, publication: Publication) -> None:
         self._queues = self._read_queues(publication)
-        self._is_configured.set()
+        self._configured.set()
 
-    async def _follow_endpoints(self, endpoints: list[EndpointRecord]) -> None:
+    async def _on_endpoints_pushed(self, endpoints: list[EndpointRecord]) -> None:
         if self._elector.owner is not None:
             await self._elector.owner.follow_endpoints({one.endpoint for one in endpoints})
 
@@ -174,7 +174,7 @@
         self._client.handle_heartbeat(heartbeat, self._holder.version)
         if heartbeat.published_version > self._holder.version:
             self._tasks.spawn(
-                self._holder.catch_up(heartbeat.owner.box, heartbeat.published_version)
+                self._holder.pull_newer(heartbeat.owner.box, heartbeat.published_version)
             )
 
     def _make_owner(self, record: OwnerRecord) -> ZoneOwner:
--- a/src/foldloom/seed_discovery/fleet/cache.py
+++ b/src/foldloom/seed_discovery/fleet/cache.py
@@ -20,7 +20,7 @@
 from foldloom.controllers.storage import write_whole
 from foldloom.logs import CONFIG_LOG
 
-_NAME = "published"
+_FILE_NAME = "published"
 # xxh3 of 64 bits, in front of the body.
 _CHECKSUM_BYTES = 8
 _ENCODER = msgspec.msgpack.Encoder()
@@ -35,8 +35,8 @@
     """
 
     def __init__(self, folder: str) -> None:
-        self._path = Path(folder) / _NAME
-        self._next: Publication | None = None
+        self._path = Path(folder) / _FILE_NAME
+        self._pending: Publication | None = None
         self._writing: asyncio.Task[None] | None = None
 
     def read(self) -> Publication:
@@ -56,7 +56,7 @@
 
     def write_soon(self, publication: Publication) -> None:
         """Write *publication* in a thread; of several that wait only the newest."""
-        self._next = publication
+        self._pending = publication
         if self._writing is None or self._writing.done():
             self._writing = asyncio.get_running_loop().create_task(self._write())
 
@@ -70,8 +70,8 @@
             await self._writing
 
     async def _write(self) -> None:
-        while self._next is not None:
-            publication, self._next = self._next, None
+        while self._pending is not None:
+            publication, self._pending = self._pending, None
             body = _ENCODER.encode(publication)
             data = xxhash.xxh3_64_digest(body) + body
             try:
--- a/src/foldloom/seed_discovery/fleet/joiner.py
+++ b/src/foldloom/seed_discovery/fleet/joiner.py
@@ -28,13 +28,13 @@
 
 # Joins in a row without a reply after which a controller is logged as lost, because one or two are
 # lost on any busy box.
-_LOST_AFTER = 3
+_LOST_AFTER_FAILURES = 3
 # Seconds between two checks for controllers that are new or gone: below the interval between joins
 # (250 ms).
-_WATCH_S = 0.1
+_CONTROLLER_CHECK_INTERVAL_S = 0.1
 
 
-async def _follow_nothing(_endpoints: list[EndpointRecord]) -> None:
+async def _ignore_endpoints(_endpoints: list[EndpointRecord]) -> None:
     """Follow endpoints on a box that gives them no work."""
 
 
@@ -47,7 +47,7 @@
         holder: The published configuration.
         catalog: The list of endpoints.
         interval_ms: Milliseconds between two joins of one controller.
-        follow_endpoints: Called when a controller pushes news of endpoints, once the catalog has
+        on_push: Called when a controller pushes news of endpoints, once the catalog has
             them; the controller is answered when it returns.
     """
 
@@ -58,14 +58,14 @@
         holder: PublishedHolder,
         catalog: EndpointCatalog,
         interval_ms: int,
-        follow_endpoints: Callable[[list[EndpointRecord]], Awaitable[None]] = _follow_nothing,
+        on_push: Callable[[list[EndpointRecord]], Awaitable[None]] = _ignore_endpoints,
     ) -> None:
         self._network = network
         self._view = view
         self._holder = holder
         self._catalog = catalog
         self._interval_ms = interval_ms
-        self._follow_endpoints = follow_endpoints
+        self._on_push = on_push
         self._tasks: dict[str, asyncio.Task[None]] = {}
         network.on(EndpointsSeen, self._on_endpoints)
 
@@ -73,8 +73,8 @@
         """Keep one task for each known controller until cancelled."""
         try:
             while True:
-                self._follow_controllers()
-                await asyncio.sleep(_WATCH_S)
+                self._update_join_tasks()
+                await asyncio.sleep(_CONTROLLER_CHECK_INTERVAL_S)
         finally:
             for task in self._tasks.values():
                 task.cancel()
@@ -83,15 +83,15 @@
         """Join every controller now, once; used when a planned stop begins."""
         await asyncio.gather(*(self._join(box, 0, 0) for box in self._view.controllers))
 
-    def _follow_controllers(self) -> None:
+    def _update_join_tasks(self) -> None:
         wanted = set(self._view.controllers)
         for box in wanted - set(self._tasks):
-            self._tasks[box] = asyncio.create_task(self._stay_joined(box))
+            self._tasks[box] = asyncio.create_task(self._join_periodically(box))
         for box in set(self._tasks) - wanted:
             self._tasks.pop(box).cancel()
             self._network.drop_peer(box)
 
-    async def _stay_joined(self, box: str) -> None:
+    async def _join_periodically(self, box: str) -> None:
         """Join one controller again and again.
 
         The box asks for what has changed since it last did, but for all once it has forgotten an
@@ -99,48 +99,48 @@
         That brings it back within a join (250 ms), 15 s after its last answer; by changes alone it
         was not used again before it, a controller or the box itself had restarted.
         """
-        life, revision = 0, 0
+        incarnation, revision = 0, 0
         forgotten = 0
         failures = 0
         while True:
             began_ms = monotonic_ms()
             if self._catalog.forgotten != forgotten:
-                life, revision = 0, 0
+                incarnation, revision = 0, 0
             forgotten_before = self._catalog.forgotten
-            reply = await self._join(box, life, revision)
+            reply = await self._join(box, incarnation, revision)
             if reply is None:
                 failures += 1
-                if failures == _LOST_AFTER:
+                if failures == _LOST_AFTER_FAILURES:
                     PEER_LOG.event("controller.lost", controller=box, unanswered=failures)
             else:
-                if failures >= _LOST_AFTER:
+                if failures >= _LOST_AFTER_FAILURES:
                     PEER_LOG.event("controller.back", controller=box, unanswered=failures)
                 failures = 0
-                life, revision = reply.catalog_life, reply.catalog_revision
+                incarnation, revision = reply.catalog_incarnation, reply.catalog_revision
                 forgotten = forgotten_before
             spent_ms = monotonic_ms() - began_ms
             await asyncio.sleep(max(0.0, self._interval_ms - spent_ms) / 1_000)
 
-    async def _join(self, box: str, life: int, revision: int) -> JoinReply | None:
-        message = Join(self._view.own, self._holder.version, life, revision)
+    async def _join(self, box: str, incarnation: int, revision: int) -> JoinReply | None:
+        message = Join(self._view.own, self._holder.version, incarnation, revision)
         try:
             reply: JoinReply = await self._network.request(box, message, self._interval_ms)
         except PeerUnreachableError:
             # The caller counts these and logs that the controller is lost.
             return None
         now_ms = monotonic_ms()
-        for lost in self._view.note_controller(box, reply, now_ms):
-            PEER_LOG.event("box.gone", gone=lost)
-            self._network.drop_peer(lost)
+        for expired in self._view.note_controller(box, reply, now_ms):
+            PEER_LOG.event("box.gone", gone=expired)
+            self._network.drop_peer(expired)
         self._merge(received_endpoints(reply))
         if reply.published_version > self._holder.version:
-            await self._holder.catch_up(box, reply.published_version)
+            await self._holder.pull_newer(box, reply.published_version)
         return reply
 
     async def _on_endpoints(self, _sender: str, message: EndpointsSeen) -> Noted:
         endpoints = received_endpoints(message)
         self._merge(endpoints)
-        await self._follow_endpoints(endpoints)
+        await self._on_push(endpoints)
         return Noted()
 
     def _merge(self, endpoints: list[EndpointRecord]) -> None:
--- a/src/foldloom/seed_discovery/fleet/messages.py
+++ b/src/foldloom/seed_discovery/fleet/messages.py
@@ -36,7 +36,7 @@
     is_leaving: bool = False
 
 
-class SentEndpoint(NamedTuple):
+class WireEndpoint(NamedTuple):
     """The fields of an :class:`EndpointRecord` on the wire, but for when it was born.
 
     Boxes of earlier releases read these and no more; of a message itself they drop what follows
@@ -78,13 +78,13 @@
     Args:
         record: The box.
         published_version: The version of the published configuration in force there.
-        catalog_life: The life of the controller whose catalog it has read.
+        catalog_incarnation: The life of the controller whose catalog it has read.
         catalog_revision: Up to which revision.
     """
 
     record: BoxRecord
     published_version: int
-    catalog_life: int
+    catalog_incarnation: int
     catalog_revision: int
 
 
@@ -96,7 +96,7 @@
         boxes: The live entry boxes.
         owners: Who owns which zone's endpoints.
         published_version: The newest published version known there.
-        catalog_life: This controller's life.
+        catalog_incarnation: This controller's life.
         catalog_revision: The revision of its catalog.
         endpoints: The endpoints of the sender's zone that changed since the sender last asked.
         born_ms: When each of these was born.
@@ -106,9 +106,9 @@
     boxes: list[BoxRecord]
     owners: list[OwnerRecord]
     published_version: int
-    catalog_life: int
+    catalog_incarnation: int
     catalog_revision: int
-    endpoints: list[SentEndpoint]
+    endpoints: list[WireEndpoint]
     born_ms: tuple[int, ...] = ()
 
 
@@ -120,7 +120,7 @@
         born_ms: When each of these was born.
     """
 
-    endpoints: list[SentEndpoint]
+    endpoints: list[WireEndpoint]
     born_ms: tuple[int, ...] = ()
 
 
@@ -135,9 +135,9 @@
 
 
 class PullPublished(NamedTuple):
-    """A box asks for what is published above version ``have``."""
+    """A box asks for what is published above version ``known_version``."""
 
-    have: int
+    known_version: int
 
 
 class ReadPublished(NamedTuple):
@@ -226,9 +226,9 @@
     owner: OwnerRecord
 
 
-def sent_endpoints(records: Iterable[EndpointRecord]) -> list[SentEndpoint]:
+def sent_endpoints(records: Iterable[EndpointRecord]) -> list[WireEndpoint]:
     """Return *records* as they are sent, without their births."""
-    return [SentEndpoint._make(record[: len(SentEndpoint._fields)]) for record in records]
+    return [WireEndpoint._make(record[: len(WireEndpoint._fields)]) for record in records]
 
 
 def births_of(records: Iterable[EndpointRecord]) -> tuple[int, ...]:
@@ -238,10 +238,10 @@
 
 def received_endpoints(message: JoinReply | EndpointsSeen) -> list[EndpointRecord]:
     """Return the endpoints in *message*; a box of an earlier release sends no births."""
-    births = chain(message.born_ms, repeat(0))
+    start_times = chain(message.born_ms, repeat(0))
     return [
         EndpointRecord(*sent, born_ms)
-        for sent, born_ms in zip(message.endpoints, births, strict=False)
+        for sent, born_ms in zip(message.endpoints, start_times, strict=False)
     ]
 
 
--- a/src/foldloom/seed_discovery/fleet/published.py
+++ b/src/foldloom/seed_discovery/fleet/published.py
@@ -63,7 +63,7 @@
         if self._cache is not None:
             self._cache.write_soon(publication)
 
-    async def catch_up(self, box: str, version: int) -> None:
+    async def pull_newer(self, box: str, version: int) -> None:
         """Pull from *box* if it has a newer *version* in force."""
         if version <= self.version or box in self._pulling_from:
             return
@@ -88,6 +88,6 @@
         return Noted()
 
     def _on_pull(self, _sender: str, message: PullPublished) -> Published:
-        if message.have >= self.version:
+        if message.known_version >= self.version:
             return Published(NO_PUBLICATION)
         return Published(self._publication)
--- a/src/foldloom/seed_discovery/fleet/publisher.py
+++ b/src/foldloom/seed_discovery/fleet/publisher.py
@@ -24,10 +24,10 @@
 from foldloom.verdicts import Problem, may_have_run, not_run
 
 # Seconds until the leader is looked for again: small against an election (600 ms).
-_PAUSE_S = 0.03
+_RETRY_INTERVAL_S = 0.03
 # Milliseconds for one read at the leader: half of the 800 ms that a caller gives, so that a second
 # leader can be asked.
-_TRY_MS = 400.0
+_READ_TIMEOUT_MS = 400.0
 # Milliseconds after which a caller should come back: about an election.
 _RETRY_AFTER_MS = 500
 
@@ -60,7 +60,7 @@
                 answer = await self._propose(payload, left_ms)
             except NotLeaderError:
                 # Nothing was appended: an election is under way, or the leader is not known here.
-                await asyncio.sleep(_PAUSE_S)
+                await asyncio.sleep(_RETRY_INTERVAL_S)
                 continue
             except PeerUnreachableError:
                 # It may be in the log: the caller must not take it for not committed.
@@ -76,10 +76,10 @@
         """Return what is published now, for certain."""
         deadline_ms = monotonic_ms() + timeout_ms
         while (left_ms := deadline_ms - monotonic_ms()) > 0:
-            reply = await self._read(min(left_ms, _TRY_MS))
+            reply = await self._read_from_leader(min(left_ms, _READ_TIMEOUT_MS))
             if reply is not None and reply.is_current:
                 return Ok(reply.publication)
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_RETRY_INTERVAL_S)
         return Error(not_run("no-quorum", "no leader could show the newest", _RETRY_AFTER_MS))
 
     async def _propose(self, payload: bytes, left_ms: float) -> Answer:
@@ -105,12 +105,12 @@
             raise PeerUnreachableError("the leader does not know whether it is committed")
         raise NotLeaderError(reply.leader)
 
-    async def _read(self, left_ms: float) -> ReadReply | None:
+    async def _read_from_leader(self, left_ms: float) -> ReadReply | None:
         leader = self._controller.leader
         if not leader:
             return None
         if self._controller.is_leading:
-            return await self._read_here()
+            return await self._read_locally()
         try:
             reply: ReadReply = await self._network.request(leader, ReadPublished(), left_ms)
         except PeerUnreachableError:
@@ -118,7 +118,7 @@
             return None
         return reply
 
-    async def _read_here(self) -> ReadReply:
+    async def _read_locally(self) -> ReadReply:
         try:
             await newest_version(self._controller)
         except NotLeaderError:
@@ -127,4 +127,4 @@
         return ReadReply(True, self._controller.state.publication)
 
     async def _on_read(self, _sender: str, _message: ReadPublished) -> ReadReply:
-        return await self._read_here()
+        return await self._read_locally()
--- a/src/foldloom/seed_discovery/fleet/registry.py
+++ b/src/foldloom/seed_discovery/fleet/registry.py
@@ -22,7 +22,7 @@
     EndpointRecord,
     EndpointState,
     ReportVerdict,
-    judge_report,
+    classify_report,
 )
 from foldloom.seed_discovery.fleet.messages import (
     BoxRecord,
@@ -43,20 +43,20 @@
 
 # Milliseconds since its last join after which a box gets no news: six joins (250 ms), so that a
 # lost one does not matter.
-_LIVE_MS = 1_500.0
+_LIVENESS_TIMEOUT_MS = 1_500.0
 # Milliseconds after which a box is forgotten: far above a restart.
-_FORGET_MS = 10_000.0
+_BOX_EXPIRY_MS = 10_000.0
 # Milliseconds without a report after which an endpoint is forgotten here; others may know it: eight
 # of the users' heartbeats (1,500 ms).
-_ENDPOINT_SILENT_MS = 12_000.0
+_ENDPOINT_EXPIRY_MS = 12_000.0
 # Milliseconds for which a box may take to acknowledge news: below the second in which an endpoint's
 # report must be answered, with time for one box that is dead.
 _NOTIFY_TIMEOUT_MS = 350
 # Seconds between two checks for what is to be forgotten: small against that.
-_TIDY_S = 1.0
+_EXPIRY_INTERVAL_S = 1.0
 
 
-class _Joined(NamedTuple):
+class _JoinedBox(NamedTuple):
     """A box that joined, and when it did so last."""
 
     record: BoxRecord
@@ -92,8 +92,8 @@
         self._controllers = controllers
         self._services = services
         self._catalog = EndpointCatalog()
-        self._dropped: dict[str, ReportVerdict] = {}
-        self._joined: dict[str, _Joined] = {}
+        self._last_dropped: dict[str, ReportVerdict] = {}
+        self._joined_boxes: dict[str, _JoinedBox] = {}
         self._owners: dict[str, _KnownOwner] = {}
         self._tasks = TaskSet()
         network.on(Join, self._on_join)
@@ -108,24 +108,24 @@
     async def run(self) -> None:
         """Forget boxes and endpoints that fell silent, until cancelled."""
         while True:
-            await asyncio.sleep(_TIDY_S)
+            await asyncio.sleep(_EXPIRY_INTERVAL_S)
             now_ms = monotonic_ms()
             for box in [
                 box
-                for box, known in self._joined.items()
-                if now_ms - known.received_ms > _FORGET_MS
+                for box, known in self._joined_boxes.items()
+                if now_ms - known.received_ms > _BOX_EXPIRY_MS
             ]:
-                del self._joined[box]
+                del self._joined_boxes[box]
                 if box not in self._controllers():
                     self._network.drop_peer(box)
-            for endpoint in self._catalog.silent_since(now_ms - _ENDPOINT_SILENT_MS):
+            for endpoint in self._catalog.silent_since(now_ms - _ENDPOINT_EXPIRY_MS):
                 self._catalog.forget(endpoint)
-            for endpoint in [one for one in self._dropped if self._catalog.get(one) is None]:
-                del self._dropped[endpoint]
+            for endpoint in [one for one in self._last_dropped if self._catalog.get(one) is None]:
+                del self._last_dropped[endpoint]
 
     def push(self, publication: Publication) -> None:
         """Send a newer publication to every live entry box at once."""
-        for record in self._live_entries():
+        for record in self._live_entry_boxes():
             self._tasks.spawn(self._notify(record.box, Published(publication)))
 
     async def note_endpoint(self, record: EndpointRecord) -> bool:
@@ -137,7 +137,7 @@
         and its address would be polled. An endpoint of a service that is named later, or named
         already at another controller, is taken with its next report.
         """
-        if not self._is_of_named_service(record):
+        if not self._is_service_configured(record):
             return False
         now_ms = monotonic_ms()
         self._log_dropped(record)
@@ -158,20 +158,20 @@
             await self._notify_zone(newest)
         return True
 
-    def _is_of_named_service(self, record: EndpointRecord) -> bool:
+    def _is_service_configured(self, record: EndpointRecord) -> bool:
         services = self._services()
         return services is None or record.service in services
 
     def _log_dropped(self, record: EndpointRecord) -> None:
         """Log that a report is not taken, and why; of an endpoint, each reason in a row once."""
         known = self._catalog.get(record.endpoint)
-        verdict = judge_report(record, known)
-        if known is None or verdict.is_taken:
-            self._dropped.pop(record.endpoint, None)
+        verdict = classify_report(record, known)
+        if known is None or verdict.is_accepted:
+            self._last_dropped.pop(record.endpoint, None)
             return
-        if self._dropped.get(record.endpoint) is verdict:
+        if self._last_dropped.get(record.endpoint) is verdict:
             return
-        self._dropped[record.endpoint] = verdict
+        self._last_dropped[record.endpoint] = verdict
         ENDPOINT_LOG.event(
             "endpoint.report_dropped",
             endpoint=record.endpoint,
@@ -186,11 +186,11 @@
 
     async def note_gone(self, endpoint: str) -> None:
         """Note that an endpoint has left."""
-        is_taken = self._catalog.note_farewell(endpoint, monotonic_ms())
+        is_accepted = self._catalog.note_farewell(endpoint, monotonic_ms())
         newest = self._catalog.get(endpoint)
         if newest is None:
             return
-        if not is_taken:
+        if not is_accepted:
             ENDPOINT_LOG.event(
                 "endpoint.farewell_dropped",
                 endpoint=endpoint,
@@ -204,7 +204,7 @@
     async def _notify_zone(self, record: EndpointRecord) -> None:
         notifications = [
             self._notify(entry.box, EndpointsSeen(sent_endpoints([record]), births_of([record])))
-            for entry in self._live_entries()
+            for entry in self._live_entry_boxes()
             if entry.zone == record.zone
         ]
         # A ready endpoint may wait for the next join; a leaving one must not be given work.
@@ -223,23 +223,27 @@
 
     def live_controllers(self) -> list[str]:
         """Return the controllers that joined here and are live."""
-        return [record.box for record in self._live() if record.role == CONTROLLER]
+        return [record.box for record in self._live_boxes() if record.role == CONTROLLER]
 
-    def _live(self) -> list[BoxRecord]:
+    def _live_boxes(self) -> list[BoxRecord]:
         now_ms = monotonic_ms()
         return [
-            known.record for known in self._joined.values() if now_ms - known.received_ms < _LIVE_MS
+            known.record
+            for known in self._joined_boxes.values()
+            if now_ms - known.received_ms < _LIVENESS_TIMEOUT_MS
         ]
 
-    def _live_entries(self) -> list[BoxRecord]:
-        return [record for record in self._live() if record.role == ENTRY]
+    def _live_entry_boxes(self) -> list[BoxRecord]:
+        return [record for record in self._live_boxes() if record.role == ENTRY]
 
     def _on_join(self, _sender: str, message: Join) -> JoinReply:
         record = message.record
         now_ms = monotonic_ms()
-        self._joined[record.box] = _Joined(record, now_ms)
-        life = self._network.incarnation
-        known_revision = message.catalog_revision if message.catalog_life == life else 0
+        self._joined_boxes[record.box] = _JoinedBox(record, now_ms)
+        incarnation = self._network.incarnation
+        known_revision = (
+            message.catalog_revision if message.catalog_incarnation == incarnation else 0
+        )
         endpoints = [
             endpoint
             for endpoint in self._catalog.changes_since(known_revision)
@@ -247,10 +251,10 @@
         ]
         return JoinReply(
             controllers=self._controllers(),
-            boxes=self._live_entries(),
+            boxes=self._live_entry_boxes(),
             owners=[known.owner for known in self._owners.values()],
             published_version=self._holder.version,
-            catalog_life=life,
+            catalog_incarnation=incarnation,
             catalog_revision=self._catalog.revision,
             endpoints=sent_endpoints(endpoints),
             born_ms=births_of(endpoints),
--- a/src/foldloom/seed_discovery/fleet/view.py
+++ b/src/foldloom/seed_discovery/fleet/view.py
@@ -14,10 +14,10 @@
 
 # Milliseconds after which a box that nobody mentions is forgotten: far above the longest cuts on
 # the users' bench (10 s), since a zone goes on without controllers.
-_FORGET_MS = 20_000.0
+_BOX_EXPIRY_MS = 20_000.0
 # Milliseconds for which a controller's list of controllers counts: far above the interval between
 # joins (250 ms), below the time in which an address is used again.
-_LIST_KEPT_MS = 10_000.0
+_CONTROLLER_LIST_TTL_MS = 10_000.0
 
 
 class _ControllerList(NamedTuple):
@@ -40,9 +40,9 @@
     def __init__(self, own: BoxRecord, seeds: list[str]) -> None:
         self._own = own
         self._seeds = list(seeds)
-        self._lists: dict[str, _ControllerList] = {}
+        self._controller_lists: dict[str, _ControllerList] = {}
         self._boxes: dict[str, BoxRecord] = {}
-        self._received_ms: dict[str, float] = {}
+        self._boxes_received_ms: dict[str, float] = {}
         self._owners: dict[str, OwnerRecord] = {}
 
     @property
@@ -53,14 +53,14 @@
     @property
     def controllers(self) -> list[str]:
         """All controllers known, this box excluded; the seeds until others are known."""
-        listed = [box for known in self._lists.values() for box in known.controllers]
+        listed = [box for known in self._controller_lists.values() for box in known.controllers]
         known = dict.fromkeys([*listed, *self._seeds])
         return [box for box in known if box != self._own.box]
 
     @property
     def is_informed(self) -> bool:
         """Whether any controller has answered yet."""
-        return bool(self._lists)
+        return bool(self._controller_lists)
 
     def set_seeds(self, seeds: list[str]) -> None:
         """Use new seeds from the settings."""
@@ -114,19 +114,23 @@
         if known is not None and known.life == record.life and known.is_leaving:
             record = record._replace(is_leaving=True)
         self._boxes[record.box] = record
-        self._received_ms[record.box] = now_ms
+        self._boxes_received_ms[record.box] = now_ms
 
     def note_controller(self, sender: str, reply: JoinReply, now_ms: float) -> list[str]:
         """Note what controller *sender* knows; return the boxes that are known no longer."""
-        self._lists[sender] = _ControllerList(tuple(reply.controllers), now_ms)
-        for box, known in list(self._lists.items()):
-            if now_ms - known.received_ms > _LIST_KEPT_MS:
-                del self._lists[box]
+        self._controller_lists[sender] = _ControllerList(tuple(reply.controllers), now_ms)
+        for box, known in list(self._controller_lists.items()):
+            if now_ms - known.received_ms > _CONTROLLER_LIST_TTL_MS:
+                del self._controller_lists[box]
         for record in reply.boxes:
             self.note_box(record, now_ms)
         for owner in reply.owners:
             self.note_owner(owner)
-        lost = [box for box, at_ms in self._received_ms.items() if now_ms - at_ms > _FORGET_MS]
-        for box in lost:
-            del self._received_ms[box], self._boxes[box]
-        return lost
+        expired = [
+            box
+            for box, received_ms in self._boxes_received_ms.items()
+            if now_ms - received_ms > _BOX_EXPIRY_MS
+        ]
+        for box in expired:
+            del self._boxes_received_ms[box], self._boxes[box]
+        return expired
--- a/src/foldloom/seed_discovery/job_runner.py
+++ b/src/foldloom/seed_discovery/job_runner.py
@@ -68,7 +68,7 @@
     return result.ok.reason if result.is_ok() else result.error.reason
 
 
-class _Attempts:
+class _TaskAttempts:
     """One task's starts and failures."""
 
     __slots__ = ("attempt", "failures")
@@ -93,10 +93,10 @@
         self._queue = queue
         self._client = client
         self._deadline_ms = deadline_ms
-        self._open = OpenJob(job.job_id)
+        self._open_job = OpenJob(job.job_id)
         self._templates: dict[int, SubmitRuns] = {}
-        self._attempts: dict[TaskId, _Attempts] = {}
-        self._left = [step.tasks for step in job.steps]
+        self._attempts: dict[TaskId, _TaskAttempts] = {}
+        self._remaining_tasks = [step.tasks for step in job.steps]
 
     async def run(self) -> JobResult:
         """Return the job's one result; whatever still runs of it then is stopped."""
@@ -107,9 +107,9 @@
             service=self._queue.service,
             steps=len(self._job.steps),
             tasks=sum(step.tasks for step in self._job.steps),
-            estimate_ms=int(self._chain_ms()),
-            objective_ms=int(self._queue.objective_ms(self._chain_ms())),
-            deadline_in_ms=int(self._deadline_ms - self._open.began_ms),
+            estimate_ms=int(self._critical_path_ms()),
+            objective_ms=int(self._queue.objective_ms(self._critical_path_ms())),
+            deadline_in_ms=int(self._deadline_ms - self._open_job.began_ms),
         )
         result = await self._run()
         ENTRY_LOG.event(
@@ -118,8 +118,8 @@
             outcome=outcome_of(result),
             reason=reason_of(result),
             retry_after_ms=0 if result.is_ok() else result.error.retry_after_ms,
-            took_ms=int(monotonic_ms() - self._open.began_ms),
-            tasks_left=sum(self._left),
+            took_ms=int(monotonic_ms() - self._open_job.began_ms),
+            tasks_left=sum(self._remaining_tasks),
         )
         return result
 
@@ -131,7 +131,7 @@
             # while an owner was being asked.
             return Error(may_have_run("given up"))
         finally:
-            self._client.forget(self._open)
+            self._client.forget(self._open_job)
 
     async def _run_until_deadline(self) -> JobResult:
         try:
@@ -139,23 +139,25 @@
                 return await self._run_steps()
         except TimeoutError:
             # The caller's deadline, which may cut any wait below short.
-            return await self._give_up("deadline", _RETRY_AFTER_MS)
+            return await self._cancel("deadline", _RETRY_AFTER_MS)
 
     async def _run_steps(self) -> JobResult:
         refusal = await self._start_ready_steps()
-        while refusal is None and any(self._left):
-            end = await self._open.ends.get()
+        while refusal is None and any(self._remaining_tasks):
+            end = await self._open_job.ends.get()
             if end.cause is EndCause.DONE:
-                refusal = await self._note_done(end)
+                refusal = await self._on_run_done(end)
             elif end.cause is EndCause.UNATTAINABLE:
-                refusal = await self._give_up("too late", _RETRY_AFTER_MS)
+                refusal = await self._cancel("too late", _RETRY_AFTER_MS)
             else:
-                refusal = await self._note_failed(end)
+                refusal = await self._on_run_failed(end)
         return Ok(JobEnd(JobState.COMPLETED)) if refusal is None else refusal
 
     async def _start_ready_steps(self) -> JobResult | None:
         for number, step in enumerate(self._job.steps):
-            if number in self._templates or any(self._left[needed] for needed in step.depends_on):
+            if number in self._templates or any(
+                self._remaining_tasks[dependency] for dependency in step.depends_on
+            ):
                 continue
             self._templates[number] = self._template(step)
             orders = [RunOrder(number, task, 1) for task in range(step.tasks)]
@@ -164,19 +166,19 @@
                 return refusal
         return None
 
-    async def _note_done(self, end: RunEnd) -> JobResult | None:
+    async def _on_run_done(self, end: RunEnd) -> JobResult | None:
         step = end.run_id.task.step
-        self._left[step] -= 1
-        if self._left[step]:
+        self._remaining_tasks[step] -= 1
+        if self._remaining_tasks[step]:
             return None
         return await self._start_ready_steps()
 
-    async def _note_failed(self, end: RunEnd) -> JobResult | None:
+    async def _on_run_failed(self, end: RunEnd) -> JobResult | None:
         """Start a task again whose run ended without being done, or fail the job."""
         task = end.run_id.task
         if is_given_up(end.crashes):
             return Ok(JobEnd(JobState.FAILED, "a task crashes its endpoints"))
-        attempts = self._attempts.setdefault(task, _Attempts())
+        attempts = self._attempts.setdefault(task, _TaskAttempts())
         if end.cause in (EndCause.FAILED, EndCause.REFUSED):
             attempts.failures += 1
         if attempts.failures >= self._queue.attempts_max:
@@ -196,14 +198,14 @@
         return await self._submit(task.step, [order])
 
     async def _submit(self, step: int, orders: list[RunOrder]) -> JobResult | None:
-        reply = await self._client.submit(self._open, self._templates[step], orders)
+        reply = await self._client.submit(self._open_job, self._templates[step], orders)
         if reply.status is SubmitStatus.REFUSED:
-            return await self._give_up(reply.reason, reply.retry_after_ms)
+            return await self._cancel(reply.reason, reply.retry_after_ms)
         return None
 
-    async def _give_up(self, reason: str, retry_after_ms: int) -> JobResult:
+    async def _cancel(self, reason: str, retry_after_ms: int) -> JobResult:
         """End the job; say that nothing ran only if every owner that was asked says so."""
-        if await self._client.give_up(self._open):
+        if await self._client.give_up(self._open_job):
             return Error(may_have_run(reason))
         return Error(not_run(reason, retry_after_ms=retry_after_ms))
 
@@ -223,18 +225,18 @@
             objective=Objective(
                 stretch=self._queue.stretch,
                 slack_ms=self._queue.slack_ms,
-                other_ms=int(self._chain_ms() - step.estimate_ms),
+                other_ms=int(self._critical_path_ms() - step.estimate_ms),
             ),
-            deadline_ms=int(self._deadline_ms - self._open.began_ms),
+            deadline_ms=int(self._deadline_ms - self._open_job.began_ms),
             old_right_ms=0,
             orders=[],
         )
 
-    def _chain_ms(self) -> float:
+    def _critical_path_ms(self) -> float:
         """Return how long the longest chain of steps is expected to take."""
         ends: list[float] = []
         for step in self._job.steps:
-            before = max((ends[needed] for needed in step.depends_on), default=0.0)
+            before = max((ends[dependency] for dependency in step.depends_on), default=0.0)
             ends.append(before + step.estimate_ms)
         return max(ends, default=0.0)
 
@@ -274,7 +276,7 @@
         try:
             result = await asyncio.shield(task)
         finally:
-            self._leave(job.job_id, task)
+            self._release(job.job_id, task)
         outcome, reason = outcome_of(result), reason_of(result)
         self._metrics.count(f"jobs.{outcome}")
         self._metrics.timing(f"job_ms.{outcome}", monotonic_ms() - began_ms)
@@ -282,12 +284,12 @@
             self._metrics.count(f"jobs.{outcome}.{reason.replace(' ', '_')}")
         return result
 
-    def give_up_all(self) -> None:
+    def cancel_all(self) -> None:
         """End every job now; each is answered as given up."""
         for task in self._running.values():
             task.cancel()
 
-    def _leave(self, job_id: str, task: asyncio.Task[JobResult]) -> None:
+    def _release(self, job_id: str, task: asyncio.Task[JobResult]) -> None:
         if self._running.get(job_id) is not task:
             return
         self._waiters[job_id] -= 1
--- a/tests/test_controller_box.py
+++ b/tests/test_controller_box.py
@@ -28,10 +28,10 @@
 from foldloom.seed_discovery.jobs.spec import Demand
 from test_boxes_controllers import Core, box_settings, play, until
 
-_NOBODY = ["127.0.0.1:1"]
+_UNREACHABLE_SEEDS = ["127.0.0.1:1"]
 # Seconds that a write takes here, and until it would be seen after the end.
 _WRITE_S = 0.3
-_SEEN_S = 2 * _WRITE_S
+_OBSERVATION_S = 2 * _WRITE_S
 
 
 def _write_slowly(path: Path, data: bytes, fsync: Callable[[int], None]) -> None:
@@ -44,7 +44,9 @@
 
 
 def _host(folder: Path, is_first_start: bool) -> ControllerHost:
-    return ControllerHost(box_settings(free_port(), _NOBODY, "controller", folder), is_first_start)
+    return ControllerHost(
+        box_settings(free_port(), _UNREACHABLE_SEEDS, "controller", folder), is_first_start
+    )
 
 
 class TestReports:
@@ -71,33 +73,33 @@
             await core.publish(9)
             for port in core.ports:
                 await core.kill(port)
-            at_the_end = [_contents(core.folder_of(port)) for port in core.ports]
-            await asyncio.sleep(_SEEN_S)
-            assert [_contents(core.folder_of(port)) for port in core.ports] == at_the_end
+            contents_at_stop = [_contents(core.folder_of(port)) for port in core.ports]
+            await asyncio.sleep(_OBSERVATION_S)
+            assert [_contents(core.folder_of(port)) for port in core.ports] == contents_at_stop
 
         play(tmp_path, scenario)
 
     def test_nor_is_a_snapshot(self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         """The same of the replicated log, which is being replaced by a snapshot."""
         monkeypatch.setattr(compaction, "_SNAPSHOT_ENTRIES", 1)
-        begun: list[Path] = []
+        started: list[Path] = []
 
         def write(path: Path, data: bytes, fsync: Callable[[int], None]) -> None:
-            begun.append(path)
+            started.append(path)
             _write_slowly(path, data, fsync)
 
-        async def has_begun() -> bool:
-            return bool(begun)
+        async def has_started() -> bool:
+            return bool(started)
 
         async def scenario(core: Core) -> None:
             monkeypatch.setattr(storage, "write_whole", write)
             await core.publish(9)
-            await until(has_begun, "a snapshot is being written")
+            await until(has_started, "a snapshot is being written")
             for port in core.ports:
                 await core.kill(port)
-            at_the_end = [_contents(core.folder_of(port)) for port in core.ports]
-            await asyncio.sleep(_SEEN_S)
-            assert [_contents(core.folder_of(port)) for port in core.ports] == at_the_end
+            contents_at_stop = [_contents(core.folder_of(port)) for port in core.ports]
+            await asyncio.sleep(_OBSERVATION_S)
+            assert [_contents(core.folder_of(port)) for port in core.ports] == contents_at_stop
 
         play(tmp_path, scenario)
 
--- a/tests/test_fleet_joiner.py
+++ b/tests/test_fleet_joiner.py
@@ -34,27 +34,27 @@
     """A controller's registry, and the catalog of an entry box that joins it."""
 
     def __init__(self) -> None:
-        at_controller: Any
+        controller_wire: Any
         self.wire: Any
-        at_controller, self.wire = connected(_CONTROLLER, _ENTRY)
+        controller_wire, self.wire = connected(_CONTROLLER, _ENTRY)
         self.catalog = EndpointCatalog()
-        self.registry = Registry(at_controller, _holder(at_controller), lambda: [_CONTROLLER])
+        self.registry = Registry(controller_wire, _holder(controller_wire), lambda: [_CONTROLLER])
         view = FleetView(BoxRecord(_ENTRY, 1, "a", ENTRY), [_CONTROLLER])
         self._joiner = Joiner(self.wire, view, _holder(self.wire), self.catalog, _JOIN_MS)
 
-    async def play(self, scenario: Callable[[], Any]) -> None:
+    async def run_scenario(self, scenario: Callable[[], Any]) -> None:
         """Play *scenario* while the entry box joins again and again."""
-        joining = asyncio.create_task(self._joiner.run())
+        join_task = asyncio.create_task(self._joiner.run())
         try:
             async with asyncio.timeout(_WAIT_S):
                 await scenario()
         finally:
-            joining.cancel()
+            join_task.cancel()
 
-    async def next_joins(self, count: int = 3) -> None:
+    async def wait_for_joins(self, count: int = 3) -> None:
         """Wait until the box has joined some more times."""
-        wanted = len(self.wire.sent) + count
-        while len(self.wire.sent) < wanted:
+        target = len(self.wire.sent) + count
+        while len(self.wire.sent) < target:
             await asyncio.sleep(0)
 
 
@@ -73,16 +73,16 @@
 
         async def scenario() -> None:
             await boxes.registry.note_endpoint(_ENDPOINT)
-            await boxes.next_joins()
+            await boxes.wait_for_joins()
             assert boxes.catalog.get("w1") == _ENDPOINT
             boxes.catalog.forget("w1")
             await boxes.registry.note_endpoint(_ENDPOINT._replace(sequence=2))
-            await boxes.next_joins()
+            await boxes.wait_for_joins()
             known = boxes.catalog.get("w1")
             assert known is not None
             assert known.sequence == 2
 
-        asyncio.run(boxes.play(scenario))
+        asyncio.run(boxes.run_scenario(scenario))
 
     def test_one_that_nobody_hears_stays_forgotten(self) -> None:
         """Controllers forget it too, and do not bring it back."""
@@ -90,10 +90,10 @@
 
         async def scenario() -> None:
             await boxes.registry.note_endpoint(_ENDPOINT)
-            await boxes.next_joins()
+            await boxes.wait_for_joins()
             boxes.registry.catalog.forget("w1")
             boxes.catalog.forget("w1")
-            await boxes.next_joins()
+            await boxes.wait_for_joins()
             assert boxes.catalog.get("w1") is None
 
-        asyncio.run(boxes.play(scenario))
+        asyncio.run(boxes.run_scenario(scenario))
--- a/tests/test_fleet_registry.py
+++ b/tests/test_fleet_registry.py
@@ -24,7 +24,9 @@
 _ENDPOINT = EndpointRecord(
     "w1", "svc", "127.0.0.1:9", "a", Demand(16_000, 32_000, 0), sequence=1, born_ms=1_000
 )
-_FOREIGN = _ENDPOINT._replace(service="nobody-named-it", sequence=2, state=EndpointState.DRAINING)
+_UNKNOWN_SERVICE = _ENDPOINT._replace(
+    service="nobody-named-it", sequence=2, state=EndpointState.DRAINING
+)
 
 
 class _Controller:
@@ -41,21 +43,21 @@
         holder = PublishedHolder(wire, lambda _publication: None)
         self.services = services
         self.registry = Registry(wire, holder, lambda: [_CONTROLLER], lambda: self.services)
-        self.passed_on: list[EndpointRecord] = []
+        self.forwarded: list[EndpointRecord] = []
         box.on(EndpointsSeen, self._on_endpoints)
         self._box = box
 
     async def note(self, record: EndpointRecord) -> bool:
         """Have an endpoint report; return whether its report is taken for one."""
         await self._box.request(_CONTROLLER, Join(BoxRecord(_ENTRY, 1, "a", ENTRY), 0, 0, 0), 1)
-        is_taken = await self.registry.note_endpoint(record)
+        is_accepted = await self.registry.note_endpoint(record)
         # What needs no acknowledgement is passed on by tasks of its own.
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        return is_taken
+        return is_accepted
 
     def _on_endpoints(self, _sender: str, message: EndpointsSeen) -> Noted:
-        self.passed_on += received_endpoints(message)
+        self.forwarded += received_endpoints(message)
         return Noted()
 
 
@@ -65,38 +67,38 @@
     def test_another_writers_report(self) -> None:
         """It is refused, and changes nothing of an endpoint whose id it bears."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             controller = _Controller(frozenset({"svc"}))
             assert await controller.note(_ENDPOINT)
-            assert not await controller.note(_FOREIGN)
-            assert not await controller.note(_FOREIGN._replace(endpoint="w2"))
+            assert not await controller.note(_UNKNOWN_SERVICE)
+            assert not await controller.note(_UNKNOWN_SERVICE._replace(endpoint="w2"))
             assert controller.registry.catalog.records == [_ENDPOINT]
-            assert controller.passed_on == [_ENDPOINT]
+            assert controller.forwarded == [_ENDPOINT]
             leaving = _ENDPOINT._replace(sequence=3, state=EndpointState.DRAINING)
             assert await controller.note(leaving)
-            assert controller.passed_on == [_ENDPOINT, leaving]
+            assert controller.forwarded == [_ENDPOINT, leaving]
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
     def test_before_there_is_a_configuration(self) -> None:
         """Every report is taken: what will be named is not known."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             controller = _Controller(None)
-            assert await controller.note(_FOREIGN)
-            assert controller.passed_on == [_FOREIGN]
+            assert await controller.note(_UNKNOWN_SERVICE)
+            assert controller.forwarded == [_UNKNOWN_SERVICE]
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
     def test_one_that_is_named_later(self) -> None:
         """Its next report is taken."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             controller = _Controller(frozenset({"svc"}))
             later = _ENDPOINT._replace(service="later")
             assert not await controller.note(later)
             controller.services = frozenset({"svc", "later"})
             assert await controller.note(later._replace(sequence=2))
-            assert [record.sequence for record in controller.passed_on] == [2]
+            assert [record.sequence for record in controller.forwarded] == [2]
 
-        asyncio.run(play())
+        asyncio.run(scenario())
--- a/tests/test_job_runner.py
+++ b/tests/test_job_runner.py
@@ -24,7 +24,7 @@
     def test_while_the_owner_is_asked(self) -> None:
         """A job that waits for its owner's word is answered too, as one that may have run."""
 
-        async def play() -> JobResult:
+        async def scenario() -> JobResult:
             rig = Rig()
             rig.beat(1)
             jobs = JobRegistry(rig.client, Metrics())
@@ -34,8 +34,8 @@
             rig.network.answers_after_s = 10.0
             while not isinstance(rig.network.asked[-1], CancelJob):
                 await asyncio.sleep(0.001)
-            jobs.give_up_all()
+            jobs.cancel_all()
             return await answering
 
-        result = asyncio.run(play())
+        result = asyncio.run(scenario())
         assert result.error.run is Run.MAY_HAVE_RUN
