--- a/src/foldloom/seed_discovery/__init__.py
+++ b/src/foldloom/seed_discovery/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""Boxes that find each other through seeds: owners of availability zones and their scheduling."""
+"""Seed-based discovery of boxes, ownership of availability zones, and scheduling by the owners."""
--- a/src/foldloom/seed_discovery/controller_box.py
+++ b/src/foldloom/seed_discovery/controller_box.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""A controller with seed discovery: it keeps what is published and collects endpoints' reports.
+"""A controller with seed discovery: stores the configuration and collects endpoint reports.
 
-Owns its parts and their tasks. Relies on the seeds of the settings to find the others, and on its
-data folder.
+Assembles the components and owns their tasks. Needs a data folder; other boxes are found through
+the configured seeds.
 """
 
 from __future__ import annotations
@@ -40,18 +40,19 @@
 
 
 def _services_unknown(_publication: Publication) -> None:
-    """Read no services out of a document whose form is not known."""
+    """Return ``None``: the document's format is unknown."""
 
 
 class ControllerHost:
-    """Everything that runs on a controller, but its HTTP.
+    """All components of a controller except its HTTP server.
 
     Args:
         settings: This box's settings.
-        is_first_start: Whether the whole system starts for the first time; the seeds found it.
-        label: What people call this box.
-        read_services: Returns the services that a published document names, ``None`` if that is
-            not known.
+        is_first_start: Whether the whole system starts for the first time, in which case the seeds
+            form the initial membership.
+        label: A display name.
+        read_services: Returns the services defined by a published document, or ``None`` if they
+            are unknown.
     """
 
     def __init__(
@@ -93,26 +94,26 @@
 
     @property
     def metrics(self) -> Metrics:
-        """This box's counters."""
+        """This box's metrics."""
         return self._metrics
 
     @property
     def is_leading(self) -> bool:
-        """Whether this controller leads, as far as it knows."""
+        """Whether this controller considers itself the leader."""
         return self._controller.is_leading
 
     @property
     def members(self) -> list[str]:
-        """The controllers that count, by the own log."""
+        """The members of the replicated log according to the local log, sorted."""
         return sorted(self._controller.controllers)
 
     @property
     def published_version(self) -> int:
-        """The newest published version known here, for certain or not."""
+        """The newest published version known locally; possibly outdated."""
         return self._holder.version
 
     async def start(self) -> None:
-        """Start every part."""
+        """Start all components."""
         await self._network.start()
         await self._metrics_server.start()
         self._tasks.spawn(watch_pauses(log_pause))
@@ -126,36 +127,36 @@
     async def publish(
         self, version: int, document: bytes, timeout_ms: float
     ) -> Result[int, Problem]:
-        """Commit a document; return the version held after it."""
+        """Commit *document* as *version*; return the version in force afterwards."""
         return await self._publisher.publish(version, document, timeout_ms)
 
     async def newest(self, timeout_ms: float) -> Result[Publication, Problem]:
-        """Return what is published now, for certain."""
+        """Return the current publication by a linearizable read."""
         return await self._publisher.newest(timeout_ms)
 
     async def note_endpoint(self, record: EndpointRecord) -> bool:
-        """Note an endpoint's report; return whether it can be one."""
+        """Process an endpoint's report; return whether its service is configured."""
         return await self._registry.note_endpoint(record)
 
     async def note_gone(self, endpoint: str) -> None:
-        """Note that an endpoint has left."""
+        """Process an endpoint's deregistration."""
         await self._registry.note_gone(endpoint)
 
     def follow_seeds(self, seeds: list[str]) -> None:
-        """Use new seeds from reloaded settings."""
+        """Apply the seeds of reloaded settings."""
         self._view.set_seeds(seeds)
         CONFIG_LOG.event("seeds.followed", seeds=", ".join(seeds))
 
     async def stop(self) -> None:
-        """Stop as planned: a leader has another one lead first."""
+        """Perform a planned stop; a leader transfers its leadership first."""
         self._view.set_leaving()
         await transfer_leadership(self._controller)
         await self.kill()
 
     async def kill(self) -> None:
-        """End every part without a word to the others."""
+        """Stop all components without notifying other boxes."""
         await self._tasks.stop()
-        # Before the controller: what came while it waits for its disk would find none.
+        # Before the controller, so that no message arrives while it waits for pending disk writes.
         await self._network.stop()
         await self._controller.stop()
         await self._holder.close()
@@ -163,7 +164,7 @@
         CONTROLLER_LOG.event("process.stopped", role=CONTROLLER)
 
     def _controllers(self) -> list[str]:
-        """Return all that take endpoints' and operators' calls, with a vote or without."""
+        """Return all controllers that serve endpoints and operators, voting or not."""
         return sorted(
             {self._settings.box, *self._controller.controllers, *self._registry.live_controllers()}
         )
@@ -173,10 +174,10 @@
         self._registry.push(publication)
 
     def _services_of(self, publication: Publication) -> Container[str] | None:
-        """Return the services that reports may name, ``None`` for any.
+        """Return the services whose reports are accepted, ``None`` for all.
 
-        A controller that has lost its memory names none before it has pulled the configuration
-        again, within a join or two: whatever it took meanwhile would be passed on.
+        A controller that has lost its data accepts none until it has pulled the configuration,
+        within a join or two: it would push reports of unknown services to entry boxes.
         """
         if publication.version:
             return self._read_services(publication)
@@ -184,6 +185,6 @@
 
 
 def _format_if_new(folder: str, is_founder: bool) -> None:
-    """Make a data folder at a first start; later an empty one is lost memory."""
+    """Format the data folder if it is new; only a founder's counts as never having lost data."""
     if not (Path(folder) / "identity").exists():
         format_folder(folder, is_first=is_founder)
--- a/src/foldloom/seed_discovery/endpoints/__init__.py
+++ b/src/foldloom/seed_discovery/endpoints/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""Calls to endpoints, and what is known of the endpoints that report."""
+"""Calls to endpoints, and the catalog of endpoints that send heartbeats."""
--- a/src/foldloom/seed_discovery/endpoints/calls.py
+++ b/src/foldloom/seed_discovery/endpoints/calls.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: MIT
-"""Calls to endpoints, whatever protocol they speak.
+"""Calls to endpoints, independent of their protocol.
 
-Owns nothing: types, and the interface that an adapter implements. Relies on the adapter to say
-whether a call may have been carried out.
+Types, and the interface that an adapter implements. The adapter's outcome must distinguish a call
+that had no effect from one that may have been carried out.
 
-An endpoint runs what it was started with under a lease that covers everything on it, measured by
-its own steady clock. It lists what runs and what has ended; ends are listed until a later call
-says that they were seen.
+One lease, measured by the endpoint's own monotonic clock, covers all runs on an endpoint. A poll
+lists the active runs and the ended ones; an end is listed until a later poll acknowledges its
+sequence.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class CallOutcome(Enum):
-    """What became of a call to an endpoint."""
+    """The outcome of a call to an endpoint."""
 
     DONE = "done"
     FENCED = "fenced"
@@ -30,7 +30,7 @@
     INVALID = "invalid"
     OTHER_LIFE = "other-life"
     NO_LISTENER = "no-listener"
-    """Nothing listens at its address: it has crashed or ended, and the call did not reach it."""
+    """Connection refused: the endpoint has crashed or exited, and the call had no effect."""
     UNKNOWN = "unknown"
 
 
@@ -46,7 +46,7 @@
 
 
 class ActiveRun(NamedTuple):
-    """A run that an endpoint lists as present."""
+    """A run that is active on an endpoint."""
 
     run_id: RunId
     checkpoint: str = ""
@@ -54,7 +54,7 @@
 
 
 class EndedRun(NamedTuple):
-    """An end that an endpoint lists; ``sequence`` rises within one life of the endpoint."""
+    """A run that has ended; ``sequence`` increases within an incarnation of the endpoint."""
 
     sequence: int
     run_id: RunId
@@ -63,14 +63,14 @@
 
 
 class EndpointReport(NamedTuple):
-    """What an endpoint lists in its answer to a poll.
+    """The content of an endpoint's reply to a poll.
 
     Args:
         endpoint: The endpoint's id.
-        active: The runs that are present.
-        ended: The ends that the owner has not received before.
-        asked_ms: When the owner asked, by its steady clock: the report knows nothing later.
-        born_ms: Which life of it lists them; 0 if it does not say.
+        active: The active runs.
+        ended: The ended runs that the owner has not received before.
+        asked_ms: When the owner sent the poll, by its monotonic clock: later events may be missing.
+        born_ms: Start time of the replying incarnation; 0 if not reported.
     """
 
     endpoint: str
@@ -85,10 +85,10 @@
 
     Args:
         run_id: The run.
-        spec: The task's input, passed on unread.
+        spec: The task's input, opaque to the dispatcher.
         token: The owner's fencing token.
         until_ms: The end of the lease, by the endpoint's clock.
-        checkpoint: Where to go on from; empty for the beginning.
+        checkpoint: The checkpoint to resume from; empty to start from the beginning.
     """
 
     run_id: RunId
@@ -99,13 +99,13 @@
 
 
 class PollOrder(NamedTuple):
-    """A poll of an endpoint, which may renew its lease and wait for an end.
+    """A long poll of an endpoint, which may also renew its lease.
 
     Args:
         token: The owner's fencing token.
-        last_sequence: The sequence up to which ends were received; the endpoint forgets these.
-        until_ms: The new end of the lease, by the endpoint's clock; 0 to renew nothing.
-        wait_ms: How long the answer may wait for an end.
+        last_sequence: Acknowledges ends up to this sequence, which the endpoint may then drop.
+        until_ms: The new end of the lease, by the endpoint's clock; 0 to leave it unchanged.
+        wait_ms: How long the endpoint may delay its reply until a run ends.
     """
 
     token: int
@@ -115,13 +115,13 @@
 
 
 class CallReply(NamedTuple):
-    """The answer to an order.
+    """The reply to an order.
 
     Args:
-        outcome: What became of it.
-        clock_ms: The endpoint's clock when it answered; 0 if it gave none.
-        detail: For the log.
-        born_ms: Which life of the endpoint answered; 0 if it does not say.
+        outcome: The outcome of the call.
+        clock_ms: The endpoint's clock at the reply; 0 if not reported.
+        detail: Text for the log.
+        born_ms: Start time of the replying incarnation; 0 if not reported.
     """
 
     outcome: CallOutcome
@@ -131,7 +131,7 @@
 
 
 class PollReply(NamedTuple):
-    """The answer to a poll; it lists runs and ends only if ``outcome`` is ``DONE``."""
+    """The reply to a poll; ``active`` and ``ended`` are valid only if ``outcome`` is ``DONE``."""
 
     outcome: CallOutcome
     clock_ms: int = 0
@@ -142,13 +142,13 @@
 
 
 class EndpointCalls(Protocol):
-    """Calls to endpoints; none of them raises for what an endpoint or the network does."""
+    """Calls to endpoints; endpoint and network failures are outcomes, not exceptions."""
 
     async def start_run(self, endpoint: EndpointRecord, order: StartOrder) -> CallReply:
-        """Start a run; the same order again changes nothing."""
+        """Start a run; idempotent."""
 
     async def stop_run(self, endpoint: EndpointRecord, run_id: RunId, token: int) -> CallReply:
-        """Stop a run; one that is not there yet will never start."""
+        """Stop a run, or prevent its start if the start order has not arrived yet."""
 
     async def poll(self, endpoint: EndpointRecord, order: PollOrder) -> PollReply:
-        """Return what runs and what has ended, and renew the lease."""
+        """Return the active and the newly ended runs, and renew the lease."""
--- a/src/foldloom/seed_discovery/endpoints/catalog.py
+++ b/src/foldloom/seed_discovery/endpoints/catalog.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The list of endpoints, merged from heartbeats that may arrive late, twice or by many ways.
+"""The endpoint catalog, merged from heartbeats that may be delayed, duplicated or forwarded.
 
-Owns the newest record of each endpoint. Relies on the order of two records
-(:func:`foldloom.seed_discovery.endpoints.records.classify_report`).
+Owns the newest record of each endpoint, in the order defined by
+:func:`foldloom.seed_discovery.endpoints.records.classify_report`.
 """
 
 from __future__ import annotations
@@ -16,18 +16,16 @@
     classify_report,
 )
 
-# Endpoints that are gone and still known: above the 1,700 of the size to design for, at some
-# hundred bytes each.
 _GONE_RETAINED_MAX = 2_000
 
 
 class CatalogEntry(NamedTuple):
-    """An endpoint's newest record and what is known of its age.
+    """An endpoint's newest record.
 
     Args:
         record: The newest record.
-        received_ms: When it arrived here; own monotonic clock.
-        revision: The catalog's number of the last change that others must learn of.
+        received_ms: When it was received; own monotonic clock.
+        revision: The catalog revision of the endpoint's last change.
     """
 
     record: EndpointRecord
@@ -36,10 +34,10 @@
 
 
 class EndpointCatalog:
-    """Endpoints by id: the newest record of the newest life of each.
+    """Endpoints by id: the newest record of the newest incarnation of each.
 
-    A life that is gone stays known for a while, so that a late heartbeat of it does not bring it
-    back; the next life under its id does.
+    Records of endpoints that are gone are retained, up to a bound, so that a delayed heartbeat does
+    not bring one back. A heartbeat of the next incarnation does.
     """
 
     def __init__(self) -> None:
@@ -49,17 +47,17 @@
 
     @property
     def forgotten(self) -> int:
-        """How often an endpoint was forgotten so far."""
+        """The number of endpoints evicted by :meth:`forget` so far."""
         return self._forgotten
 
     @property
     def revision(self) -> int:
-        """The number of changes so far."""
+        """The number of changes so far; see :meth:`changes_since`."""
         return self._revision
 
     @property
     def records(self) -> list[EndpointRecord]:
-        """The endpoints that are not gone."""
+        """The records of all endpoints that are not gone."""
         return [
             entry.record
             for entry in self._entries.values()
@@ -78,7 +76,7 @@
         return [entry.record for entry in self._entries.values() if entry.revision > revision]
 
     def merge(self, record: EndpointRecord, now_ms: float) -> bool:
-        """Adopt *record* if it is newer; return whether anything but its age changed."""
+        """Adopt *record* if it is newer; return whether the revision changed."""
         if not classify_report(record, self.get(record.endpoint)).is_accepted:
             return False
         known = self._entries.get(record.endpoint)
@@ -88,16 +86,16 @@
         return self._set(record, now_ms)
 
     def note_farewell(self, endpoint: str, now_ms: float) -> bool:
-        """Note that a life of *endpoint* has left; return whether that changed anything."""
+        """Process the deregistration of *endpoint*; return whether it had an effect."""
         known = self.get(endpoint)
         if known is None or not accepts_deregistration(known):
             return False
         return self.end_life(endpoint, known.born_ms, now_ms)
 
     def end_life(self, endpoint: str, born_ms: int, now_ms: float) -> bool:
-        """Note that the life of *endpoint* born at *born_ms* is over for certain.
+        """Mark the incarnation of *endpoint* that started at *born_ms* as gone.
 
-        Return whether that changed anything: another life may be known by now.
+        Return whether it had an effect: a later incarnation may have replaced it.
         """
         known = self.get(endpoint)
         if known is None or known.state is EndpointState.GONE or known.born_ms != born_ms:
@@ -105,7 +103,7 @@
         return self._set(known._replace(state=EndpointState.GONE), now_ms)
 
     def silent_since(self, before_ms: float) -> list[str]:
-        """Return the endpoints that are not gone and have not reported since *before_ms*."""
+        """Return endpoints, except gone ones, whose last record arrived before *before_ms*."""
         return [
             endpoint
             for endpoint, entry in self._entries.items()
@@ -113,7 +111,7 @@
         ]
 
     def forget(self, endpoint: str) -> None:
-        """Drop *endpoint* without a change for others: it may report elsewhere."""
+        """Evict *endpoint* without a new revision: it may still report to another controller."""
         self._entries.pop(endpoint, None)
         self._forgotten += 1
 
--- a/src/foldloom/seed_discovery/endpoints/records.py
+++ b/src/foldloom/seed_discovery/endpoints/records.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What endpoints say of themselves in their heartbeats, and which of two reports holds.
-
-Owns nothing: types, and the decision in :func:`classify_report`.
-"""
+"""Endpoint records as sent in heartbeats, and the order between two records of an endpoint."""
 
 from __future__ import annotations
 
@@ -13,7 +10,7 @@
 
 
 class EndpointState(StrEnum):
-    """Whether an endpoint takes new work."""
+    """The lifecycle state of an endpoint; only a ready one accepts new runs."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -21,22 +18,22 @@
 
 
 class EndpointRecord(NamedTuple):
-    """One life of an endpoint, as its newest heartbeat describes it.
+    """One incarnation of an endpoint, as described by its newest heartbeat.
 
     Args:
-        endpoint: Its id. Other lives may have had it before, also at the same address.
+        endpoint: The endpoint's id. Earlier incarnations may have used the same id and address.
         service: The service that it belongs to.
-        address: ``IP:port`` where it takes orders.
-        zone: Its zone.
-        capacity: All that tasks may take together.
-        labels: Its kind, its rack and the like.
-        state: Whether it takes new work.
-        sequence: Rises with each heartbeat of this life.
-        version: Of its software.
-        cold_left_ms: How much longer it is slow from its start.
-        remaining_ms: While it drains, the least time that it stays.
-        born_ms: When this life began, in Unix milliseconds by its own clock: with the id it names
-            the life. 0 if it does not say; its id then belongs to this life alone.
+        address: ``IP:port`` that accepts orders.
+        zone: Its availability zone.
+        capacity: The total demand of the tasks that it can run at the same time.
+        labels: Its kind, rack and similar attributes.
+        state: Its lifecycle state.
+        sequence: Increases with each heartbeat of this incarnation.
+        version: Its software version.
+        cold_left_ms: Remaining duration of its cold start, during which it is slow.
+        remaining_ms: While draining, the minimum time until it exits.
+        born_ms: Start time of this incarnation, in Unix milliseconds by its own clock. Identifies
+            the incarnation together with the id. 0 if not reported: the id is then never reused.
     """
 
     endpoint: str
@@ -53,14 +50,14 @@
     born_ms: int = 0
 
     def is_equivalent_to(self, other: EndpointRecord) -> bool:
-        """Return whether *other* differs in nothing that decisions use."""
+        """Return whether *other* differs only in ``sequence`` and the remaining times."""
         return self._replace(sequence=0, cold_left_ms=0, remaining_ms=0) == other._replace(
             sequence=0, cold_left_ms=0, remaining_ms=0
         )
 
 
 class ReportVerdict(Enum):
-    """Whether a report holds, and why not; the values stand in logs."""
+    """Whether a report is accepted, and why; the values appear in logs."""
 
     FIRST = "first"
     NEXT_LIFE = "next life"
@@ -72,31 +69,30 @@
 
     @property
     def is_accepted(self) -> bool:
-        """Whether the report replaces what is known."""
+        """Whether the report replaces the known record."""
         return self in (ReportVerdict.FIRST, ReportVerdict.NEXT_LIFE, ReportVerdict.NEWER)
 
 
-# A life goes through its states in this order and never back.
+# An incarnation's state only moves forward in this order.
 _STATES_IN_ORDER = (EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE)
 
 
 def classify_report(record: EndpointRecord, known: EndpointRecord | None) -> ReportVerdict:
-    """Return whether *record* holds over what is *known* of its endpoint.
+    """Return whether *record* replaces the *known* record of the same endpoint.
 
-    Reports are ordered by life, then by state, then by sequence, so that the same one holds at
-    every box, whoever told it last. The sequence alone starts anew with each life: while it
-    decided, a life that began anew was heard only after 12 s, and its leave not at all.
+    Reports are ordered by incarnation, then by state, then by sequence, so that all boxes converge
+    on the same record whatever the order of arrival. The sequence restarts with each incarnation.
 
-    A life that says it was born earlier counts as an earlier one, also where the endpoint's time
-    of day was set back in between: nothing else tells it from a heartbeat that was held up. Such
-    an endpoint gets no work until the life before is forgotten, after 15 s of silence.
+    An incarnation with an earlier start time is taken for a delayed report, even if the endpoint's
+    wall clock was set back: the two cannot be distinguished. Such an endpoint gets no work until
+    the known incarnation is evicted, after 15 s of silence.
     """
     if known is None:
         return ReportVerdict.FIRST
     if record.born_ms > known.born_ms:
         return ReportVerdict.NEXT_LIFE
     if record.born_ms < known.born_ms:
-        # One that does not say when it was born is not from the endpoint: that one does.
+        # Also if it is 0: reports of this endpoint carry a start time.
         return ReportVerdict.EARLIER_LIFE
     if record.state is not known.state:
         return _classify_state_change(record.state, known.state)
@@ -112,11 +108,11 @@
 
 
 def accepts_deregistration(known: EndpointRecord) -> bool:
-    """Return whether a farewell, which does not say of which life it is, is of the *known* one.
+    """Return whether a deregistration, which names no incarnation, applies to the *known* one.
 
-    A life says that it is draining before it bids farewell. One that is ready has not: the
-    farewell is of the life before, or the leave was told elsewhere. It is left to the owner's
-    polls, which show within 0.7 s whether it lives; taken at its word, a late one would start
-    everything that the next life runs a second time.
+    An incarnation reports that it is draining before it deregisters. While it is ready, the
+    deregistration is from the previous incarnation, or the draining report went to another
+    controller. Accepting a delayed one would restart all runs of the next incarnation elsewhere;
+    the owner's polls detect within 0.7 s whether the endpoint is alive.
     """
     return not known.born_ms or known.state is EndpointState.DRAINING
--- a/src/foldloom/seed_discovery/entry_box.py
+++ b/src/foldloom/seed_discovery/entry_box.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""An entry box with seed discovery: it takes jobs, and may own its zone's endpoints.
+"""An entry box with seed discovery: accepts jobs and may own its zone's endpoints.
 
-Owns its parts and their tasks. Relies on the seeds of the settings to find the others; it has no
-disk.
+Assembles the components and owns their tasks. Keeps no data on disk; other boxes are found
+through the configured seeds.
 """
 
 from __future__ import annotations
@@ -37,21 +37,20 @@
 from foldloom.tasks import TaskSet
 from foldloom.time_limits import TimeLimit, sleep
 
-# Milliseconds without any owner's heartbeat after which the box is not ready: three times what a
-# zone without an owner took to get one on loopback (444 to 527 ms).
+# Without heartbeats from any owner for this long, the box is not ready: three owner failovers.
 _OWNER_LOST_MS = 1_500.0
 
 ReadQueues = Callable[[Publication], QueueTable]
 
 
 class EntryBox:
-    """Everything that runs on an entry box, but its HTTP.
+    """All components of an entry box except its HTTP server.
 
     Args:
         settings: This box's settings.
-        calls: How endpoints are called.
-        read_queues: Returns the queues that a published document names.
-        label: What people call this box.
+        calls: The adapter for calls to endpoints.
+        read_queues: Returns the queues defined by a published document.
+        label: A display name; defaults to the box's address.
     """
 
     def __init__(
@@ -90,23 +89,23 @@
 
     @property
     def queues(self) -> QueueTable | None:
-        """The queues in force, or ``None`` before the first configuration."""
+        """The configured queues, or ``None`` before the first configuration."""
         return self._queues
 
     @property
     def metrics(self) -> Metrics:
-        """This box's counters."""
+        """This box's metrics."""
         return self._metrics
 
     @property
     def is_ready(self) -> bool:
-        """Whether new connections should come here."""
+        """Whether this box should receive new connections."""
         if self._view.own.is_leaving or self._queues is None:
             return False
         return self._client.silent_ms < _OWNER_LOST_MS
 
     async def start(self) -> None:
-        """Start every part."""
+        """Start all components."""
         await self._network.start()
         await self._metrics_server.start()
         self._tasks.spawn(watch_pauses(log_pause))
@@ -116,31 +115,31 @@
         ENTRY_LOG.event("process.up", role=ENTRY, zone=self._view.own.zone, at=self._settings.box)
 
     async def run_job(self, job: Job, queue: Queue, timeout_ms: float) -> JobResult:
-        """Run *job* and return its result, at the latest after *timeout_ms*."""
+        """Run *job* with a deadline of *timeout_ms* from now, and return its result."""
         return await self._jobs.run(job, queue, monotonic_ms() + timeout_ms)
 
     async def wait_configured(self, timeout_ms: float) -> QueueTable | None:
-        """Return the queues as soon as there are some, or ``None`` after *timeout_ms*."""
+        """Wait for the first configuration; return its queues, or ``None`` after *timeout_ms*."""
         try:
             async with TimeLimit(timeout_ms):
                 await self._configured.wait()
         except TimeoutError:
-            # Not configured yet: the caller answers that, with when to come back.
+            # Not configured yet: the caller answers with a retry delay.
             return None
         return self._queues
 
     def follow_seeds(self, seeds: list[str]) -> None:
-        """Use new seeds from reloaded settings."""
+        """Apply the seeds of reloaded settings."""
         self._view.set_seeds(seeds)
         CONFIG_LOG.event("seeds.followed", seeds=", ".join(seeds))
 
     @property
     def is_leaving(self) -> bool:
-        """Whether a planned stop began: connections should not be kept open."""
+        """Whether a planned stop has begun; connections should then be closed."""
         return self._view.own.is_leaving
 
     async def begin_stop(self) -> None:
-        """Begin a planned stop: hand ownership over, return when no caller comes any more."""
+        """Begin a planned stop: hand over zone ownership, and wait for the drain period."""
         self._view.set_leaving()
         successor = self._elector.resign()
         ENTRY_LOG.event("process.stopping", zone_handed_to=successor, jobs=self._jobs.running_count)
@@ -148,14 +147,14 @@
         await sleep(self._settings.timings.drain_ms)
 
     async def give_up_jobs(self) -> None:
-        """Answer what is still in flight when the bound of a planned stop is reached."""
+        """Cancel the remaining jobs when the timeout of a planned stop is reached."""
         timings = self._settings.timings
         await sleep(timings.stop_timeout_ms - timings.drain_ms)
         ENTRY_LOG.event("process.gives_up", jobs=self._jobs.running_count)
         self._jobs.cancel_all()
 
     async def stop(self) -> None:
-        """End every part."""
+        """Stop all components."""
         self._elector.close()
         await self._tasks.stop()
         await self._network.stop()
--- a/src/foldloom/seed_discovery/fleet/__init__.py
+++ b/src/foldloom/seed_discovery/fleet/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""Which boxes there are, found through seeds, and what all of them must know."""
+"""Fleet membership through seeds, and the state that all boxes share."""
--- a/src/foldloom/seed_discovery/fleet/cache.py
+++ b/src/foldloom/seed_discovery/fleet/cache.py
@@ -1,11 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""The published configuration on a controller's disk, to be handed out right after a restart.
+"""On-disk cache of the published configuration, served by a controller right after a restart.
 
-Owns one file of the data folder. Relies on rename being atomic.
+Owns one file of the data folder, replaced by an atomic rename.
 
-What stands there was committed once, so it may be obeyed; whether it is the newest is known only
-once a leader has shown it. It is written without a sync: after a loss of power an older one, or
-none, does no harm.
+The cached configuration was committed, so it is safe to apply, but it may be outdated until the
+leader confirms it. Writes are not synced: an older or missing file after a power loss is harmless.
 """
 
 from __future__ import annotations
@@ -21,14 +20,14 @@
 from foldloom.logs import CONFIG_LOG
 
 _FILE_NAME = "published"
-# xxh3 of 64 bits, in front of the body.
+# 64-bit xxh3 digest that precedes the body.
 _CHECKSUM_BYTES = 8
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER = msgspec.msgpack.Decoder(Publication)
 
 
 class PublicationCache:
-    """A file that holds the newest publication, if it could be written.
+    """A file with the newest publication, written on a best-effort basis.
 
     Args:
         folder: The data folder.
@@ -40,7 +39,7 @@
         self._writing: asyncio.Task[None] | None = None
 
     def read(self) -> Publication:
-        """Return what is kept; nothing if it is damaged or missing."""
+        """Return the cached publication, or ``NO_PUBLICATION`` if it is missing or damaged."""
         try:
             data = self._path.read_bytes()
             body = data[_CHECKSUM_BYTES:]
@@ -48,23 +47,22 @@
                 return NO_PUBLICATION
             return _DECODER.decode(body)
         except FileNotFoundError:
-            # Nothing was published yet, or the disk is new.
+            # Nothing has been published yet, or the disk was replaced.
             return NO_PUBLICATION
         except (OSError, msgspec.DecodeError) as error:
-            CONFIG_LOG.warning("The cached configuration can't be used: {}.", error)
+            CONFIG_LOG.warning("Cannot read the cached configuration: {}.", error)
             return NO_PUBLICATION
 
     def write_soon(self, publication: Publication) -> None:
-        """Write *publication* in a thread; of several that wait only the newest."""
+        """Write *publication* in a thread; of several pending ones only the newest is written."""
         self._pending = publication
         if self._writing is None or self._writing.done():
             self._writing = asyncio.get_running_loop().create_task(self._write())
 
     async def close(self) -> None:
-        """Wait until all that was given is written; nothing may be given afterwards.
+        """Wait for pending writes; :meth:`write_soon` must not be called afterwards.
 
-        A write that outlived its controller would meet whoever has the folder next: 0.3 s later
-        with a write as slow as that (``tests/test_controller_box.py``).
+        A write that outlives its controller could overwrite the file of the folder's next user.
         """
         if self._writing is not None:
             await self._writing
@@ -77,4 +75,4 @@
             try:
                 await asyncio.to_thread(write_whole, self._path, data, lambda _fd: None)
             except OSError as error:
-                CONFIG_LOG.warning("The configuration could not be cached: {}.", error)
+                CONFIG_LOG.warning("Cannot write the configuration cache: {}.", error)
--- a/src/foldloom/seed_discovery/fleet/joiner.py
+++ b/src/foldloom/seed_discovery/fleet/joiner.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""How a box stays in touch with every controller: one task for each.
+"""Periodic joins of a box to every controller.
 
-Owns these tasks. Relies on the view of the other boxes for who the controllers are; what a reply
-says goes into that view, into the catalog of endpoints and the published configuration.
+Owns one task per controller. The controllers come from the fleet view; join replies update that
+view, the endpoint catalog and the published configuration.
 """
 
 from __future__ import annotations
@@ -26,29 +26,27 @@
 from foldloom.seed_discovery.fleet.published import PublishedHolder
 from foldloom.seed_discovery.fleet.view import FleetView
 
-# Joins in a row without a reply after which a controller is logged as lost, because one or two are
-# lost on any busy box.
+# Consecutive joins without a reply before a controller is logged as lost.
 _LOST_AFTER_FAILURES = 3
-# Seconds between two checks for controllers that are new or gone: below the interval between joins
-# (250 ms).
+# Below the default join interval (250 ms).
 _CONTROLLER_CHECK_INTERVAL_S = 0.1
 
 
 async def _ignore_endpoints(_endpoints: list[EndpointRecord]) -> None:
-    """Follow endpoints on a box that gives them no work."""
+    """Ignore pushed endpoints, on a box that places no runs."""
 
 
 class Joiner:
-    """Join every controller again and again, and learn what it knows.
+    """Join every controller periodically and apply the replies.
 
     Args:
-        network: The peers.
-        view: What is known of the others.
+        network: The peer network.
+        view: The known boxes and owners.
         holder: The published configuration.
-        catalog: The list of endpoints.
-        interval_ms: Milliseconds between two joins of one controller.
-        on_push: Called when a controller pushes news of endpoints, once the catalog has
-            them; the controller is answered when it returns.
+        catalog: The endpoint catalog.
+        interval_ms: Interval between joins to the same controller, and timeout of each.
+        on_push: Called with endpoints that a controller pushes, after the catalog is updated;
+            the push is acknowledged when it returns.
     """
 
     def __init__(
@@ -70,7 +68,7 @@
         network.on(EndpointsSeen, self._on_endpoints)
 
     async def run(self) -> None:
-        """Keep one task for each known controller until cancelled."""
+        """Run one join task per known controller until cancelled."""
         try:
             while True:
                 self._update_join_tasks()
@@ -80,7 +78,7 @@
                 task.cancel()
 
     async def announce(self) -> None:
-        """Join every controller now, once; used when a planned stop begins."""
+        """Join every controller once, immediately; announces a planned stop."""
         await asyncio.gather(*(self._join(box, 0, 0) for box in self._view.controllers))
 
     def _update_join_tasks(self) -> None:
@@ -92,12 +90,11 @@
             self._network.drop_peer(box)
 
     async def _join_periodically(self, box: str) -> None:
-        """Join one controller again and again.
+        """Join one controller periodically.
 
-        The box asks for what has changed since it last did, but for all once it has forgotten an
-        endpoint: one that it alone could not reach, and that goes on reporting, has not changed.
-        That brings it back within a join (250 ms), 15 s after its last answer; by changes alone it
-        was not used again before it, a controller or the box itself had restarted.
+        Each join requests the catalog changes since the previous one, or the whole catalog after
+        this box has evicted an endpoint. An evicted endpoint that still reports to the controller
+        does not appear as a change there, so incremental joins would never restore it.
         """
         incarnation, revision = 0, 0
         forgotten = 0
@@ -126,7 +123,7 @@
         try:
             reply: JoinReply = await self._network.request(box, message, self._interval_ms)
         except PeerUnreachableError:
-            # The caller counts these and logs that the controller is lost.
+            # The caller counts consecutive failures and logs a lost controller.
             return None
         now_ms = monotonic_ms()
         for expired in self._view.note_controller(box, reply, now_ms):
--- a/src/foldloom/seed_discovery/fleet/messages.py
+++ b/src/foldloom/seed_discovery/fleet/messages.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Messages of seed discovery: how boxes find each other and share what all need.
+"""Messages of seed discovery: joins, endpoint and configuration updates, and zone ownership.
 
-Owns the numbers 80 and up of this path. Relies on the codec of :mod:`foldloom.peers.messages`.
+Message numbers start at 80. Encoded by :mod:`foldloom.peers.messages`.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 
 class BoxRecord(NamedTuple):
-    """A box as it describes itself.
+    """A box's description of itself.
 
     Args:
         box: Its name: the address of its peer socket.
-        life: Its present life.
-        zone: Its zone.
+        life: Its incarnation.
+        zone: Its availability zone.
         role: ``entry`` or ``controller``.
-        label: What people call it.
-        is_leaving: Whether a planned stop began.
+        label: A display name.
+        is_leaving: Whether a planned stop has begun.
     """
 
     box: str
@@ -37,10 +37,10 @@
 
 
 class WireEndpoint(NamedTuple):
-    """The fields of an :class:`EndpointRecord` on the wire, but for when it was born.
+    """The fields of an :class:`EndpointRecord` on the wire, without ``born_ms``.
 
-    Boxes of earlier releases read these and no more; of a message itself they drop what follows
-    the fields that they know. So births stand at a message's end, in the order of its endpoints.
+    Earlier releases accept exactly these fields, and ignore unknown fields only at the end of a
+    message. Hence ``born_ms`` is sent as a separate list at the message's end, in the same order.
     """
 
     endpoint: str
@@ -57,13 +57,13 @@
 
 
 class OwnerRecord(NamedTuple):
-    """Who owns the endpoints of a zone.
+    """The owner of a zone's endpoints.
 
     Args:
         zone: The zone.
-        token: The fencing token; the highest one holds. 0: nobody is known.
+        token: The fencing token; the highest one is valid. 0 if no owner is known.
         box: The owner.
-        life: The owner's life.
+        life: The owner's incarnation.
     """
 
     zone: str
@@ -73,13 +73,13 @@
 
 
 class Join(NamedTuple):
-    """A box's join: it is alive, and this is the newest version that it holds.
+    """A periodic sign of life from a box to a controller, which requests catalog changes.
 
     Args:
-        record: The box.
-        published_version: The version of the published configuration in force there.
-        catalog_incarnation: The life of the controller whose catalog it has read.
-        catalog_revision: Up to which revision.
+        record: The sender.
+        published_version: The published configuration version active at the sender.
+        catalog_incarnation: The controller incarnation that ``catalog_revision`` refers to.
+        catalog_revision: The last catalog revision received; 0 requests the whole catalog.
     """
 
     record: BoxRecord
@@ -89,17 +89,17 @@
 
 
 class JoinReply(NamedTuple):
-    """What a controller knows.
+    """A controller's reply to a join.
 
     Args:
         controllers: Addresses of all controllers.
         boxes: The live entry boxes.
-        owners: Who owns which zone's endpoints.
-        published_version: The newest published version known there.
-        catalog_incarnation: This controller's life.
+        owners: The known zone owners.
+        published_version: The newest published version at the controller.
+        catalog_incarnation: The controller's incarnation.
         catalog_revision: The revision of its catalog.
-        endpoints: The endpoints of the sender's zone that changed since the sender last asked.
-        born_ms: When each of these was born.
+        endpoints: The endpoints of the sender's zone that changed since the requested revision.
+        born_ms: The start time of each of these endpoints.
     """
 
     controllers: list[str]
@@ -113,11 +113,11 @@
 
 
 class EndpointsSeen(NamedTuple):
-    """A controller passes on what endpoints said, at once.
+    """Endpoint reports that a controller pushes to entry boxes.
 
     Args:
         endpoints: The endpoints.
-        born_ms: When each of these was born.
+        born_ms: The start time of each endpoint.
     """
 
     endpoints: list[WireEndpoint]
@@ -125,39 +125,39 @@
 
 
 class Noted(NamedTuple):
-    """Whatever was sent is known now."""
+    """Acknowledgement that a pushed update was applied."""
 
 
 class Published(NamedTuple):
-    """A published configuration, pushed or answered."""
+    """A published configuration: a push, or the reply to a pull."""
 
     publication: Publication
 
 
 class PullPublished(NamedTuple):
-    """A box asks for what is published above version ``known_version``."""
+    """A request for a configuration newer than ``known_version``."""
 
     known_version: int
 
 
 class ReadPublished(NamedTuple):
-    """A controller asks the leader for what is published now, for certain."""
+    """A controller's linearizable read of the published configuration at the leader."""
 
 
 class ReadReply(NamedTuple):
-    """The newest publication; only true if ``is_current``."""
+    """The reply to a read; ``publication`` is valid only if ``is_current``."""
 
     is_current: bool
     publication: Publication
 
 
 class ZoneLoad(NamedTuple):
-    """How loaded a zone's endpoints are.
+    """The load of a zone's endpoints, in millicores.
 
     Args:
-        free_milli: Thousandths of cores that nothing takes, on endpoints in use.
-        total_milli: All of them.
-        queued_milli: What waits, in thousandths of cores.
+        free_milli: Unreserved capacity of the endpoints in use.
+        total_milli: Total capacity of the endpoints in use.
+        queued_milli: Demand of the queued tasks.
     """
 
     free_milli: int = 0
@@ -170,10 +170,10 @@
 
     Args:
         owner: The owner.
-        record: The owner as a box.
-        sent_ms: Its steady clock at sending; sent back in the acknowledgement.
-        published_version: The published version in force there.
-        load: How loaded its zone is.
+        record: The owner's box.
+        sent_ms: Its monotonic clock at sending, returned in the acknowledgement.
+        published_version: The published configuration version active at the owner.
+        load: The load of its zone.
     """
 
     owner: OwnerRecord
@@ -184,15 +184,15 @@
 
 
 class HeartbeatAck(NamedTuple):
-    """A box grants an owner the right to run its tasks for a while.
+    """A box's acknowledgement of an owner's heartbeat: a grant to run the box's tasks.
 
-    The right lasts for the session time from ``heartbeat_sent_ms`` on, by the owner's clock.
+    The grant is valid for the session time from ``heartbeat_sent_ms`` on, by the owner's clock.
 
     Args:
-        token: The owner's token that the box knows as the highest.
-        heartbeat_sent_ms: When the heartbeat that this answers was sent, by the owner's clock.
+        token: The highest fencing token known to the box.
+        heartbeat_sent_ms: When the acknowledged heartbeat was sent, by the owner's clock.
         record: The box.
-        published_version: The published version in force there.
+        published_version: The published configuration version active at the box.
     """
 
     token: int
@@ -202,42 +202,42 @@
 
 
 class HigherToken(NamedTuple):
-    """Notice to an owner that another one has a higher token."""
+    """Notice to an owner that another owner has a higher fencing token."""
 
     owner: OwnerRecord
 
 
 class OwnerQuery(NamedTuple):
-    """A box whose zone's owner is silent asks who knows it."""
+    """A box's query for its zone's owner, sent while no heartbeats arrive."""
 
     zone: str
 
 
 class OwnerAnswer(NamedTuple):
-    """The owner known there, and milliseconds since its newest heartbeat; -1 for never."""
+    """The known owner, and milliseconds since its last heartbeat; -1 if none was received."""
 
     owner: OwnerRecord
     silent_ms: int
 
 
 class TakeOver(NamedTuple):
-    """An owner that is stopped as planned hands its zone to another box."""
+    """Handover of a zone to another box by an owner in a planned stop."""
 
     owner: OwnerRecord
 
 
 def sent_endpoints(records: Iterable[EndpointRecord]) -> list[WireEndpoint]:
-    """Return *records* as they are sent, without their births."""
+    """Return the wire form of *records*, without their start times."""
     return [WireEndpoint._make(record[: len(WireEndpoint._fields)]) for record in records]
 
 
 def births_of(records: Iterable[EndpointRecord]) -> tuple[int, ...]:
-    """Return when each of *records* was born."""
+    """Return the start time of each of *records*."""
     return tuple(record.born_ms for record in records)
 
 
 def received_endpoints(message: JoinReply | EndpointsSeen) -> list[EndpointRecord]:
-    """Return the endpoints in *message*; a box of an earlier release sends no births."""
+    """Return the endpoints in *message*; earlier releases send no start times."""
     start_times = chain(message.born_ms, repeat(0))
     return [
         EndpointRecord(*sent, born_ms)
@@ -245,7 +245,7 @@
     ]
 
 
-# Counters keep the names that these messages had before.
+# Earlier names of these messages, kept in the names of their counters.
 _COUNTED_AS: dict[type, str] = {
     EndpointsSeen: "WorkersSeen",
     OwnerHeartbeat: "OwnerBeat",
--- a/src/foldloom/seed_discovery/fleet/published.py
+++ b/src/foldloom/seed_discovery/fleet/published.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""The published configuration in force on this box: it only rises.
+"""The published configuration active on this box; its version only increases.
 
-Owns the document in force here. Relies on controllers that push it, and on peers to pull a missed
-one from.
+Controllers push new versions; a missed one is pulled from a peer that has it.
 """
 
 from __future__ import annotations
@@ -16,17 +15,17 @@
 from foldloom.seed_discovery.fleet.cache import PublicationCache
 from foldloom.seed_discovery.fleet.messages import Noted, Published, PullPublished
 
-# Milliseconds for a pull: for documents of some megabytes on a slow link.
+# Allows for documents of some megabytes on a slow link.
 _PULL_TIMEOUT_MS = 800
 
 
 class PublishedHolder:
-    """Hold the newest publication that this box has seen committed.
+    """Hold the newest committed publication received by this box.
 
     Args:
-        network: The peers.
-        on_change: Called with each newer publication, after it is held.
-        cache: Where to keep it over a restart; ``None`` on a box without a disk.
+        network: The peer network.
+        on_change: Called with each newer publication, after it becomes active.
+        cache: Cache that survives a restart; ``None`` on a box without a disk.
     """
 
     def __init__(
@@ -45,12 +44,12 @@
 
     @property
     def publication(self) -> Publication:
-        """What is in force here."""
+        """The active publication."""
         return self._publication
 
     @property
     def version(self) -> int:
-        """Its version; 0 before the first."""
+        """The active version; 0 before the first publication."""
         return self._publication.version
 
     def adopt(self, publication: Publication) -> None:
@@ -64,7 +63,7 @@
             self._cache.write_soon(publication)
 
     async def pull_newer(self, box: str, version: int) -> None:
-        """Pull from *box* if it has a newer *version* in force."""
+        """Pull the publication from *box* if its *version* is newer than the active one."""
         if version <= self.version or box in self._pulling_from:
             return
         self._pulling_from.add(box)
@@ -73,13 +72,13 @@
             reply: Published = await self._network.request(box, pull, _PULL_TIMEOUT_MS)
             self.adopt(reply.publication)
         except PeerUnreachableError:
-            # The next heartbeat or join that names a newer version leads here again.
+            # Retried at the next heartbeat or join that carries a newer version.
             return
         finally:
             self._pulling_from.discard(box)
 
     async def close(self) -> None:
-        """Wait until what is held is kept; the network must have stopped, so that no more comes."""
+        """Wait for pending cache writes; the network must have been stopped before."""
         if self._cache is not None:
             await self._cache.close()
 
--- a/src/foldloom/seed_discovery/fleet/publisher.py
+++ b/src/foldloom/seed_discovery/fleet/publisher.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""How a controller commits what an operator publishes, and reads the newest for certain.
+"""Commits and linearizable reads of the published configuration, from any controller.
 
-Owns nothing. Relies on the replicated log: a commit and a read go through its leader, wherever it
-is, and an answer is only given on a majority's word.
+Both go through the leader of the replicated log and complete only with a quorum.
 """
 
 from __future__ import annotations
@@ -23,21 +22,20 @@
 from foldloom.time_limits import TimeLimit
 from foldloom.verdicts import Problem, may_have_run, not_run
 
-# Seconds until the leader is looked for again: small against an election (600 ms).
+# Small against the default election timeout (600 ms).
 _RETRY_INTERVAL_S = 0.03
-# Milliseconds for one read at the leader: half of the 800 ms that a caller gives, so that a second
-# leader can be asked.
+# Half of the caller's usual timeout (800 ms), so that a read can be retried at a second leader.
 _READ_TIMEOUT_MS = 400.0
-# Milliseconds after which a caller should come back: about an election.
+# About the duration of an election.
 _RETRY_AFTER_MS = 500
 
 
 class Publisher:
-    """Reach the leader from any controller.
+    """Forward publications and reads to the leader.
 
     Args:
         controller: This controller.
-        network: The peers.
+        network: The peer network.
     """
 
     def __init__(self, controller: Controller, network: PeerNetwork) -> None:
@@ -48,9 +46,9 @@
     async def publish(
         self, version: int, document: bytes, timeout_ms: float
     ) -> Result[int, Problem]:
-        """Commit *document* under *version*; return the version held after it.
+        """Commit *document* as *version*; return the version in force afterwards.
 
-        A problem says whether it may still be committed.
+        A problem states whether the document may still be committed.
         """
         payload = encode_command(PublishCommand(version, document))
         deadline_ms = monotonic_ms() + timeout_ms
@@ -59,11 +57,11 @@
             try:
                 answer = await self._propose(payload, left_ms)
             except NotLeaderError:
-                # Nothing was appended: an election is under way, or the leader is not known here.
+                # Nothing was appended: an election is in progress, or the leader is unknown here.
                 await asyncio.sleep(_RETRY_INTERVAL_S)
                 continue
             except PeerUnreachableError:
-                # It may be in the log: the caller must not take it for not committed.
+                # The entry may be in the log, so the outcome is unknown.
                 is_unknown = True
                 continue
             return Ok(answer.version)
@@ -73,7 +71,7 @@
         return Error(not_run("no-quorum", detail, _RETRY_AFTER_MS))
 
     async def newest(self, timeout_ms: float) -> Result[Publication, Problem]:
-        """Return what is published now, for certain."""
+        """Return the current publication by a linearizable read."""
         deadline_ms = monotonic_ms() + timeout_ms
         while (left_ms := deadline_ms - monotonic_ms()) > 0:
             reply = await self._read_from_leader(min(left_ms, _READ_TIMEOUT_MS))
@@ -83,18 +81,18 @@
         return Error(not_run("no-quorum", "no leader could show the newest", _RETRY_AFTER_MS))
 
     async def _propose(self, payload: bytes, left_ms: float) -> Answer:
-        """Propose once.
+        """Make one proposal.
 
         Raises:
-            NotLeaderError: No leader is known, or the one asked does not lead.
-            PeerUnreachableError: It may be committed.
+            NotLeaderError: No leader is known, or the contacted controller is not the leader.
+            PeerUnreachableError: The outcome is unknown.
         """
         if self._controller.is_leading:
             try:
                 async with TimeLimit(left_ms):
                     return await propose(self._controller, payload)
             except TimeoutError:
-                raise PeerUnreachableError("not committed in time") from None
+                raise PeerUnreachableError("proposal not committed in time") from None
         leader = self._controller.leader
         if not leader:
             raise NotLeaderError
@@ -102,7 +100,7 @@
         if reply.answer is not None:
             return reply.answer
         if reply.is_unknown:
-            raise PeerUnreachableError("the leader does not know whether it is committed")
+            raise PeerUnreachableError("outcome of the proposal unknown at the leader")
         raise NotLeaderError(reply.leader)
 
     async def _read_from_leader(self, left_ms: float) -> ReadReply | None:
@@ -114,7 +112,7 @@
         try:
             reply: ReadReply = await self._network.request(leader, ReadPublished(), left_ms)
         except PeerUnreachableError:
-            # Tried again until the caller's time is up, then answered as no quorum.
+            # The caller retries until its deadline, then reports no quorum.
             return None
         return reply
 
@@ -122,7 +120,7 @@
         try:
             await newest_version(self._controller)
         except NotLeaderError:
-            # It can't show that it leads, so what it holds need not be the newest.
+            # Leadership is unconfirmed, so the local state may be outdated.
             return ReadReply(False, Publication(0, b""))
         return ReadReply(True, self._controller.state.publication)
 
--- a/src/foldloom/seed_discovery/fleet/registry.py
+++ b/src/foldloom/seed_discovery/fleet/registry.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""A controller's soft state: the boxes that joined, the endpoints, who owns which zone.
+"""A controller's soft state: joined boxes, the endpoint catalog and zone owners.
 
-Owns all of these, in memory only: nothing here is agreed upon. Every box joins every controller,
-and an endpoint reports to any of them, which passes the report on at once. Relies on joins and on
-owners' heartbeats, which rebuild the state after a restart within seconds.
+The state is in memory only and not replicated; joins, endpoint reports and owners' heartbeats
+rebuild it within seconds after a restart. Every box joins every controller. An endpoint reports to
+any one controller, which pushes changes to the boxes of the endpoint's zone.
 """
 
 from __future__ import annotations
@@ -41,43 +41,39 @@
 from foldloom.settings import CONTROLLER, ENTRY
 from foldloom.tasks import TaskSet
 
-# Milliseconds since its last join after which a box gets no news: six joins (250 ms), so that a
-# lost one does not matter.
+# Without a join for this long, a box gets no pushes: six default join intervals.
 _LIVENESS_TIMEOUT_MS = 1_500.0
-# Milliseconds after which a box is forgotten: far above a restart.
+# Far above the duration of a restart.
 _BOX_EXPIRY_MS = 10_000.0
-# Milliseconds without a report after which an endpoint is forgotten here; others may know it: eight
-# of the users' heartbeats (1,500 ms).
+# Eight endpoint heartbeats (1,500 ms); the endpoint may be reporting to another controller.
 _ENDPOINT_EXPIRY_MS = 12_000.0
-# Milliseconds for which a box may take to acknowledge news: below the second in which an endpoint's
-# report must be answered, with time for one box that is dead.
+# An endpoint's report must be answered within 1 s, even if a box does not acknowledge the push.
 _NOTIFY_TIMEOUT_MS = 350
-# Seconds between two checks for what is to be forgotten: small against that.
 _EXPIRY_INTERVAL_S = 1.0
 
 
 class _JoinedBox(NamedTuple):
-    """A box that joined, and when it did so last."""
+    """A joined box and the time of its last join."""
 
     record: BoxRecord
     received_ms: float
 
 
 class _KnownOwner(NamedTuple):
-    """An owner, and when its newest heartbeat arrived."""
+    """A zone owner and the time of its last heartbeat."""
 
     owner: OwnerRecord
     received_ms: float
 
 
 class Registry:
-    """Answer joins, keep the list of endpoints, push what is new.
+    """Answer joins, maintain the endpoint catalog, and push changes to entry boxes.
 
     Args:
-        network: The peers.
-        holder: The published configuration as this controller knows it.
+        network: The peer network.
+        holder: The published configuration known to this controller.
         controllers: Returns the addresses of all controllers.
-        services: Returns the services that the configuration names, ``None`` before there is one.
+        services: Returns the configured services; ``None`` accepts reports of any service.
     """
 
     def __init__(
@@ -102,11 +98,11 @@
 
     @property
     def catalog(self) -> EndpointCatalog:
-        """The endpoints that reported here."""
+        """The endpoints that report to this controller."""
         return self._catalog
 
     async def run(self) -> None:
-        """Forget boxes and endpoints that fell silent, until cancelled."""
+        """Evict silent boxes and endpoints periodically, until cancelled."""
         while True:
             await asyncio.sleep(_EXPIRY_INTERVAL_S)
             now_ms = monotonic_ms()
@@ -124,18 +120,20 @@
                 del self._last_dropped[endpoint]
 
     def push(self, publication: Publication) -> None:
-        """Send a newer publication to every live entry box at once."""
+        """Push a newer publication to all live entry boxes."""
         for record in self._live_entry_boxes():
             self._tasks.spawn(self._notify(record.box, Published(publication)))
 
     async def note_endpoint(self, record: EndpointRecord) -> bool:
-        """Note an endpoint's report; what it changes is known in its zone when this returns.
+        """Merge an endpoint's report into the catalog, and push a change to the endpoint's zone.
 
-        A zone's boxes that can't be reached learn it by their next join. Return whether the report
-        can be an endpoint's, whether or not it changes anything. One of a service that nobody has
-        named is not noted: taken, it would replace what is known of the endpoint whose id it bears,
-        and its address would be polled. An endpoint of a service that is named later, or named
-        already at another controller, is taken with its next report.
+        Return whether the report's service is configured; a report without news counts as accepted.
+        A report of an unknown service is rejected: it would replace the record of an endpoint with
+        the same id, and its address would be polled. If the service is configured later, or so far
+        only at another controller, the endpoint's next report is accepted.
+
+        A change to a state other than ready has been pushed when this returns. Boxes that do not
+        acknowledge the push receive the change with their next join.
         """
         if not self._is_service_configured(record):
             return False
@@ -163,7 +161,7 @@
         return services is None or record.service in services
 
     def _log_dropped(self, record: EndpointRecord) -> None:
-        """Log that a report is not taken, and why; of an endpoint, each reason in a row once."""
+        """Log a dropped report, unless the endpoint's previous one was dropped for that reason."""
         known = self._catalog.get(record.endpoint)
         verdict = classify_report(record, known)
         if known is None or verdict.is_accepted:
@@ -185,7 +183,7 @@
         )
 
     async def note_gone(self, endpoint: str) -> None:
-        """Note that an endpoint has left."""
+        """Process an endpoint's deregistration."""
         is_accepted = self._catalog.note_farewell(endpoint, monotonic_ms())
         newest = self._catalog.get(endpoint)
         if newest is None:
@@ -207,7 +205,7 @@
             for entry in self._live_entry_boxes()
             if entry.zone == record.zone
         ]
-        # A ready endpoint may wait for the next join; a leaving one must not be given work.
+        # No need to wait for a ready endpoint; others must get no more runs once this returns.
         if record.state is EndpointState.READY:
             for notification in notifications:
                 self._tasks.spawn(notification)
@@ -218,11 +216,11 @@
         try:
             await self._network.request(box, message, _NOTIFY_TIMEOUT_MS)
         except PeerUnreachableError:
-            # The box learns it by its next join.
+            # The box receives the update with its next join.
             PEER_LOG.event("box.not_notified", box_silent=box, message=type(message).__name__)
 
     def live_controllers(self) -> list[str]:
-        """Return the controllers that joined here and are live."""
+        """Return the live controllers that have joined this one."""
         return [record.box for record in self._live_boxes() if record.role == CONTROLLER]
 
     def _live_boxes(self) -> list[BoxRecord]:
--- a/src/foldloom/seed_discovery/fleet/view.py
+++ b/src/foldloom/seed_discovery/fleet/view.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What this box knows of the others: controllers, entry boxes by zone, owners of zones.
+"""This box's view of the fleet: controllers, entry boxes by zone, and zone owners.
 
-Owns that knowledge, in memory. It comes from controllers' replies, from boxes that spoke for
-themselves, and from owners' heartbeats; it outlives silent controllers.
+In memory only. Fed by join replies, messages from other boxes and owners' heartbeats; entries
+remain valid while the controllers are unreachable.
 """
 
 from __future__ import annotations
@@ -12,25 +12,21 @@
 from foldloom.seed_discovery.fleet.messages import BoxRecord, JoinReply, OwnerRecord
 from foldloom.settings import ENTRY
 
-# Milliseconds after which a box that nobody mentions is forgotten: far above the longest cuts on
-# the users' bench (10 s), since a zone goes on without controllers.
+# Above the longest partition to survive (10 s): a zone keeps working without controllers.
 _BOX_EXPIRY_MS = 20_000.0
-# Milliseconds for which a controller's list of controllers counts: far above the interval between
-# joins (250 ms), below the time in which an address is used again.
+# Far above the join interval (250 ms), below the time until an address is reused.
 _CONTROLLER_LIST_TTL_MS = 10_000.0
 
 
 class _ControllerList(NamedTuple):
-    """Which controllers one of them named, and when."""
+    """The controllers listed in one controller's last reply, and its time of arrival."""
 
     controllers: tuple[str, ...]
     received_ms: float
 
 
 class FleetView:
-    """Boxes and owners, as known from controllers and other boxes.
-
-    What is known stays known while the controllers are silent: a zone goes on without them.
+    """Known boxes and zone owners; kept while the controllers are unreachable.
 
     Args:
         own: This box.
@@ -52,26 +48,26 @@
 
     @property
     def controllers(self) -> list[str]:
-        """All controllers known, this box excluded; the seeds until others are known."""
+        """All known controllers and the seeds, without this box."""
         listed = [box for known in self._controller_lists.values() for box in known.controllers]
         known = dict.fromkeys([*listed, *self._seeds])
         return [box for box in known if box != self._own.box]
 
     @property
     def is_informed(self) -> bool:
-        """Whether any controller has answered yet."""
+        """Whether a controller has answered a join."""
         return bool(self._controller_lists)
 
     def set_seeds(self, seeds: list[str]) -> None:
-        """Use new seeds from the settings."""
+        """Replace the seeds."""
         self._seeds = list(seeds)
 
     def set_leaving(self) -> None:
-        """Note that a planned stop of this box began."""
+        """Mark this box as being in a planned stop."""
         self._own = self._own._replace(is_leaving=True)
 
     def entries_of(self, zone: str) -> list[str]:
-        """Return the entry boxes of *zone*, this one included, in a fixed order."""
+        """Return the entry boxes of *zone*, sorted, including this box if it is one."""
         boxes = [
             record.box
             for record in [*self._boxes.values(), self._own]
@@ -81,33 +77,33 @@
 
     @property
     def entries(self) -> list[str]:
-        """The entry boxes of all zones, this one included, in a fixed order."""
+        """The entry boxes of all zones, sorted, including this box if it is one."""
         boxes = [
             record.box for record in [*self._boxes.values(), self._own] if record.role == ENTRY
         ]
         return sorted(set(boxes))
 
     def is_leaving(self, box: str) -> bool:
-        """Return whether a planned stop of *box* began, as far as known."""
+        """Return whether *box* is known to be in a planned stop."""
         record = self._own if box == self._own.box else self._boxes.get(box)
         return record is not None and record.is_leaving
 
     def owner_of(self, zone: str) -> OwnerRecord:
-        """Return the owner of *zone* with the highest token known."""
+        """Return the owner of *zone* with the highest known token."""
         return self._owners.get(zone, OwnerRecord(zone))
 
     @property
     def zones(self) -> list[str]:
-        """The zones whose owner is known."""
+        """The zones with a known owner, sorted."""
         return sorted(self._owners)
 
     def note_owner(self, owner: OwnerRecord) -> None:
-        """Note an owner, unless a higher token is known."""
+        """Record an owner if its token is higher than the known one."""
         if owner.token > self.owner_of(owner.zone).token:
             self._owners[owner.zone] = owner
 
     def note_box(self, record: BoxRecord, now_ms: float) -> None:
-        """Note a box that sent a message or that a controller named."""
+        """Record a box that sent a message or is listed by a controller."""
         if record.box == self._own.box:
             return
         known = self._boxes.get(record.box)
@@ -117,7 +113,7 @@
         self._boxes_received_ms[record.box] = now_ms
 
     def note_controller(self, sender: str, reply: JoinReply, now_ms: float) -> list[str]:
-        """Note what controller *sender* knows; return the boxes that are known no longer."""
+        """Apply the join reply of controller *sender*; return the boxes that have expired."""
         self._controller_lists[sender] = _ControllerList(tuple(reply.controllers), now_ms)
         for box, known in list(self._controller_lists.items()):
             if now_ms - known.received_ms > _CONTROLLER_LIST_TTL_MS:
--- a/src/foldloom/seed_discovery/job_runner.py
+++ b/src/foldloom/seed_discovery/job_runner.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""A job that need not be kept, from its arrival to its one answer.
+"""Execution of a non-durable job, from its submission to its single result.
 
-Owns the jobs that run on this box; the same id joins the one that runs. Relies on the client of
-the owners, which delivers runs and brings their ends. Decides when a task is retried and when a
-job is given up.
+Owns the jobs running on this box; a duplicate submission attaches to the running job. The owner
+client delivers runs and returns their ends. This module decides on task retries and on the
+cancellation of a job.
 """
 
 from __future__ import annotations
@@ -33,43 +33,42 @@
 from foldloom.time_limits import TimeLimit
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
-# Milliseconds after which a caller whose job was given up should come back: the time in which a
-# zone without an owner gets a new one.
+# About the duration of an owner failover.
 _RETRY_AFTER_MS = 500
 
 
 class JobState(Enum):
-    """How a job ended that was carried out."""
+    """The final state of an executed job."""
 
     COMPLETED = "completed"
     FAILED = "failed"
 
 
 class JobEnd(NamedTuple):
-    """The end of a job that was carried out; ``reason`` says why it failed."""
+    """The end of an executed job; ``reason`` is set if it failed."""
 
     state: JobState
     reason: str = ""
 
 
 JobResult = Result[JobEnd, Problem]
-"""How a job ended, or why it did not; the problem says whether any of it may have run."""
+"""A job's end, or a problem, which states whether any task may have run."""
 
 
 def outcome_of(result: JobResult) -> str:
-    """Return the word for *result* in logs and in names of counters."""
+    """Return the name of *result* in logs and counters."""
     if result.is_ok():
         return result.ok.state.value
     return "refused" if result.error.run is Run.NOT_RUN else "expired"
 
 
 def reason_of(result: JobResult) -> str:
-    """Return why a job ended so; empty if there is nothing to say."""
+    """Return the reason for *result*, or an empty string."""
     return result.ok.reason if result.is_ok() else result.error.reason
 
 
 class _TaskAttempts:
-    """One task's starts and failures."""
+    """The latest attempt of a task, and its number of failures."""
 
     __slots__ = ("attempt", "failures")
 
@@ -83,9 +82,9 @@
 
     Args:
         job: The job.
-        queue: Where it was handed in.
-        client: The way to the owner.
-        deadline_ms: When it is given up; own monotonic clock.
+        queue: The queue that it was submitted to.
+        client: The client of the zone owners.
+        deadline_ms: When the job is cancelled; own monotonic clock.
     """
 
     def __init__(self, job: Job, queue: Queue, client: OwnerClient, deadline_ms: float) -> None:
@@ -99,7 +98,7 @@
         self._remaining_tasks = [step.tasks for step in job.steps]
 
     async def run(self) -> JobResult:
-        """Return the job's one result; whatever still runs of it then is stopped."""
+        """Run the job and return its result; runs that remain are stopped."""
         ENTRY_LOG.event(
             "job.accepted",
             job=self._job.job_id,
@@ -127,8 +126,8 @@
         try:
             return await self._run_until_deadline()
         except asyncio.CancelledError:
-            # Nobody waits for the answer any more, or a planned stop has reached its bound, maybe
-            # while an owner was being asked.
+            # No caller is waiting any more, or a planned stop has timed out; this may interrupt a
+            # cancellation at an owner.
             return Error(may_have_run("given up"))
         finally:
             self._client.forget(self._open_job)
@@ -138,7 +137,7 @@
             async with TimeLimit(self._deadline_ms - monotonic_ms()):
                 return await self._run_steps()
         except TimeoutError:
-            # The caller's deadline, which may cut any wait below short.
+            # The deadline may interrupt any await in _run_steps.
             return await self._cancel("deadline", _RETRY_AFTER_MS)
 
     async def _run_steps(self) -> JobResult:
@@ -174,7 +173,7 @@
         return await self._start_ready_steps()
 
     async def _on_run_failed(self, end: RunEnd) -> JobResult | None:
-        """Start a task again whose run ended without being done, or fail the job."""
+        """Retry the task of a failed or lost run, or fail the job."""
         task = end.run_id.task
         if is_given_up(end.crashes):
             return Ok(JobEnd(JobState.FAILED, "a task crashes its endpoints"))
@@ -204,7 +203,7 @@
         return None
 
     async def _cancel(self, reason: str, retry_after_ms: int) -> JobResult:
-        """End the job; say that nothing ran only if every owner that was asked says so."""
+        """Cancel the job; report ``not_run`` only if every contacted owner confirms it."""
         if await self._client.give_up(self._open_job):
             return Error(may_have_run(reason))
         return Error(not_run(reason, retry_after_ms=retry_after_ms))
@@ -233,7 +232,7 @@
         )
 
     def _critical_path_ms(self) -> float:
-        """Return how long the longest chain of steps is expected to take."""
+        """Return the estimated duration of the longest chain of dependent steps."""
         ends: list[float] = []
         for step in self._job.steps:
             before = max((ends[dependency] for dependency in step.depends_on), default=0.0)
@@ -242,11 +241,11 @@
 
 
 class JobRegistry:
-    """The jobs that this box runs now; the same id joins the one that runs.
+    """The jobs running on this box; a duplicate submission attaches to the running job.
 
     Args:
-        client: The way to the owner.
-        metrics: Counters.
+        client: The client of the zone owners.
+        metrics: This box's metrics.
     """
 
     def __init__(self, client: OwnerClient, metrics: Metrics) -> None:
@@ -257,11 +256,11 @@
 
     @property
     def running_count(self) -> int:
-        """How many jobs run."""
+        """The number of running jobs."""
         return len(self._running)
 
     async def run(self, job: Job, queue: Queue, deadline_ms: float) -> JobResult:
-        """Return the result of *job*; it is given up when nobody waits for it any more."""
+        """Run *job*, or attach to it, and return its result; cancelled with its last caller."""
         began_ms = monotonic_ms()
         task = self._running.get(job.job_id)
         if task is None:
@@ -285,7 +284,7 @@
         return result
 
     def cancel_all(self) -> None:
-        """End every job now; each is answered as given up."""
+        """Cancel all jobs; each returns a problem with reason ``given up``."""
         for task in self._running.values():
             task.cancel()
 
