--- a/src/foldloom/seed_discovery/fleet/messages.py
+++ b/src/foldloom/seed_discovery/fleet/messages.py
@@ -73,7 +73,7 @@
 
 
 class Join(NamedTuple):
-    """A periodic sign of life from a box to a controller, which requests catalog changes.
+    """A box's periodic join of a controller: shows that it is alive and requests catalog changes.
 
     Args:
         record: The sender.
--- a/src/foldloom/seed_discovery/fleet/registry.py
+++ b/src/foldloom/seed_discovery/fleet/registry.py
@@ -127,7 +127,7 @@
     async def note_endpoint(self, record: EndpointRecord) -> bool:
         """Merge an endpoint's report into the catalog, and push a change to the endpoint's zone.
 
-        Return whether the report's service is configured; a report without news counts as accepted.
+        Return whether the report's service is configured; an unchanged report counts too.
         A report of an unknown service is rejected: it would replace the record of an endpoint with
         the same id, and its address would be polled. If the service is configured later, or so far
         only at another controller, the endpoint's next report is accepted.
--- a/tests/test_controller_box.py
+++ b/tests/test_controller_box.py
@@ -1,11 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""A controller that has ended: nothing of it writes any more.
+"""Reports at a controller without a configuration, and disk writes of a stopped controller.
 
-Seen: a test emptied the data folder of a controller that it had ended, and the folder's own
-``published.tmp`` was gone between being listed and being deleted. The thread that writes the
-configuration had not been waited for: it went on after the controller was said to have ended, and
-would also have written into the folder of the controller that began there next. Looked for
-elsewhere, the same held of a snapshot of the replicated log.
+Guards against a writer thread that outlives its controller and changes the data folder.
 """
 
 from __future__ import annotations
@@ -29,7 +25,7 @@
 from test_boxes_controllers import Core, box_settings, play, until
 
 _UNREACHABLE_SEEDS = ["127.0.0.1:1"]
-# Seconds that a write takes here, and until it would be seen after the end.
+# Duration of a slow write, and of the wait for one that outlives its controller.
 _WRITE_S = 0.3
 _OBSERVATION_S = 2 * _WRITE_S
 
@@ -50,23 +46,23 @@
 
 
 class TestReports:
-    """Endpoints' reports at a controller that holds no configuration."""
+    """Endpoint reports at a controller without a configuration."""
 
     @pytest.mark.parametrize("is_first_start", [True, False])
     def test_which_are_taken(self, tmp_path: Path, is_first_start: bool) -> None:
-        """All at the first start; none where the configuration was lost and is pulled soon."""
+        """All are accepted at the first start, none after a loss of the configuration."""
         report = EndpointRecord("w1", "svc", "127.0.0.1:9", "a", Demand())
         host = _host(tmp_path, is_first_start)
         assert asyncio.run(host.note_endpoint(report)) is is_first_start
 
 
 class TestEnd:
-    """A controller has ended once nothing of it writes any more."""
+    """A stopped controller writes nothing to its data folder."""
 
     def test_nothing_is_written_afterwards(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """A write is under way when the controllers end; their disks are as they will stay."""
+        """Stopping waits for a pending write of the configuration cache."""
         monkeypatch.setattr(cache, "write_whole", _write_slowly)
 
         async def scenario(core: Core) -> None:
@@ -80,7 +76,7 @@
         play(tmp_path, scenario)
 
     def test_nor_is_a_snapshot(self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-        """The same of the replicated log, which is being replaced by a snapshot."""
+        """Stopping waits for a pending snapshot of the replicated log."""
         monkeypatch.setattr(compaction, "_SNAPSHOT_ENTRIES", 1)
         started: list[Path] = []
 
@@ -104,7 +100,7 @@
         play(tmp_path, scenario)
 
     def test_the_newest_is_kept(self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-        """What waits behind the write in hand is written too: a restart hands it out at once."""
+        """Closing the cache also writes a publication queued behind the current write."""
         monkeypatch.setattr(cache, "write_whole", _write_slowly)
 
         async def write() -> None:
--- a/tests/test_endpoints_catalog.py
+++ b/tests/test_endpoints_catalog.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The list of endpoints, from heartbeats that come late, twice and by several ways."""
+"""The endpoint catalog under delayed, duplicated and reordered reports."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class TestMerge:
-    """Which of two records holds."""
+    """Order between two records of the same incarnation."""
 
     def test_newer_sequence_holds(self) -> None:
-        """A record of a higher sequence replaces the one before; a lower one is late."""
+        """A higher sequence replaces the record; a lower one is dropped as late."""
         catalog = EndpointCatalog()
         assert catalog.merge(_READY, 0.0)
         assert catalog.merge(_READY._replace(sequence=6, labels=("x",)), 1.0)
@@ -28,7 +28,7 @@
         assert catalog.records[0].labels == ("x",)
 
     def test_same_content_is_no_change(self) -> None:
-        """A heartbeat that says nothing new has no revision of its own."""
+        """A heartbeat without changes does not increase the revision."""
         catalog = EndpointCatalog()
         catalog.merge(_READY, 0.0)
         revision = catalog.revision
@@ -37,14 +37,14 @@
         assert catalog.silent_since(0.5) == []
 
     def test_leave_is_not_taken_back(self) -> None:
-        """An endpoint that drains never counts as ready again."""
+        """A draining endpoint never becomes ready again."""
         catalog = EndpointCatalog()
         catalog.merge(_READY._replace(sequence=7, state=EndpointState.DRAINING), 0.0)
         assert not catalog.merge(_READY._replace(sequence=8), 1.0)
         assert catalog.records[0].state is EndpointState.DRAINING
 
     def test_gone_stays_gone(self) -> None:
-        """A late heartbeat of an endpoint that said farewell does not bring it back."""
+        """A delayed heartbeat does not restore an endpoint that has deregistered."""
         catalog = EndpointCatalog()
         catalog.merge(_READY, 0.0)
         assert catalog.note_farewell("w1", 1.0)
@@ -52,7 +52,7 @@
         assert catalog.records == []
 
     def test_silent_is_forgotten_without_a_word(self) -> None:
-        """An endpoint that reports elsewhere may come back by another way."""
+        """An evicted endpoint is accepted again, unlike one that is gone."""
         catalog = EndpointCatalog()
         catalog.merge(_READY, 0.0)
         assert catalog.silent_since(1.0) == ["w1"]
@@ -66,10 +66,10 @@
 
 
 class TestLives:
-    """Lives that had the same id, each with a sequence of its own."""
+    """Incarnations with the same id, each with its own sequence."""
 
     def test_the_leave_of_a_second_life(self) -> None:
-        """It holds though the first life had counted further."""
+        """A second incarnation's draining is accepted despite its lower sequence."""
         catalog = EndpointCatalog()
         catalog.merge(_FIRST, 0.0)
         leaving = _SECOND._replace(sequence=4, state=_DRAINING)
@@ -78,7 +78,7 @@
 
     @pytest.mark.parametrize("state", [_DRAINING, EndpointState.GONE])
     def test_ready_again(self, state: EndpointState) -> None:
-        """A second life is ready, whether the first was leaving or had left."""
+        """A ready second incarnation replaces a first one that is draining or gone."""
         catalog = EndpointCatalog()
         catalog.merge(_FIRST._replace(state=state), 0.0)
         assert catalog.merge(_SECOND, 1.0)
@@ -86,7 +86,7 @@
 
     @pytest.mark.parametrize("born_ms", [1_000, 0])
     def test_a_report_that_was_held_up(self, born_ms: int) -> None:
-        """Neither one of the first life nor one that says no birth changes the second."""
+        """Reports of the first incarnation, or without a start time, do not affect the second."""
         catalog = EndpointCatalog()
         catalog.merge(_SECOND, 0.0)
         assert not catalog.merge(_FIRST._replace(born_ms=born_ms, state=_DRAINING), 1.0)
@@ -94,7 +94,7 @@
         assert catalog.silent_since(0.5) == ["w1"]
 
     def test_a_farewell_that_was_held_up(self) -> None:
-        """It ends no life that has not said that it leaves."""
+        """A deregistration has no effect on an incarnation that is not draining."""
         catalog = EndpointCatalog()
         catalog.merge(_SECOND, 0.0)
         assert not catalog.note_farewell("w1", 1.0)
@@ -104,7 +104,7 @@
         assert catalog.records == []
 
     def test_another_life_has_begun(self) -> None:
-        """That the first life is over for certain says nothing of the second."""
+        """Ending the first incarnation does not end the second."""
         catalog = EndpointCatalog()
         catalog.merge(_SECOND, 0.0)
         assert not catalog.end_life("w1", _FIRST.born_ms, 1.0)
@@ -112,7 +112,7 @@
 
     @given(st.permutations(list(itertools.product([0, 1_000, 2_000], EndpointState, [1, 5]))))
     def test_whoever_told_it_last(self, told: list[tuple[int, EndpointState, int]]) -> None:
-        """In whichever order reports come, the same one holds in the end."""
+        """All orders of arrival converge on the same record."""
         catalog = EndpointCatalog()
         for born_ms, state, sequence in told:
             catalog.merge(_READY._replace(born_ms=born_ms, state=state, sequence=sequence), 0.0)
@@ -122,10 +122,10 @@
 
 
 class TestChanges:
-    """What others must hear of."""
+    """Changes that are sent to other boxes."""
 
     def test_changes_since(self) -> None:
-        """Only what changed after a revision is told, farewells included."""
+        """Only changes after the revision are returned, including deregistrations."""
         catalog = EndpointCatalog()
         catalog.merge(_READY, 0.0)
         catalog.merge(_READY._replace(endpoint="w2"), 0.0)
--- a/tests/test_fleet_joiner.py
+++ b/tests/test_fleet_joiner.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What a box learns of endpoints from a controller, join after join."""
+"""Catalog updates that a box receives by joining a controller."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class _Boxes:
-    """A controller's registry, and the catalog of an entry box that joins it."""
+    """A controller's registry and the catalog of an entry box that joins it."""
 
     def __init__(self) -> None:
         controller_wire: Any
@@ -43,7 +43,7 @@
         self._joiner = Joiner(self.wire, view, _holder(self.wire), self.catalog, _JOIN_MS)
 
     async def run_scenario(self, scenario: Callable[[], Any]) -> None:
-        """Play *scenario* while the entry box joins again and again."""
+        """Run *scenario* while the entry box joins periodically."""
         join_task = asyncio.create_task(self._joiner.run())
         try:
             async with asyncio.timeout(_WAIT_S):
@@ -52,23 +52,20 @@
             join_task.cancel()
 
     async def wait_for_joins(self, count: int = 3) -> None:
-        """Wait until the box has joined some more times."""
+        """Wait until the box has sent *count* more joins."""
         target = len(self.wire.sent) + count
         while len(self.wire.sent) < target:
             await asyncio.sleep(0)
 
 
 class TestForgottenEndpoint:
-    """An endpoint that a box has forgotten, and that controllers still hear.
+    """An endpoint evicted by an owner after a partition between the two, but not by controllers.
 
-    An owner forgets an endpoint that has left its polls unanswered for 15 s, which a cut between
-    these two alone can bring about. Controllers tell a box what has changed since it joined last,
-    and of an endpoint that goes on reporting nothing has: it was not used again until it, the
-    owner or the controllers restarted.
+    Guards against incremental joins that never restore it, since it has not changed there.
     """
 
     def test_it_is_told_again(self) -> None:
-        """The box knows it again with its next join."""
+        """The next join restores the endpoint."""
         boxes = _Boxes()
 
         async def scenario() -> None:
@@ -85,7 +82,7 @@
         asyncio.run(boxes.run_scenario(scenario))
 
     def test_one_that_nobody_hears_stays_forgotten(self) -> None:
-        """Controllers forget it too, and do not bring it back."""
+        """Joins do not restore an endpoint that the controller has evicted too."""
         boxes = _Boxes()
 
         async def scenario() -> None:
--- a/tests/test_fleet_messages.py
+++ b/tests/test_fleet_messages.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Messages about endpoints between boxes of this release and the one before."""
+"""Compatibility of endpoint messages with the previous release."""
 
 from __future__ import annotations
 
@@ -31,25 +31,25 @@
 
 
 class _PreviousEndpointsSeen(NamedTuple):
-    """The message as the release before has it."""
+    """The message as defined by the previous release."""
 
     endpoints: list[WireEndpoint]
 
 
 class TestBirths:
-    """When endpoints were born stands at the end of a message."""
+    """Start times of endpoints, sent at the end of a message."""
 
     def test_they_arrive(self) -> None:
-        """Each record has its birth again."""
+        """Records survive a round trip with their start times."""
         assert received_endpoints(_decode(bytes(encode_body(_MESSAGE)))) == _RECORDS
 
     def test_the_release_before_sends_none(self) -> None:
-        """What it does not send is 0: the endpoint has not said."""
+        """Missing start times are decoded as 0."""
         body = msgspec.msgpack.encode(_PreviousEndpointsSeen(_MESSAGE.endpoints))
         assert [one.born_ms for one in received_endpoints(_decode(body))] == [0, 0]
 
     def test_the_release_before_reads_the_rest(self) -> None:
-        """It drops what follows the fields of a message that it knows, and only there."""
+        """The previous release can decode the message: the new field is at the end."""
         fields = msgspec.msgpack.decode(encode_body(_MESSAGE))
         read = msgspec.convert(
             fields[: len(_PreviousEndpointsSeen._fields)], _PreviousEndpointsSeen
--- a/tests/test_fleet_registry.py
+++ b/tests/test_fleet_registry.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which endpoints' reports a controller takes, and passes on."""
+"""Endpoint reports that a controller accepts and pushes to entry boxes."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class _Controller:
-    """A controller's registry, to which one entry box has joined.
+    """A controller's registry, joined by one entry box.
 
     Args:
-        services: The services that its configuration names; ``None`` before there is one.
+        services: The configured services; ``None`` before the first configuration.
     """
 
     def __init__(self, services: frozenset[str] | None) -> None:
@@ -48,10 +48,10 @@
         self._box = box
 
     async def note(self, record: EndpointRecord) -> bool:
-        """Have an endpoint report; return whether its report is taken for one."""
+        """Send an endpoint's report; return whether it is accepted."""
         await self._box.request(_CONTROLLER, Join(BoxRecord(_ENTRY, 1, "a", ENTRY), 0, 0, 0), 1)
         is_accepted = await self.registry.note_endpoint(record)
-        # What needs no acknowledgement is passed on by tasks of its own.
+        # Reports of ready endpoints are pushed by separate tasks.
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         return is_accepted
@@ -62,10 +62,10 @@
 
 
 class TestServices:
-    """Reports that name a service which the configuration does not."""
+    """Reports of services that are not in the configuration."""
 
     def test_another_writers_report(self) -> None:
-        """It is refused, and changes nothing of an endpoint whose id it bears."""
+        """A report of an unknown service must not replace the record of an endpoint with its id."""
 
         async def scenario() -> None:
             controller = _Controller(frozenset({"svc"}))
@@ -81,7 +81,7 @@
         asyncio.run(scenario())
 
     def test_before_there_is_a_configuration(self) -> None:
-        """Every report is taken: what will be named is not known."""
+        """Without a configuration every report is accepted."""
 
         async def scenario() -> None:
             controller = _Controller(None)
@@ -91,7 +91,7 @@
         asyncio.run(scenario())
 
     def test_one_that_is_named_later(self) -> None:
-        """Its next report is taken."""
+        """Once the service is configured, the endpoint's next report is accepted."""
 
         async def scenario() -> None:
             controller = _Controller(frozenset({"svc"}))
--- a/tests/test_job_runner.py
+++ b/tests/test_job_runner.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A job's one answer, however its run is cut short."""
+"""The single result of a job whose execution is interrupted."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class TestPlannedStop:
-    """A stop that has reached its bound ends every job at once."""
+    """Cancellation of all jobs when a planned stop times out."""
 
     def test_while_the_owner_is_asked(self) -> None:
-        """A job that waits for its owner's word is answered too, as one that may have run."""
+        """A job waiting for its owner's reply to a cancellation is reported as may-have-run."""
 
         async def scenario() -> JobResult:
             rig = Rig()
