--- a/src/foldloom/seed_discovery/job_runner.py
+++ b/src/foldloom/seed_discovery/job_runner.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""A job that need not be kept, from its arrival to its one answer.
+"""Execution of a non-durable job, from its submission to its single result.
 
-Owns the jobs that run on this box; the same id joins the one that runs. Relies on the client of
-the owners, which delivers runs and brings their ends. Decides when a task is retried and when a
-job is given up.
+Owns the jobs running on this box; a duplicate submission attaches to the running job. The owner
+client delivers runs and returns their ends. This module decides on task retries and on the
+cancellation of a job.
 """
 
 from __future__ import annotations
@@ -33,43 +33,42 @@
 from foldloom.time_limits import TimeLimit
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
-# Milliseconds after which a caller whose job was given up should come back: the time in which a
-# zone without an owner gets a new one.
+# About the duration of an owner failover.
 _RETRY_AFTER_MS = 500
 
 
 class JobState(Enum):
-    """How a job ended that was carried out."""
+    """The final state of an executed job."""
 
     COMPLETED = "completed"
     FAILED = "failed"
 
 
 class JobEnd(NamedTuple):
-    """The end of a job that was carried out; ``reason`` says why it failed."""
+    """The end of an executed job; ``reason`` is set if it failed."""
 
     state: JobState
     reason: str = ""
 
 
 JobResult = Result[JobEnd, Problem]
-"""How a job ended, or why it did not; the problem says whether any of it may have run."""
+"""A job's end, or a problem, which states whether any task may have run."""
 
 
 def outcome_of(result: JobResult) -> str:
-    """Return the word for *result* in logs and in names of counters."""
+    """Return the name of *result* in logs and counters."""
     if result.is_ok():
         return result.ok.state.value
     return "refused" if result.error.run is Run.NOT_RUN else "expired"
 
 
 def reason_of(result: JobResult) -> str:
-    """Return why a job ended so; empty if there is nothing to say."""
+    """Return the reason for *result*, or an empty string."""
     return result.ok.reason if result.is_ok() else result.error.reason
 
 
-class _Attempts:
-    """One task's starts and failures."""
+class _TaskAttempts:
+    """The latest attempt of a task, and its number of failures."""
 
     __slots__ = ("attempt", "failures")
 
@@ -83,9 +82,9 @@
 
     Args:
         job: The job.
-        queue: Where it was handed in.
-        client: The way to the owner.
-        deadline_ms: When it is given up; own monotonic clock.
+        queue: The queue that it was submitted to.
+        client: The client of the zone owners.
+        deadline_ms: When the job is cancelled; own monotonic clock.
     """
 
     def __init__(self, job: Job, queue: Queue, client: OwnerClient, deadline_ms: float) -> None:
@@ -93,13 +92,13 @@
         self._queue = queue
         self._client = client
         self._deadline_ms = deadline_ms
-        self._open = OpenJob(job.job_id)
+        self._open_job = OpenJob(job.job_id)
         self._templates: dict[int, SubmitRuns] = {}
-        self._attempts: dict[TaskId, _Attempts] = {}
-        self._left = [step.tasks for step in job.steps]
+        self._attempts: dict[TaskId, _TaskAttempts] = {}
+        self._remaining_tasks = [step.tasks for step in job.steps]
 
     async def run(self) -> JobResult:
-        """Return the job's one result; whatever still runs of it then is stopped."""
+        """Run the job and return its result; runs that remain are stopped."""
         ENTRY_LOG.event(
             "job.accepted",
             job=self._job.job_id,
@@ -107,9 +106,9 @@
             service=self._queue.service,
             steps=len(self._job.steps),
             tasks=sum(step.tasks for step in self._job.steps),
-            estimate_ms=int(self._chain_ms()),
-            objective_ms=int(self._queue.objective_ms(self._chain_ms())),
-            deadline_in_ms=int(self._deadline_ms - self._open.began_ms),
+            estimate_ms=int(self._critical_path_ms()),
+            objective_ms=int(self._queue.objective_ms(self._critical_path_ms())),
+            deadline_in_ms=int(self._deadline_ms - self._open_job.began_ms),
         )
         result = await self._run()
         ENTRY_LOG.event(
@@ -118,8 +117,8 @@
             outcome=outcome_of(result),
             reason=reason_of(result),
             retry_after_ms=0 if result.is_ok() else result.error.retry_after_ms,
-            took_ms=int(monotonic_ms() - self._open.began_ms),
-            tasks_left=sum(self._left),
+            took_ms=int(monotonic_ms() - self._open_job.began_ms),
+            tasks_left=sum(self._remaining_tasks),
         )
         return result
 
@@ -127,35 +126,37 @@
         try:
             return await self._run_until_deadline()
         except asyncio.CancelledError:
-            # Nobody waits for the answer any more, or a planned stop has reached its bound, maybe
-            # while an owner was being asked.
+            # No caller is waiting any more, or a planned stop has timed out; this may interrupt a
+            # cancellation at an owner.
             return Error(may_have_run("given up"))
         finally:
-            self._client.forget(self._open)
+            self._client.forget(self._open_job)
 
     async def _run_until_deadline(self) -> JobResult:
         try:
             async with TimeLimit(self._deadline_ms - monotonic_ms()):
                 return await self._run_steps()
         except TimeoutError:
-            # The caller's deadline, which may cut any wait below short.
-            return await self._give_up("deadline", _RETRY_AFTER_MS)
+            # The deadline may interrupt any await in _run_steps.
+            return await self._cancel("deadline", _RETRY_AFTER_MS)
 
     async def _run_steps(self) -> JobResult:
         refusal = await self._start_ready_steps()
-        while refusal is None and any(self._left):
-            end = await self._open.ends.get()
+        while refusal is None and any(self._remaining_tasks):
+            end = await self._open_job.ends.get()
             if end.cause is EndCause.DONE:
-                refusal = await self._note_done(end)
+                refusal = await self._on_run_done(end)
             elif end.cause is EndCause.UNATTAINABLE:
-                refusal = await self._give_up("too late", _RETRY_AFTER_MS)
+                refusal = await self._cancel("too late", _RETRY_AFTER_MS)
             else:
-                refusal = await self._note_failed(end)
+                refusal = await self._on_run_failed(end)
         return Ok(JobEnd(JobState.COMPLETED)) if refusal is None else refusal
 
     async def _start_ready_steps(self) -> JobResult | None:
         for number, step in enumerate(self._job.steps):
-            if number in self._templates or any(self._left[needed] for needed in step.depends_on):
+            if number in self._templates or any(
+                self._remaining_tasks[dependency] for dependency in step.depends_on
+            ):
                 continue
             self._templates[number] = self._template(step)
             orders = [RunOrder(number, task, 1) for task in range(step.tasks)]
@@ -164,19 +165,19 @@
                 return refusal
         return None
 
-    async def _note_done(self, end: RunEnd) -> JobResult | None:
+    async def _on_run_done(self, end: RunEnd) -> JobResult | None:
         step = end.run_id.task.step
-        self._left[step] -= 1
-        if self._left[step]:
+        self._remaining_tasks[step] -= 1
+        if self._remaining_tasks[step]:
             return None
         return await self._start_ready_steps()
 
-    async def _note_failed(self, end: RunEnd) -> JobResult | None:
-        """Start a task again whose run ended without being done, or fail the job."""
+    async def _on_run_failed(self, end: RunEnd) -> JobResult | None:
+        """Retry the task of a failed or lost run, or fail the job."""
         task = end.run_id.task
         if is_given_up(end.crashes):
             return Ok(JobEnd(JobState.FAILED, "a task crashes its endpoints"))
-        attempts = self._attempts.setdefault(task, _Attempts())
+        attempts = self._attempts.setdefault(task, _TaskAttempts())
         if end.cause in (EndCause.FAILED, EndCause.REFUSED):
             attempts.failures += 1
         if attempts.failures >= self._queue.attempts_max:
@@ -196,14 +197,14 @@
         return await self._submit(task.step, [order])
 
     async def _submit(self, step: int, orders: list[RunOrder]) -> JobResult | None:
-        reply = await self._client.submit(self._open, self._templates[step], orders)
+        reply = await self._client.submit(self._open_job, self._templates[step], orders)
         if reply.status is SubmitStatus.REFUSED:
-            return await self._give_up(reply.reason, reply.retry_after_ms)
+            return await self._cancel(reply.reason, reply.retry_after_ms)
         return None
 
-    async def _give_up(self, reason: str, retry_after_ms: int) -> JobResult:
-        """End the job; say that nothing ran only if every owner that was asked says so."""
-        if await self._client.give_up(self._open):
+    async def _cancel(self, reason: str, retry_after_ms: int) -> JobResult:
+        """Cancel the job; report ``not_run`` only if every contacted owner confirms it."""
+        if await self._client.give_up(self._open_job):
             return Error(may_have_run(reason))
         return Error(not_run(reason, retry_after_ms=retry_after_ms))
 
@@ -223,28 +224,28 @@
             objective=Objective(
                 stretch=self._queue.stretch,
                 slack_ms=self._queue.slack_ms,
-                other_ms=int(self._chain_ms() - step.estimate_ms),
+                other_ms=int(self._critical_path_ms() - step.estimate_ms),
             ),
-            deadline_ms=int(self._deadline_ms - self._open.began_ms),
+            deadline_ms=int(self._deadline_ms - self._open_job.began_ms),
             old_right_ms=0,
             orders=[],
         )
 
-    def _chain_ms(self) -> float:
-        """Return how long the longest chain of steps is expected to take."""
+    def _critical_path_ms(self) -> float:
+        """Return the estimated duration of the longest chain of dependent steps."""
         ends: list[float] = []
         for step in self._job.steps:
-            before = max((ends[needed] for needed in step.depends_on), default=0.0)
+            before = max((ends[dependency] for dependency in step.depends_on), default=0.0)
             ends.append(before + step.estimate_ms)
         return max(ends, default=0.0)
 
 
 class JobRegistry:
-    """The jobs that this box runs now; the same id joins the one that runs.
+    """The jobs running on this box; a duplicate submission attaches to the running job.
 
     Args:
-        client: The way to the owner.
-        metrics: Counters.
+        client: The client of the zone owners.
+        metrics: This box's metrics.
     """
 
     def __init__(self, client: OwnerClient, metrics: Metrics) -> None:
@@ -255,11 +256,11 @@
 
     @property
     def running_count(self) -> int:
-        """How many jobs run."""
+        """The number of running jobs."""
         return len(self._running)
 
     async def run(self, job: Job, queue: Queue, deadline_ms: float) -> JobResult:
-        """Return the result of *job*; it is given up when nobody waits for it any more."""
+        """Run *job*, or attach to it, and return its result; cancelled with its last caller."""
         began_ms = monotonic_ms()
         task = self._running.get(job.job_id)
         if task is None:
@@ -274,7 +275,7 @@
         try:
             result = await asyncio.shield(task)
         finally:
-            self._leave(job.job_id, task)
+            self._release(job.job_id, task)
         outcome, reason = outcome_of(result), reason_of(result)
         self._metrics.count(f"jobs.{outcome}")
         self._metrics.timing(f"job_ms.{outcome}", monotonic_ms() - began_ms)
@@ -282,12 +283,12 @@
             self._metrics.count(f"jobs.{outcome}.{reason.replace(' ', '_')}")
         return result
 
-    def give_up_all(self) -> None:
-        """End every job now; each is answered as given up."""
+    def cancel_all(self) -> None:
+        """Cancel all jobs; each returns a problem with reason ``given up``."""
         for task in self._running.values():
             task.cancel()
 
-    def _leave(self, job_id: str, task: asyncio.Task[JobResult]) -> None:
+    def _release(self, job_id: str, task: asyncio.Task[JobResult]) -> None:
         if self._running.get(job_id) is not task:
             return
         self._waiters[job_id] -= 1
--- a/tests/test_fleet_messages.py
+++ b/tests/test_fleet_messages.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Messages about endpoints between boxes of this release and the one before."""
+"""Compatibility of endpoint messages with the previous release."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from foldloom.seed_discovery.endpoints.records import EndpointRecord
 from foldloom.seed_discovery.fleet.messages import (
     EndpointsSeen,
-    SentEndpoint,
+    WireEndpoint,
     births_of,
     received_endpoints,
     sent_endpoints,
@@ -22,34 +22,36 @@
     EndpointRecord("w1", "svc", "10.0.0.1:1", "a", Demand(1, 2, 3), sequence=4, born_ms=5_000),
     EndpointRecord("w2", "svc", "10.0.0.2:1", "a", Demand(1, 2, 3), labels=("x",)),
 ]
-_SEEN = EndpointsSeen(sent_endpoints(_RECORDS), births_of(_RECORDS))
+_MESSAGE = EndpointsSeen(sent_endpoints(_RECORDS), births_of(_RECORDS))
 
 
-def _read(body: bytes) -> EndpointsSeen:
-    message: EndpointsSeen = decode_body(Frame(kind_of(_SEEN), 0, 0, 0, msgspec.Raw(body)))
+def _decode(body: bytes) -> EndpointsSeen:
+    message: EndpointsSeen = decode_body(Frame(kind_of(_MESSAGE), 0, 0, 0, msgspec.Raw(body)))
     return message
 
 
-class _SeenBefore(NamedTuple):
-    """The message as the release before has it."""
+class _PreviousEndpointsSeen(NamedTuple):
+    """The message as defined by the previous release."""
 
-    endpoints: list[SentEndpoint]
+    endpoints: list[WireEndpoint]
 
 
 class TestBirths:
-    """When endpoints were born stands at the end of a message."""
+    """Start times of endpoints, sent at the end of a message."""
 
     def test_they_arrive(self) -> None:
-        """Each record has its birth again."""
-        assert received_endpoints(_read(bytes(encode_body(_SEEN)))) == _RECORDS
+        """Records survive a round trip with their start times."""
+        assert received_endpoints(_decode(bytes(encode_body(_MESSAGE)))) == _RECORDS
 
     def test_the_release_before_sends_none(self) -> None:
-        """What it does not send is 0: the endpoint has not said."""
-        body = msgspec.msgpack.encode(_SeenBefore(_SEEN.endpoints))
-        assert [one.born_ms for one in received_endpoints(_read(body))] == [0, 0]
+        """Missing start times are decoded as 0."""
+        body = msgspec.msgpack.encode(_PreviousEndpointsSeen(_MESSAGE.endpoints))
+        assert [one.born_ms for one in received_endpoints(_decode(body))] == [0, 0]
 
     def test_the_release_before_reads_the_rest(self) -> None:
-        """It drops what follows the fields of a message that it knows, and only there."""
-        fields = msgspec.msgpack.decode(encode_body(_SEEN))
-        read = msgspec.convert(fields[: len(_SeenBefore._fields)], _SeenBefore)
-        assert read.endpoints == _SEEN.endpoints
+        """The previous release can decode the message: the new field is at the end."""
+        fields = msgspec.msgpack.decode(encode_body(_MESSAGE))
+        read = msgspec.convert(
+            fields[: len(_PreviousEndpointsSeen._fields)], _PreviousEndpointsSeen
+        )
+        assert read.endpoints == _MESSAGE.endpoints
--- a/tests/test_job_runner.py
+++ b/tests/test_job_runner.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A job's one answer, however its run is cut short."""
+"""The single result of a job whose execution is interrupted."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 class TestPlannedStop:
-    """A stop that has reached its bound ends every job at once."""
+    """Cancellation of all jobs when a planned stop times out."""
 
     def test_while_the_owner_is_asked(self) -> None:
-        """A job that waits for its owner's word is answered too, as one that may have run."""
+        """A job waiting for its owner's reply to a cancellation is reported as may-have-run."""
 
-        async def play() -> JobResult:
+        async def scenario() -> JobResult:
             rig = Rig()
             rig.beat(1)
             jobs = JobRegistry(rig.client, Metrics())
@@ -34,8 +34,8 @@
             rig.network.answers_after_s = 10.0
             while not isinstance(rig.network.asked[-1], CancelJob):
                 await asyncio.sleep(0.001)
-            jobs.give_up_all()
+            jobs.cancel_all()
             return await answering
 
-        result = asyncio.run(play())
+        result = asyncio.run(scenario())
         assert result.error.run is Run.MAY_HAVE_RUN
