--- a/src/foldloom/static_peers/box.py
+++ b/src/foldloom/static_peers/box.py
@@ -23,7 +23,7 @@
 from foldloom.pauses import log_pause, watch_pauses
 from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import CONTROLLER, ENTRY, Settings
-from foldloom.static_peers.box_list import BoxListKeeper
+from foldloom.static_peers.box_list import BoxListSettler
 from foldloom.static_peers.endpoints.adapter import EndpointAdapter
 from foldloom.static_peers.endpoints.platform import PlatformList
 from foldloom.static_peers.entry.http import HttpServer
@@ -34,7 +34,7 @@
 
 # Seconds between two checks of configuration, membership and the platform's list: below a heartbeat
 # (250 ms).
-_FOLLOW_S = 0.1
+_INPUT_POLL_S = 0.1
 # Milliseconds to show that a version is the newest: above two elections.
 _BARRIER_TIMEOUT_MS = 1_500
 
@@ -58,7 +58,7 @@
         cache_folder = settings.data_folder
         self._holder = ConfigHolder(self._network, initial, cache_folder)
         self._client = ControllerClient(self._network, settings.controller_names)
-        self._membership = Membership(settings, self._network, self._describe)
+        self._membership = Membership(settings, self._network, self._next_heartbeat)
         self._controller: Controller | None = None
         if CONTROLLER in settings.roles:
             callbacks = Callbacks(on_config=self._holder.adopt)
@@ -93,17 +93,19 @@
                 "is_stopping": state is not None and state.heartbeat.is_stopping,
                 "can_vote": state is not None and state.heartbeat.can_vote,
             }
-        behind = [
+        missing = [
             name
-            for name, one in boxes.items()
-            if one["version"] is None or one["version"] < config.version or not one["is_live"]
+            for name, fields in boxes.items()
+            if fields["version"] is None
+            or fields["version"] < config.version
+            or not fields["is_live"]
         ]
         return {
             "box": self._settings.box,
             "zone": self._settings.zone,
             "version": config.version,
             "is_confirmed_current": self._is_confirmed_current,
-            "missing": sorted(behind),
+            "missing": sorted(missing),
             "boxes": boxes,
             "box_list": config.boxes,
             "controller": None if self._controller is None else self._controller.summary,
@@ -120,12 +122,12 @@
         self._tasks.spawn(watch_pauses(log_pause))
         self._tasks.spawn(self._membership.run())
         self._tasks.spawn(self._platform.run())
-        self._tasks.spawn(self._follow_inputs())
+        self._tasks.spawn(self._propagate_inputs())
         self._tasks.spawn(self._confirm_current())
         if self._controller is not None:
             self._tasks.spawn(self._controller.run())
             self._tasks.spawn(
-                BoxListKeeper(self._settings, self._controller, self._membership).run()
+                BoxListSettler(self._settings, self._controller, self._membership).run()
             )
         ENTRY_LOG.info("Box {} is up, life {}.", self._settings.box, self._network.incarnation)
 
@@ -159,7 +161,7 @@
         )
         return EntryRole(parts, lambda: self._is_stopping)
 
-    def _describe(self) -> Heartbeat:
+    def _next_heartbeat(self) -> Heartbeat:
         """Return this box's next heartbeat."""
         config = self._holder.config
         return Heartbeat(
@@ -173,7 +175,7 @@
         )
 
     def _own_status(self) -> dict[str, Any]:
-        heartbeat = self._describe()
+        heartbeat = self._next_heartbeat()
         return {
             "is_live": True,
             "version": heartbeat.config_version,
@@ -184,14 +186,14 @@
     def _is_ready(self) -> bool:
         return not self._is_stopping and bool(self._holder.config.version)
 
-    async def _follow_inputs(self) -> None:
+    async def _propagate_inputs(self) -> None:
         """Pass changes of configuration, membership and the platform's list on."""
         while True:
             for box, state in self._membership.states.items():
                 self._holder.note_version(box, state.heartbeat.config_version)
             if self._entry is not None:
-                self._entry.follow_inputs()
-            await asyncio.sleep(_FOLLOW_S)
+                self._entry.propagate_inputs()
+            await asyncio.sleep(_INPUT_POLL_S)
 
     async def _confirm_current(self) -> None:
         """Find out whether the version in force here is the newest confirmed one."""
@@ -200,7 +202,7 @@
             version = await self._client.newest_version(_BARRIER_TIMEOUT_MS)
             if version is not None and self._holder.config.version >= version:
                 break
-            await asyncio.sleep(_FOLLOW_S)
+            await asyncio.sleep(_INPUT_POLL_S)
         self._is_confirmed_current = True
         CONFIG_LOG.info(
             "Version {} is current, known after {:.0f} ms.",
--- a/src/foldloom/static_peers/box_list.py
+++ b/src/foldloom/static_peers/box_list.py
@@ -19,10 +19,10 @@
 from foldloom.static_peers.membership import Membership
 
 # Seconds between two checks whether a joint box list can settle: one heartbeat (250 ms).
-_CHECK_S = 0.25
+_CHECK_INTERVAL_S = 0.25
 
 
-class BoxListKeeper:
+class BoxListSettler:
     """Watch a joint box list while this controller leads.
 
     Args:
@@ -35,17 +35,17 @@
         self._settings = settings
         self._controller = controller
         self._membership = membership
-        self._known_ms: tuple[int, float] | None = None
+        self._acknowledged_since: tuple[int, float] | None = None
 
     async def run(self) -> None:
         """End joint lists until cancelled."""
         while True:
-            await asyncio.sleep(_CHECK_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
             boxes = self._controller.state.config.boxes
             if not self._controller.is_leading or boxes["next"] is None:
-                self._known_ms = None
+                self._acknowledged_since = None
                 continue
-            if not self._is_due(boxes["epoch"]):
+            if not self._can_settle(boxes["epoch"]):
                 continue
             try:
                 await propose(self._controller, encode_command(BoxesSettledCommand(boxes["epoch"])))
@@ -54,7 +54,7 @@
                 # Looked at again: another controller may lead, or the command may be in its log.
                 continue
 
-    def _is_due(self, epoch: int) -> bool:
+    def _can_settle(self, epoch: int) -> bool:
         """Return whether all old boxes have known *epoch* for a whole retention time.
 
         Counted anew by each leader: too late is safe, too early is not.
@@ -63,8 +63,8 @@
         others = set(boxes["current"]) - set(boxes["dead"]) - {self._settings.box}
         states = self._membership.states
         if any(box not in states or states[box].heartbeat.list_epoch < epoch for box in others):
-            self._known_ms = None
+            self._acknowledged_since = None
             return False
-        if self._known_ms is None or self._known_ms[0] != epoch:
-            self._known_ms = (epoch, monotonic_ms())
-        return monotonic_ms() - self._known_ms[1] >= self._settings.retention_ms
+        if self._acknowledged_since is None or self._acknowledged_since[0] != epoch:
+            self._acknowledged_since = (epoch, monotonic_ms())
+        return monotonic_ms() - self._acknowledged_since[1] >= self._settings.retention_ms
--- a/src/foldloom/static_peers/endpoints/adapter.py
+++ b/src/foldloom/static_peers/endpoints/adapter.py
@@ -66,8 +66,8 @@
 
 
 _ENCODER = msgspec.json.Encoder()
-_REPLIES = msgspec.json.Decoder(_TaskReply)
-_USAGES = msgspec.json.Decoder(_UsageReply)
+_REPLY_DECODER = msgspec.json.Decoder(_TaskReply)
+_USAGE_DECODER = msgspec.json.Decoder(_UsageReply)
 
 
 class EndpointAdapter:
@@ -104,15 +104,15 @@
             await self._session.close()
 
     async def start_task(
-        self, base_url: str, submission: str, index: int, call: TaskCall, left_ms: float
+        self, base_url: str, submission: str, index: int, call: TaskCall, remaining_ms: float
     ) -> Result[TaskAnswer, Problem]:
         """Send one attempt and return the endpoint's answer, or whether it may have run."""
         assert self._session is not None
         url = f"{base_url}/v1/tasks/{submission}/{index}"
         timeout = aiohttp.ClientTimeout(
-            total=max(0.001, left_ms / 1_000), sock_connect=_CONNECT_TIMEOUT_S
+            total=max(0.001, remaining_ms / 1_000), sock_connect=_CONNECT_TIMEOUT_S
         )
-        began_ms = monotonic_ms()
+        started_ms = monotonic_ms()
         try:
             async with self._session.post(
                 url,
@@ -133,7 +133,7 @@
             return Error(may_have_run("worker-timeout", "no whole answer by the deadline"))
         except (aiohttp.ClientError, OSError, ValueError) as error:
             return Error(may_have_run("worker-lost", type(error).__name__))
-        return _checked(body, call["attempt"], monotonic_ms() - began_ms)
+        return _validated_answer(body, call["attempt"], monotonic_ms() - started_ms)
 
     async def stop_task(self, base_url: str, submission: str, index: int) -> None:
         """Ask an endpoint to stop a task; whether it did is not known."""
@@ -154,7 +154,7 @@
             async with self._session.get(f"{base_url}/v1/usage", timeout=timeout) as response:
                 if response.status != 200:
                     return None
-                return _USAGES.decode(await self._read(response)).running
+                return _USAGE_DECODER.decode(await self._read(response)).running
         except (aiohttp.ClientError, OSError, TimeoutError, msgspec.DecodeError, ValueError):
             # No report is an answer of its own: who asks takes the endpoint for silent.
             return None
@@ -175,10 +175,10 @@
         return bytes(body)
 
 
-def _checked(body: bytes, attempt: str, service_ms: float) -> Result[TaskAnswer, Problem]:
+def _validated_answer(body: bytes, attempt: str, service_ms: float) -> Result[TaskAnswer, Problem]:
     """Return the answer if it is whole and for this attempt."""
     try:
-        reply = _REPLIES.decode(body)
+        reply = _REPLY_DECODER.decode(body)
     except msgspec.DecodeError:
         return Error(may_have_run("answer-malformed", "the worker's answer is not whole JSON"))
     if reply.attempt != attempt:
--- a/src/foldloom/static_peers/endpoints/platform.py
+++ b/src/foldloom/static_peers/endpoints/platform.py
@@ -15,19 +15,19 @@
 from foldloom.logs import ENDPOINT_LOG
 
 # Seconds for one poll of the list: two of the intervals between polls.
-_TIMEOUT_S = 1.0
+_POLL_TIMEOUT_S = 1.0
 
 
-class _Listed(msgspec.Struct):
+class _ListedBox(msgspec.Struct):
     name: str
     state: str = "live"
 
 
 class _BoxesReply(msgspec.Struct):
-    boxes: list[_Listed] = []
+    boxes: list[_ListedBox] = []
 
 
-_REPLIES = msgspec.json.Decoder(_BoxesReply)
+_REPLY_DECODER = msgspec.json.Decoder(_BoxesReply)
 
 
 class PlatformList:
@@ -52,7 +52,7 @@
         """Poll until cancelled; a failed poll keeps the list before."""
         if not self._url:
             return
-        timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
+        timeout = aiohttp.ClientTimeout(total=_POLL_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 await self._poll(session)
@@ -61,11 +61,11 @@
     async def _poll(self, session: aiohttp.ClientSession) -> None:
         try:
             async with session.get(f"{self._url}/v1/boxes") as response:
-                listed = _REPLIES.decode(await response.read())
+                reply = _REPLY_DECODER.decode(await response.read())
         except (aiohttp.ClientError, OSError, TimeoutError, msgspec.DecodeError) as error:
             ENDPOINT_LOG.debug("No list from the platform: {}.", type(error).__name__)
             return
-        leaving = frozenset(one.name for one in listed.boxes if one.state == "leaving")
+        leaving = frozenset(one.name for one in reply.boxes if one.state == "leaving")
         if leaving != self._leaving:
             ENDPOINT_LOG.info("Leaving by the platform's list: {}.", ", ".join(sorted(leaving)))
         self._leaving = leaving
--- a/src/foldloom/static_peers/endpoints/usage.py
+++ b/src/foldloom/static_peers/endpoints/usage.py
@@ -13,7 +13,7 @@
 from foldloom.static_peers.endpoints.adapter import EndpointAdapter
 
 # Seconds between two polls of an endpoint: the platform's reports lag by as much.
-_POLL_S = 0.5
+_POLL_INTERVAL_S = 0.5
 
 
 class UsageReports:
@@ -38,9 +38,11 @@
         """Poll until cancelled."""
         while True:
             endpoints = self._config().endpoints
-            asked = [self._adapter.usage(endpoint["endpoint"]) for endpoint in endpoints.values()]
-            reports = await asyncio.gather(*asked)
+            requests = [
+                self._adapter.usage(endpoint["endpoint"]) for endpoint in endpoints.values()
+            ]
+            reports = await asyncio.gather(*requests)
             for name, running in zip(endpoints, reports, strict=True):
                 if running is not None:
                     self._running[name] = running
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
--- a/src/foldloom/static_peers/entry/coordinator.py
+++ b/src/foldloom/static_peers/entry/coordinator.py
@@ -25,7 +25,7 @@
     complete_response,
     problem_response,
 )
-from foldloom.static_peers.entry.lookup import RETRY_AFTER_MS, no_quorum
+from foldloom.static_peers.entry.lookup import RETRY_AFTER_MS, no_quorum_problem
 from foldloom.static_peers.entry.requests import JobRequest
 from foldloom.static_peers.entry.run import JobRun, RunContext
 from foldloom.tasks import TaskSet
@@ -33,7 +33,7 @@
 
 # How often a claim is tried whose votes were split between boxes, because each try waits longer, so
 # that one of two boxes wins.
-_CLAIM_TRIES = 4
+_CLAIM_ATTEMPTS_MAX = 4
 # Seconds until the first try after a split vote, drawn between these two and doubled: a few round
 # trips between zones.
 _BACKOFF_MIN_S = 0.002
@@ -80,7 +80,7 @@
         job = self._jobs.get(submission)
         if job is not None and (job.is_open or job.state is JobState.DONE):
             if job.digest != request.digest:
-                return self._refusal(submission, CONFLICT)
+                return self._problem_response(submission, CONFLICT)
             ENTRY_LOG.info("Job {} is known here: attach.", submission)
         else:
             job = self._jobs.start(submission, request.digest)
@@ -100,35 +100,35 @@
         except Exception:
             ENTRY_LOG.exception("Job {}: an internal error.", job.submission)
             problem = may_have_run("internal-error", "see the box's log", status=500)
-            self._end(job, JobState.DONE, self._refusal(job.submission, problem))
+            self._finish(job, JobState.DONE, self._problem_response(job.submission, problem))
 
     async def _claim_and_run(self, job: Job, request: JobRequest) -> None:
-        began_ms = monotonic_ms()
-        deadline_ms = began_ms + request.deadline_ms
+        started_ms = monotonic_ms()
+        deadline_ms = started_ms + request.deadline_ms
         result = None
-        for _ in range(_CLAIM_TRIES):
+        for _ in range(_CLAIM_ATTEMPTS_MAX):
             result = await self._acquirer.acquire(job.submission, job.digest, job.attempt)
             if result.how is Acquisition.WON:
-                self._metrics.timing("claim_ms", monotonic_ms() - began_ms)
-                await self._run(job, request, began_ms, deadline_ms)
+                self._metrics.timing("claim_ms", monotonic_ms() - started_ms)
+                await self._run(job, request, started_ms, deadline_ms)
                 return
             CLAIM_LOG.info(
                 "Job {}: claim {} ({}).", job.submission, result.how.value, result.detail
             )
-            job.decide(JobState.FOLLOWING)
+            job.enter_state(JobState.FOLLOWING)
             self._acquirer.withdraw(job.submission, job.attempt)
             response = await self._follow_holders(job, result, deadline_ms)
             if response is not None:
-                self._end(job, JobState.FOLLOWING, response)
+                self._finish(job, JobState.FOLLOWING, response)
                 return
             await asyncio.sleep(random.uniform(_BACKOFF_MIN_S, _BACKOFF_MAX_S))
             job.claim_again()
-        job.decide(JobState.FOLLOWING)
+        job.enter_state(JobState.FOLLOWING)
         detail = "" if result is None else result.detail
-        response = self._refusal(
-            job.submission, no_quorum(job.submission, self._settings.zone, detail)
+        response = self._problem_response(
+            job.submission, no_quorum_problem(job.submission, self._settings.zone, detail)
         )
-        self._end(job, JobState.FOLLOWING, response)
+        self._finish(job, JobState.FOLLOWING, response)
 
     async def _follow_holders(
         self, job: Job, result: AcquireResult, deadline_ms: float
@@ -136,7 +136,7 @@
         """Return another coordinator's response, or ``None`` if every claim met is withdrawn."""
         for holder in result.holders:
             followed = await self._follow(job, holder, deadline_ms)
-            if followed.how is FollowEnd.RESPONSE:
+            if followed.end is FollowEnd.RESPONSE:
                 return followed.response
             self._acquirer.release_held(job.submission, holder)
         return None
@@ -149,10 +149,10 @@
         return await self._follower.follow(job.submission, job.digest, holder, deadline_ms)
 
     async def _run(
-        self, job: Job, request: JobRequest, began_ms: float, deadline_ms: float
+        self, job: Job, request: JobRequest, started_ms: float, deadline_ms: float
     ) -> None:
         """Run a job that holds its claim; withdraw the claim if nothing started."""
-        refusal = self._refuse_now()
+        refusal = self._admission_problem()
         if refusal is not None:
             self._withdraw(job, refusal)
             return
@@ -165,18 +165,20 @@
                 return
             ENTRY_LOG.info("Job {} failed: {}.", job.submission, result.error.reason)
             self._metrics.count(f"jobs.failed.{result.error.reason}")
-            self._end(job, JobState.DONE, self._refusal(job.submission, result.error))
+            self._finish(job, JobState.DONE, self._problem_response(job.submission, result.error))
             return
-        taken_ms = monotonic_ms() - began_ms
+        elapsed_ms = monotonic_ms() - started_ms
         self._metrics.count("jobs.completed")
-        self._metrics.timing("job_ms", taken_ms)
-        if run.longest_ms > 0:
-            self._metrics.timing("response_over_longest_permille", taken_ms / run.longest_ms * 1000)
-        ENTRY_LOG.info("Job {} is complete in {:.0f} ms.", job.submission, taken_ms)
+        self._metrics.timing("job_ms", elapsed_ms)
+        if run.max_service_ms > 0:
+            self._metrics.timing(
+                "response_over_longest_permille", elapsed_ms / run.max_service_ms * 1000
+            )
+        ENTRY_LOG.info("Job {} is complete in {:.0f} ms.", job.submission, elapsed_ms)
         response = complete_response(job.submission, self._settings.zone, result.ok)
-        self._end(job, JobState.DONE, response)
+        self._finish(job, JobState.DONE, response)
 
-    def _refuse_now(self) -> Problem | None:
+    def _admission_problem(self) -> Problem | None:
         """Return why no job may begin on this box now, if so."""
         if self._is_stopping():
             return not_run("stopping", "this box is being stopped", _STOPPING_RETRY_AFTER_MS)
@@ -189,10 +191,10 @@
         self._acquirer.withdraw(job.submission, job.attempt)
         ENTRY_LOG.info("Job {} refused: {}.", job.submission, problem.reason)
         self._metrics.count(f"jobs.refused.{problem.reason}")
-        self._end(job, JobState.WITHDRAWN, self._refusal(job.submission, problem))
+        self._finish(job, JobState.WITHDRAWN, self._problem_response(job.submission, problem))
 
-    def _end(self, job: Job, state: JobState, response: Response) -> None:
+    def _finish(self, job: Job, state: JobState, response: Response) -> None:
         self._jobs.finish(job, state, response)
 
-    def _refusal(self, submission: str, problem: Problem) -> Response:
+    def _problem_response(self, submission: str, problem: Problem) -> Response:
         return problem_response(submission, self._settings.zone, problem)
--- a/src/foldloom/static_peers/entry/follow.py
+++ b/src/foldloom/static_peers/entry/follow.py
@@ -28,8 +28,8 @@
     Attach,
     AttachReply,
     AttachState,
-    HandedJob,
     Handover,
+    HandoverJob,
     HandoverReply,
 )
 from foldloom.static_peers.membership import Membership
@@ -38,17 +38,17 @@
 
 # Milliseconds for which the coordinator holds one question about a job, to bound what a lost answer
 # costs.
-_POLL_MS = 1_000
+_LONG_POLL_MS = 1_000
 # The same where the caller only asks what is known.
 _PEEK_MS = 1
 # Milliseconds for an answer: above the time for which the question is held.
-_ASK_TIMEOUT_MS = 1_500
+_ATTACH_TIMEOUT_MS = 1_500
 # Milliseconds after which a caller should come back whose job may run elsewhere.
 _RETRY_AFTER_MS = 1_000
 # Questions in a row without an answer after which the coordinator counts as unreachable.
-_FAILED_ASKS_MAX = 2
+_FAILED_POLLS_MAX = 2
 # Answers in one message when a box stops, to bound it to some megabytes.
-_HANDOVER_CHUNK = 200
+_HANDOVER_BATCH_SIZE = 200
 # Milliseconds for such a message.
 _HANDOVER_TIMEOUT_MS = 3_000
 
@@ -56,7 +56,7 @@
 COORDINATOR_LOST = may_have_run(
     "coordinator-restarted", "the box that ran this job lost it; it will not run again"
 )
-COORDINATOR_SILENT = may_have_run(
+COORDINATOR_UNREACHABLE = may_have_run(
     "coordinator-unreachable", "the box that runs this job can't be reached", _RETRY_AFTER_MS, 503
 )
 DEADLINE = may_have_run("deadline", "the job did not end in time", _RETRY_AFTER_MS, 504)
@@ -71,9 +71,9 @@
 
 
 class Followed(NamedTuple):
-    """The end of following; there is a response only if ``how`` says so."""
+    """The end of following; there is a response only if ``end`` says so."""
 
-    how: FollowEnd
+    end: FollowEnd
     response: Response | None
 
 
@@ -109,8 +109,8 @@
 
         Unless *is_waiting*, a job that still runs is reported as running.
         """
-        wait_ms = _POLL_MS if is_waiting else _PEEK_MS
-        failed_asks = 0
+        wait_ms = _LONG_POLL_MS if is_waiting else _PEEK_MS
+        failed_polls = 0
         while monotonic_ms() < deadline_ms:
             target = self._target(claim)
             if isinstance(target, Problem):
@@ -119,28 +119,28 @@
                 submission, digest, claim.coordinator, claim.incarnation, claim.attempt, wait_ms
             )
             try:
-                reply: AttachReply = await self._network.request(target, attach, _ASK_TIMEOUT_MS)
+                reply: AttachReply = await self._network.request(target, attach, _ATTACH_TIMEOUT_MS)
             except PeerUnreachableError:
                 # One lost answer says little; after two the caller is answered "may have run".
-                failed_asks += 1
-                if failed_asks >= _FAILED_ASKS_MAX:
-                    return self._ended(submission, COORDINATOR_SILENT)
+                failed_polls += 1
+                if failed_polls >= _FAILED_POLLS_MAX:
+                    return self._ended(submission, COORDINATOR_UNREACHABLE)
                 continue
             if reply.state is AttachState.RUNNING:
                 if is_waiting:
                     continue
                 return Followed(FollowEnd.RUNNING, None)
-            return self._judge(submission, reply)
+            return self._followed_from(submission, reply)
         return self._ended(submission, DEADLINE)
 
     async def pass_answers_to(self, successor: str) -> int:
         """Send every kept answer to *successor*; return how many it accepted."""
-        kept = self._jobs.done_responses()
+        completed = self._jobs.completed_responses()
         taken = 0
-        for start in range(0, len(kept), _HANDOVER_CHUNK):
+        for start in range(0, len(completed), _HANDOVER_BATCH_SIZE):
             jobs = [
-                HandedJob(submission, response.status, response.body, response.retry_after_ms)
-                for submission, response in kept[start : start + _HANDOVER_CHUNK]
+                HandoverJob(submission, response.status, response.body, response.retry_after_ms)
+                for submission, response in completed[start : start + _HANDOVER_BATCH_SIZE]
             ]
             message = Handover(self._network.incarnation, jobs)
             try:
@@ -160,10 +160,10 @@
         if self._network.known_incarnation(box) > claim.incarnation:
             return successor or COORDINATOR_LOST
         if not self._membership.is_live(box):
-            return successor or COORDINATOR_SILENT
+            return successor or COORDINATOR_UNREACHABLE
         return box
 
-    def _judge(self, submission: str, reply: AttachReply) -> Followed:
+    def _followed_from(self, submission: str, reply: AttachReply) -> Followed:
         if reply.state in (AttachState.WITHDRAWN, AttachState.REFUSED):
             return Followed(FollowEnd.RELEASED, None)
         if reply.state is AttachState.CONFLICT:
@@ -178,11 +178,11 @@
         return Followed(FollowEnd.RESPONSE, response)
 
     async def _on_attach(self, sender: str, message: Attach) -> AttachReply:
-        is_own_life = (
+        is_own_incarnation = (
             message.coordinator == self._settings.box
             and message.incarnation == self._network.incarnation
         )
-        if not is_own_life:
+        if not is_own_incarnation:
             return self._inherited_reply(message)
         job = self._jobs.get(message.submission)
         if job is None:
@@ -191,13 +191,13 @@
             return AttachReply(AttachState.WITHDRAWN)
         ENTRY_LOG.info("Job {}: {} follows it here.", message.submission, sender)
         await self._wait(job, message.wait_ms)
-        return _state_of(job, message.digest)
+        return _attach_reply(job, message.digest)
 
     async def _wait(self, job: Job, wait_ms: int) -> None:
         """Wait until *job* ends, or is known not to run here, for *wait_ms* at most."""
         try:
             async with TimeLimit(wait_ms):
-                await job.wait_decided()
+                await job.wait_claim_outcome()
                 if job.state is JobState.RUNNING:
                     await job.wait_finished()
         except TimeoutError:
@@ -218,7 +218,7 @@
         return HandoverReply(len(message.jobs))
 
 
-def _state_of(job: Job, digest: str) -> AttachReply:
+def _attach_reply(job: Job, digest: str) -> AttachReply:
     """Return what a box that follows *job* is told.
 
     A refusal is not passed on: it says that nothing ran until it was made, and another box may have
--- a/src/foldloom/static_peers/entry/http.py
+++ b/src/foldloom/static_peers/entry/http.py
@@ -30,7 +30,7 @@
 # Seconds for connections that are still open when a box ends; its jobs have been answered by then.
 _SHUTDOWN_TIMEOUT_S = 1.0
 # The longest line of a request's head: aiohttp's own default, which the handler must be given.
-_LINE_MAX_BYTES = 8_190
+_HEAD_LINE_MAX_BYTES = 8_190
 # A box without the entry role knows nothing of jobs, which may run on others.
 _NO_ENTRY = may_have_run("no-entry", "this box takes no jobs", status=503)
 # The status of a body that came too slowly, by HTTP (RFC 9110, section 15.5.9).
@@ -53,32 +53,34 @@
 
     def __init__(self, server: HttpServer, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
-        self._bounds = server
+        self._http_server = server
         self._head_timer: asyncio.TimerHandle | None = None
         self._is_counted = False
-        self.has_request = False
+        self.has_head = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Accept the connection unless there are too many."""
         super().connection_made(transport)
-        if not self._bounds.take_connection():
+        if not self._http_server.acquire_connection():
             transport.close()
             return
         self._is_counted = True
         loop = asyncio.get_running_loop()
-        self._head_timer = loop.call_later(self._bounds.header_timeout_s, self._check_head)
+        self._head_timer = loop.call_later(
+            self._http_server.header_timeout_s, self._close_without_head
+        )
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Free what the connection held."""
         if self._head_timer is not None:
             self._head_timer.cancel()
         if self._is_counted:
-            self._bounds.free_connection()
+            self._http_server.release_connection()
         super().connection_lost(exc)
 
-    def _check_head(self) -> None:
-        if not self.has_request and self.transport is not None:
-            self._bounds.count("http.header-timeouts")
+    def _close_without_head(self) -> None:
+        if not self.has_head and self.transport is not None:
+            self._http_server.count("http.header-timeouts")
             self.transport.close()
 
 
@@ -112,7 +114,7 @@
         self._runner: web.AppRunner | None = None
         self._server: asyncio.Server | None = None
         self._app = web.Application(
-            client_max_size=settings.http.body_max_bytes, middlewares=[_note_request]
+            client_max_size=settings.http.body_max_bytes, middlewares=[_mark_head_received]
         )
         self._app.router.add_get("/healthz", self._healthz)
         self._app.router.add_get("/readyz", self._readyz)
@@ -125,7 +127,7 @@
         """How long a connection may take to send its first request head."""
         return self._settings.http.header_timeout_ms / 1_000
 
-    def take_connection(self) -> bool:
+    def acquire_connection(self) -> bool:
         """Count one more connection; return whether there is room for it."""
         if self._connections >= self._settings.http.connections_max:
             self._metrics.count("http.connections-refused")
@@ -133,7 +135,7 @@
         self._connections += 1
         return True
 
-    def free_connection(self) -> None:
+    def release_connection(self) -> None:
         """Count one connection less."""
         self._connections -= 1
 
@@ -158,7 +160,7 @@
                 loop=loop,
                 access_log=None,
                 keepalive_timeout=30.0,
-                max_line_size=_LINE_MAX_BYTES,
+                max_line_size=_HEAD_LINE_MAX_BYTES,
             )
 
         http = self._settings.http
@@ -201,7 +203,7 @@
             return self._problem("", not_run("bad-request", detail, status=400))
         body = await read_body(request, self._settings.http.body_timeout_ms)
         if isinstance(body, Problem):
-            return self._problem(submission, _of_unread_job(body))
+            return self._problem(submission, _unread_body_problem(body))
         parsed = parse_job(body, self._settings)
         if parsed.is_error():
             return self._problem(submission, parsed.error)
@@ -224,7 +226,7 @@
         return to_http(problem_response(submission, self._settings.zone, problem))
 
 
-def _of_unread_job(problem: Problem) -> Problem:
+def _unread_body_problem(problem: Problem) -> Problem:
     """Return what *problem* with a job's body says of the job.
 
     One that is too large runs on no box. One that came too slowly may be a job that was handed in
@@ -236,10 +238,10 @@
 
 
 @web.middleware
-async def _note_request(
+async def _mark_head_received(
     request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
 ) -> web.StreamResponse:
     """Note that the connection sent a whole head."""
     if isinstance(request.protocol, _BoundedHandler):
-        request.protocol.has_request = True
+        request.protocol.has_head = True
     return await handler(request)
--- a/src/foldloom/static_peers/entry/jobs.py
+++ b/src/foldloom/static_peers/entry/jobs.py
@@ -18,7 +18,7 @@
 from foldloom.verdicts import Problem, Verdict, may_have_run
 
 _ENCODER = msgspec.json.Encoder()
-_EXPIRED = may_have_run("answer-expired", "the answer is kept no longer", status=410)
+_ANSWER_EXPIRED = may_have_run("answer-expired", "the answer is kept no longer", status=410)
 
 
 class JobState(StrEnum):
@@ -90,7 +90,7 @@
         self.state = JobState.CLAIMING
         self.response: Response | None = None
         self.expires_ms = 0.0
-        self._decided = asyncio.Event()
+        self._claim_outcome_known = asyncio.Event()
         self._finished = asyncio.Event()
 
     @property
@@ -98,26 +98,26 @@
         """Whether there is no response yet."""
         return self.response is None
 
-    def decide(self, state: JobState) -> None:
+    def enter_state(self, state: JobState) -> None:
         """Enter *state* and wake whoever waits to know whether this job runs here."""
         self.state = state
-        self._decided.set()
+        self._claim_outcome_known.set()
 
     def claim_again(self) -> None:
         """Begin another attempt at the claim."""
         self.attempt += 1
         self.state = JobState.CLAIMING
-        self._decided.clear()
+        self._claim_outcome_known.clear()
 
     def finish(self, state: JobState, response: Response) -> None:
         """Set the final *response*."""
         self.response = response
-        self.decide(state)
+        self.enter_state(state)
         self._finished.set()
 
-    async def wait_decided(self) -> None:
+    async def wait_claim_outcome(self) -> None:
         """Wait until it is known whether this job runs here."""
-        await self._decided.wait()
+        await self._claim_outcome_known.wait()
 
     async def wait_finished(self) -> None:
         """Wait for the response."""
@@ -148,8 +148,8 @@
         self._bytes_max = bytes_max
         self._metrics = metrics
         self._jobs: dict[str, Job] = {}
-        self._kept: dict[str, int] = {}
-        self._kept_bytes = 0
+        self._retained_sizes: dict[str, int] = {}
+        self._retained_bytes = 0
         self._running = 0
         self._inherited: dict[InheritedKey, tuple[Response, float]] = {}
 
@@ -164,9 +164,9 @@
 
     def start(self, submission: str, digest: str) -> Job:
         """Begin *submission* on this box, with an attempt number not used before."""
-        before = self._jobs.get(submission)
-        attempt = 1 if before is None else before.attempt + 1
-        self._forget_bytes(submission)
+        previous = self._jobs.get(submission)
+        attempt = 1 if previous is None else previous.attempt + 1
+        self._release_bytes(submission)
         job = Job(submission, digest, attempt)
         self._jobs[submission] = job
         return job
@@ -174,7 +174,7 @@
     def run(self, job: Job) -> None:
         """Note that *job* holds its claim and runs."""
         self._running += 1
-        job.decide(JobState.RUNNING)
+        job.enter_state(JobState.RUNNING)
 
     def finish(self, job: Job, state: JobState, response: Response) -> None:
         """End *job* with *response* and keep it."""
@@ -182,12 +182,12 @@
             self._running -= 1
         job.expires_ms = monotonic_ms() + self._retention_ms
         job.finish(state, response)
-        self._kept[job.submission] = len(response.body)
-        self._kept_bytes += len(response.body)
-        self._bound()
-        self._metrics.gauge("jobs.kept_bytes", self._kept_bytes)
+        self._retained_sizes[job.submission] = len(response.body)
+        self._retained_bytes += len(response.body)
+        self._evict_over_limits()
+        self._metrics.gauge("jobs.kept_bytes", self._retained_bytes)
 
-    def done_responses(self) -> list[tuple[str, Response]]:
+    def completed_responses(self) -> list[tuple[str, Response]]:
         """Return every kept response of a job that ran here."""
         return [
             (job.submission, job.response)
@@ -201,32 +201,35 @@
 
     def inherited(self, key: InheritedKey) -> Response | None:
         """Return another box's answer, or ``None``."""
-        kept = self._inherited.get(key)
-        return None if kept is None else kept[0]
+        entry = self._inherited.get(key)
+        return None if entry is None else entry[0]
 
     def expire(self) -> None:
         """Drop the jobs whose time has passed."""
         now_ms = monotonic_ms()
-        for submission in list(self._kept):
+        for submission in list(self._retained_sizes):
             if self._jobs[submission].expires_ms > now_ms:
                 break
-            self._forget_bytes(submission)
+            self._release_bytes(submission)
             del self._jobs[submission]
         for key in [key for key, (_, expires) in self._inherited.items() if expires <= now_ms]:
             del self._inherited[key]
 
-    def _forget_bytes(self, submission: str) -> None:
-        self._kept_bytes -= self._kept.pop(submission, 0)
+    def _release_bytes(self, submission: str) -> None:
+        self._retained_bytes -= self._retained_sizes.pop(submission, 0)
 
-    def _bound(self) -> None:
+    def _evict_over_limits(self) -> None:
         """Over a bound, drop the oldest answers; that a job ran is never forgotten early."""
-        for submission in list(self._kept):
-            if len(self._kept) <= self._jobs_max and self._kept_bytes <= self._bytes_max:
+        for submission in list(self._retained_sizes):
+            if (
+                len(self._retained_sizes) <= self._jobs_max
+                and self._retained_bytes <= self._bytes_max
+            ):
                 return
             job = self._jobs[submission]
             if job.state is JobState.DONE:
-                job.response = problem_response(submission, "", _EXPIRED)
-            self._kept_bytes -= self._kept[submission]
-            self._kept[submission] = 0
-            if self._kept_bytes <= self._bytes_max:
+                job.response = problem_response(submission, "", _ANSWER_EXPIRED)
+            self._retained_bytes -= self._retained_sizes[submission]
+            self._retained_sizes[submission] = 0
+            if self._retained_bytes <= self._bytes_max:
                 return
--- a/src/foldloom/static_peers/entry/lookup.py
+++ b/src/foldloom/static_peers/entry/lookup.py
@@ -23,7 +23,7 @@
 # Milliseconds after which a refused caller should come back.
 RETRY_AFTER_MS = 500
 # A job that does not run here and may run on another box, now or since it was refused here.
-_MAY_BE_ELSEWHERE = (JobState.FOLLOWING, JobState.WITHDRAWN)
+_MAYBE_REMOTE_STATES = (JobState.FOLLOWING, JobState.WITHDRAWN)
 
 
 class JobLookup:
@@ -57,34 +57,34 @@
         ``None`` stands for a job that runs now.
         """
         job = self._jobs.get(submission)
-        if job is not None and job.state not in _MAY_BE_ELSEWHERE:
+        if job is not None and job.state not in _MAYBE_REMOTE_STATES:
             return job.response
-        holders, is_sure = await self._look_up(submission)
+        holders, has_quorum = await self._query_replicas(submission)
         for holder in holders:
             deadline_ms = monotonic_ms() + self._settings.timings.claim_timeout_ms
             followed = await self._follower.follow(
                 submission, holder.digest, holder, deadline_ms, is_waiting=False
             )
-            if followed.how is not FollowEnd.RELEASED:
+            if followed.end is not FollowEnd.RELEASED:
                 return followed.response
-        if is_sure and job is not None and job.state is JobState.WITHDRAWN:
+        if has_quorum and job is not None and job.state is JobState.WITHDRAWN:
             return job.response
-        if is_sure:
+        if has_quorum:
             return self._problem(submission, not_run("unknown", "no such job", status=404))
         return self._problem(
-            submission, no_quorum(submission, self._settings.zone, "too few claim replicas")
+            submission, no_quorum_problem(submission, self._settings.zone, "too few claim replicas")
         )
 
-    async def _look_up(self, submission: str) -> tuple[list[Claim], bool]:
+    async def _query_replicas(self, submission: str) -> tuple[list[Claim], bool]:
         """Return the claims that the replicas hold, and whether a majority was asked."""
         replicas = self._claims.replicas_of(submission)
-        asked = [self._look_up_at(box, submission) for box in replicas.boxes]
-        replies = dict(zip(replicas.boxes, await asyncio.gather(*asked), strict=True))
+        queries = [self._query_replica(box, submission) for box in replicas.boxes]
+        replies = dict(zip(replicas.boxes, await asyncio.gather(*queries), strict=True))
         holders = [claim for reply in replies.values() if reply for claim in reply.holders]
-        sure = {box for box, reply in replies.items() if reply is not None and reply.can_vote}
-        return list(dict.fromkeys(holders)), replicas.is_majority(sure)
+        voters = {box for box, reply in replies.items() if reply is not None and reply.can_vote}
+        return list(dict.fromkeys(holders)), replicas.is_majority(voters)
 
-    async def _look_up_at(self, box: str, submission: str) -> LookupReply | None:
+    async def _query_replica(self, box: str, submission: str) -> LookupReply | None:
         try:
             timeout_ms = self._settings.timings.claim_timeout_ms
             return await self._network.request(box, Lookup(submission), timeout_ms)
@@ -96,7 +96,7 @@
         return problem_response(submission, self._settings.zone, problem)
 
 
-def no_quorum(submission: str, zone: str, detail: str) -> Problem:
+def no_quorum_problem(submission: str, zone: str, detail: str) -> Problem:
     """Return the problem of a claim that no majority could judge.
 
     It can't be called not-run: a box that can't be reached may run the submission.
--- a/src/foldloom/static_peers/entry/messages.py
+++ b/src/foldloom/static_peers/entry/messages.py
@@ -55,7 +55,7 @@
     retry_after_ms: int = 0
 
 
-class HandedJob(NamedTuple):
+class HandoverJob(NamedTuple):
     """A finished job and its response."""
 
     submission: str
@@ -68,7 +68,7 @@
     """A box that stops gives the answers that it keeps to a peer."""
 
     incarnation: int
-    jobs: list[HandedJob]
+    jobs: list[HandoverJob]
 
 
 class HandoverReply(NamedTuple):
--- a/src/foldloom/static_peers/entry/operators.py
+++ b/src/foldloom/static_peers/entry/operators.py
@@ -36,7 +36,7 @@
 # confirm is answered. A controller that does not lead learns of a commit by the leader's next
 # message, 2 to 9 ms after its answer on loopback. Chosen above the 0.28 s in which all of nine
 # boxes have it.
-_CATCH_UP_S = 1.0
+_CATCH_UP_TIMEOUT_S = 1.0
 
 
 class _ConfirmBody(msgspec.Struct):
@@ -45,7 +45,7 @@
     intents: list[Any]
 
 
-_CONFIRMS = msgspec.json.Decoder(_ConfirmBody)
+_CONFIRM_DECODER = msgspec.json.Decoder(_ConfirmBody)
 _ENCODER = msgspec.json.Encoder()
 
 
@@ -91,8 +91,8 @@
         raw = await self._authorized_json(request)
         if isinstance(raw, Problem):
             return self._problem(raw)
-        listed = raw.get("intents") if isinstance(raw, dict) else raw
-        intents = parse_intents(listed)
+        raw_intents = raw.get("intents") if isinstance(raw, dict) else raw
+        intents = parse_intents(raw_intents)
         if intents.is_error():
             return self._problem(not_run("bad-request", intents.error, status=400))
         is_current = await self._catch_up()
@@ -118,7 +118,7 @@
         result = await self._client.propose(command, _CONFIRM_TIMEOUT_MS)
         if result.is_ok() and result.ok.status == 200:
             await self._follow_confirmed(result.ok.version)
-        return self._confirmed(body.command, result)
+        return self._confirm_response(body.command, result)
 
     async def _follow_confirmed(self, version: int) -> None:
         """Wait until a confirmed *version* is in force here, so that its operator finds it here.
@@ -126,10 +126,10 @@
         The leader answers before this box has heard of the commit: a status asked for at once
         showed the older version in 2 of 60 confirms through a controller that does not lead.
         """
-        if not await self._holder.wait_version(version, _CATCH_UP_S):
+        if not await self._holder.wait_version(version, _CATCH_UP_TIMEOUT_S):
             CONFIG_LOG.warning("Version {} is confirmed and not in force here yet.", version)
 
-    def _confirmed(self, command: str, result: Result[Answer, Problem]) -> web.Response:
+    def _confirm_response(self, command: str, result: Result[Answer, Problem]) -> web.Response:
         if result.is_error():
             CONFIG_LOG.warning("Command {}: {}.", command, result.error.reason)
             return self._problem(result.error)
@@ -158,7 +158,7 @@
     async def _catch_up(self) -> bool:
         """Wait until the newest confirmed version is in force here; return whether it is."""
         version = await self._client.newest_version(_BARRIER_TIMEOUT_MS)
-        return version is not None and await self._holder.wait_version(version, _CATCH_UP_S)
+        return version is not None and await self._holder.wait_version(version, _CATCH_UP_TIMEOUT_S)
 
     async def _authorized_json(self, request: web.Request) -> Any:
         """Return the decoded body, or the problem to answer with."""
@@ -173,11 +173,13 @@
             return not_run("bad-request", str(error), status=400)
 
     def _is_authorized(self, request: web.Request) -> bool:
-        scheme, _, given = request.headers.get("Authorization", "").partition(" ")
+        scheme, _, credentials = request.headers.get("Authorization", "").partition(" ")
         if scheme.lower() != "bearer":
             return False
         # Every token is compared, each in constant time, so that timing reveals nothing.
-        matches = [hmac.compare_digest(given.strip().encode(), token) for token in self._tokens]
+        matches = [
+            hmac.compare_digest(credentials.strip().encode(), token) for token in self._tokens
+        ]
         return any(matches)
 
     def _unauthorized(self) -> web.Response:
--- a/src/foldloom/static_peers/entry/requests.py
+++ b/src/foldloom/static_peers/entry/requests.py
@@ -19,7 +19,7 @@
 
 # No control characters: names go into log lines.
 _NAME = Meta(min_length=1, max_length=128, pattern=r"^[^\x00-\x1f\x7f]*$")
-_MISSING = re.compile(r"Object missing required field `(.+?)`")
+_MISSING_FIELD = re.compile(r"Object missing required field `(.+?)`")
 
 
 class TaskBody(msgspec.Struct):
@@ -56,18 +56,18 @@
     digest: str
 
 
-_BODIES = msgspec.json.Decoder(_JobBody)
+_BODY_DECODER = msgspec.json.Decoder(_JobBody)
 
 
 def parse_job(body: bytes, settings: Settings) -> Result[JobRequest, Problem]:
     """Check a job's JSON *body*; a problem names the field."""
     try:
-        parsed = _BODIES.decode(body)
+        parsed = _BODY_DECODER.decode(body)
     except msgspec.DecodeError as error:
-        return Error(not_run("bad-request", _field_first(str(error)), status=400))
-    most = settings.limits.tasks_per_job_max
-    if len(parsed.tasks) > most:
-        return Error(not_run("too-many-tasks", f"tasks: more than {most}", status=413))
+        return Error(not_run("bad-request", _field_prefixed(str(error)), status=400))
+    tasks_max = settings.limits.tasks_per_job_max
+    if len(parsed.tasks) > tasks_max:
+        return Error(not_run("too-many-tasks", f"tasks: more than {tasks_max}", status=413))
     deadline_ms = parsed.deadline_ms or settings.timings.deadline_default_ms
     deadline_ms = min(deadline_ms, settings.timings.deadline_max_ms)
     # A Raw over the body would keep all of it alive; tasks outlive it, so copy.
@@ -86,11 +86,11 @@
     return [msgspec.json.decode(payload) for payload in payloads]
 
 
-def _field_first(message: str) -> str:
+def _field_prefixed(message: str) -> str:
     """Return the checker's *message* with the field at the front."""
-    reason, _, at = message.partition(" - at `$")
-    path = at.rstrip("`").lstrip(".")
-    missing = _MISSING.match(reason)
+    reason, _, location = message.partition(" - at `$")
+    path = location.rstrip("`").lstrip(".")
+    missing = _MISSING_FIELD.match(reason)
     if missing is not None:
         path = ".".join(filter(None, (path, missing.group(1))))
         reason = "is required"
--- a/src/foldloom/static_peers/entry/run.py
+++ b/src/foldloom/static_peers/entry/run.py
@@ -35,13 +35,13 @@
 # Milliseconds after which a caller should come back whose job no endpoint took.
 _RETRY_AFTER_MS = 500
 # Seconds until a task that certainly did not start is given another slot.
-_RETRY_PAUSE_S = 0.01
+_RETRY_DELAY_S = 0.01
 _SLOT_EXPIRED = "slot-expired"
 _DEADLINE = may_have_run("deadline", "the job did not end in time", status=504)
 _ATTEMPT_TIMEOUT = "worker-timeout"
 # A job's deadline says nothing of the endpoint: tasks overdue are judged by the lease manager.
-_NO_FAULT_OF_ENDPOINT = (_SLOT_EXPIRED, _ATTEMPT_TIMEOUT)
-_STOPS: set[asyncio.Task[None]] = set()
+_NON_ENDPOINT_FAULTS = (_SLOT_EXPIRED, _ATTEMPT_TIMEOUT)
+_STOP_TASKS: set[asyncio.Task[None]] = set()
 
 
 class RunContext(NamedTuple):
@@ -93,19 +93,19 @@
         self._request = request
         self._deadline_ms = deadline_ms
         self._service: Service | None = None
-        self._waiting = deque(range(len(request.payloads)))
+        self._pending = deque(range(len(request.payloads)))
         self._answers: list[msgspec.Raw | None] = [None] * len(request.payloads)
-        self._left = len(request.payloads)
+        self._unfinished = len(request.payloads)
         self._events: asyncio.Queue[Any] = asyncio.Queue()
         self._attempts: dict[asyncio.Task[Result[TaskAnswer, Problem]], tuple[int, str]] = {}
-        self._deaths: Counter[int] = Counter()
-        self._maybe_ran = 0
-        self._longest_ms = 0.0
+        self._endpoint_deaths: Counter[int] = Counter()
+        self._possible_starts = 0
+        self._max_service_ms = 0.0
 
     @property
-    def longest_ms(self) -> float:
+    def max_service_ms(self) -> float:
         """The longest service time of a task so far, milliseconds."""
-        return self._longest_ms
+        return self._max_service_ms
 
     async def execute(self) -> Result[list[msgspec.Raw], Problem]:
         """Run every task and return all answers, or the one problem that ended the job."""
@@ -115,28 +115,28 @@
             # It may have been confirmed a moment ago and not be in force here yet.
             return Error(not_run("unknown-service", detail, _RETRY_AFTER_MS, status=404))
         waiter = self._context.slots.open_waiter(
-            self._request.service, self._request.customer, self._deadline_ms, self._left
+            self._request.service, self._request.customer, self._deadline_ms, self._unfinished
         )
         try:
-            self._context.slots.request(waiter, self._left)
-            problem = await self._serve(waiter)
+            self._context.slots.request(waiter, self._unfinished)
+            problem = await self._run_tasks(waiter)
         finally:
             self._context.slots.close(waiter)
         if problem is None:
             return Ok([answer for answer in self._answers if answer is not None])
         self._stop_attempts()
-        return Error(self._truthful(problem))
+        return Error(self._for_whole_job(problem))
 
-    async def _serve(self, waiter: SlotWaiter) -> Problem | None:
+    async def _run_tasks(self, waiter: SlotWaiter) -> Problem | None:
         """Match slots and tasks until all are answered or the job has failed."""
         self._events = waiter.arrivals
-        while self._left:
+        while self._unfinished:
             event = await self._next_event()
             problem: Problem | None = _DEADLINE
             if isinstance(event, AttemptEnd):
-                problem = await self._take_end(event, waiter)
+                problem = await self._handle_end(event, waiter)
             elif event is not None:
-                problem = self._take_arrival(event, waiter)
+                problem = self._handle_arrival(event, waiter)
             if problem is not None:
                 return problem
         return None
@@ -152,30 +152,30 @@
             # The deadline: the caller of this gives the job up.
             return None
 
-    def _return_unused(self, arrived: Slot | SlotRefusal) -> None:
-        if isinstance(arrived, Slot):
-            self._context.slots.give_back(arrived, 0.0, SlotUse.UNUSED)
+    def _return_unused(self, arrival: Slot | SlotRefusal) -> None:
+        if isinstance(arrival, Slot):
+            self._context.slots.give_back(arrival, 0.0, SlotUse.UNUSED)
 
-    def _take_arrival(self, arrived: Slot | SlotRefusal, waiter: SlotWaiter) -> Problem | None:
-        if isinstance(arrived, SlotRefusal):
-            detail = f"no slot for {len(self._waiting)} tasks in time"
-            self._context.metrics.count(f"refusals.{arrived.reason}")
-            return not_run(arrived.reason, detail, arrived.retry_after_ms)
-        if not self._waiting:
-            self._return_unused(arrived)
+    def _handle_arrival(self, arrival: Slot | SlotRefusal, waiter: SlotWaiter) -> Problem | None:
+        if isinstance(arrival, SlotRefusal):
+            detail = f"no slot for {len(self._pending)} tasks in time"
+            self._context.metrics.count(f"refusals.{arrival.reason}")
+            return not_run(arrival.reason, detail, arrival.retry_after_ms)
+        if not self._pending:
+            self._return_unused(arrival)
             return None
-        url = self._url_of(arrived)
+        url = self._usable_url(arrival)
         if not url:
-            self._return_unused(arrived)
+            self._return_unused(arrival)
             self._context.slots.request(waiter, 1)
             return None
-        index = self._waiting.popleft()
-        task = asyncio.create_task(self._attempt(index, arrived, url))
+        index = self._pending.popleft()
+        task = asyncio.create_task(self._attempt(index, arrival, url))
         self._attempts[task] = (index, url)
-        task.add_done_callback(lambda ended: self._end_attempt(ended, index, arrived))
+        task.add_done_callback(lambda ended: self._on_attempt_done(ended, index, arrival))
         return None
 
-    def _url_of(self, slot: Slot) -> str:
+    def _usable_url(self, slot: Slot) -> str:
         """Return where to start a task on *slot* now, or '' if it must not be used."""
         endpoint = self._context.config().endpoints.get(slot.endpoint)
         if endpoint is None or endpoint["state"] != ACTIVE:
@@ -188,9 +188,9 @@
         """Make one attempt at task *index*."""
         context = self._context
         now_ms = monotonic_ms()
-        left_ms = self._deadline_ms - now_ms
+        remaining_ms = self._deadline_ms - now_ms
         # Looked at again right here: a process that was frozen must start nothing late.
-        if left_ms <= 0 or now_ms >= slot.expires_ms:
+        if remaining_ms <= 0 or now_ms >= slot.expires_ms:
             return Error(not_run(_SLOT_EXPIRED))
         attempt = f"{context.attempt_prefix}-{next(context.attempt_numbers)}"
         call = TaskCall(
@@ -198,7 +198,7 @@
             lease=slot.lease_id,
             service=self._request.service,
             member=self._request.customer,
-            deadline_ms=int(left_ms),
+            deadline_ms=int(remaining_ms),
             payload=self._request.payloads[index],
         )
         PLACE_LOG.info(
@@ -209,12 +209,12 @@
             attempt,
             slot.lease_id,
         )
-        self._maybe_ran += 1
+        self._possible_starts += 1
         context.budget.note_start()
         context.metrics.count("tasks.started")
-        return await context.adapter.start_task(url, self._submission, index, call, left_ms)
+        return await context.adapter.start_task(url, self._submission, index, call, remaining_ms)
 
-    def _end_attempt(
+    def _on_attempt_done(
         self, task: asyncio.Task[Result[TaskAnswer, Problem]], index: int, slot: Slot
     ) -> None:
         """Give the slot back and pass on the end, also of an attempt that was cancelled."""
@@ -223,36 +223,36 @@
             self._context.slots.give_back(slot, 0.0, SlotUse.UNUSED)
             return
         result = task.result()
-        use, service_ms = _use_of(result)
+        use, service_ms = _slot_use(result)
         self._context.slots.give_back(slot, service_ms, use)
         self._events.put_nowait(AttemptEnd(index, result))
 
-    async def _take_end(self, end: AttemptEnd, waiter: SlotWaiter) -> Problem | None:
+    async def _handle_end(self, end: AttemptEnd, waiter: SlotWaiter) -> Problem | None:
         if end.result.is_ok():
             answer = end.result.ok
             self._answers[end.task_index] = answer.answer
-            self._left -= 1
-            self._longest_ms = max(self._longest_ms, answer.service_ms)
+            self._unfinished -= 1
+            self._max_service_ms = max(self._max_service_ms, answer.service_ms)
             return None
         problem = end.result.error
         if problem.run is Run.NOT_RUN and problem.reason != _SLOT_EXPIRED:
-            self._maybe_ran -= 1
+            self._possible_starts -= 1
         assert self._service is not None
         self._context.metrics.count(f"attempts.{problem.reason}")
         if problem.reason == _ATTEMPT_TIMEOUT:
             # An attempt gets all the time that the job has left. On a busy box its timer may fire
             # before the job's own, and the caller was answered 502 in place of 504.
             return _DEADLINE
-        self._deaths[end.task_index] += is_endpoint_death(problem)
-        deaths = self._deaths[end.task_index]
+        self._endpoint_deaths[end.task_index] += is_endpoint_death(problem)
+        deaths = self._endpoint_deaths[end.task_index]
         if not may_retry(problem, self._service, self._request.repeatable, deaths):
             return problem
         if not self._context.budget.spend():
             return problem._replace(detail=f"{problem.detail}; the retry budget is used up")
         PLACE_LOG.info("Task {}/{} again: {}.", self._submission, end.task_index, problem.reason)
         self._context.metrics.count("tasks.retried")
-        await asyncio.sleep(_RETRY_PAUSE_S)
-        self._waiting.appendleft(end.task_index)
+        await asyncio.sleep(_RETRY_DELAY_S)
+        self._pending.appendleft(end.task_index)
         self._context.slots.request(waiter, 1)
         return None
 
@@ -266,19 +266,19 @@
             attempt.cancel()
         for stop in stops:
             task = asyncio.create_task(stop)
-            _STOPS.add(task)
-            task.add_done_callback(_STOPS.discard)
+            _STOP_TASKS.add(task)
+            task.add_done_callback(_STOP_TASKS.discard)
 
-    def _truthful(self, problem: Problem) -> Problem:
+    def _for_whole_job(self, problem: Problem) -> Problem:
         """Return *problem* with ``run`` true for the whole job."""
-        return problem._replace(run=Run.MAY_HAVE_RUN if self._maybe_ran else Run.NOT_RUN)
+        return problem._replace(run=Run.MAY_HAVE_RUN if self._possible_starts else Run.NOT_RUN)
 
 
-def _use_of(result: Result[TaskAnswer, Problem]) -> tuple[SlotUse, float]:
+def _slot_use(result: Result[TaskAnswer, Problem]) -> tuple[SlotUse, float]:
     """Return what an attempt's end says about its slot, and the service time."""
     if result.is_ok():
         return SlotUse.DONE, result.ok.service_ms
-    if result.error.reason in _NO_FAULT_OF_ENDPOINT:
+    if result.error.reason in _NON_ENDPOINT_FAULTS:
         return SlotUse.UNUSED, 0.0
     if result.error.run is Run.NOT_RUN:
         return SlotUse.NOT_RUN, 0.0
--- a/src/foldloom/static_peers/entry_role.py
+++ b/src/foldloom/static_peers/entry_role.py
@@ -45,13 +45,13 @@
 
 # Milliseconds for which the manager of a shard is not determined again, because it is asked for
 # with each lease, and changes with membership (1,000 ms of silence).
-_MANAGERS_KEPT_MS = 50.0
+_MANAGER_CACHE_MS = 50.0
 # Seconds between two checks for answers to forget: small against their retention.
-_EXPIRE_S = 5.0
+_EXPIRY_INTERVAL_S = 5.0
 # Heartbeats that say that this box stops, in case some are lost, and seconds between them.
-_LAST_HEARTBEATS = 4
+_FINAL_HEARTBEATS = 4
 # Seconds between two of these heartbeats.
-_LAST_HEARTBEATS_STEP_S = 0.05
+_FINAL_HEARTBEAT_INTERVAL_S = 0.05
 
 
 class SharedParts(NamedTuple):
@@ -92,8 +92,8 @@
         self._parts = parts
         self._settings = parts.settings
         self._successor = ""
-        self._inputs_before: Any = None
-        self._managers = Managers(self._serving_zones, _MANAGERS_KEPT_MS)
+        self._last_inputs: Any = None
+        self._managers = Managers(self._serving_zones, _MANAGER_CACHE_MS)
         self._leases: LeaseManager | None = None
         self._claims = self._build_claims()
         limits = self._settings.limits
@@ -142,7 +142,7 @@
         """The box that got the kept answers in a planned stop, or an empty string."""
         return self._successor
 
-    def follow_inputs(self) -> None:
+    def propagate_inputs(self) -> None:
         """Pass changes of configuration, membership and the platform's list on."""
         if self._leases is None:
             return
@@ -150,26 +150,26 @@
         zones = self._reachable_zones()
         live = [box for box in self._settings.entry_names if self._parts.membership.is_serving(box)]
         inputs = (config.version, leaving, zones, live)
-        if inputs == self._inputs_before:
+        if inputs == self._last_inputs:
             return
         # This is called once for each change: a kept answer must not hide it.
         self._managers.look_again()
         self._leases.follow(config, leaving, zones)
-        self._inputs_before = inputs
+        self._last_inputs = inputs
 
     async def drain(self) -> None:
         """Finish the jobs in flight and pass kept answers on, within the set bound."""
         try:
             async with TimeLimit(self._settings.timings.stop_timeout_ms):
                 await self._coordinator.finish_all()
-                await self._pass_answers_on()
+                await self._hand_over_answers()
         except TimeoutError:
             ENTRY_LOG.warning("The planned stop took too long: jobs in flight are cut.")
-        for _ in range(_LAST_HEARTBEATS):
+        for _ in range(_FINAL_HEARTBEATS):
             self._parts.membership.send_heartbeat()
-            await asyncio.sleep(_LAST_HEARTBEATS_STEP_S)
+            await asyncio.sleep(_FINAL_HEARTBEAT_INTERVAL_S)
 
-    async def _pass_answers_on(self) -> None:
+    async def _hand_over_answers(self) -> None:
         """Send kept answers to another entry box, in the own availability zone if there is one."""
         successors = [
             box
@@ -228,7 +228,7 @@
             parts.network,
             parts.metrics,
             policy,
-            BoxQueries(self._manager_of, self._proves_life, parts.membership.is_live),
+            BoxQueries(self._manager_of, self._is_responsive, parts.membership.is_live),
         )
         parts.tasks.spawn(self._leases.run())
         slots = LeasedSlots(
@@ -273,13 +273,13 @@
         names = endpoints_of(self._parts.holder.config, service)
         return [name for name in names if name not in leaving]
 
-    async def _proves_life(self, endpoint: str) -> bool:
-        known = self._parts.holder.config.endpoints.get(endpoint)
-        if known is None:
+    async def _is_responsive(self, endpoint: str) -> bool:
+        configured = self._parts.holder.config.endpoints.get(endpoint)
+        if configured is None:
             return False
-        return await self._parts.adapter.usage(known["endpoint"]) is not None
+        return await self._parts.adapter.usage(configured["endpoint"]) is not None
 
     async def _expire_jobs(self) -> None:
         while True:
-            await asyncio.sleep(_EXPIRE_S)
+            await asyncio.sleep(_EXPIRY_INTERVAL_S)
             self._jobs.expire()
--- a/src/foldloom/static_peers/membership.py
+++ b/src/foldloom/static_peers/membership.py
@@ -18,7 +18,7 @@
 
 # Lives whose answers went to another box that are known: above the 93 restarts a day to design for,
 # over the retention.
-_SUCCESSORS_KEPT = 1_000
+_SUCCESSORS_MAX = 1_000
 
 
 class ShardLoad(NamedTuple):
@@ -97,15 +97,15 @@
     Args:
         settings: This box's settings.
         network: The peers.
-        describe: Returns this box's next heartbeat.
+        next_heartbeat: Returns this box's next heartbeat.
     """
 
     def __init__(
-        self, settings: Settings, network: PeerNetwork, describe: Callable[[], Heartbeat]
+        self, settings: Settings, network: PeerNetwork, next_heartbeat: Callable[[], Heartbeat]
     ) -> None:
         self._settings = settings
         self._network = network
-        self._describe = describe
+        self._next_heartbeat = next_heartbeat
         self._states: dict[str, PeerState] = {}
         self._successors: dict[tuple[str, int], str] = {}
         network.on(Heartbeat, self._on_heartbeat)
@@ -130,7 +130,7 @@
         if not self.is_live(box):
             return False
         if box == self._settings.box:
-            return not self._describe().is_stopping
+            return not self._next_heartbeat().is_stopping
         return not self._states[box].heartbeat.is_stopping
 
     def successor_of(self, box: str, incarnation: int) -> str:
@@ -139,36 +139,36 @@
 
     async def run(self) -> None:
         """Send heartbeats until cancelled."""
-        interval = self._settings.timings.heartbeat_ms / 1_000
+        interval_s = self._settings.timings.heartbeat_ms / 1_000
         while True:
             self.send_heartbeat()
-            await asyncio.sleep(interval)
+            await asyncio.sleep(interval_s)
 
     def send_heartbeat(self) -> None:
         """Send one heartbeat to every peer now."""
-        heartbeat = self._describe()
-        ttl = self._settings.timings.peer_silent_ms
+        heartbeat = self._next_heartbeat()
+        ttl_ms = self._settings.timings.peer_silent_ms
         for box in self._network.peer_names:
-            self._network.send(box, heartbeat, ttl)
+            self._network.send(box, heartbeat, ttl_ms)
 
     def _on_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
         incarnation = self._network.known_incarnation(sender)
-        before = self._states.get(sender)
-        if self._successors and (before is None or before.incarnation < incarnation):
-            known = [
-                Successor(box, life, successor)
-                for (box, life), successor in self._successors.items()
+        previous = self._states.get(sender)
+        if self._successors and (previous is None or previous.incarnation < incarnation):
+            successors = [
+                Successor(box, stopped_incarnation, successor)
+                for (box, stopped_incarnation), successor in self._successors.items()
             ]
-            self._network.send(sender, KnownSuccessors(known))
+            self._network.send(sender, KnownSuccessors(successors))
         self._states[sender] = PeerState(monotonic_ms(), incarnation, heartbeat)
         if heartbeat.successor:
-            self._note_successor(Successor(sender, incarnation, heartbeat.successor))
+            self._record_successor(Successor(sender, incarnation, heartbeat.successor))
 
     def _on_successors(self, _sender: str, message: KnownSuccessors) -> None:
         for successor in message.successors:
-            self._note_successor(successor)
+            self._record_successor(successor)
 
-    def _note_successor(self, successor: Successor) -> None:
+    def _record_successor(self, successor: Successor) -> None:
         self._successors[successor.box, successor.incarnation] = successor.successor
-        while len(self._successors) > _SUCCESSORS_KEPT:
+        while len(self._successors) > _SUCCESSORS_MAX:
             del self._successors[next(iter(self._successors))]
--- a/tests/own_entry_refusals.py
+++ b/tests/own_entry_refusals.py
@@ -29,15 +29,15 @@
 from foldloom.verdicts import Run, not_run
 
 _DIGEST = "ab" * 16
-_LIFE = 7
-_WAITS_MS = 300.0
+_INCARNATION = 7
+_FOLLOW_TIMEOUT_MS = 300.0
 _SETTLE_S = 0.02
 _REFUSAL = problem_response("s", "a", not_run("too-late"))
 _COMPLETE = complete_response("s", "b", [{"echo": 1}])
 _REPLICAS = ReplicaSets(0, (("a1", "b1", "c1"),))
 
 
-class _Boxes:
+class _LocalNetworks:
     """Boxes in one process, which reach each other at once."""
 
     def __init__(self) -> None:
@@ -49,23 +49,23 @@
 
 
 class _Network:
-    incarnation = _LIFE
+    incarnation = _INCARNATION
 
-    def __init__(self, boxes: _Boxes, own: str) -> None:
-        self._boxes = boxes
+    def __init__(self, networks: _LocalNetworks, own: str) -> None:
+        self._networks = networks
         self._own = own
 
     def on(self, message_type: type, handler: Callable[[str, Any], Any]) -> None:
         """Take a handler."""
-        self._boxes.handlers[self._own, message_type] = handler
+        self._networks.handlers[self._own, message_type] = handler
 
     def known_incarnation(self, _box: str) -> int:
         """Return the one life of each."""
-        return _LIFE
+        return _INCARNATION
 
     async def request(self, box: str, message: object, _timeout_ms: float) -> Any:
         """Let *box* answer."""
-        reply = self._boxes.handlers[box, type(message)](self._own, message)
+        reply = self._networks.handlers[box, type(message)](self._own, message)
         return await reply if asyncio.iscoroutine(reply) else reply
 
 
@@ -91,9 +91,9 @@
 class _Box:
     """What a box knows of jobs, without a way to endpoints."""
 
-    def __init__(self, boxes: _Boxes, name: str) -> None:
+    def __init__(self, networks: _LocalNetworks, name: str) -> None:
         self.jobs = JobTable(60_000, 100, 100_000, Metrics())
-        self.network = boxes.network_of(name)
+        self.network = networks.network_of(name)
         membership: Any = _Membership()
         settings = _settings(name)
         self.follower = JobFollower(settings, self.network, membership, self.jobs)
@@ -106,11 +106,11 @@
         self.jobs.run(job)
         return job
 
-    def end(self, job: Job, state: JobState, response: Response) -> None:
+    def finish_job(self, job: Job, state: JobState, response: Response) -> None:
         """End a job."""
         self.jobs.finish(job, state, response)
 
-    def hold(self, *holders: Claim) -> None:
+    def hold_claims(self, *holders: Claim) -> None:
         """Hold claims, as a claim replica that can vote."""
         self.network.on(Lookup, lambda _sender, _message: LookupReply(True, list(holders)))
 
@@ -122,19 +122,19 @@
 
 
 def _claim(box: str) -> Claim:
-    return Claim(_DIGEST, box, _LIFE, 1)
+    return Claim(_DIGEST, box, _INCARNATION, 1)
 
 
 async def _follow(box: _Box, holder: str) -> Followed:
-    deadline_ms = monotonic_ms() + _WAITS_MS
+    deadline_ms = monotonic_ms() + _FOLLOW_TIMEOUT_MS
     return await box.follower.follow("s", _DIGEST, _claim(holder), deadline_ms)
 
 
-def _three() -> tuple[_Box, _Box, _Box]:
-    boxes = _Boxes()
-    a1, b1, c1 = (_Box(boxes, name) for name in ("a1", "b1", "c1"))
+def _three_boxes() -> tuple[_Box, _Box, _Box]:
+    networks = _LocalNetworks()
+    a1, b1, c1 = (_Box(networks, name) for name in ("a1", "b1", "c1"))
     for box in (a1, b1, c1):
-        box.hold()
+        box.hold_claims()
     return a1, b1, c1
 
 
@@ -144,25 +144,25 @@
     def test_a_refusal_from_before_the_question(self) -> None:
         """Another box may have run the job since: the claim met is one that was withdrawn."""
 
-        async def play() -> None:
-            a1, _, c1 = _three()
-            a1.end(a1.run(), JobState.WITHDRAWN, _REFUSAL)
-            assert (await _follow(c1, "a1")).how is FollowEnd.RELEASED
+        async def scenario() -> None:
+            a1, _, c1 = _three_boxes()
+            a1.finish_job(a1.run(), JobState.WITHDRAWN, _REFUSAL)
+            assert (await _follow(c1, "a1")).end is FollowEnd.RELEASED
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
     def test_a_refusal_while_it_is_followed(self) -> None:
         """Another caller may come to the following box before the word does, and after a start."""
 
-        async def play() -> None:
-            a1, _, c1 = _three()
+        async def scenario() -> None:
+            a1, _, c1 = _three_boxes()
             job = a1.run()
             following = asyncio.create_task(_follow(c1, "a1"))
             await asyncio.sleep(_SETTLE_S)
-            a1.end(job, JobState.WITHDRAWN, _REFUSAL)
-            assert (await following).how is FollowEnd.RELEASED
+            a1.finish_job(job, JobState.WITHDRAWN, _REFUSAL)
+            assert (await following).end is FollowEnd.RELEASED
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
 
 class TestLookingUp:
@@ -172,27 +172,27 @@
     def test_a_job_that_was_refused_and_then_ran(self, asked: str) -> None:
         """The answer is known, also where the job was refused, and while a late claim is met."""
 
-        async def play() -> None:
-            a1, b1, c1 = _three()
-            a1.end(a1.run(), JobState.WITHDRAWN, _REFUSAL)
-            b1.end(b1.run(), JobState.DONE, _COMPLETE)
-            a1.hold(_claim("a1"))
-            b1.hold(_claim("b1"))
-            c1.hold(_claim("b1"))
+        async def scenario() -> None:
+            a1, b1, c1 = _three_boxes()
+            a1.finish_job(a1.run(), JobState.WITHDRAWN, _REFUSAL)
+            b1.finish_job(b1.run(), JobState.DONE, _COMPLETE)
+            a1.hold_claims(_claim("a1"))
+            b1.hold_claims(_claim("b1"))
+            c1.hold_claims(_claim("b1"))
             box = {"a1": a1, "c1": c1}[asked]
             assert await box.lookup.peek("s") == _COMPLETE
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
     def test_a_job_that_was_refused(self) -> None:
         """Where it was refused the reason is told, as long as no claim is held anywhere."""
 
-        async def play() -> None:
-            a1, _, _ = _three()
-            a1.end(a1.run(), JobState.WITHDRAWN, _REFUSAL)
+        async def scenario() -> None:
+            a1, _, _ = _three_boxes()
+            a1.finish_job(a1.run(), JobState.WITHDRAWN, _REFUSAL)
             assert await a1.lookup.peek("s") == _REFUSAL
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
 
 class _Request:
@@ -213,7 +213,7 @@
     def test_says_that_it_may_have_run(self, has_entry: bool) -> None:
         """The body comes too late, or the box takes no jobs."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             http = HttpSettings(host="127.0.0.1", port=1, body_timeout_ms=1)
             settings = msgspec.structs.replace(_settings("a1"), http=http)
             coordinator: Any = object() if has_entry else None
@@ -228,4 +228,4 @@
                 assert isinstance(answer.body, bytes)
                 assert msgspec.json.decode(answer.body)["run"] == Run.MAY_HAVE_RUN
 
-        asyncio.run(play())
+        asyncio.run(scenario())
--- a/tests/test_entry_operators.py
+++ b/tests/test_entry_operators.py
@@ -23,7 +23,7 @@
 from foldloom.static_peers.entry.operators import OperatorRoutes
 
 _TOKEN = "token"
-_HEARD_AFTER_S = 0.05
+_COMMIT_DELAY_S = 0.05
 _CONFIRM = {"command": "one", "base_version": 0, "intents": []}
 
 
@@ -37,19 +37,19 @@
 class _Leader:
     """A leader that commits at once; this box hears of it a little later, or never."""
 
-    def __init__(self, holder: ConfigHolder, heard_after_s: float | None) -> None:
+    def __init__(self, holder: ConfigHolder, commit_delay_s: float | None) -> None:
         self._holder = holder
-        self._heard_after_s = heard_after_s
+        self._commit_delay_s = commit_delay_s
 
     async def propose(self, _command: Any, _timeout_ms: int) -> Any:
         """Commit version 1."""
-        if self._heard_after_s is not None:
+        if self._commit_delay_s is not None:
             newer = self._holder.config._replace(version=1)
-            asyncio.get_running_loop().call_later(self._heard_after_s, self._holder.adopt, newer)
+            asyncio.get_running_loop().call_later(self._commit_delay_s, self._holder.adopt, newer)
         return Ok(Answer(200, 1))
 
 
-async def _confirm_and_look(folder: Path, heard_after_s: float | None) -> tuple[int, int]:
+async def _confirm_and_get_status(folder: Path, commit_delay_s: float | None) -> tuple[int, int]:
     """Confirm, then ask for the status; return the versions that they show."""
     (folder / "tokens").write_text(_TOKEN)
     settings = settings_from(
@@ -65,15 +65,15 @@
     )
     network: Any = _Network()
     holder = ConfigHolder(network, empty_config({"a1": "a"}, {"a1": "?"}))
-    leader: Any = _Leader(holder, heard_after_s)
+    leader: Any = _Leader(holder, commit_delay_s)
     routes = OperatorRoutes(settings, leader, holder, lambda: {"version": holder.config.version})
     app = web.Application()
     routes.add_to(app)
     headers = {"Authorization": f"Bearer {_TOKEN}"}
     async with TestClient(TestServer(app)) as client:
         confirmed = await client.post("/v1/plans/d/confirm", json=_CONFIRM, headers=headers)
-        shown = await client.get("/v1/status", headers=headers)
-        return (await confirmed.json())["version"], (await shown.json())["version"]
+        status = await client.get("/v1/status", headers=headers)
+        return (await confirmed.json())["version"], (await status.json())["version"]
 
 
 class TestConfirm:
@@ -81,8 +81,8 @@
 
     def test_its_operator_finds_it_here(self, tmp_path: Path) -> None:
         """What was confirmed through a box is in force there once it answers."""
-        assert asyncio.run(_confirm_and_look(tmp_path, _HEARD_AFTER_S)) == (1, 1)
+        assert asyncio.run(_confirm_and_get_status(tmp_path, _COMMIT_DELAY_S)) == (1, 1)
 
     def test_answered_though_this_box_hears_nothing(self, tmp_path: Path) -> None:
         """A commit is answered also by a box that is cut off from the leader since."""
-        assert asyncio.run(_confirm_and_look(tmp_path, None)) == (1, 0)
+        assert asyncio.run(_confirm_and_get_status(tmp_path, None)) == (1, 0)
--- a/tests/test_entry_run.py
+++ b/tests/test_entry_run.py
@@ -20,10 +20,10 @@
 from foldloom.static_peers.placement.slots import Slot, SlotWaiter
 from foldloom.verdicts import Run, may_have_run
 
-_TIME_MS = 50.0
+_TIMEOUT_MS = 50.0
 
 
-class _Slots:
+class _ImmediateSlots:
     """A source that grants each slot at once."""
 
     def open_waiter(
@@ -46,21 +46,21 @@
         """Do nothing."""
 
 
-class _Adapter:
+class _TimeoutAdapter:
     """An endpoint whose attempts use up the job's time, a moment before the job notices."""
 
     async def start_task(
-        self, _url: str, _job: str, _index: int, _call: Any, left_ms: float
+        self, _url: str, _job: str, _index: int, _call: Any, remaining_ms: float
     ) -> Any:
         """Return that there was no whole answer in time."""
-        await asyncio.sleep((left_ms - 5) / 1_000)
+        await asyncio.sleep((remaining_ms - 5) / 1_000)
         return Error(may_have_run("worker-timeout", "no whole answer by the deadline"))
 
     async def stop_task(self, _url: str, _job: str, _index: int) -> None:
         """Do nothing."""
 
 
-class _DyingEndpoint(_Adapter):
+class _LostEndpointAdapter(_TimeoutAdapter):
     """Endpoints that die under whatever they are given."""
 
     def __init__(self) -> None:
@@ -74,10 +74,12 @@
         return Error(may_have_run("worker-lost", "ServerDisconnectedError"))
 
 
-def _execute(adapter: Any, time_ms: float, restart: str = "never", repeatable: bool = False) -> Any:
+def _execute(
+    adapter: Any, timeout_ms: float, restart: str = "never", repeatable: bool = False
+) -> Any:
     """Return how a job of one task ends on an endpoint that is called by *adapter*."""
 
-    async def play() -> Any:
+    async def run_job() -> Any:
         service = {"workers": ["*"], "concurrency_max": 0, "restart": restart}
         endpoints = {"w1": {"endpoint": "http://w1", "state": "active"}}
         config: Any = SimpleNamespace(services={"svc": service}, endpoints=endpoints)
@@ -85,16 +87,16 @@
             attempt_prefix="b1-1",
             attempt_numbers=itertools.count(1),
             adapter=adapter,
-            slots=_Slots(),
+            slots=_ImmediateSlots(),
             budget=RetryBudget(0.1),
             metrics=Metrics(),
             config=lambda: config,
             leaving=frozenset,
         )
-        request = JobRequest("svc", "c", repeatable, int(time_ms), [msgspec.Raw(b"1")], "")
-        return await JobRun(context, "job", request, monotonic_ms() + time_ms).execute()
+        request = JobRequest("svc", "c", repeatable, int(timeout_ms), [msgspec.Raw(b"1")], "")
+        return await JobRun(context, "job", request, monotonic_ms() + timeout_ms).execute()
 
-    return asyncio.run(play())
+    return asyncio.run(run_job())
 
 
 class TestDeadline:
@@ -102,7 +104,7 @@
 
     def test_an_attempt_notices_it_first(self) -> None:
         """The job has missed its deadline: 504, whichever timer fires first on a busy box."""
-        result = _execute(_Adapter(), _TIME_MS)
+        result = _execute(_TimeoutAdapter(), _TIMEOUT_MS)
         assert result.is_error()
         problem = result.error
         assert (problem.status, problem.run, problem.reason) == (504, Run.MAY_HAVE_RUN, "deadline")
@@ -113,7 +115,7 @@
 
     def test_it_is_given_up(self) -> None:
         """Its job fails after two endpoints, long before its deadline and its retry budget."""
-        adapter = _DyingEndpoint()
+        adapter = _LostEndpointAdapter()
         result = _execute(adapter, 60_000.0, "after-worker-death", repeatable=True)
         assert result.error.reason == "worker-lost"
         assert adapter.starts == 2
