--- a/src/foldloom/static_peers/__init__.py
+++ b/src/foldloom/static_peers/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""Boxes whose settings list all their peers: claims, slot leases, the own interface."""
+"""Boxes with all peers listed in the settings: claims, slot leases and the HTTP interface."""
--- a/src/foldloom/static_peers/box.py
+++ b/src/foldloom/static_peers/box.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""One box of the own interface: its parts are made, started, and stopped as planned.
+"""A box with static peers: builds, starts and stops its components.
 
-Owns the parts and their tasks; those of the entry role are in
-:mod:`foldloom.static_peers.entry_role`. Boxes with seed discovery are in
-:mod:`foldloom.seed_discovery`.
+Components of the entry role are in :mod:`foldloom.static_peers.entry_role`. Boxes with seed
+discovery are in :mod:`foldloom.seed_discovery`.
 """
 
 from __future__ import annotations
@@ -32,15 +31,14 @@
 from foldloom.static_peers.membership import Heartbeat, Membership
 from foldloom.tasks import TaskSet
 
-# Seconds between two checks of configuration, membership and the platform's list: below a heartbeat
-# (250 ms).
+# Poll interval of configuration, membership and the platform's list: below a heartbeat (250 ms).
 _INPUT_POLL_S = 0.1
-# Milliseconds to show that a version is the newest: above two elections.
+# Timeout of the read barrier: above two elections.
 _BARRIER_TIMEOUT_MS = 1_500
 
 
 class Box:
-    """Everything that runs on one box.
+    """All components of one box.
 
     Args:
         settings: This box's settings.
@@ -81,7 +79,7 @@
         )
 
     def status(self) -> dict[str, Any]:
-        """Return this box's view of the whole system."""
+        """Return the system status as seen by this box."""
         config = self._holder.config
         states = self._membership.states
         boxes: dict[str, Any] = {self._settings.box: self._own_status()}
@@ -114,7 +112,7 @@
         }
 
     async def start(self) -> None:
-        """Start every part."""
+        """Start all components."""
         await self._network.start()
         await self._adapter.start()
         await self._http.start()
@@ -132,9 +130,9 @@
         ENTRY_LOG.info("Box {} is up, life {}.", self._settings.box, self._network.incarnation)
 
     async def stop(self) -> None:
-        """Stop as planned: no job in flight is cut, kept answers go to a peer."""
+        """Perform a planned stop: finish jobs in flight and hand over retained responses."""
         self._is_stopping = True
-        ENTRY_LOG.info("A planned stop begins.")
+        ENTRY_LOG.info("Planned stop started.")
         self._membership.send_heartbeat()
         if self._entry is not None:
             await self._entry.drain()
@@ -145,7 +143,7 @@
         await self._network.stop()
         if self._controller is not None:
             await self._controller.stop()
-        ENTRY_LOG.info("The planned stop is done.")
+        ENTRY_LOG.info("Planned stop completed.")
 
     def _build_entry_role(self) -> EntryRole:
         parts = SharedParts(
@@ -187,7 +185,7 @@
         return not self._is_stopping and bool(self._holder.config.version)
 
     async def _propagate_inputs(self) -> None:
-        """Pass changes of configuration, membership and the platform's list on."""
+        """Poll for changes of configuration, membership and the platform's list."""
         while True:
             for box, state in self._membership.states.items():
                 self._holder.note_version(box, state.heartbeat.config_version)
@@ -196,7 +194,7 @@
             await asyncio.sleep(_INPUT_POLL_S)
 
     async def _confirm_current(self) -> None:
-        """Find out whether the version in force here is the newest confirmed one."""
+        """Wait until the version in force here is the newest confirmed version."""
         started_ms = monotonic_ms()
         while True:
             version = await self._client.newest_version(_BARRIER_TIMEOUT_MS)
@@ -205,14 +203,14 @@
             await asyncio.sleep(_INPUT_POLL_S)
         self._is_confirmed_current = True
         CONFIG_LOG.info(
-            "Version {} is current, known after {:.0f} ms.",
+            "Version {} confirmed as current after {:.0f} ms.",
             self._holder.config.version,
             monotonic_ms() - started_ms,
         )
 
 
 def _initial_config(settings: Settings) -> Config:
-    """Return version 0 as every box works it out from its settings."""
+    """Return version 0 of the configuration, derived from the settings."""
     zones = {peer.box: peer.zone for peer in settings.peers if ENTRY in peer.roles}
     controllers = dict.fromkeys(settings.controller_names, ANY_STORAGE)
     return empty_config(zones, controllers)
--- a/src/foldloom/static_peers/box_list.py
+++ b/src/foldloom/static_peers/box_list.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The leader ends a joint box list once every old box knows of it and a window has passed.
+"""The leader settles a joint box list after all old boxes have acknowledged it.
 
-Owns when the present joint list was first seen by this leader. Relies on heartbeats for what the
-other boxes know; counted anew by each leader.
+The list settles one retention time after the acknowledgments, which arrive in heartbeats. Each
+leader restarts the wait.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from foldloom.settings import Settings
 from foldloom.static_peers.membership import Membership
 
-# Seconds between two checks whether a joint box list can settle: one heartbeat (250 ms).
+# One heartbeat interval.
 _CHECK_INTERVAL_S = 0.25
 
 
 class BoxListSettler:
-    """Watch a joint box list while this controller leads.
+    """Settle joint box lists while this controller is the leader.
 
     Args:
         settings: This box's settings.
-        controller: The controller.
-        membership: What the boxes' heartbeats say.
+        controller: This box's controller.
+        membership: The latest heartbeats of the boxes.
     """
 
     def __init__(self, settings: Settings, controller: Controller, membership: Membership) -> None:
@@ -38,7 +38,7 @@
         self._acknowledged_since: tuple[int, float] | None = None
 
     async def run(self) -> None:
-        """End joint lists until cancelled."""
+        """Settle joint box lists until cancelled."""
         while True:
             await asyncio.sleep(_CHECK_INTERVAL_S)
             boxes = self._controller.state.config.boxes
@@ -49,15 +49,15 @@
                 continue
             try:
                 await propose(self._controller, encode_command(BoxesSettledCommand(boxes["epoch"])))
-                CONTROLLER_LOG.info("The box list of epoch {} is settled.", boxes["epoch"])
+                CONTROLLER_LOG.info("The box list of epoch {} has settled.", boxes["epoch"])
             except (NotLeaderError, PeerUnreachableError):
-                # Looked at again: another controller may lead, or the command may be in its log.
+                # Retried: leadership may have changed, or the command may already be logged.
                 continue
 
     def _can_settle(self, epoch: int) -> bool:
-        """Return whether all old boxes have known *epoch* for a whole retention time.
+        """Return whether all old boxes acknowledged *epoch* at least one retention time ago.
 
-        Counted anew by each leader: too late is safe, too early is not.
+        A new leader restarts the wait: settling late is safe, settling early is not.
         """
         boxes = self._controller.state.config.boxes
         others = set(boxes["current"]) - set(boxes["dead"]) - {self._settings.box}
--- a/src/foldloom/static_peers/endpoints/__init__.py
+++ b/src/foldloom/static_peers/endpoints/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""Calls to endpoints, and the platform's list of those that leave."""
+"""Calls to endpoints, and the platform's list of leaving endpoints."""
--- a/src/foldloom/static_peers/endpoints/adapter.py
+++ b/src/foldloom/static_peers/endpoints/adapter.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: MIT
-"""The narrow adapter to endpoints: start a task, stop one, read the usage, over HTTP.
+"""HTTP client for endpoints: start a task, stop a task, read the usage.
 
-Owns the connections to endpoints. Relies on aiohttp; what became of an attempt is said by a
+Owns the connections to endpoints. A failed attempt is returned as a
 :class:`~foldloom.verdicts.Problem`.
 
-Every attempt is sent exactly once. aiohttp sends a POST again for no reason of its own; a
-keep-alive connection that closes under it is an error here, and the task may have run.
+Every attempt is sent once. aiohttp does not retry a POST; if a keep-alive connection closes during
+the request, the attempt fails and the task may have run.
 """
 
 from __future__ import annotations
@@ -23,22 +23,21 @@
 from foldloom.verdicts import Problem, may_have_run, not_run
 
 RUN_HEADER = "Foldloom-Run"
-# Seconds for a connection: far above a round trip, below a job's deadline.
 _CONNECT_TIMEOUT_S = 1.0
-# Seconds for a usage report; the next one is asked for then.
+# Equal to the poll interval of the usage reports.
 _USAGE_TIMEOUT_S = 0.5
-# Seconds for which an idle connection is kept: below common servers' limits.
+# Below the keep-alive limits of common servers.
 _KEEPALIVE_S = 15.0
-# Seconds for an order to stop, whose answer nobody waits for.
+# For stop calls, which run in the background.
 _STOP_TIMEOUT_S = 1.0
 
 
 class TaskCall(TypedDict):
-    """One attempt at one task, as the endpoint gets it.
+    """Request body of one attempt at a task.
 
-    ``attempt`` is unique, and the reply must echo it; ``lease`` is the slot's; ``member`` names
-    the customer; the answer is of use for ``deadline_ms``; ``payload`` is the caller's
-    JSON, passed on as it came.
+    ``attempt`` is a unique id that the reply must echo; ``lease`` is the slot's lease id;
+    ``member`` is the customer; ``deadline_ms`` is the time left for the answer; ``payload`` is the
+    caller's JSON, unchanged.
     """
 
     attempt: str
@@ -59,7 +58,7 @@
 
 
 class TaskAnswer(NamedTuple):
-    """An endpoint's whole answer, as JSON, and how long the attempt took."""
+    """An endpoint's complete answer as JSON, and the duration of the attempt."""
 
     answer: msgspec.Raw
     service_ms: float
@@ -71,10 +70,10 @@
 
 
 class EndpointAdapter:
-    """Talk to endpoints.
+    """HTTP client for endpoints.
 
     Args:
-        settings: Connections for each endpoint and the bound on answers.
+        settings: Limits on connections per endpoint and on answer size, and the CA file.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -106,7 +105,7 @@
     async def start_task(
         self, base_url: str, submission: str, index: int, call: TaskCall, remaining_ms: float
     ) -> Result[TaskAnswer, Problem]:
-        """Send one attempt and return the endpoint's answer, or whether it may have run."""
+        """Send one attempt; return the endpoint's answer, or a problem with its ``run`` state."""
         assert self._session is not None
         url = f"{base_url}/v1/tasks/{submission}/{index}"
         timeout = aiohttp.ClientTimeout(
@@ -136,7 +135,7 @@
         return _validated_answer(body, call["attempt"], monotonic_ms() - started_ms)
 
     async def stop_task(self, base_url: str, submission: str, index: int) -> None:
-        """Ask an endpoint to stop a task; whether it did is not known."""
+        """Send a stop request for a task, without checking its result."""
         assert self._session is not None
         url = f"{base_url}/v1/tasks/{submission}/{index}/stop"
         timeout = aiohttp.ClientTimeout(total=_STOP_TIMEOUT_S)
@@ -147,7 +146,7 @@
             ENDPOINT_LOG.event("endpoint.unanswered", call="stop", reason=type(error).__name__)
 
     async def usage(self, base_url: str) -> int | None:
-        """Return how many tasks an endpoint reports as running, or ``None`` without a report."""
+        """Return the number of running tasks that an endpoint reports, or ``None`` on failure."""
         assert self._session is not None
         timeout = aiohttp.ClientTimeout(total=_USAGE_TIMEOUT_S)
         try:
@@ -156,14 +155,14 @@
                     return None
                 return _USAGE_DECODER.decode(await self._read(response)).running
         except (aiohttp.ClientError, OSError, TimeoutError, msgspec.DecodeError, ValueError):
-            # No report is an answer of its own: who asks takes the endpoint for silent.
+            # Callers treat a missing report as an unresponsive endpoint.
             return None
 
     async def _read(self, response: aiohttp.ClientResponse) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
         Raises:
-            ValueError: It is larger than the bound.
+            ValueError: The body exceeds ``answer_max_bytes``.
         """
         most = self._settings.limits.answer_max_bytes
         body = bytearray()
@@ -176,7 +175,7 @@
 
 
 def _validated_answer(body: bytes, attempt: str, service_ms: float) -> Result[TaskAnswer, Problem]:
-    """Return the answer if it is whole and for this attempt."""
+    """Return the answer if it is complete JSON and echoes *attempt*."""
     try:
         reply = _REPLY_DECODER.decode(body)
     except msgspec.DecodeError:
--- a/src/foldloom/static_peers/endpoints/platform.py
+++ b/src/foldloom/static_peers/endpoints/platform.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The platform's lagging list of which boxes and endpoints are live and which are leaving.
+"""Poll the platform's list of live and leaving boxes and endpoints.
 
-Owns the newest list that was read. Relies on the platform's URL; while it does not answer, the
-list before holds.
+The list lags behind the actual state. While the platform does not answer, the last list remains in
+use.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from foldloom.logs import ENDPOINT_LOG
 
-# Seconds for one poll of the list: two of the intervals between polls.
+# Twice the default poll interval.
 _POLL_TIMEOUT_S = 1.0
 
 
@@ -31,11 +31,11 @@
 
 
 class PlatformList:
-    """Poll ``GET /v1/boxes`` and remember who is leaving.
+    """Poll ``GET /v1/boxes`` and store the names of the leaving entries.
 
     Args:
-        url: The platform's address; empty if there is none.
-        poll_ms: How often to ask.
+        url: The platform's base URL; empty to disable polling.
+        poll_ms: Poll interval.
     """
 
     def __init__(self, url: str, poll_ms: int) -> None:
@@ -45,11 +45,11 @@
 
     @property
     def leaving(self) -> frozenset[str]:
-        """Names that the newest list calls leaving."""
+        """Names listed as leaving in the newest list."""
         return self._leaving
 
     async def run(self) -> None:
-        """Poll until cancelled; a failed poll keeps the list before."""
+        """Poll until cancelled; a failed poll keeps the last list."""
         if not self._url:
             return
         timeout = aiohttp.ClientTimeout(total=_POLL_TIMEOUT_S)
@@ -63,7 +63,7 @@
             async with session.get(f"{self._url}/v1/boxes") as response:
                 reply = _REPLY_DECODER.decode(await response.read())
         except (aiohttp.ClientError, OSError, TimeoutError, msgspec.DecodeError) as error:
-            ENDPOINT_LOG.debug("No list from the platform: {}.", type(error).__name__)
+            ENDPOINT_LOG.debug("Could not read the platform's list: {}.", type(error).__name__)
             return
         leaving = frozenset(one.name for one in reply.boxes if one.state == "leaving")
         if leaving != self._leaving:
--- a/src/foldloom/static_peers/endpoints/usage.py
+++ b/src/foldloom/static_peers/endpoints/usage.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""The endpoints' lagging usage reports, polled for the policies that decide by them.
+"""Poll the endpoints' usage reports for the placement policies that use them.
 
-Owns the newest reports. Relies on the adapter; a report that can't be had leaves the one before.
+The reports lag behind the actual usage. A failed poll keeps the endpoint's last report.
 """
 
 from __future__ import annotations
@@ -12,7 +12,6 @@
 from foldloom.controllers.config import Config
 from foldloom.static_peers.endpoints.adapter import EndpointAdapter
 
-# Seconds between two polls of an endpoint: the platform's reports lag by as much.
 _POLL_INTERVAL_S = 0.5
 
 
@@ -20,7 +19,7 @@
     """Poll ``GET /v1/usage`` of every endpoint.
 
     Args:
-        adapter: The way to endpoints.
+        adapter: Client for the endpoints.
         config: Returns the configuration in force.
     """
 
@@ -31,7 +30,7 @@
 
     @property
     def running(self) -> dict[str, int]:
-        """Running tasks by endpoint, as last reported."""
+        """Number of running tasks by endpoint, as last reported."""
         return self._running
 
     async def run(self) -> None:
--- a/src/foldloom/static_peers/entry/__init__.py
+++ b/src/foldloom/static_peers/entry/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""The entry role: callers' HTTP, jobs, operators' HTTP."""
+"""The entry role: HTTP for callers and operators, and the execution of jobs."""
--- a/src/foldloom/static_peers/entry/bodies.py
+++ b/src/foldloom/static_peers/entry/bodies.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Bodies of requests, read within bounds, and the type of one that is a problem. Owns nothing."""
+"""Read request bodies within size and time limits; the content type of problem responses."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 async def read_body(request: web.Request, timeout_ms: int) -> bytes | Problem:
-    """Return the whole body, or the problem to answer with."""
+    """Return the complete body, or the problem to respond with."""
     try:
         async with TimeLimit(timeout_ms):
             return await request.read()
     except TimeoutError:
-        # The caller is too slow, or gone.
+        # The caller is slow or has disconnected.
         return not_run("body-timeout", "the body did not arrive in time", status=408)
     except web.HTTPRequestEntityTooLarge as error:
         return not_run("too-large", f"body: {error.text}", status=413)
--- a/src/foldloom/static_peers/entry/coordinator.py
+++ b/src/foldloom/static_peers/entry/coordinator.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""A caller's job from its arrival to its one response: claim, run or follow, answer.
+"""Process a job from submission to response: acquire the claim, then run or follow the job.
 
-Owns the tasks of the jobs that arrived here. Relies on the claim for who may run a job, and on the
-table of jobs for what was answered. Decides which job is refused at once.
+Owns the asyncio tasks of the jobs submitted to this box, and refuses jobs when the box is stopping
+or at its job limit. The claim decides which box may run a job; the job table holds its response.
 """
 
 from __future__ import annotations
@@ -31,29 +31,25 @@
 from foldloom.tasks import TaskSet
 from foldloom.verdicts import Problem, Verdict, may_have_run, not_run
 
-# How often a claim is tried whose votes were split between boxes, because each try waits longer, so
-# that one of two boxes wins.
+# Attempts fail on a missing quorum, split votes or a conflicting claim that is then withdrawn.
 _CLAIM_ATTEMPTS_MAX = 4
-# Seconds until the first try after a split vote, drawn between these two and doubled: a few round
-# trips between zones.
+# Bounds of the random back-off between claim attempts.
 _BACKOFF_MIN_S = 0.002
-# The longest such pause.
 _BACKOFF_MAX_S = 0.02
-# Milliseconds after which a caller refused by a box that stops should come back: any other box can
-# take the job at once.
+# Short, because any other box accepts the job at once.
 _STOPPING_RETRY_AFTER_MS = 100
 
 
 class Coordinator:
-    """Bring the jobs that arrive at this box to their answers.
+    """Coordinate the jobs submitted to this box.
 
     Args:
         settings: This box's settings.
-        acquirer: Gets claims for this box.
-        follower: Follows jobs on other boxes.
-        jobs: This box's jobs.
-        context: What its runs share.
-        is_stopping: Returns whether a planned stop began.
+        acquirer: Acquires claims for this box.
+        follower: Follows jobs that run on other boxes.
+        jobs: The job table of this box.
+        context: Dependencies shared by all job runs.
+        is_stopping: Returns whether a planned stop has begun.
     """
 
     def __init__(
@@ -75,13 +71,13 @@
         self._tasks = TaskSet()
 
     async def submit(self, submission: str, request: JobRequest) -> Response:
-        """Return the one response of *submission*; the same call again gets the same one."""
+        """Return the response of *submission*; a resubmission gets the same response."""
         self._metrics.count("jobs.submitted")
         job = self._jobs.get(submission)
         if job is not None and (job.is_open or job.state is JobState.DONE):
             if job.digest != request.digest:
                 return self._problem_response(submission, CONFLICT)
-            ENTRY_LOG.info("Job {} is known here: attach.", submission)
+            ENTRY_LOG.info("Job {} exists on this box; attaching to it.", submission)
         else:
             job = self._jobs.start(submission, request.digest)
             self._tasks.spawn(self._serve(job, request))
@@ -90,15 +86,15 @@
         return job.response
 
     async def finish_all(self) -> None:
-        """Return when no job of this box is open."""
+        """Wait until every job of this box has a response."""
         await self._tasks.wait()
 
     async def _serve(self, job: Job, request: JobRequest) -> None:
-        """Bring *job* to its response; it goes on when the caller has left."""
+        """Process *job* up to its response, even if the caller disconnects."""
         try:
             await self._claim_and_run(job, request)
         except Exception:
-            ENTRY_LOG.exception("Job {}: an internal error.", job.submission)
+            ENTRY_LOG.exception("Job {}: internal error.", job.submission)
             problem = may_have_run("internal-error", "see the box's log", status=500)
             self._finish(job, JobState.DONE, self._problem_response(job.submission, problem))
 
@@ -133,7 +129,7 @@
     async def _follow_holders(
         self, job: Job, result: AcquireResult, deadline_ms: float
     ) -> Response | None:
-        """Return another coordinator's response, or ``None`` if every claim met is withdrawn."""
+        """Return another coordinator's response, or ``None`` if all claims met are withdrawn."""
         for holder in result.holders:
             followed = await self._follow(job, holder, deadline_ms)
             if followed.end is FollowEnd.RESPONSE:
@@ -143,15 +139,15 @@
 
     async def _follow(self, job: Job, holder: Claim, deadline_ms: float) -> Followed:
         if self._acquirer.is_own(holder):
-            # An earlier attempt of this box: it started nothing, else the job were known here.
+            # An earlier attempt of this box that started no task; otherwise the job table has it.
             return Followed(FollowEnd.RELEASED, None)
-        ENTRY_LOG.info("Job {}: follow it on {}.", job.submission, holder.coordinator)
+        ENTRY_LOG.info("Job {}: following it on {}.", job.submission, holder.coordinator)
         return await self._follower.follow(job.submission, job.digest, holder, deadline_ms)
 
     async def _run(
         self, job: Job, request: JobRequest, started_ms: float, deadline_ms: float
     ) -> None:
-        """Run a job that holds its claim; withdraw the claim if nothing started."""
+        """Run a job that holds its claim; withdraw the claim if no task started."""
         refusal = self._admission_problem()
         if refusal is not None:
             self._withdraw(job, refusal)
@@ -174,12 +170,12 @@
             self._metrics.timing(
                 "response_over_longest_permille", elapsed_ms / run.max_service_ms * 1000
             )
-        ENTRY_LOG.info("Job {} is complete in {:.0f} ms.", job.submission, elapsed_ms)
+        ENTRY_LOG.info("Job {} completed in {:.0f} ms.", job.submission, elapsed_ms)
         response = complete_response(job.submission, self._settings.zone, result.ok)
         self._finish(job, JobState.DONE, response)
 
     def _admission_problem(self) -> Problem | None:
-        """Return why no job may begin on this box now, if so."""
+        """Return the reason to refuse a new job now, or ``None`` to admit it."""
         if self._is_stopping():
             return not_run("stopping", "this box is being stopped", _STOPPING_RETRY_AFTER_MS)
         if self._jobs.running_count >= self._settings.limits.jobs_in_flight_max:
@@ -187,7 +183,7 @@
         return None
 
     def _withdraw(self, job: Job, problem: Problem) -> None:
-        """Refuse *job*: it holds the claim, so nothing of it ran anywhere."""
+        """Withdraw the claim and refuse *job*; none of its tasks has started on any box."""
         self._acquirer.withdraw(job.submission, job.attempt)
         ENTRY_LOG.info("Job {} refused: {}.", job.submission, problem.reason)
         self._metrics.count(f"jobs.refused.{problem.reason}")
--- a/src/foldloom/static_peers/entry/follow.py
+++ b/src/foldloom/static_peers/entry/follow.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""A resubmission that meets another box's claim gets that box's response.
+"""Follow a job claimed by another box and return that box's response.
 
-Owns the handlers of followed jobs and of answers that are passed on. Relies on the table of jobs,
-and on membership for where a stopped box's answers went.
+Handles attach requests from other boxes and the handover of responses at a planned stop. Membership
+provides the successor that holds the responses of a stopped box.
 """
 
 from __future__ import annotations
@@ -36,20 +36,18 @@
 from foldloom.time_limits import TimeLimit
 from foldloom.verdicts import Problem, may_have_run, not_run
 
-# Milliseconds for which the coordinator holds one question about a job, to bound what a lost answer
-# costs.
+# How long the coordinator holds one attach request; bounds the delay caused by a lost reply.
 _LONG_POLL_MS = 1_000
-# The same where the caller only asks what is known.
+# The same for a lookup, which does not wait for the job.
 _PEEK_MS = 1
-# Milliseconds for an answer: above the time for which the question is held.
+# Above _LONG_POLL_MS.
 _ATTACH_TIMEOUT_MS = 1_500
-# Milliseconds after which a caller should come back whose job may run elsewhere.
+# Sent to callers whose job may be running on another box.
 _RETRY_AFTER_MS = 1_000
-# Questions in a row without an answer after which the coordinator counts as unreachable.
+# Consecutive failed polls after which the coordinator is treated as unreachable.
 _FAILED_POLLS_MAX = 2
-# Answers in one message when a box stops, to bound it to some megabytes.
+# Responses per handover message; bounds its size to a few megabytes.
 _HANDOVER_BATCH_SIZE = 200
-# Milliseconds for such a message.
 _HANDOVER_TIMEOUT_MS = 3_000
 
 CONFLICT = not_run("other-content", "this submission was used for other content", status=409)
@@ -63,7 +61,7 @@
 
 
 class FollowEnd(Enum):
-    """How following ended."""
+    """Outcome of following a job."""
 
     RESPONSE = "response"
     RELEASED = "released"
@@ -71,20 +69,20 @@
 
 
 class Followed(NamedTuple):
-    """The end of following; there is a response only if ``end`` says so."""
+    """The outcome of following; ``response`` is set only if ``end`` is ``RESPONSE``."""
 
     end: FollowEnd
     response: Response | None
 
 
 class JobFollower:
-    """Follow jobs on other boxes and let others follow those here.
+    """Follow jobs on other boxes, and let other boxes follow the jobs of this box.
 
     Args:
         settings: This box's settings.
-        network: The peers.
-        membership: Who is live, and who holds a stopped box's answers.
-        jobs: This box's jobs.
+        network: Messages to and from the peers.
+        membership: Liveness of the boxes and the successors of stopped boxes.
+        jobs: The job table of this box.
     """
 
     def __init__(
@@ -105,9 +103,10 @@
         deadline_ms: float,
         is_waiting: bool = True,
     ) -> Followed:
-        """Return the response of the job that *claim* stands for.
+        """Return the response of the job that holds *claim*.
 
-        Unless *is_waiting*, a job that still runs is reported as running.
+        Polls until the job ends or *deadline_ms* has passed. If *is_waiting* is false, returns
+        ``RUNNING`` for a job that has not ended.
         """
         wait_ms = _LONG_POLL_MS if is_waiting else _PEEK_MS
         failed_polls = 0
@@ -121,7 +120,7 @@
             try:
                 reply: AttachReply = await self._network.request(target, attach, _ATTACH_TIMEOUT_MS)
             except PeerUnreachableError:
-                # One lost answer says little; after two the caller is answered "may have run".
+                # A single lost reply is retried; then the caller gets "may have run".
                 failed_polls += 1
                 if failed_polls >= _FAILED_POLLS_MAX:
                     return self._ended(submission, COORDINATOR_UNREACHABLE)
@@ -134,7 +133,7 @@
         return self._ended(submission, DEADLINE)
 
     async def pass_answers_to(self, successor: str) -> int:
-        """Send every kept answer to *successor*; return how many it accepted."""
+        """Send all retained responses to *successor*; return the number it accepted."""
         completed = self._jobs.completed_responses()
         taken = 0
         for start in range(0, len(completed), _HANDOVER_BATCH_SIZE):
@@ -148,13 +147,13 @@
                     successor, message, _HANDOVER_TIMEOUT_MS
                 )
             except PeerUnreachableError:
-                # The rest is not kept: this box ends, and resubmissions get "may have run".
+                # The remaining responses are lost; resubmissions get "may have run".
                 break
             taken += reply.taken
         return taken
 
     def _target(self, claim: Claim) -> str | Problem:
-        """Return the box to ask, or why there is none."""
+        """Return the box to poll for *claim*, or the problem if there is none."""
         box = claim.coordinator
         successor = self._membership.successor_of(box, claim.incarnation)
         if self._network.known_incarnation(box) > claim.incarnation:
@@ -189,19 +188,19 @@
             return AttachReply(AttachState.UNKNOWN)
         if message.attempt < job.attempt:
             return AttachReply(AttachState.WITHDRAWN)
-        ENTRY_LOG.info("Job {}: {} follows it here.", message.submission, sender)
+        ENTRY_LOG.info("Job {}: followed by {}.", message.submission, sender)
         await self._wait(job, message.wait_ms)
         return _attach_reply(job, message.digest)
 
     async def _wait(self, job: Job, wait_ms: int) -> None:
-        """Wait until *job* ends, or is known not to run here, for *wait_ms* at most."""
+        """Wait up to *wait_ms* until *job* has ended or does not run on this box."""
         try:
             async with TimeLimit(wait_ms):
                 await job.wait_claim_outcome()
                 if job.state is JobState.RUNNING:
                     await job.wait_finished()
         except TimeoutError:
-            # The reply says that the job still runs; the box that asked asks again.
+            # The reply is RUNNING, and the follower polls again.
             return
 
     def _inherited_reply(self, message: Attach) -> AttachReply:
@@ -219,10 +218,10 @@
 
 
 def _attach_reply(job: Job, digest: str) -> AttachReply:
-    """Return what a box that follows *job* is told.
+    """Return the reply to a box that follows *job*.
 
-    A refusal is not passed on: it says that nothing ran until it was made, and another box may have
-    claimed and run the job since. Who follows claims the job itself.
+    A refusal is reported as ``WITHDRAWN`` without its response: another box may have claimed and
+    run the job since. The follower then claims the job itself.
     """
     if job.state in (JobState.WITHDRAWN, JobState.FOLLOWING):
         return AttachReply(AttachState.WITHDRAWN)
--- a/src/foldloom/static_peers/entry/http.py
+++ b/src/foldloom/static_peers/entry/http.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The HTTP side of a box: callers' jobs, health, and the operators' routes.
+"""The HTTP server of a box: jobs, health checks and the operators' routes.
 
-Owns the listener and the count of connections. Relies on the coordinator and the lookup; it
-decides nothing but what is malformed.
+Owns the listening socket and the connection count, and rejects malformed requests. The coordinator
+and the lookup process the valid ones.
 """
 
 from __future__ import annotations
@@ -27,18 +27,18 @@
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
 JSON_TYPE = "application/json"
-# Seconds for connections that are still open when a box ends; its jobs have been answered by then.
+# For connections still open when the box stops; its jobs have been answered by then.
 _SHUTDOWN_TIMEOUT_S = 1.0
-# The longest line of a request's head: aiohttp's own default, which the handler must be given.
+# aiohttp's default, which must be passed to the handler explicitly.
 _HEAD_LINE_MAX_BYTES = 8_190
-# A box without the entry role knows nothing of jobs, which may run on others.
+# "May have run", because the job may run on another box.
 _NO_ENTRY = may_have_run("no-entry", "this box takes no jobs", status=503)
-# The status of a body that came too slowly, by HTTP (RFC 9110, section 15.5.9).
+# 408 Request Timeout (RFC 9110, section 15.5.9).
 _BODY_TIMEOUT_STATUS = 408
 
 
 def to_http(response: Response) -> web.Response:
-    """Return *response* as aiohttp sends it."""
+    """Convert *response* to an aiohttp response."""
     headers = {}
     if response.retry_after_ms:
         headers["Retry-After"] = str(math.ceil(response.retry_after_ms / 1_000))
@@ -49,7 +49,7 @@
 
 
 class _BoundedHandler(RequestHandler):
-    """One connection, closed if no request head arrives in time."""
+    """A connection that is closed if no request head arrives within the timeout."""
 
     def __init__(self, server: HttpServer, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
@@ -59,7 +59,7 @@
         self.has_head = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Accept the connection unless there are too many."""
+        """Accept the connection, or close it if the connection limit is reached."""
         super().connection_made(transport)
         if not self._http_server.acquire_connection():
             transport.close()
@@ -71,7 +71,7 @@
         )
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Free what the connection held."""
+        """Cancel the head timer and release the connection."""
         if self._head_timer is not None:
             self._head_timer.cancel()
         if self._is_counted:
@@ -85,13 +85,13 @@
 
 
 class HttpServer:
-    """Serve HTTP on this box.
+    """The HTTP server of this box.
 
     Args:
         settings: This box's settings.
-        coordinator: Takes jobs; ``None`` on a box without the entry role.
-        lookup: Answers what is known of a job; ``None`` as well.
-        is_ready: Returns whether the balancer should send work.
+        coordinator: Processes submitted jobs; ``None`` on a box without the entry role.
+        lookup: Looks up jobs; ``None`` on a box without the entry role.
+        is_ready: Returns whether the load balancer should send requests.
         metrics: Counters.
         add_routes: Adds the operators' routes.
     """
@@ -124,11 +124,11 @@
 
     @property
     def header_timeout_s(self) -> float:
-        """How long a connection may take to send its first request head."""
+        """Timeout for a connection's first request head, in seconds."""
         return self._settings.http.header_timeout_ms / 1_000
 
     def acquire_connection(self) -> bool:
-        """Count one more connection; return whether there is room for it."""
+        """Count a new connection; return ``False`` if the connection limit is reached."""
         if self._connections >= self._settings.http.connections_max:
             self._metrics.count("http.connections-refused")
             return False
@@ -136,15 +136,15 @@
         return True
 
     def release_connection(self) -> None:
-        """Count one connection less."""
+        """Subtract a closed connection from the count."""
         self._connections -= 1
 
     def count(self, name: str) -> None:
-        """Add one to the counter *name*."""
+        """Increment the counter *name*."""
         self._metrics.count(name)
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._runner = web.AppRunner(
             self._app, access_log=None, handle_signals=False, keepalive_timeout=30.0
         )
@@ -169,7 +169,7 @@
         )
 
     async def stop(self) -> None:
-        """Close the listening socket and the connections."""
+        """Close the listening socket and all connections."""
         if self._server is not None:
             self._server.close()
         if self._runner is not None:
@@ -227,10 +227,10 @@
 
 
 def _unread_body_problem(problem: Problem) -> Problem:
-    """Return what *problem* with a job's body says of the job.
+    """Return *problem* with ``run`` set for a job whose body could not be read.
 
-    One that is too large runs on no box. One that came too slowly may be a job that was handed in
-    before, and may have run.
+    A body that is too large is refused by every box. After a timeout, the submission is unread and
+    may have run earlier.
     """
     if problem.status != _BODY_TIMEOUT_STATUS:
         return problem
@@ -241,7 +241,7 @@
 async def _mark_head_received(
     request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
 ) -> web.StreamResponse:
-    """Note that the connection sent a whole head."""
+    """Record that the connection has sent a complete request head."""
     if isinstance(request.protocol, _BoundedHandler):
         request.protocol.has_head = True
     return await handler(request)
--- a/src/foldloom/static_peers/entry/jobs.py
+++ b/src/foldloom/static_peers/entry/jobs.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The jobs that this box knows: running here, or finished and kept for resubmissions.
+"""The job table of a box: open jobs, and finished jobs retained for resubmissions.
 
-Owns the jobs of this life and the kept answers, within bounds of number and bytes. Relies on its
-caller to run them.
+Owns the jobs of this incarnation and the responses inherited from stopped boxes. Finished jobs are
+limited by age, their responses also by total size. The coordinator runs the jobs.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class JobState(StrEnum):
-    """Where a job stands on this box."""
+    """State of a job on this box."""
 
     CLAIMING = "claiming"
     FOLLOWING = "following"
@@ -32,12 +32,12 @@
 
 
 class Response(NamedTuple):
-    """A caller's answer, ready to send.
+    """A response to a caller, ready to send.
 
     Args:
         status: The HTTP status.
-        body: JSON.
-        retry_after_ms: For the ``Retry-After`` header; 0 for none.
+        body: The JSON body.
+        retry_after_ms: Value of the ``Retry-After`` header; 0 to omit it.
     """
 
     status: int
@@ -46,7 +46,7 @@
 
 
 def complete_response(submission: str, zone: str, answers: list[Any]) -> Response:
-    """Return the response of a job of which every task was answered."""
+    """Return the response of a job whose tasks have all been answered."""
     fields = {
         "submission": submission,
         "verdict": Verdict.COMPLETE,
@@ -57,7 +57,7 @@
 
 
 def problem_response(submission: str, zone: str, problem: Problem) -> Response:
-    """Return the ``application/problem+json`` response of *problem*."""
+    """Return the ``application/problem+json`` response for *problem*."""
     fields: dict[str, Any] = {
         "type": f"urn:foldloom:problem:{problem.reason}",
         "title": problem.reason.replace("-", " "),
@@ -78,9 +78,9 @@
     """One submission on this box.
 
     Args:
-        submission: Its id.
-        digest: The content's digest.
-        attempt: The claim's attempt number.
+        submission: The submission id.
+        digest: Digest of the job's content.
+        attempt: Attempt number of the claim.
     """
 
     def __init__(self, submission: str, digest: str, attempt: int) -> None:
@@ -95,28 +95,28 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether there is no response yet."""
+        """Whether the job has no response yet."""
         return self.response is None
 
     def enter_state(self, state: JobState) -> None:
-        """Enter *state* and wake whoever waits to know whether this job runs here."""
+        """Enter *state* and wake the callers of :meth:`wait_claim_outcome`."""
         self.state = state
         self._claim_outcome_known.set()
 
     def claim_again(self) -> None:
-        """Begin another attempt at the claim."""
+        """Start the next claim attempt."""
         self.attempt += 1
         self.state = JobState.CLAIMING
         self._claim_outcome_known.clear()
 
     def finish(self, state: JobState, response: Response) -> None:
-        """Set the final *response*."""
+        """Enter the final *state* and set the response."""
         self.response = response
         self.enter_state(state)
         self._finished.set()
 
     async def wait_claim_outcome(self) -> None:
-        """Wait until it is known whether this job runs here."""
+        """Wait until the claim has been won or lost, or the job has finished."""
         await self._claim_outcome_known.wait()
 
     async def wait_finished(self) -> None:
@@ -125,7 +125,7 @@
 
 
 class InheritedKey(NamedTuple):
-    """A finished job of another box's life, handed over at its planned stop."""
+    """Key of a finished job that another box handed over at its planned stop."""
 
     submission: str
     coordinator: str
@@ -133,12 +133,12 @@
 
 
 class JobTable:
-    """All jobs of this box, bounded in time, count and bytes.
+    """All jobs of this box.
 
     Args:
-        retention_ms: How long a finished job is kept.
-        jobs_max: How many are kept.
-        bytes_max: How many bytes of responses are kept.
+        retention_ms: Retention time of a finished job.
+        jobs_max: Number of retained jobs above which the oldest response is evicted.
+        bytes_max: Total size of retained responses above which the oldest are evicted.
         metrics: Gauges.
     """
 
@@ -155,15 +155,15 @@
 
     @property
     def running_count(self) -> int:
-        """How many jobs run on this box now."""
+        """Number of jobs running on this box."""
         return self._running
 
     def get(self, submission: str) -> Job | None:
-        """Return the job of *submission*, or ``None``."""
+        """Return the job of *submission*, or ``None`` if there is none."""
         return self._jobs.get(submission)
 
     def start(self, submission: str, digest: str) -> Job:
-        """Begin *submission* on this box, with an attempt number not used before."""
+        """Create the job of *submission*, with an unused attempt number."""
         previous = self._jobs.get(submission)
         attempt = 1 if previous is None else previous.attempt + 1
         self._release_bytes(submission)
@@ -172,12 +172,12 @@
         return job
 
     def run(self, job: Job) -> None:
-        """Note that *job* holds its claim and runs."""
+        """Mark *job* as running; it holds its claim."""
         self._running += 1
         job.enter_state(JobState.RUNNING)
 
     def finish(self, job: Job, state: JobState, response: Response) -> None:
-        """End *job* with *response* and keep it."""
+        """Finish *job* with *response* and retain it."""
         if job.state is JobState.RUNNING:
             self._running -= 1
         job.expires_ms = monotonic_ms() + self._retention_ms
@@ -188,7 +188,7 @@
         self._metrics.gauge("jobs.kept_bytes", self._retained_bytes)
 
     def completed_responses(self) -> list[tuple[str, Response]]:
-        """Return every kept response of a job that ran here."""
+        """Return the retained responses of the jobs that ran here, by submission."""
         return [
             (job.submission, job.response)
             for job in self._jobs.values()
@@ -196,16 +196,16 @@
         ]
 
     def inherit(self, key: InheritedKey, response: Response) -> None:
-        """Keep another box's answer."""
+        """Store a response handed over by another box."""
         self._inherited[key] = (response, monotonic_ms() + self._retention_ms)
 
     def inherited(self, key: InheritedKey) -> Response | None:
-        """Return another box's answer, or ``None``."""
+        """Return the response handed over for *key*, or ``None`` if there is none."""
         entry = self._inherited.get(key)
         return None if entry is None else entry[0]
 
     def expire(self) -> None:
-        """Drop the jobs whose time has passed."""
+        """Remove the jobs and inherited responses whose retention time has passed."""
         now_ms = monotonic_ms()
         for submission in list(self._retained_sizes):
             if self._jobs[submission].expires_ms > now_ms:
@@ -219,7 +219,7 @@
         self._retained_bytes -= self._retained_sizes.pop(submission, 0)
 
     def _evict_over_limits(self) -> None:
-        """Over a bound, drop the oldest answers; that a job ran is never forgotten early."""
+        """Over a limit, replace the oldest responses by "answer expired"; the jobs remain."""
         for submission in list(self._retained_sizes):
             if (
                 len(self._retained_sizes) <= self._jobs_max
--- a/src/foldloom/static_peers/entry/lookup.py
+++ b/src/foldloom/static_peers/entry/lookup.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""What is known of a submission anywhere: asked of the claim replicas, and of who holds the claim.
+"""Look up the state of a submission on all boxes, without starting or claiming it.
 
-Owns nothing. Relies on this box's jobs, on the claim replicas, and on the boxes that follow. Starts
-nothing, and claims nothing.
+Reads this box's job table, then queries the claim replicas and the coordinators that hold claims.
 """
 
 from __future__ import annotations
@@ -20,21 +19,20 @@
 from foldloom.static_peers.entry.jobs import JobState, JobTable, Response, problem_response
 from foldloom.verdicts import Problem, may_have_run, not_run
 
-# Milliseconds after which a refused caller should come back.
 RETRY_AFTER_MS = 500
-# A job that does not run here and may run on another box, now or since it was refused here.
+# States on this box in which the job may run, or have run, on another box.
 _MAYBE_REMOTE_STATES = (JobState.FOLLOWING, JobState.WITHDRAWN)
 
 
 class JobLookup:
-    """Look submissions up.
+    """Look up submissions.
 
     Args:
         settings: This box's settings.
-        network: The peers.
-        claims: This box's claim replica.
+        network: Messages to and from the peers.
+        claims: The claim replica of this box.
         follower: Follows jobs on other boxes.
-        jobs: This box's jobs.
+        jobs: The job table of this box.
     """
 
     def __init__(
@@ -52,10 +50,7 @@
         self._jobs = jobs
 
     async def peek(self, submission: str) -> Response | None:
-        """Return what is known of *submission* anywhere; start nothing.
-
-        ``None`` stands for a job that runs now.
-        """
+        """Return the response of *submission*, or ``None`` if the job has not ended."""
         job = self._jobs.get(submission)
         if job is not None and job.state not in _MAYBE_REMOTE_STATES:
             return job.response
@@ -76,7 +71,7 @@
         )
 
     async def _query_replicas(self, submission: str) -> tuple[list[Claim], bool]:
-        """Return the claims that the replicas hold, and whether a majority was asked."""
+        """Return the claims held by the replicas, and whether a majority of voters replied."""
         replicas = self._claims.replicas_of(submission)
         queries = [self._query_replica(box, submission) for box in replicas.boxes]
         replies = dict(zip(replicas.boxes, await asyncio.gather(*queries), strict=True))
@@ -89,7 +84,7 @@
             timeout_ms = self._settings.timings.claim_timeout_ms
             return await self._network.request(box, Lookup(submission), timeout_ms)
         except PeerUnreachableError:
-            # No answer is not "no claim": fewer replicas were asked.
+            # Counts as no reply, not as "no claim".
             return None
 
     def _problem(self, submission: str, problem: Problem) -> Response:
@@ -97,9 +92,9 @@
 
 
 def no_quorum_problem(submission: str, zone: str, detail: str) -> Problem:
-    """Return the problem of a claim that no majority could judge.
+    """Return the problem for a claim without a quorum.
 
-    It can't be called not-run: a box that can't be reached may run the submission.
+    "May have run", because an unreachable box may be running the submission.
     """
     if not zone_of(submission):
         detail += f"; ids that begin with {zone}~ need this zone only"
--- a/src/foldloom/static_peers/entry/messages.py
+++ b/src/foldloom/static_peers/entry/messages.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Messages about jobs: follow a job on another box, hand over answers.
+"""Messages to follow a job on another box and to hand over responses.
 
-Owns the numbers 80 and up of this path. Relies on the codec of :mod:`foldloom.peers.messages`.
+Owns the message numbers from 80, registered with :mod:`foldloom.peers.messages`.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 
 class Attach(NamedTuple):
-    """A box with a resubmission asks the claim's coordinator for the job's response.
+    """Request for a job's response, sent to the coordinator that holds the claim.
 
     Args:
-        submission: The job.
-        digest: The content's digest.
-        coordinator: Who holds the claim.
-        incarnation: That box's life.
-        attempt: The claim's attempt.
-        wait_ms: How long to wait for the end.
+        submission: The submission id.
+        digest: Digest of the job's content.
+        coordinator: The box that holds the claim.
+        incarnation: Incarnation of that box.
+        attempt: Attempt number of the claim.
+        wait_ms: How long to wait for the job to end.
     """
 
     submission: str
@@ -33,9 +33,9 @@
 
 
 class AttachState(IntEnum):
-    """What the coordinator knows of the claim.
+    """State of the job at the coordinator.
 
-    ``REFUSED`` is sent by no box of this version, and means the same as ``WITHDRAWN``.
+    ``REFUSED`` is no longer sent; receivers treat it as ``WITHDRAWN``.
     """
 
     RUNNING = 0
@@ -47,7 +47,7 @@
 
 
 class AttachReply(NamedTuple):
-    """The job's state and, if there is one, its response."""
+    """The job's state and, if ``DONE``, its response."""
 
     state: AttachState
     status: int = 0
@@ -65,14 +65,14 @@
 
 
 class Handover(NamedTuple):
-    """A box that stops gives the answers that it keeps to a peer."""
+    """Retained responses of a stopping box, sent to its successor."""
 
     incarnation: int
     jobs: list[HandoverJob]
 
 
 class HandoverReply(NamedTuple):
-    """How many answers were taken."""
+    """Number of responses accepted."""
 
     taken: int
 
--- a/src/foldloom/static_peers/entry/operators.py
+++ b/src/foldloom/static_peers/entry/operators.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The operators' routes: intents to a plan, a plan confirmed, configuration and status.
+"""The operators' routes: plan intents, confirm a plan, get configuration and status.
 
-Owns the operators' tokens. Relies on the controllers' leader; nothing takes effect before a plan
-is confirmed.
+Owns the operators' tokens. Confirmed plans are committed by the controllers' leader; an unconfirmed
+plan has no effect.
 """
 
 from __future__ import annotations
@@ -28,14 +28,12 @@
 from foldloom.static_peers.entry.jobs import problem_response
 from foldloom.verdicts import Problem, not_run
 
-# Milliseconds to show which version is the newest: above two elections.
+# Timeout of the read barrier: above two elections.
 _BARRIER_TIMEOUT_MS = 1_500
-# Milliseconds for a confirm: above the commit's own time-out (5,000 ms).
+# Above the timeout of the commit itself (5,000 ms).
 _CONFIRM_TIMEOUT_MS = 6_000
-# Seconds for a confirmed version to come into force here, before a plan is made on it or its
-# confirm is answered. A controller that does not lead learns of a commit by the leader's next
-# message, 2 to 9 ms after its answer on loopback. Chosen above the 0.28 s in which all of nine
-# boxes have it.
+# How long to wait for a confirmed version to be in force on this box, before planning on it or
+# responding to its confirm.
 _CATCH_UP_TIMEOUT_S = 1.0
 
 
@@ -50,7 +48,7 @@
 
 
 def read_tokens(path: str) -> list[str]:
-    """Return the operators' tokens in the file at *path*, one a line."""
+    """Return the operators' tokens from the file at *path*, one per line."""
     if not path:
         return []
     lines = Path(path).read_text(encoding="utf-8").splitlines()
@@ -58,13 +56,13 @@
 
 
 class OperatorRoutes:
-    """Serve operators.
+    """HTTP routes for operators.
 
     Args:
         settings: This box's settings.
-        client: The way to the controllers' leader.
-        holder: The configuration in force here.
-        status: Returns this box's view of the whole system.
+        client: Sends commands to the controllers' leader.
+        holder: The configuration in force on this box.
+        status: Returns the system status as seen by this box.
     """
 
     def __init__(
@@ -121,21 +119,21 @@
         return self._confirm_response(body.command, result)
 
     async def _follow_confirmed(self, version: int) -> None:
-        """Wait until a confirmed *version* is in force here, so that its operator finds it here.
+        """Wait until the confirmed *version* is in force on this box.
 
-        The leader answers before this box has heard of the commit: a status asked for at once
-        showed the older version in 2 of 60 confirms through a controller that does not lead.
+        The leader replies before this box receives the commit; without the wait, a status request
+        right after the confirm could still show the previous version.
         """
         if not await self._holder.wait_version(version, _CATCH_UP_TIMEOUT_S):
-            CONFIG_LOG.warning("Version {} is confirmed and not in force here yet.", version)
+            CONFIG_LOG.warning("Version {} is confirmed but not yet in force on this box.", version)
 
     def _confirm_response(self, command: str, result: Result[Answer, Problem]) -> web.Response:
         if result.is_error():
-            CONFIG_LOG.warning("Command {}: {}.", command, result.error.reason)
+            CONFIG_LOG.warning("Command {} not confirmed: {}.", command, result.error.reason)
             return self._problem(result.error)
         answer = result.ok
         if answer.status == 200:
-            CONFIG_LOG.info("Command {} made version {}.", command, answer.version)
+            CONFIG_LOG.info("Command {} committed as version {}.", command, answer.version)
             return _json(200, {"version": answer.version})
         reason = "conflict" if answer.status == 409 else "bad-request"
         problem = not_run(reason, answer.detail, status=answer.status)
@@ -156,12 +154,12 @@
         return _json(200, self._status())
 
     async def _catch_up(self) -> bool:
-        """Wait until the newest confirmed version is in force here; return whether it is."""
+        """Wait until the newest confirmed version is in force here; return ``False`` on timeout."""
         version = await self._client.newest_version(_BARRIER_TIMEOUT_MS)
         return version is not None and await self._holder.wait_version(version, _CATCH_UP_TIMEOUT_S)
 
     async def _authorized_json(self, request: web.Request) -> Any:
-        """Return the decoded body, or the problem to answer with."""
+        """Return the decoded JSON body, or the problem to respond with."""
         if not self._is_authorized(request):
             return _unauthorized_problem()
         body = await read_body(request, self._settings.http.body_timeout_ms)
@@ -176,7 +174,7 @@
         scheme, _, credentials = request.headers.get("Authorization", "").partition(" ")
         if scheme.lower() != "bearer":
             return False
-        # Every token is compared, each in constant time, so that timing reveals nothing.
+        # Compares all tokens in constant time to prevent timing attacks.
         matches = [
             hmac.compare_digest(credentials.strip().encode(), token) for token in self._tokens
         ]
@@ -194,7 +192,7 @@
 
 
 def plan_fields(plan: Plan) -> dict[str, Any]:
-    """Return *plan* as operators get it."""
+    """Return the JSON fields of *plan*."""
     return {
         "plan": plan.words,
         "base_version": plan.base_version,
--- a/src/foldloom/static_peers/entry/requests.py
+++ b/src/foldloom/static_peers/entry/requests.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A caller's job: checked before anything is done with it.
-
-Owns nothing. Relies on the settings' limits.
-"""
+"""Parse and validate job requests against the limits in the settings."""
 
 from __future__ import annotations
 
@@ -17,13 +14,13 @@
 from foldloom.settings import Settings
 from foldloom.verdicts import Problem, not_run
 
-# No control characters: names go into log lines.
+# No control characters, because names are written to log lines.
 _NAME = Meta(min_length=1, max_length=128, pattern=r"^[^\x00-\x1f\x7f]*$")
 _MISSING_FIELD = re.compile(r"Object missing required field `(.+?)`")
 
 
 class TaskBody(msgspec.Struct):
-    """One task of a job as the caller sent it."""
+    """One task of a job request."""
 
     payload: msgspec.Raw
 
@@ -37,15 +34,15 @@
 
 
 class JobRequest(NamedTuple):
-    """A checked job.
+    """A validated job request.
 
     Args:
-        service: The service.
-        customer: The customer on whose account it runs.
-        repeatable: Whether its tasks may run again after an endpoint died.
-        deadline_ms: How long the answer is of use, from its arrival.
-        payloads: One JSON value a task.
-        digest: Of all of the above but the deadline.
+        service: The service that runs the tasks.
+        customer: The customer that the job is accounted to.
+        repeatable: Whether tasks may be retried after an endpoint failed while running them.
+        deadline_ms: Time limit of the job from its arrival, in milliseconds.
+        payloads: One JSON value per task.
+        digest: Digest of all fields above except the deadline.
     """
 
     service: str
@@ -60,7 +57,7 @@
 
 
 def parse_job(body: bytes, settings: Settings) -> Result[JobRequest, Problem]:
-    """Check a job's JSON *body*; a problem names the field."""
+    """Parse and validate a job's JSON *body*; a validation error names the field."""
     try:
         parsed = _BODY_DECODER.decode(body)
     except msgspec.DecodeError as error:
@@ -70,7 +67,7 @@
         return Error(not_run("too-many-tasks", f"tasks: more than {tasks_max}", status=413))
     deadline_ms = parsed.deadline_ms or settings.timings.deadline_default_ms
     deadline_ms = min(deadline_ms, settings.timings.deadline_max_ms)
-    # A Raw over the body would keep all of it alive; tasks outlive it, so copy.
+    # Copied, because each Raw would otherwise keep the whole body in memory.
     payloads = [msgspec.Raw(bytes(task.payload)) for task in parsed.tasks]
     content = [parsed.service, parsed.customer, parsed.repeatable, _canonical(payloads)]
     digest = content_digest(content)
@@ -82,12 +79,12 @@
 
 
 def _canonical(payloads: list[msgspec.Raw]) -> list[object]:
-    """Return the payloads decoded, so that white space and key order do not matter."""
+    """Decode the payloads, so that the digest ignores white space and key order."""
     return [msgspec.json.decode(payload) for payload in payloads]
 
 
 def _field_prefixed(message: str) -> str:
-    """Return the checker's *message* with the field at the front."""
+    """Return msgspec's error *message* prefixed with the field's path."""
     reason, _, location = message.partition(" - at `$")
     path = location.rstrip("`").lstrip(".")
     missing = _MISSING_FIELD.match(reason)
--- a/src/foldloom/static_peers/entry/run.py
+++ b/src/foldloom/static_peers/entry/run.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Run one claimed job: a slot for each task, each task started at most once.
+"""Run a claimed job: acquire a slot for each task and start the task on its endpoint.
 
-Owns the attempts of one job. Relies on slots, on the adapter, and on
-:mod:`foldloom.static_peers.placement.retries` for whether an attempt may be made again.
+Owns the attempts of one job. :mod:`foldloom.static_peers.placement.retries` decides whether a
+failed attempt may be retried.
 """
 
 from __future__ import annotations
@@ -32,30 +32,29 @@
 from foldloom.time_limits import TimeLimit
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
-# Milliseconds after which a caller should come back whose job no endpoint took.
 _RETRY_AFTER_MS = 500
-# Seconds until a task that certainly did not start is given another slot.
+# Delay before a slot is requested for a retry.
 _RETRY_DELAY_S = 0.01
 _SLOT_EXPIRED = "slot-expired"
 _DEADLINE = may_have_run("deadline", "the job did not end in time", status=504)
 _ATTEMPT_TIMEOUT = "worker-timeout"
-# A job's deadline says nothing of the endpoint: tasks overdue are judged by the lease manager.
+# Not counted as endpoint failures; the lease manager detects overdue tasks itself.
 _NON_ENDPOINT_FAULTS = (_SLOT_EXPIRED, _ATTEMPT_TIMEOUT)
 _STOP_TASKS: set[asyncio.Task[None]] = set()
 
 
 class RunContext(NamedTuple):
-    """What every job of a box shares.
+    """Dependencies shared by all jobs of a box.
 
     Args:
-        attempt_prefix: Makes attempt ids unique: box and incarnation.
-        attempt_numbers: Counts attempts.
-        adapter: The way to endpoints.
-        slots: Where slots come from.
+        attempt_prefix: Prefix that makes attempt ids unique: box and incarnation.
+        attempt_numbers: Numbers the attempts.
+        adapter: Client for the endpoints.
+        slots: Source of slots.
         budget: The box's retry budget.
         metrics: Counters.
         config: Returns the configuration in force.
-        leaving: Returns the endpoints that the platform calls leaving.
+        leaving: Returns the endpoints that the platform lists as leaving.
     """
 
     attempt_prefix: str
@@ -69,20 +68,20 @@
 
 
 class AttemptEnd(NamedTuple):
-    """The end of one attempt at one task."""
+    """The result of one attempt at a task."""
 
     task_index: int
     result: Result[TaskAnswer, Problem]
 
 
 class JobRun:
-    """One job that holds its claim.
+    """The execution of one job that holds its claim.
 
     Args:
-        context: What the box's jobs share.
-        submission: The job's id.
+        context: Dependencies shared by all jobs of the box.
+        submission: The submission id.
         request: The job.
-        deadline_ms: When its answer is of no more use; own monotonic clock.
+        deadline_ms: The job's deadline on this box's monotonic clock.
     """
 
     def __init__(
@@ -104,15 +103,15 @@
 
     @property
     def max_service_ms(self) -> float:
-        """The longest service time of a task so far, milliseconds."""
+        """The longest service time of a task so far, in milliseconds."""
         return self._max_service_ms
 
     async def execute(self) -> Result[list[msgspec.Raw], Problem]:
-        """Run every task and return all answers, or the one problem that ended the job."""
+        """Run all tasks; return their answers in task order, or the problem that failed the job."""
         self._service = self._context.config().services.get(self._request.service)
         if self._service is None:
             detail = f"service: {self._request.service} is unknown"
-            # It may have been confirmed a moment ago and not be in force here yet.
+            # Retryable: the service may be confirmed but not yet in force on this box.
             return Error(not_run("unknown-service", detail, _RETRY_AFTER_MS, status=404))
         waiter = self._context.slots.open_waiter(
             self._request.service, self._request.customer, self._deadline_ms, self._unfinished
@@ -128,7 +127,7 @@
         return Error(self._for_whole_job(problem))
 
     async def _run_tasks(self, waiter: SlotWaiter) -> Problem | None:
-        """Match slots and tasks until all are answered or the job has failed."""
+        """Start tasks on arriving slots until all are answered or the job has failed."""
         self._events = waiter.arrivals
         while self._unfinished:
             event = await self._next_event()
@@ -142,14 +141,14 @@
         return None
 
     async def _next_event(self) -> Slot | SlotRefusal | AttemptEnd | None:
-        """Return what happened next, or ``None`` at the deadline."""
+        """Return the next event, or ``None`` at the deadline."""
         if not self._events.empty():
             return self._events.get_nowait()
         try:
             async with TimeLimit(self._deadline_ms - monotonic_ms()):
                 return await self._events.get()
         except TimeoutError:
-            # The deadline: the caller of this gives the job up.
+            # At the deadline, _run_tasks fails the job.
             return None
 
     def _return_unused(self, arrival: Slot | SlotRefusal) -> None:
@@ -176,7 +175,7 @@
         return None
 
     def _usable_url(self, slot: Slot) -> str:
-        """Return where to start a task on *slot* now, or '' if it must not be used."""
+        """Return the base URL of the slot's endpoint, or '' if the slot must not be used now."""
         endpoint = self._context.config().endpoints.get(slot.endpoint)
         if endpoint is None or endpoint["state"] != ACTIVE:
             return ""
@@ -185,11 +184,11 @@
         return endpoint["endpoint"]
 
     async def _attempt(self, index: int, slot: Slot, url: str) -> Result[TaskAnswer, Problem]:
-        """Make one attempt at task *index*."""
+        """Make one attempt to run task *index*."""
         context = self._context
         now_ms = monotonic_ms()
         remaining_ms = self._deadline_ms - now_ms
-        # Looked at again right here: a process that was frozen must start nothing late.
+        # Checked again here, so that a paused process starts no task on an expired slot.
         if remaining_ms <= 0 or now_ms >= slot.expires_ms:
             return Error(not_run(_SLOT_EXPIRED))
         attempt = f"{context.attempt_prefix}-{next(context.attempt_numbers)}"
@@ -217,7 +216,7 @@
     def _on_attempt_done(
         self, task: asyncio.Task[Result[TaskAnswer, Problem]], index: int, slot: Slot
     ) -> None:
-        """Give the slot back and pass on the end, also of an attempt that was cancelled."""
+        """Return the slot; queue the attempt's result unless it was cancelled."""
         self._attempts.pop(task, None)
         if task.cancelled():
             self._context.slots.give_back(slot, 0.0, SlotUse.UNUSED)
@@ -240,8 +239,8 @@
         assert self._service is not None
         self._context.metrics.count(f"attempts.{problem.reason}")
         if problem.reason == _ATTEMPT_TIMEOUT:
-            # An attempt gets all the time that the job has left. On a busy box its timer may fire
-            # before the job's own, and the caller was answered 502 in place of 504.
+            # Attempts share the job's deadline, and their timer may fire first. The caller gets
+            # 504 in either case.
             return _DEADLINE
         self._endpoint_deaths[end.task_index] += is_endpoint_death(problem)
         deaths = self._endpoint_deaths[end.task_index]
@@ -257,7 +256,7 @@
         return None
 
     def _stop_attempts(self) -> None:
-        """Ask the endpoints to stop what still runs of a failed job, and wait for none of it."""
+        """Cancel the running attempts of a failed job and send stop calls in the background."""
         stops = [
             self._context.adapter.stop_task(url, self._submission, index)
             for index, url in self._attempts.values()
@@ -270,12 +269,12 @@
             task.add_done_callback(_STOP_TASKS.discard)
 
     def _for_whole_job(self, problem: Problem) -> Problem:
-        """Return *problem* with ``run`` true for the whole job."""
+        """Return *problem* with ``run`` set for the whole job instead of one attempt."""
         return problem._replace(run=Run.MAY_HAVE_RUN if self._possible_starts else Run.NOT_RUN)
 
 
 def _slot_use(result: Result[TaskAnswer, Problem]) -> tuple[SlotUse, float]:
-    """Return what an attempt's end says about its slot, and the service time."""
+    """Return the slot use that an attempt's result implies, and its service time."""
     if result.is_ok():
         return SlotUse.DONE, result.ok.service_ms
     if result.error.reason in _NON_ENDPOINT_FAULTS:
--- a/src/foldloom/static_peers/entry_role.py
+++ b/src/foldloom/static_peers/entry_role.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 """The entry role of a box: claims, slots, and the coordinator of callers' jobs.
 
-Owns the parts that only an entry box has. Relies on those that every box has
+Builds the components that only an entry box has on those that every box has
 (:class:`SharedParts`).
 """
 
@@ -43,30 +43,27 @@
 from foldloom.tasks import TaskSet
 from foldloom.time_limits import TimeLimit
 
-# Milliseconds for which the manager of a shard is not determined again, because it is asked for
-# with each lease, and changes with membership (1,000 ms of silence).
+# The manager of a shard is looked up for each lease, and changes only with membership.
 _MANAGER_CACHE_MS = 50.0
-# Seconds between two checks for answers to forget: small against their retention.
 _EXPIRY_INTERVAL_S = 5.0
-# Heartbeats that say that this box stops, in case some are lost, and seconds between them.
+# Heartbeats sent at the end of a planned stop; repeated because some may be lost.
 _FINAL_HEARTBEATS = 4
-# Seconds between two of these heartbeats.
 _FINAL_HEARTBEAT_INTERVAL_S = 0.05
 
 
 class SharedParts(NamedTuple):
-    """The parts that every box has.
+    """Components that every box has.
 
     Args:
         settings: This box's settings.
-        network: The peers.
+        network: Messages to and from the peers.
         metrics: Counters.
         holder: The configuration in force.
-        client: The way to the leader.
-        membership: Which boxes are live.
-        platform: The platform's list of boxes that leave.
-        adapter: The way to endpoints.
-        tasks: Where the role's tasks run.
+        client: Client of the controllers' leader.
+        membership: Liveness of the boxes.
+        platform: The platform's list of leaving boxes and endpoints.
+        adapter: Client for the endpoints.
+        tasks: The task set that runs the role's background tasks.
     """
 
     settings: Settings
@@ -81,10 +78,10 @@
 
 
 class EntryRole:
-    """What an entry box does beside the rest.
+    """The components of an entry box.
 
     Args:
-        parts: The parts that every box has.
+        parts: The components that every box has.
         is_stopping: Returns whether a planned stop has begun.
     """
 
@@ -119,12 +116,12 @@
 
     @property
     def coordinator(self) -> Coordinator:
-        """Who runs callers' jobs."""
+        """The coordinator of callers' jobs."""
         return self._coordinator
 
     @property
     def lookup(self) -> JobLookup:
-        """Who answers what is known of a job."""
+        """The job lookup."""
         return self._lookup
 
     @property
@@ -134,16 +131,16 @@
 
     @property
     def loads(self) -> list[ShardLoad]:
-        """The load of the shards that this box manages."""
+        """Loads of the shards managed by this box."""
         return [] if self._leases is None else self._leases.loads
 
     @property
     def successor(self) -> str:
-        """The box that got the kept answers in a planned stop, or an empty string."""
+        """The box that received the retained responses at a planned stop, or ''."""
         return self._successor
 
     def propagate_inputs(self) -> None:
-        """Pass changes of configuration, membership and the platform's list on."""
+        """Pass changed configuration, membership and platform lists to the lease manager."""
         if self._leases is None:
             return
         config, leaving = self._parts.holder.config, set(self._parts.platform.leaving)
@@ -152,25 +149,25 @@
         inputs = (config.version, leaving, zones, live)
         if inputs == self._last_inputs:
             return
-        # This is called once for each change: a kept answer must not hide it.
+        # Each change is handled once, so it must not be hidden by a cached manager.
         self._managers.look_again()
         self._leases.follow(config, leaving, zones)
         self._last_inputs = inputs
 
     async def drain(self) -> None:
-        """Finish the jobs in flight and pass kept answers on, within the set bound."""
+        """Finish the jobs in flight and hand over retained responses, within the stop timeout."""
         try:
             async with TimeLimit(self._settings.timings.stop_timeout_ms):
                 await self._coordinator.finish_all()
-                await self._hand_over_answers()
+                await self._hand_over_responses()
         except TimeoutError:
-            ENTRY_LOG.warning("The planned stop took too long: jobs in flight are cut.")
+            ENTRY_LOG.warning("The planned stop timed out; jobs in flight are aborted.")
         for _ in range(_FINAL_HEARTBEATS):
             self._parts.membership.send_heartbeat()
             await asyncio.sleep(_FINAL_HEARTBEAT_INTERVAL_S)
 
-    async def _hand_over_answers(self) -> None:
-        """Send kept answers to another entry box, in the own availability zone if there is one."""
+    async def _hand_over_responses(self) -> None:
+        """Hand retained responses over to another entry box, preferably in the same zone."""
         successors = [
             box
             for box in self._settings.entry_names
@@ -182,7 +179,7 @@
             return
         taken = await self._follower.pass_answers_to(successors[0])
         self._successor = successors[0]
-        ENTRY_LOG.info("Handed {} answers over to {}.", taken, successors[0])
+        ENTRY_LOG.info("Handed over {} responses to {}.", taken, successors[0])
 
     def _build_claims(self) -> ClaimService:
         settings, parts = self._settings, self._parts
@@ -216,7 +213,7 @@
         )
 
     def _build_slots(self) -> SlotSource:
-        """Make the slot source that the policy needs."""
+        """Return the slot source required by the placement policy."""
         parts = self._parts
         policy = POLICIES[self._settings.policy]
         if not isinstance(policy, SlotLeases):
@@ -246,7 +243,7 @@
         return self._parts.holder.config.boxes
 
     def _manager_of(self, shard: str) -> str:
-        """Return the lease manager of *shard*, as this box sees it."""
+        """Return the lease manager of *shard* according to this box's membership."""
         return self._managers.manager_of(shard, monotonic_ms())
 
     def _serving_zones(self) -> dict[str, str]:
--- a/src/foldloom/static_peers/membership.py
+++ b/src/foldloom/static_peers/membership.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Which boxes are live: heartbeats between all boxes, and what they carry.
+"""Membership: heartbeats between all boxes, and the successors of stopped boxes.
 
-Owns the newest heartbeat of each box. Relies on messages alone: a box is live while its heartbeats
-arrive.
+Owns the latest heartbeat of each peer. A peer is live if its last heartbeat is recent.
 """
 
 from __future__ import annotations
@@ -16,19 +15,18 @@
 from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import Settings
 
-# Lives whose answers went to another box that are known: above the 93 restarts a day to design for,
-# over the retention.
+# Above the number of planned stops within the retention time.
 _SUCCESSORS_MAX = 1_000
 
 
 class ShardLoad(NamedTuple):
-    """How loaded one lease shard is.
+    """Load of one lease shard.
 
     Args:
         shard: The shard's name.
-        free_slots: Slots that could be handed out now.
-        queued: Tasks that wait.
-        wait_ms: The expected wait of a new task.
+        free_slots: Number of slots available now.
+        queued: Number of queued tasks.
+        wait_ms: Expected queueing time of a new task.
     """
 
     shard: str
@@ -38,16 +36,16 @@
 
 
 class Heartbeat(NamedTuple):
-    """A box says that it lives.
+    """Periodic message of a live box to every peer.
 
     Args:
-        config_version: The configuration version in force there.
-        is_stopping: Whether a planned stop began.
-        can_vote: Whether its claim replica has recovered.
-        loads: The shards whose lease manager it is.
-        successor: At a planned stop, the box that holds its answers.
-        is_confirmed_current: Whether it passed a read barrier since it started.
-        list_epoch: The newest epoch of the box list that it acknowledges.
+        config_version: The configuration version in force on the sender.
+        is_stopping: Whether a planned stop has begun.
+        can_vote: Whether the sender's claim replica has recovered.
+        loads: Loads of the shards managed by the sender.
+        successor: At a planned stop, the box that holds the sender's responses.
+        is_confirmed_current: Whether the sender has passed a read barrier since it started.
+        list_epoch: The newest box list epoch that the sender acknowledges.
     """
 
     config_version: int
@@ -60,7 +58,7 @@
 
 
 class Successor(NamedTuple):
-    """A stopped life of a box, and the box that holds its answers."""
+    """A stopped incarnation of a box, and the box that holds its responses."""
 
     box: str
     incarnation: int
@@ -68,7 +66,7 @@
 
 
 class KnownSuccessors(NamedTuple):
-    """What a box that just started is sent: it may be one whose earlier life has a successor."""
+    """All known successors, sent to a peer at the first heartbeat of its incarnation."""
 
     successors: list[Successor]
 
@@ -78,11 +76,11 @@
 
 
 class PeerState(NamedTuple):
-    """What the last heartbeat of a peer said.
+    """The last heartbeat of a peer.
 
     Args:
-        seen_ms: Own monotonic clock at its arrival.
-        incarnation: The sender's incarnation then.
+        seen_ms: Arrival time on this box's monotonic clock.
+        incarnation: The sender's incarnation at arrival.
         heartbeat: The message.
     """
 
@@ -92,11 +90,11 @@
 
 
 class Membership:
-    """Send heartbeats and remember those of the peers.
+    """Send heartbeats to the peers and store theirs.
 
     Args:
         settings: This box's settings.
-        network: The peers.
+        network: Messages to and from the peers.
         next_heartbeat: Returns this box's next heartbeat.
     """
 
@@ -113,11 +111,11 @@
 
     @property
     def states(self) -> dict[str, PeerState]:
-        """The last state of every peer in contact, by box."""
+        """The last state of every peer that has sent a heartbeat, by box."""
         return dict(self._states)
 
     def is_live(self, box: str) -> bool:
-        """Return whether *box* has sent a heartbeat lately."""
+        """Return whether *box* has sent a heartbeat within ``peer_silent_ms``."""
         if box == self._settings.box:
             return True
         state = self._states.get(box)
@@ -134,7 +132,7 @@
         return not self._states[box].heartbeat.is_stopping
 
     def successor_of(self, box: str, incarnation: int) -> str:
-        """Return who holds the answers of a stopped incarnation of *box*, or ''."""
+        """Return the box that holds the responses of a stopped incarnation of *box*, or ''."""
         return self._successors.get((box, incarnation), "")
 
     async def run(self) -> None:
@@ -145,7 +143,7 @@
             await asyncio.sleep(interval_s)
 
     def send_heartbeat(self) -> None:
-        """Send one heartbeat to every peer now."""
+        """Send a heartbeat to every peer now."""
         heartbeat = self._next_heartbeat()
         ttl_ms = self._settings.timings.peer_silent_ms
         for box in self._network.peer_names:
