--- a/src/foldloom/static_peers/entry/run.py
+++ b/src/foldloom/static_peers/entry/run.py
@@ -40,6 +40,7 @@
 _ATTEMPT_TIMEOUT = "worker-timeout"
 # Not counted as endpoint failures; the lease manager detects overdue tasks itself.
 _NON_ENDPOINT_FAULTS = (_SLOT_EXPIRED, _ATTEMPT_TIMEOUT)
+# Strong references to the background stop calls until they end.
 _STOP_TASKS: set[asyncio.Task[None]] = set()
 
 
--- a/tests/own_entry_refusals.py
+++ b/tests/own_entry_refusals.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A refusal on the own interface covers all that ran before the call that it answers."""
+"""A refusal must not be returned for a job that may have run on another box."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 
 
 class _LocalNetworks:
-    """Boxes in one process, which reach each other at once."""
+    """Networks of boxes in one process, with immediate delivery."""
 
     def __init__(self) -> None:
         self.handlers: dict[tuple[str, type], Callable[[str, Any], Any]] = {}
 
     def network_of(self, box: str) -> Any:
-        """Return the network as *box* sees it."""
+        """Return the network of *box*."""
         return _Network(self, box)
 
 
@@ -56,28 +56,28 @@
         self._own = own
 
     def on(self, message_type: type, handler: Callable[[str, Any], Any]) -> None:
-        """Take a handler."""
+        """Register a handler."""
         self._networks.handlers[self._own, message_type] = handler
 
     def known_incarnation(self, _box: str) -> int:
-        """Return the one life of each."""
+        """Return the same incarnation for every box."""
         return _INCARNATION
 
     async def request(self, box: str, message: object, _timeout_ms: float) -> Any:
-        """Let *box* answer."""
+        """Return the reply of *box*."""
         reply = self._networks.handlers[box, type(message)](self._own, message)
         return await reply if asyncio.iscoroutine(reply) else reply
 
 
 class _Membership:
-    """All boxes are live, and none has stopped."""
+    """Membership in which all boxes are live and none has stopped."""
 
     def successor_of(self, _box: str, _incarnation: int) -> str:
-        """Return none."""
+        """Return no successor."""
         return ""
 
     def is_live(self, _box: str) -> bool:
-        """Return yes."""
+        """Return true."""
         return True
 
 
@@ -89,7 +89,7 @@
 
 
 class _Box:
-    """What a box knows of jobs, without a way to endpoints."""
+    """The job table, follower and lookup of a box, without endpoints."""
 
     def __init__(self, networks: _LocalNetworks, name: str) -> None:
         self.jobs = JobTable(60_000, 100, 100_000, Metrics())
@@ -101,23 +101,23 @@
         self.lookup = JobLookup(settings, self.network, claims, self.follower, self.jobs)
 
     def run(self) -> Job:
-        """Let the submission run here."""
+        """Start the submission as a running job."""
         job = self.jobs.start("s", _DIGEST)
         self.jobs.run(job)
         return job
 
     def finish_job(self, job: Job, state: JobState, response: Response) -> None:
-        """End a job."""
+        """Finish a job."""
         self.jobs.finish(job, state, response)
 
     def hold_claims(self, *holders: Claim) -> None:
-        """Hold claims, as a claim replica that can vote."""
+        """Reply to lookups with *holders*, as a claim replica that can vote."""
         self.network.on(Lookup, lambda _sender, _message: LookupReply(True, list(holders)))
 
 
 class _Claims:
     def replicas_of(self, _submission: str) -> ReplicaSets:
-        """Return the same for each."""
+        """Return the same replicas for every submission."""
         return _REPLICAS
 
 
@@ -139,10 +139,10 @@
 
 
 class TestFollowing:
-    """What the box that follows may pass on of a job that another box refused."""
+    """Following a job that another box refuses."""
 
     def test_a_refusal_from_before_the_question(self) -> None:
-        """Another box may have run the job since: the claim met is one that was withdrawn."""
+        """An earlier refusal ends as released: another box may have run the job since."""
 
         async def scenario() -> None:
             a1, _, c1 = _three_boxes()
@@ -152,7 +152,7 @@
         asyncio.run(scenario())
 
     def test_a_refusal_while_it_is_followed(self) -> None:
-        """Another caller may come to the following box before the word does, and after a start."""
+        """A refusal during following ends as released too."""
 
         async def scenario() -> None:
             a1, _, c1 = _three_boxes()
@@ -166,11 +166,11 @@
 
 
 class TestLookingUp:
-    """What a question is answered after a refusal."""
+    """Looking up a job after a refusal."""
 
     @pytest.mark.parametrize("asked", ["a1", "c1"])
     def test_a_job_that_was_refused_and_then_ran(self, asked: str) -> None:
-        """The answer is known, also where the job was refused, and while a late claim is met."""
+        """The response is found on every box, even while a withdrawn claim is still held."""
 
         async def scenario() -> None:
             a1, b1, c1 = _three_boxes()
@@ -185,7 +185,7 @@
         asyncio.run(scenario())
 
     def test_a_job_that_was_refused(self) -> None:
-        """Where it was refused the reason is told, as long as no claim is held anywhere."""
+        """The box that refused the job returns the refusal if no claim is held."""
 
         async def scenario() -> None:
             a1, _, _ = _three_boxes()
@@ -196,22 +196,22 @@
 
 
 class _Request:
-    """A job whose body never comes whole."""
+    """A request whose body never arrives completely."""
 
     match_info = {"submission": "s"}
 
     async def read(self) -> bytes:
-        """Wait for the rest."""
+        """Wait forever."""
         await asyncio.Event().wait()
         return b""
 
 
 class TestUnread:
-    """A box that has not read a job can't know whether it has run elsewhere."""
+    """A job that this box could not read may have run on another box."""
 
     @pytest.mark.parametrize("has_entry", [True, False])
     def test_says_that_it_may_have_run(self, has_entry: bool) -> None:
-        """The body comes too late, or the box takes no jobs."""
+        """A body timeout, or a box without the entry role, is reported as "may have run"."""
 
         async def scenario() -> None:
             http = HttpSettings(host="127.0.0.1", port=1, body_timeout_ms=1)
--- a/tests/test_entry_operators.py
+++ b/tests/test_entry_operators.py
@@ -1,9 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Operators' routes on a box that hears of a commit later than the leader answers.
+"""Operators' routes on a box that receives a commit after the leader's reply.
 
-Seen first as a failure of ``TestReplacedBoxes::test_box_joins_through_a_joint_list``: a box that
-did not lead answered a confirm 2.3 ms before it had the version itself, and a status asked for in
-between showed the list of boxes from before.
+Guards against a status that shows the previous version right after a confirm.
 """
 
 from __future__ import annotations
@@ -28,14 +26,14 @@
 
 
 class _Network:
-    """The peers of a box that asks none of them anything."""
+    """A network without peers."""
 
     def on(self, kind: type, handler: Any) -> None:
-        """Register nothing."""
+        """Ignore the handler."""
 
 
 class _Leader:
-    """A leader that commits at once; this box hears of it a little later, or never."""
+    """A leader that commits at once; this box receives the commit after a delay, or never."""
 
     def __init__(self, holder: ConfigHolder, commit_delay_s: float | None) -> None:
         self._holder = holder
@@ -44,13 +42,15 @@
     async def propose(self, _command: Any, _timeout_ms: int) -> Any:
         """Commit version 1."""
         if self._commit_delay_s is not None:
-            newer = self._holder.config._replace(version=1)
-            asyncio.get_running_loop().call_later(self._commit_delay_s, self._holder.adopt, newer)
+            committed = self._holder.config._replace(version=1)
+            asyncio.get_running_loop().call_later(
+                self._commit_delay_s, self._holder.adopt, committed
+            )
         return Ok(Answer(200, 1))
 
 
 async def _confirm_and_get_status(folder: Path, commit_delay_s: float | None) -> tuple[int, int]:
-    """Confirm, then ask for the status; return the versions that they show."""
+    """Confirm a plan, then get the status; return the versions in both responses."""
     (folder / "tokens").write_text(_TOKEN)
     settings = settings_from(
         {
@@ -77,12 +77,12 @@
 
 
 class TestConfirm:
-    """The answer to a confirm."""
+    """The response to a confirm."""
 
     def test_its_operator_finds_it_here(self, tmp_path: Path) -> None:
-        """What was confirmed through a box is in force there once it answers."""
+        """A confirmed version is in force on the box when it responds."""
         assert asyncio.run(_confirm_and_get_status(tmp_path, _COMMIT_DELAY_S)) == (1, 1)
 
     def test_answered_though_this_box_hears_nothing(self, tmp_path: Path) -> None:
-        """A commit is answered also by a box that is cut off from the leader since."""
+        """A box that does not receive the commit still responds to the confirm."""
         assert asyncio.run(_confirm_and_get_status(tmp_path, None)) == (1, 0)
--- a/tests/test_entry_refusals.py
+++ b/tests/test_entry_refusals.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Refusals on the own interface, tested in a process of their own.
+"""Run ``own_entry_refusals.py`` in a separate process.
 
-The own interface's messages of jobs and the platform's can't be loaded into one process, and other
-tests load the platform's.
+Its job messages can't be registered in one process with the platform's, which other tests import.
 """
 
 from __future__ import annotations
@@ -19,10 +18,10 @@
 
 @pytest.mark.parametrize("subject", ["TestFollowing", "TestLookingUp", "TestUnread"])
 class TestRefusals:
-    """Each class of the tests."""
+    """Each test class of the module."""
 
     def test_in_a_process_of_its_own(self, subject: str) -> None:
-        """It passes there."""
+        """All tests of the class pass."""
         command = [*_COMMAND, "-o", "addopts=", f"{_TESTS}::{subject}"]
         result = subprocess.run(command, capture_output=True, text=True, check=False, timeout=60)
         assert result.returncode == 0, result.stdout
--- a/tests/test_entry_run.py
+++ b/tests/test_entry_run.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""One job on its slots: how it ends when its time is over."""
+"""Execution of one job: reaching its deadline, and repeated endpoint failures."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 
 class _ImmediateSlots:
-    """A source that grants each slot at once."""
+    """A slot source that grants every request immediately."""
 
     def open_waiter(
         self, service: str, customer: str, deadline_ms: float, job_tasks: int
     ) -> SlotWaiter:
-        """Begin to wait."""
+        """Return a new waiter."""
         return SlotWaiter(1, service, customer, deadline_ms, job_tasks)
 
     def request(self, waiter: SlotWaiter, count: int) -> None:
-        """Grant so many."""
+        """Grant *count* slots."""
         now_ms = monotonic_ms()
         for lease in range(count):
             slot = Slot(lease, "w1", waiter.service, waiter.customer, now_ms, now_ms + 1_000)
@@ -47,12 +47,12 @@
 
 
 class _TimeoutAdapter:
-    """An endpoint whose attempts use up the job's time, a moment before the job notices."""
+    """An adapter whose attempts time out 5 ms before the job's deadline."""
 
     async def start_task(
         self, _url: str, _job: str, _index: int, _call: Any, remaining_ms: float
     ) -> Any:
-        """Return that there was no whole answer in time."""
+        """Return a timeout."""
         await asyncio.sleep((remaining_ms - 5) / 1_000)
         return Error(may_have_run("worker-timeout", "no whole answer by the deadline"))
 
@@ -61,7 +61,7 @@
 
 
 class _LostEndpointAdapter(_TimeoutAdapter):
-    """Endpoints that die under whatever they are given."""
+    """An adapter whose endpoints fail during every attempt."""
 
     def __init__(self) -> None:
         self.starts = 0
@@ -69,7 +69,7 @@
     async def start_task(
         self, _url: str, _job: str, _index: int, _call: Any, _left_ms: float
     ) -> Any:
-        """Return that the connection broke."""
+        """Return a lost connection."""
         self.starts += 1
         return Error(may_have_run("worker-lost", "ServerDisconnectedError"))
 
@@ -77,7 +77,7 @@
 def _execute(
     adapter: Any, timeout_ms: float, restart: str = "never", repeatable: bool = False
 ) -> Any:
-    """Return how a job of one task ends on an endpoint that is called by *adapter*."""
+    """Return the result of a job with one task whose endpoint is called by *adapter*."""
 
     async def run_job() -> Any:
         service = {"workers": ["*"], "concurrency_max": 0, "restart": restart}
@@ -100,10 +100,10 @@
 
 
 class TestDeadline:
-    """A job's time and that of its attempts end at one moment, in either order."""
+    """Attempts share the job's deadline; either timer may fire first."""
 
     def test_an_attempt_notices_it_first(self) -> None:
-        """The job has missed its deadline: 504, whichever timer fires first on a busy box."""
+        """An attempt that times out first still fails the job with 504, not 502."""
         result = _execute(_TimeoutAdapter(), _TIMEOUT_MS)
         assert result.is_error()
         problem = result.error
@@ -111,10 +111,10 @@
 
 
 class TestEndpointDeaths:
-    """A task under which endpoints die, of a service that starts such tasks again."""
+    """Retries of a task whose endpoints fail, for a service that allows such retries."""
 
     def test_it_is_given_up(self) -> None:
-        """Its job fails after two endpoints, long before its deadline and its retry budget."""
+        """The job fails after two endpoint failures, before its deadline or retry budget ends."""
         adapter = _LostEndpointAdapter()
         result = _execute(adapter, 60_000.0, "after-worker-death", repeatable=True)
         assert result.error.reason == "worker-lost"
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Callers' connections: slow heads, slow bodies, too many, cut ones."""
+"""Callers' connections: slow heads, slow bodies, the connection limit, disconnects."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture(scope="module")
 def cluster(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Cluster]:
-    """One box with small limits."""
+    """One box with low HTTP limits."""
     folder = tmp_path_factory.mktemp("http")
     with Cluster(folder, zones="a", controllers=1, overrides={"http": _LIMITS}) as running:
         yield running
@@ -27,17 +27,17 @@
 
 
 class TestSlowCallers:
-    """Callers that send too slowly."""
+    """Callers that exceed the head or body timeout."""
 
     def test_slow_head_is_closed(self, cluster: Cluster) -> None:
-        """A connection that never finishes its head is closed and counted."""
+        """A connection without a complete head is closed and counted."""
         with _connect(cluster) as connection:
             connection.sendall(b"PUT /v1/jobs/slow HTTP/1.1\r\nHost: x\r\n")
             assert connection.recv(1) == b""
         assert cluster.status("a1")["metrics"]["http.header-timeouts"] >= 1
 
     def test_slow_body_is_answered(self, cluster: Cluster) -> None:
-        """A body that does not arrive in time is 408: the job may have been handed in before."""
+        """An incomplete body gets 408 and "may have run": it may be a resubmission."""
         with _connect(cluster) as connection:
             head = b"PUT /v1/jobs/drip HTTP/1.1\r\nHost: x\r\nContent-Length: 999\r\n\r\n{"
             connection.sendall(head)
@@ -47,21 +47,21 @@
 
 
 class TestManyConnections:
-    """More connections than the bound."""
+    """The connection limit, and a caller that disconnects."""
 
     def test_over_the_bound_is_closed_and_freed_again(self, cluster: Cluster) -> None:
-        """Connections over the bound are closed at once; when others end, there is room."""
-        held = [_connect(cluster) for _ in range(12)]
+        """Connections over the limit are closed; closed connections are subtracted again."""
+        connections = [_connect(cluster) for _ in range(12)]
         try:
             with _connect(cluster) as extra:
                 assert extra.recv(1) == b""
         finally:
-            for connection in held:
+            for connection in connections:
                 connection.close()
         wait_until(lambda: cluster.submit("a1", "room", [{"ms": 1}]).status == 200, "room again")
 
     def test_cut_caller_does_not_stop_the_job(self, cluster: Cluster) -> None:
-        """A caller that cuts its connection mid-job finds the answer afterwards."""
+        """A job goes on after its caller disconnects; a resubmission gets the answer."""
         body = b'{"service":"sleep","member":"m1","tasks":[{"payload":{"ms":300}}]}'
         head = f"PUT /v1/jobs/cut HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
         with _connect(cluster) as connection:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The whole path: a caller's job goes in at a box, the whole answer comes back."""
+"""End-to-end path of a job: submission, placement, answers, and the planned stop."""
 
 from __future__ import annotations
 
@@ -22,50 +22,50 @@
 
 
 class TestSubmit:
-    """Jobs of a caller."""
+    """Submissions by a caller."""
 
     def test_answers_in_order(self, cluster: Cluster) -> None:
-        """A job's answers come back whole and in task order."""
+        """A job's answers are complete and in task order."""
         payloads = [{"ms": ms} for ms in (60, 10, 40, 20)]
         answer = cluster.submit("a1", "order", payloads)
         assert answer.status == 200
         assert answer.fields["verdict"] == "complete"
-        assert [one["echo"] for one in answer.fields["answers"]] == payloads
+        assert [item["echo"] for item in answer.fields["answers"]] == payloads
 
     def test_one_log_line_a_placement(self, cluster: Cluster) -> None:
-        """Each attempt's placement is one log line with task, endpoint and lease."""
+        """Each placement is logged in one line with task, attempt, endpoint and lease."""
         cluster.submit("b1", "logged", [{"ms": 1}] * 3)
         lines = [line for line in cluster.log("b1").splitlines() if "place: Task logged/" in line]
-        # An endpoint that can't be reached in time is left for another: one line says so.
+        # An unreachable endpoint causes a retry, which is logged in one line.
         retries = [line for line in lines if " again: " in line]
         placements = [line for line in lines if line not in retries]
         assert len(placements) == 3 + len(retries)
-        form = r"Task (logged/\d) goes to \w+ as (\S+) on lease (\d+)\.$"
-        matches = [re.search(form, line) for line in placements]
+        pattern = r"Task (logged/\d) goes to \w+ as (\S+) on lease (\d+)\.$"
+        matches = [re.search(pattern, line) for line in placements]
         assert all(matches)
         placed = [match.groups() for match in matches if match is not None]
         assert {task for task, _, _ in placed} == {"logged/0", "logged/1", "logged/2"}
-        # No attempt and no lease is logged twice.
+        # Attempt ids and lease ids are unique.
         assert len({attempt for _, attempt, _ in placed}) == len(placed)
         assert len({lease for _, _, lease in placed}) == len(placed)
 
     def test_many_jobs_through_two_boxes(self, cluster: Cluster) -> None:
-        """200 jobs of 20 tasks through two boxes: every answer is whole and its own."""
+        """200 jobs of 20 tasks through two boxes each get their own complete answers."""
 
         def run(number: int) -> bool:
             payloads = [{"ms": 5, "job": number, "task": task} for task in range(20)]
             answer = cluster.submit("ab"[number % 2] + "1", f"many-{number}", payloads)
-            return [one["echo"] for one in answer.fields["answers"]] == payloads
+            return [item["echo"] for item in answer.fields["answers"]] == payloads
 
         with ThreadPoolExecutor(16) as pool:
             assert all(pool.map(run, range(200)))
 
     def test_get_starts_nothing(self, cluster: Cluster) -> None:
-        """GET of an unknown job says so and starts nothing; of a known one it gives the answer."""
+        """GET returns 404 for an unknown job and the response of a finished one."""
         unknown = http("GET", f"{cluster.url('a1')}/v1/jobs/never")
         assert (unknown.status, unknown.fields["run"]) == (404, "not-run")
-        given = cluster.submit("a1", "known", [{"ms": 1}])
-        assert http("GET", f"{cluster.url('c1')}/v1/jobs/known").fields == given.fields
+        submitted = cluster.submit("a1", "known", [{"ms": 1}])
+        assert http("GET", f"{cluster.url('c1')}/v1/jobs/known").fields == submitted.fields
 
     @pytest.mark.parametrize(
         ("body", "status", "field"),
@@ -81,7 +81,7 @@
         ],
     )
     def test_bad_input(self, cluster: Cluster, body: object, status: int, field: str) -> None:
-        """Bad input is refused as not run, and the field is named."""
+        """Bad input is refused as not run, with the field in the detail."""
         answer = http("PUT", f"{cluster.url('a1')}/v1/jobs/bad", body)
         assert answer.status == status
         assert answer.fields["verdict"] == "refused"
@@ -89,7 +89,7 @@
         assert field in answer.fields["detail"]
 
     def test_same_id_other_content(self, cluster: Cluster) -> None:
-        """The same submission with other content is 409 on every box."""
+        """Reuse of a submission id with other content gets 409 on every box."""
         cluster.submit("a1", "twice", [{"ms": 1}])
         for box in cluster.boxes:
             answer = cluster.submit(box, "twice", [{"ms": 2}])
@@ -100,7 +100,7 @@
     """The planned stop."""
 
     def test_sigterm_under_load_loses_none(self, tmp_path: Path) -> None:
-        """SIGTERM, also a second one, lets the jobs in flight end; new ones are refused."""
+        """Jobs in flight complete despite two SIGTERMs; a resubmission starts no task again."""
         with Cluster(tmp_path) as cluster:
 
             def run(number: int) -> HttpAnswer:
@@ -114,6 +114,6 @@
                 cluster.signal("a1", signal.SIGTERM)
                 assert all(answer.result().status == 200 for answer in answers)
             assert cluster.processes["a1"].wait(20) == 0
-            again = cluster.submit("b1", "stop-0", [{"ms": 400}] * 3)
-            assert again.status == 200
+            resubmitted = cluster.submit("b1", "stop-0", [{"ms": 400}] * 3)
+            assert resubmitted.status == 200
             assert max(cluster.starts().values()) == 1
