--- a/src/foldloom/static_peers/endpoints/usage.py
+++ b/src/foldloom/static_peers/endpoints/usage.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""The endpoints' lagging usage reports, polled for the policies that decide by them.
+"""Poll the endpoints' usage reports for the placement policies that use them.
 
-Owns the newest reports. Relies on the adapter; a report that can't be had leaves the one before.
+The reports lag behind the actual usage. A failed poll keeps the endpoint's last report.
 """
 
 from __future__ import annotations
@@ -12,15 +12,14 @@
 from foldloom.controllers.config import Config
 from foldloom.static_peers.endpoints.adapter import EndpointAdapter
 
-# Seconds between two polls of an endpoint: the platform's reports lag by as much.
-_POLL_S = 0.5
+_POLL_INTERVAL_S = 0.5
 
 
 class UsageReports:
     """Poll ``GET /v1/usage`` of every endpoint.
 
     Args:
-        adapter: The way to endpoints.
+        adapter: Client for the endpoints.
         config: Returns the configuration in force.
     """
 
@@ -31,16 +30,18 @@
 
     @property
     def running(self) -> dict[str, int]:
-        """Running tasks by endpoint, as last reported."""
+        """Number of running tasks by endpoint, as last reported."""
         return self._running
 
     async def run(self) -> None:
         """Poll until cancelled."""
         while True:
             endpoints = self._config().endpoints
-            asked = [self._adapter.usage(endpoint["endpoint"]) for endpoint in endpoints.values()]
-            reports = await asyncio.gather(*asked)
+            requests = [
+                self._adapter.usage(endpoint["endpoint"]) for endpoint in endpoints.values()
+            ]
+            reports = await asyncio.gather(*requests)
             for name, running in zip(endpoints, reports, strict=True):
                 if running is not None:
                     self._running[name] = running
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
--- a/src/foldloom/static_peers/entry/run.py
+++ b/src/foldloom/static_peers/entry/run.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Run one claimed job: a slot for each task, each task started at most once.
+"""Run a claimed job: acquire a slot for each task and start the task on its endpoint.
 
-Owns the attempts of one job. Relies on slots, on the adapter, and on
-:mod:`foldloom.static_peers.placement.retries` for whether an attempt may be made again.
+Owns the attempts of one job. :mod:`foldloom.static_peers.placement.retries` decides whether a
+failed attempt may be retried.
 """
 
 from __future__ import annotations
@@ -32,30 +32,30 @@
 from foldloom.time_limits import TimeLimit
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
-# Milliseconds after which a caller should come back whose job no endpoint took.
 _RETRY_AFTER_MS = 500
-# Seconds until a task that certainly did not start is given another slot.
-_RETRY_PAUSE_S = 0.01
+# Delay before a slot is requested for a retry.
+_RETRY_DELAY_S = 0.01
 _SLOT_EXPIRED = "slot-expired"
 _DEADLINE = may_have_run("deadline", "the job did not end in time", status=504)
 _ATTEMPT_TIMEOUT = "worker-timeout"
-# A job's deadline says nothing of the endpoint: tasks overdue are judged by the lease manager.
-_NO_FAULT_OF_ENDPOINT = (_SLOT_EXPIRED, _ATTEMPT_TIMEOUT)
-_STOPS: set[asyncio.Task[None]] = set()
+# Not counted as endpoint failures; the lease manager detects overdue tasks itself.
+_NON_ENDPOINT_FAULTS = (_SLOT_EXPIRED, _ATTEMPT_TIMEOUT)
+# Strong references to the background stop calls until they end.
+_STOP_TASKS: set[asyncio.Task[None]] = set()
 
 
 class RunContext(NamedTuple):
-    """What every job of a box shares.
+    """Dependencies shared by all jobs of a box.
 
     Args:
-        attempt_prefix: Makes attempt ids unique: box and incarnation.
-        attempt_numbers: Counts attempts.
-        adapter: The way to endpoints.
-        slots: Where slots come from.
+        attempt_prefix: Prefix that makes attempt ids unique: box and incarnation.
+        attempt_numbers: Numbers the attempts.
+        adapter: Client for the endpoints.
+        slots: Source of slots.
         budget: The box's retry budget.
         metrics: Counters.
         config: Returns the configuration in force.
-        leaving: Returns the endpoints that the platform calls leaving.
+        leaving: Returns the endpoints that the platform lists as leaving.
     """
 
     attempt_prefix: str
@@ -69,20 +69,20 @@
 
 
 class AttemptEnd(NamedTuple):
-    """The end of one attempt at one task."""
+    """The result of one attempt at a task."""
 
     task_index: int
     result: Result[TaskAnswer, Problem]
 
 
 class JobRun:
-    """One job that holds its claim.
+    """The execution of one job that holds its claim.
 
     Args:
-        context: What the box's jobs share.
-        submission: The job's id.
+        context: Dependencies shared by all jobs of the box.
+        submission: The submission id.
         request: The job.
-        deadline_ms: When its answer is of no more use; own monotonic clock.
+        deadline_ms: The job's deadline on this box's monotonic clock.
     """
 
     def __init__(
@@ -93,90 +93,90 @@
         self._request = request
         self._deadline_ms = deadline_ms
         self._service: Service | None = None
-        self._waiting = deque(range(len(request.payloads)))
+        self._pending = deque(range(len(request.payloads)))
         self._answers: list[msgspec.Raw | None] = [None] * len(request.payloads)
-        self._left = len(request.payloads)
+        self._unfinished = len(request.payloads)
         self._events: asyncio.Queue[Any] = asyncio.Queue()
         self._attempts: dict[asyncio.Task[Result[TaskAnswer, Problem]], tuple[int, str]] = {}
-        self._deaths: Counter[int] = Counter()
-        self._maybe_ran = 0
-        self._longest_ms = 0.0
+        self._endpoint_deaths: Counter[int] = Counter()
+        self._possible_starts = 0
+        self._max_service_ms = 0.0
 
     @property
-    def longest_ms(self) -> float:
-        """The longest service time of a task so far, milliseconds."""
-        return self._longest_ms
+    def max_service_ms(self) -> float:
+        """The longest service time of a task so far, in milliseconds."""
+        return self._max_service_ms
 
     async def execute(self) -> Result[list[msgspec.Raw], Problem]:
-        """Run every task and return all answers, or the one problem that ended the job."""
+        """Run all tasks; return their answers in task order, or the problem that failed the job."""
         self._service = self._context.config().services.get(self._request.service)
         if self._service is None:
             detail = f"service: {self._request.service} is unknown"
-            # It may have been confirmed a moment ago and not be in force here yet.
+            # Retryable: the service may be confirmed but not yet in force on this box.
             return Error(not_run("unknown-service", detail, _RETRY_AFTER_MS, status=404))
         waiter = self._context.slots.open_waiter(
-            self._request.service, self._request.customer, self._deadline_ms, self._left
+            self._request.service, self._request.customer, self._deadline_ms, self._unfinished
         )
         try:
-            self._context.slots.request(waiter, self._left)
-            problem = await self._serve(waiter)
+            self._context.slots.request(waiter, self._unfinished)
+            problem = await self._run_tasks(waiter)
         finally:
             self._context.slots.close(waiter)
         if problem is None:
             return Ok([answer for answer in self._answers if answer is not None])
         self._stop_attempts()
-        return Error(self._truthful(problem))
+        return Error(self._for_whole_job(problem))
 
-    async def _serve(self, waiter: SlotWaiter) -> Problem | None:
-        """Match slots and tasks until all are answered or the job has failed."""
+    async def _run_tasks(self, waiter: SlotWaiter) -> Problem | None:
+        """Start tasks on arriving slots until all are answered or the job has failed."""
         self._events = waiter.arrivals
-        while self._left:
+        while self._unfinished:
             event = await self._next_event()
             problem: Problem | None = _DEADLINE
             if isinstance(event, AttemptEnd):
-                problem = await self._take_end(event, waiter)
+                problem = await self._handle_end(event, waiter)
             elif event is not None:
-                problem = self._take_arrival(event, waiter)
+                problem = self._handle_arrival(event, waiter)
             if problem is not None:
                 return problem
         return None
 
     async def _next_event(self) -> Slot | SlotRefusal | AttemptEnd | None:
-        """Return what happened next, or ``None`` at the deadline."""
+        """Return the next event, or ``None`` at the deadline."""
         if not self._events.empty():
             return self._events.get_nowait()
         try:
             async with TimeLimit(self._deadline_ms - monotonic_ms()):
                 return await self._events.get()
         except TimeoutError:
-            # The deadline: the caller of this gives the job up.
+            # At the deadline, _run_tasks fails the job.
             return None
 
-    def _return_unused(self, arrived: Slot | SlotRefusal) -> None:
-        if isinstance(arrived, Slot):
-            self._context.slots.give_back(arrived, 0.0, SlotUse.UNUSED)
+    def _return_unused(self, arrival: Slot | SlotRefusal) -> None:
+        if isinstance(arrival, Slot):
+            self._context.slots.give_back(arrival, 0.0, SlotUse.UNUSED)
 
-    def _take_arrival(self, arrived: Slot | SlotRefusal, waiter: SlotWaiter) -> Problem | None:
-        if isinstance(arrived, SlotRefusal):
-            detail = f"no slot for {len(self._waiting)} tasks in time"
-            self._context.metrics.count(f"refusals.{arrived.reason}")
-            return not_run(arrived.reason, detail, arrived.retry_after_ms)
-        if not self._waiting:
-            self._return_unused(arrived)
+    def _handle_arrival(self, arrival: Slot | SlotRefusal, waiter: SlotWaiter) -> Problem | None:
+        if isinstance(arrival, SlotRefusal):
+            detail = f"no slot for {len(self._pending)} tasks in time"
+            self._context.metrics.count(f"refusals.{arrival.reason}")
+            return not_run(arrival.reason, detail, arrival.retry_after_ms)
+        if not self._pending:
+            self._return_unused(arrival)
             return None
-        url = self._url_of(arrived)
+        url = self._usable_url(arrival)
         if not url:
-            self._return_unused(arrived)
+            self._return_unused(arrival)
             self._context.slots.request(waiter, 1)
             return None
-        index = self._waiting.popleft()
-        task = asyncio.create_task(self._attempt(index, arrived, url))
+        index = self._pending.popleft()
+        task = asyncio.create_task(self._attempt(index, arrival, url))
         self._attempts[task] = (index, url)
-        task.add_done_callback(lambda ended: self._end_attempt(ended, index, arrived))
+        task.add_done_callback(lambda ended: self._on_attempt_done(ended, index, arrival))
         return None
 
-    def _url_of(self, slot: Slot) -> str:
-        """Return where to start a task on *slot* now, or '' if it must not be used."""
+    def _usable_url(self, slot: Slot) -> str:
+        """Return the base URL of the slot's endpoint, or '' if the slot must not be used now."""
         endpoint = self._context.config().endpoints.get(slot.endpoint)
         if endpoint is None or endpoint["state"] != ACTIVE:
             return ""
@@ -185,12 +185,12 @@
         return endpoint["endpoint"]
 
     async def _attempt(self, index: int, slot: Slot, url: str) -> Result[TaskAnswer, Problem]:
-        """Make one attempt at task *index*."""
+        """Make one attempt to run task *index*."""
         context = self._context
         now_ms = monotonic_ms()
-        left_ms = self._deadline_ms - now_ms
-        # Looked at again right here: a process that was frozen must start nothing late.
-        if left_ms <= 0 or now_ms >= slot.expires_ms:
+        remaining_ms = self._deadline_ms - now_ms
+        # Checked again here, so that a paused process starts no task on an expired slot.
+        if remaining_ms <= 0 or now_ms >= slot.expires_ms:
             return Error(not_run(_SLOT_EXPIRED))
         attempt = f"{context.attempt_prefix}-{next(context.attempt_numbers)}"
         call = TaskCall(
@@ -198,7 +198,7 @@
             lease=slot.lease_id,
             service=self._request.service,
             member=self._request.customer,
-            deadline_ms=int(left_ms),
+            deadline_ms=int(remaining_ms),
             payload=self._request.payloads[index],
         )
         PLACE_LOG.info(
@@ -209,55 +209,55 @@
             attempt,
             slot.lease_id,
         )
-        self._maybe_ran += 1
+        self._possible_starts += 1
         context.budget.note_start()
         context.metrics.count("tasks.started")
-        return await context.adapter.start_task(url, self._submission, index, call, left_ms)
+        return await context.adapter.start_task(url, self._submission, index, call, remaining_ms)
 
-    def _end_attempt(
+    def _on_attempt_done(
         self, task: asyncio.Task[Result[TaskAnswer, Problem]], index: int, slot: Slot
     ) -> None:
-        """Give the slot back and pass on the end, also of an attempt that was cancelled."""
+        """Return the slot; queue the attempt's result unless it was cancelled."""
         self._attempts.pop(task, None)
         if task.cancelled():
             self._context.slots.give_back(slot, 0.0, SlotUse.UNUSED)
             return
         result = task.result()
-        use, service_ms = _use_of(result)
+        use, service_ms = _slot_use(result)
         self._context.slots.give_back(slot, service_ms, use)
         self._events.put_nowait(AttemptEnd(index, result))
 
-    async def _take_end(self, end: AttemptEnd, waiter: SlotWaiter) -> Problem | None:
+    async def _handle_end(self, end: AttemptEnd, waiter: SlotWaiter) -> Problem | None:
         if end.result.is_ok():
             answer = end.result.ok
             self._answers[end.task_index] = answer.answer
-            self._left -= 1
-            self._longest_ms = max(self._longest_ms, answer.service_ms)
+            self._unfinished -= 1
+            self._max_service_ms = max(self._max_service_ms, answer.service_ms)
             return None
         problem = end.result.error
         if problem.run is Run.NOT_RUN and problem.reason != _SLOT_EXPIRED:
-            self._maybe_ran -= 1
+            self._possible_starts -= 1
         assert self._service is not None
         self._context.metrics.count(f"attempts.{problem.reason}")
         if problem.reason == _ATTEMPT_TIMEOUT:
-            # An attempt gets all the time that the job has left. On a busy box its timer may fire
-            # before the job's own, and the caller was answered 502 in place of 504.
+            # Attempts share the job's deadline, and their timer may fire first. The caller gets
+            # 504 in either case.
             return _DEADLINE
-        self._deaths[end.task_index] += is_endpoint_death(problem)
-        deaths = self._deaths[end.task_index]
+        self._endpoint_deaths[end.task_index] += is_endpoint_death(problem)
+        deaths = self._endpoint_deaths[end.task_index]
         if not may_retry(problem, self._service, self._request.repeatable, deaths):
             return problem
         if not self._context.budget.spend():
             return problem._replace(detail=f"{problem.detail}; the retry budget is used up")
         PLACE_LOG.info("Task {}/{} again: {}.", self._submission, end.task_index, problem.reason)
         self._context.metrics.count("tasks.retried")
-        await asyncio.sleep(_RETRY_PAUSE_S)
-        self._waiting.appendleft(end.task_index)
+        await asyncio.sleep(_RETRY_DELAY_S)
+        self._pending.appendleft(end.task_index)
         self._context.slots.request(waiter, 1)
         return None
 
     def _stop_attempts(self) -> None:
-        """Ask the endpoints to stop what still runs of a failed job, and wait for none of it."""
+        """Cancel the running attempts of a failed job and send stop calls in the background."""
         stops = [
             self._context.adapter.stop_task(url, self._submission, index)
             for index, url in self._attempts.values()
@@ -266,19 +266,19 @@
             attempt.cancel()
         for stop in stops:
             task = asyncio.create_task(stop)
-            _STOPS.add(task)
-            task.add_done_callback(_STOPS.discard)
+            _STOP_TASKS.add(task)
+            task.add_done_callback(_STOP_TASKS.discard)
 
-    def _truthful(self, problem: Problem) -> Problem:
-        """Return *problem* with ``run`` true for the whole job."""
-        return problem._replace(run=Run.MAY_HAVE_RUN if self._maybe_ran else Run.NOT_RUN)
+    def _for_whole_job(self, problem: Problem) -> Problem:
+        """Return *problem* with ``run`` set for the whole job instead of one attempt."""
+        return problem._replace(run=Run.MAY_HAVE_RUN if self._possible_starts else Run.NOT_RUN)
 
 
-def _use_of(result: Result[TaskAnswer, Problem]) -> tuple[SlotUse, float]:
-    """Return what an attempt's end says about its slot, and the service time."""
+def _slot_use(result: Result[TaskAnswer, Problem]) -> tuple[SlotUse, float]:
+    """Return the slot use that an attempt's result implies, and its service time."""
     if result.is_ok():
         return SlotUse.DONE, result.ok.service_ms
-    if result.error.reason in _NO_FAULT_OF_ENDPOINT:
+    if result.error.reason in _NON_ENDPOINT_FAULTS:
         return SlotUse.UNUSED, 0.0
     if result.error.run is Run.NOT_RUN:
         return SlotUse.NOT_RUN, 0.0
--- a/src/foldloom/static_peers/membership.py
+++ b/src/foldloom/static_peers/membership.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Which boxes are live: heartbeats between all boxes, and what they carry.
+"""Membership: heartbeats between all boxes, and the successors of stopped boxes.
 
-Owns the newest heartbeat of each box. Relies on messages alone: a box is live while its heartbeats
-arrive.
+Owns the latest heartbeat of each peer. A peer is live if its last heartbeat is recent.
 """
 
 from __future__ import annotations
@@ -16,19 +15,18 @@
 from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import Settings
 
-# Lives whose answers went to another box that are known: above the 93 restarts a day to design for,
-# over the retention.
-_SUCCESSORS_KEPT = 1_000
+# Above the number of planned stops within the retention time.
+_SUCCESSORS_MAX = 1_000
 
 
 class ShardLoad(NamedTuple):
-    """How loaded one lease shard is.
+    """Load of one lease shard.
 
     Args:
         shard: The shard's name.
-        free_slots: Slots that could be handed out now.
-        queued: Tasks that wait.
-        wait_ms: The expected wait of a new task.
+        free_slots: Number of slots available now.
+        queued: Number of queued tasks.
+        wait_ms: Expected queueing time of a new task.
     """
 
     shard: str
@@ -38,16 +36,16 @@
 
 
 class Heartbeat(NamedTuple):
-    """A box says that it lives.
+    """Periodic message of a live box to every peer.
 
     Args:
-        config_version: The configuration version in force there.
-        is_stopping: Whether a planned stop began.
-        can_vote: Whether its claim replica has recovered.
-        loads: The shards whose lease manager it is.
-        successor: At a planned stop, the box that holds its answers.
-        is_confirmed_current: Whether it passed a read barrier since it started.
-        list_epoch: The newest epoch of the box list that it acknowledges.
+        config_version: The configuration version in force on the sender.
+        is_stopping: Whether a planned stop has begun.
+        can_vote: Whether the sender's claim replica has recovered.
+        loads: Loads of the shards managed by the sender.
+        successor: At a planned stop, the box that holds the sender's responses.
+        is_confirmed_current: Whether the sender has passed a read barrier since it started.
+        list_epoch: The newest box list epoch that the sender acknowledges.
     """
 
     config_version: int
@@ -60,7 +58,7 @@
 
 
 class Successor(NamedTuple):
-    """A stopped life of a box, and the box that holds its answers."""
+    """A stopped incarnation of a box, and the box that holds its responses."""
 
     box: str
     incarnation: int
@@ -68,7 +66,7 @@
 
 
 class KnownSuccessors(NamedTuple):
-    """What a box that just started is sent: it may be one whose earlier life has a successor."""
+    """All known successors, sent to a peer at the first heartbeat of its incarnation."""
 
     successors: list[Successor]
 
@@ -78,11 +76,11 @@
 
 
 class PeerState(NamedTuple):
-    """What the last heartbeat of a peer said.
+    """The last heartbeat of a peer.
 
     Args:
-        seen_ms: Own monotonic clock at its arrival.
-        incarnation: The sender's incarnation then.
+        seen_ms: Arrival time on this box's monotonic clock.
+        incarnation: The sender's incarnation at arrival.
         heartbeat: The message.
     """
 
@@ -92,20 +90,20 @@
 
 
 class Membership:
-    """Send heartbeats and remember those of the peers.
+    """Send heartbeats to the peers and store theirs.
 
     Args:
         settings: This box's settings.
-        network: The peers.
-        describe: Returns this box's next heartbeat.
+        network: Messages to and from the peers.
+        next_heartbeat: Returns this box's next heartbeat.
     """
 
     def __init__(
-        self, settings: Settings, network: PeerNetwork, describe: Callable[[], Heartbeat]
+        self, settings: Settings, network: PeerNetwork, next_heartbeat: Callable[[], Heartbeat]
     ) -> None:
         self._settings = settings
         self._network = network
-        self._describe = describe
+        self._next_heartbeat = next_heartbeat
         self._states: dict[str, PeerState] = {}
         self._successors: dict[tuple[str, int], str] = {}
         network.on(Heartbeat, self._on_heartbeat)
@@ -113,11 +111,11 @@
 
     @property
     def states(self) -> dict[str, PeerState]:
-        """The last state of every peer in contact, by box."""
+        """The last state of every peer that has sent a heartbeat, by box."""
         return dict(self._states)
 
     def is_live(self, box: str) -> bool:
-        """Return whether *box* has sent a heartbeat lately."""
+        """Return whether *box* has sent a heartbeat within ``peer_silent_ms``."""
         if box == self._settings.box:
             return True
         state = self._states.get(box)
@@ -130,45 +128,45 @@
         if not self.is_live(box):
             return False
         if box == self._settings.box:
-            return not self._describe().is_stopping
+            return not self._next_heartbeat().is_stopping
         return not self._states[box].heartbeat.is_stopping
 
     def successor_of(self, box: str, incarnation: int) -> str:
-        """Return who holds the answers of a stopped incarnation of *box*, or ''."""
+        """Return the box that holds the responses of a stopped incarnation of *box*, or ''."""
         return self._successors.get((box, incarnation), "")
 
     async def run(self) -> None:
         """Send heartbeats until cancelled."""
-        interval = self._settings.timings.heartbeat_ms / 1_000
+        interval_s = self._settings.timings.heartbeat_ms / 1_000
         while True:
             self.send_heartbeat()
-            await asyncio.sleep(interval)
+            await asyncio.sleep(interval_s)
 
     def send_heartbeat(self) -> None:
-        """Send one heartbeat to every peer now."""
-        heartbeat = self._describe()
-        ttl = self._settings.timings.peer_silent_ms
+        """Send a heartbeat to every peer now."""
+        heartbeat = self._next_heartbeat()
+        ttl_ms = self._settings.timings.peer_silent_ms
         for box in self._network.peer_names:
-            self._network.send(box, heartbeat, ttl)
+            self._network.send(box, heartbeat, ttl_ms)
 
     def _on_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
         incarnation = self._network.known_incarnation(sender)
-        before = self._states.get(sender)
-        if self._successors and (before is None or before.incarnation < incarnation):
-            known = [
-                Successor(box, life, successor)
-                for (box, life), successor in self._successors.items()
+        previous = self._states.get(sender)
+        if self._successors and (previous is None or previous.incarnation < incarnation):
+            successors = [
+                Successor(box, stopped_incarnation, successor)
+                for (box, stopped_incarnation), successor in self._successors.items()
             ]
-            self._network.send(sender, KnownSuccessors(known))
+            self._network.send(sender, KnownSuccessors(successors))
         self._states[sender] = PeerState(monotonic_ms(), incarnation, heartbeat)
         if heartbeat.successor:
-            self._note_successor(Successor(sender, incarnation, heartbeat.successor))
+            self._record_successor(Successor(sender, incarnation, heartbeat.successor))
 
     def _on_successors(self, _sender: str, message: KnownSuccessors) -> None:
         for successor in message.successors:
-            self._note_successor(successor)
+            self._record_successor(successor)
 
-    def _note_successor(self, successor: Successor) -> None:
+    def _record_successor(self, successor: Successor) -> None:
         self._successors[successor.box, successor.incarnation] = successor.successor
-        while len(self._successors) > _SUCCESSORS_KEPT:
+        while len(self._successors) > _SUCCESSORS_MAX:
             del self._successors[next(iter(self._successors))]
--- a/tests/test_entry_run.py
+++ b/tests/test_entry_run.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""One job on its slots: how it ends when its time is over."""
+"""Execution of one job: reaching its deadline, and repeated endpoint failures."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from foldloom.static_peers.placement.slots import Slot, SlotWaiter
 from foldloom.verdicts import Run, may_have_run
 
-_TIME_MS = 50.0
+_TIMEOUT_MS = 50.0
 
 
-class _Slots:
-    """A source that grants each slot at once."""
+class _ImmediateSlots:
+    """A slot source that grants every request immediately."""
 
     def open_waiter(
         self, service: str, customer: str, deadline_ms: float, job_tasks: int
     ) -> SlotWaiter:
-        """Begin to wait."""
+        """Return a new waiter."""
         return SlotWaiter(1, service, customer, deadline_ms, job_tasks)
 
     def request(self, waiter: SlotWaiter, count: int) -> None:
-        """Grant so many."""
+        """Grant *count* slots."""
         now_ms = monotonic_ms()
         for lease in range(count):
             slot = Slot(lease, "w1", waiter.service, waiter.customer, now_ms, now_ms + 1_000)
@@ -46,22 +46,22 @@
         """Do nothing."""
 
 
-class _Adapter:
-    """An endpoint whose attempts use up the job's time, a moment before the job notices."""
+class _TimeoutAdapter:
+    """An adapter whose attempts time out 5 ms before the job's deadline."""
 
     async def start_task(
-        self, _url: str, _job: str, _index: int, _call: Any, left_ms: float
+        self, _url: str, _job: str, _index: int, _call: Any, remaining_ms: float
     ) -> Any:
-        """Return that there was no whole answer in time."""
-        await asyncio.sleep((left_ms - 5) / 1_000)
+        """Return a timeout."""
+        await asyncio.sleep((remaining_ms - 5) / 1_000)
         return Error(may_have_run("worker-timeout", "no whole answer by the deadline"))
 
     async def stop_task(self, _url: str, _job: str, _index: int) -> None:
         """Do nothing."""
 
 
-class _DyingEndpoint(_Adapter):
-    """Endpoints that die under whatever they are given."""
+class _LostEndpointAdapter(_TimeoutAdapter):
+    """An adapter whose endpoints fail during every attempt."""
 
     def __init__(self) -> None:
         self.starts = 0
@@ -69,15 +69,17 @@
     async def start_task(
         self, _url: str, _job: str, _index: int, _call: Any, _left_ms: float
     ) -> Any:
-        """Return that the connection broke."""
+        """Return a lost connection."""
         self.starts += 1
         return Error(may_have_run("worker-lost", "ServerDisconnectedError"))
 
 
-def _execute(adapter: Any, time_ms: float, restart: str = "never", repeatable: bool = False) -> Any:
-    """Return how a job of one task ends on an endpoint that is called by *adapter*."""
+def _execute(
+    adapter: Any, timeout_ms: float, restart: str = "never", repeatable: bool = False
+) -> Any:
+    """Return the result of a job with one task whose endpoint is called by *adapter*."""
 
-    async def play() -> Any:
+    async def run_job() -> Any:
         service = {"workers": ["*"], "concurrency_max": 0, "restart": restart}
         endpoints = {"w1": {"endpoint": "http://w1", "state": "active"}}
         config: Any = SimpleNamespace(services={"svc": service}, endpoints=endpoints)
@@ -85,35 +87,35 @@
             attempt_prefix="b1-1",
             attempt_numbers=itertools.count(1),
             adapter=adapter,
-            slots=_Slots(),
+            slots=_ImmediateSlots(),
             budget=RetryBudget(0.1),
             metrics=Metrics(),
             config=lambda: config,
             leaving=frozenset,
         )
-        request = JobRequest("svc", "c", repeatable, int(time_ms), [msgspec.Raw(b"1")], "")
-        return await JobRun(context, "job", request, monotonic_ms() + time_ms).execute()
+        request = JobRequest("svc", "c", repeatable, int(timeout_ms), [msgspec.Raw(b"1")], "")
+        return await JobRun(context, "job", request, monotonic_ms() + timeout_ms).execute()
 
-    return asyncio.run(play())
+    return asyncio.run(run_job())
 
 
 class TestDeadline:
-    """A job's time and that of its attempts end at one moment, in either order."""
+    """Attempts share the job's deadline; either timer may fire first."""
 
     def test_an_attempt_notices_it_first(self) -> None:
-        """The job has missed its deadline: 504, whichever timer fires first on a busy box."""
-        result = _execute(_Adapter(), _TIME_MS)
+        """An attempt that times out first still fails the job with 504, not 502."""
+        result = _execute(_TimeoutAdapter(), _TIMEOUT_MS)
         assert result.is_error()
         problem = result.error
         assert (problem.status, problem.run, problem.reason) == (504, Run.MAY_HAVE_RUN, "deadline")
 
 
 class TestEndpointDeaths:
-    """A task under which endpoints die, of a service that starts such tasks again."""
+    """Retries of a task whose endpoints fail, for a service that allows such retries."""
 
     def test_it_is_given_up(self) -> None:
-        """Its job fails after two endpoints, long before its deadline and its retry budget."""
-        adapter = _DyingEndpoint()
+        """The job fails after two endpoint failures, before its deadline or retry budget ends."""
+        adapter = _LostEndpointAdapter()
         result = _execute(adapter, 60_000.0, "after-worker-death", repeatable=True)
         assert result.error.reason == "worker-lost"
         assert adapter.starts == 2
