--- a/src/foldloom/controllers/applied.py
+++ b/src/foldloom/controllers/applied.py
@@ -63,7 +63,7 @@
         """The state as a snapshot, to replace the log up to the last applied entry."""
         return Snapshot(self._index, self._log.term_at(self._index) or 0, self._state.dump())
 
-    def first_payload(self) -> bytes:
+    def initial_payload(self) -> bytes:
         """Return what a leader begins its term with: nothing, unless the system is new."""
         if self._state.is_founded or self._log.last_index:
             return b""
@@ -80,9 +80,9 @@
         self._on_config(self._state.config, [])
         self._on_publication(self._state.publication)
 
-    def note_accepted(self, prev_index: int) -> None:
+    def record_accepted(self, prev_index: int) -> None:
         """Note that a leader's entries after *prev_index* were accepted into the log."""
-        self._table.note_accepted(prev_index)
+        self._table.record_accepted(prev_index)
 
     def commit(self, index: int, resolve: Callable[[int, Answer], None]) -> None:
         """Commit and apply the entries up to *index*.
@@ -99,7 +99,7 @@
             answer = self._state.apply(entry.payload)
             self._index = entry.log_index
             resolve(entry.log_index, answer)
-        self._table.note_committed(self._commit_index)
+        self._table.record_committed(self._commit_index)
         if self._state.config.version != version:
             self._on_config(self._state.config, self._state.changes_since(version))
         if self._state.publication.version != published:
--- a/src/foldloom/controllers/client.py
+++ b/src/foldloom/controllers/client.py
@@ -20,9 +20,9 @@
 from foldloom.verdicts import Problem, may_have_run, not_run
 
 # Milliseconds for one controller: above two elections (600 to 1,200 ms each).
-_TRY_TIMEOUT_MS = 1_500
+_REQUEST_TIMEOUT_MS = 1_500
 # Seconds until the controllers are asked again: small against an election.
-_PAUSE_S = 0.05
+_RETRY_DELAY_S = 0.05
 # Milliseconds after which a caller should come back: about an election.
 _RETRY_AFTER_MS = 500
 
@@ -48,7 +48,7 @@
         is_unknown = False
         deadline = monotonic_ms() + timeout_ms
         while monotonic_ms() < deadline:
-            for box in self._order():
+            for box in self._by_likely_leader():
                 try:
                     reply: ProposeReply = await self._request(box, message, deadline)
                 except PeerUnreachableError:
@@ -59,7 +59,7 @@
                 if reply.answer is not None:
                     return Ok(reply.answer)
                 is_unknown = is_unknown or reply.is_unknown
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_RETRY_DELAY_S)
         detail = "no majority of the controllers answered"
         if is_unknown:
             return Error(may_have_run("no-quorum", detail, _RETRY_AFTER_MS, status=503))
@@ -69,7 +69,7 @@
         """Return the newest confirmed version, or ``None`` if no leader can show it."""
         deadline = monotonic_ms() + timeout_ms
         while monotonic_ms() < deadline:
-            for box in self._order():
+            for box in self._by_likely_leader():
                 try:
                     reply: BarrierReply = await self._request(box, ReadBarrier(), deadline)
                 except PeerUnreachableError:
@@ -78,10 +78,10 @@
                 self._leader = reply.leader
                 if reply.is_current:
                     return reply.version
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_RETRY_DELAY_S)
         return None
 
-    def _order(self) -> list[str]:
+    def _by_likely_leader(self) -> list[str]:
         """Return the controllers, the leader as last known first."""
         if self._leader not in self._controllers:
             return list(self._controllers)
@@ -89,5 +89,5 @@
         return [self._leader, *others]
 
     async def _request(self, box: str, message: object, deadline: float) -> Any:
-        left = max(1.0, deadline - monotonic_ms())
-        return await self._network.request(box, message, min(_TRY_TIMEOUT_MS, left))
+        remaining_ms = max(1.0, deadline - monotonic_ms())
+        return await self._network.request(box, message, min(_REQUEST_TIMEOUT_MS, remaining_ms))
--- a/src/foldloom/controllers/commands.py
+++ b/src/foldloom/controllers/commands.py
@@ -84,7 +84,7 @@
     | ControllerLeaveCommand
 )
 
-_COMMANDS = msgspec.msgpack.Decoder(Command)
+_COMMAND_DECODER = msgspec.msgpack.Decoder(Command)
 _ENCODER = msgspec.msgpack.Encoder()
 
 
@@ -113,4 +113,4 @@
 
 def decode_command(payload: bytes) -> Command:
     """Return the command in a log entry's *payload*."""
-    return _COMMANDS.decode(payload)
+    return _COMMAND_DECODER.decode(payload)
--- a/src/foldloom/controllers/compaction.py
+++ b/src/foldloom/controllers/compaction.py
@@ -49,14 +49,14 @@
         self._is_running = False
 
     @property
-    def _is_due(self) -> bool:
+    def _is_compaction_due(self) -> bool:
         if self._controller.log.entry_count > _SNAPSHOT_ENTRIES:
             return True
         return self._controller.log_bytes > _SNAPSHOT_LOG_BYTES
 
     def run_if_due(self) -> None:
         """Begin to write a snapshot if the log is long, unless one is being written."""
-        if self._is_running or not self._is_due:
+        if self._is_running or not self._is_compaction_due:
             return
         self._is_running = True
         self._tasks.spawn(self._compact())
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -18,14 +18,14 @@
 from foldloom.controllers.commands import Answer
 from foldloom.controllers.compaction import Compaction
 from foldloom.controllers.config import ANY_STORAGE, Config
-from foldloom.controllers.election import Elections
-from foldloom.controllers.following import Following
+from foldloom.controllers.election import ElectionHandlers
+from foldloom.controllers.following import ReplicationHandlers
 from foldloom.controllers.leader_contact import LeaderContact
 from foldloom.controllers.leadership import Leadership
 from foldloom.controllers.log import ReplicatedLog, open_storage
-from foldloom.controllers.members import majority_of
-from foldloom.controllers.readmission import ask_readmission
-from foldloom.controllers.requests import Requests
+from foldloom.controllers.members import quorum_size_of
+from foldloom.controllers.readmission import request_readmission
+from foldloom.controllers.requests import RequestHandlers
 from foldloom.controllers.state import ChangeSet, Publication, ReplicatedState
 from foldloom.controllers.storage import LogStorage
 from foldloom.logs import CONTROLLER_LOG
@@ -84,15 +84,15 @@
         self._leadership: Leadership | None = None
         self._is_failed = False
         self.contact = LeaderContact()
-        self.turn = asyncio.Lock()
+        self.state_lock = asyncio.Lock()
         self._tasks = TaskSet()
         self._compaction = Compaction(self, self._tasks)
-        self._begin_with(*open_storage(settings))
-        self._elections = Elections(self)
-        Following(self)
-        Requests(self)
+        self._load_log(*open_storage(settings))
+        self._elections = ElectionHandlers(self)
+        ReplicationHandlers(self)
+        RequestHandlers(self)
 
-    def _begin_with(self, storage: LogStorage, log: ReplicatedLog) -> None:
+    def _load_log(self, storage: LogStorage, log: ReplicatedLog) -> None:
         """Begin with what the data folder holds; only its snapshot is known to be committed."""
         self._storage, self.log = storage, log
         on_publication = self._callbacks.on_publication
@@ -130,9 +130,9 @@
         return self.applied.controllers
 
     @property
-    def majority(self) -> int:
+    def quorum_size(self) -> int:
         """How many controllers are more than half."""
-        return majority_of(self.controllers)
+        return quorum_size_of(self.controllers)
 
     @property
     def storage_id(self) -> str:
@@ -152,7 +152,7 @@
     @property
     def may_vote(self) -> bool:
         """Whether this controller's memory counts."""
-        return not self._is_failed and self.is_counted(self.box, self.storage_id, self.is_first)
+        return not self._is_failed and self.is_voter(self.box, self.storage_id, self.is_first)
 
     @property
     def summary(self) -> dict[str, object]:
@@ -167,7 +167,7 @@
             "bytes_written": self._storage.bytes_written,
         }
 
-    def is_counted(self, box: str, storage_id: str, is_first: bool) -> bool:
+    def is_voter(self, box: str, storage_id: str, is_first: bool) -> bool:
         """Return whether the configuration counts *box* with this data folder."""
         expected = self.controllers.get(box, "")
         if expected == ANY_STORAGE:
@@ -176,7 +176,7 @@
 
     async def run(self) -> None:
         """Stand for election when the leader is silent, and ask to be counted, until cancelled."""
-        self._tasks.spawn(ask_readmission(self, self._callbacks.contacts))
+        self._tasks.spawn(request_readmission(self, self._callbacks.contacts))
         while True:
             if self._is_failed:
                 await asyncio.sleep(_REOPEN_INTERVAL_S)
@@ -189,7 +189,7 @@
             if self.contact.silent_ms < self.election_timeout_ms:
                 continue
             try:
-                await self._elections.stand()
+                await self._elections.run_election()
             except OSError as error:
                 self.fail(error)
 
@@ -220,7 +220,7 @@
         whether it is on disk. All that is read back is written and synced anew first: after a
         failed sync, what can be read need not be on the disk.
         """
-        async with self.turn:
+        async with self.state_lock:
             try:
                 await asyncio.to_thread(self.log.close)
                 storage, log = await asyncio.to_thread(open_storage, self._settings)
@@ -228,9 +228,9 @@
             except OSError as error:
                 CONTROLLER_LOG.warning("The data folder can't be opened again yet: {}.", error)
                 return
-            self._begin_with(storage, log)
+            self._load_log(storage, log)
             self._is_failed = False
-            self.contact.note()
+            self.contact.restart_election_timer()
             CONTROLLER_LOG.info(
                 "The disk takes writes again: entry {} is the last.", log.last_index
             )
@@ -252,17 +252,17 @@
         if self._leadership is None:
             return
         leadership, self._leadership = self._leadership, None
-        self.contact.forget()
+        self.contact.clear_leader()
         self.log.drop_unwritten()
         leadership.stop()
 
-    def notice_term(self, term: int) -> None:
+    def observe_term(self, term: int) -> None:
         """Adopt a newer *term* that a peer is in, in a task of its own."""
         if term > self.log.term:
             self._tasks.spawn(self._adopt_term_in_turn(term))
 
     async def _adopt_term_in_turn(self, term: int) -> None:
-        async with self.turn:
+        async with self.state_lock:
             try:
                 await self.adopt_term(term)
             except OSError as error:
@@ -293,7 +293,7 @@
         """Follow the controllers of a newer configuration, or stop leading if not among them."""
         if self._leadership is not None:
             if self.box in config.controllers:
-                self._leadership.follow_members()
+                self._leadership.update_followers()
             else:
                 self.step_down()
         self._callbacks.on_config(config, changes)
--- a/src/foldloom/controllers/controller_table.py
+++ b/src/foldloom/controllers/controller_table.py
@@ -11,7 +11,7 @@
 
 from foldloom.controllers.config import Config
 from foldloom.controllers.log import ReplicatedLog
-from foldloom.controllers.members import Table, newest_table
+from foldloom.controllers.members import VoterTable, newest_table
 from foldloom.controllers.state import ReplicatedState
 
 
@@ -26,12 +26,12 @@
     def __init__(self, log: ReplicatedLog, initial: Config) -> None:
         self._log = log
         self._initial = initial
-        self._start_index = log.last_index
-        self._start_table = self._read_all()
-        self._newest_at: tuple[int, int, int] | None = None
-        self._newest: Table = {}
+        self._opened_index = log.last_index
+        self._opened_table = self._table_of_whole_log()
+        self._cache_key: tuple[int, int, int] | None = None
+        self._cached_table: VoterTable = {}
 
-    def newest(self, state: ReplicatedState, applied_index: int) -> Table:
+    def newest(self, state: ReplicatedState, applied_index: int) -> VoterTable:
         """Return the newest table.
 
         Args:
@@ -39,37 +39,37 @@
             applied_index: The last of them.
         """
         key = (applied_index, self._log.last_index, self._log.last_term)
-        if key != self._newest_at:
-            self._newest_at = key
-            self._newest = self._read_newest(state, applied_index)
-        return self._newest
+        if key != self._cache_key:
+            self._cache_key = key
+            self._cached_table = self._compute_newest(state, applied_index)
+        return self._cached_table
 
-    def note_committed(self, index: int) -> None:
+    def record_committed(self, index: int) -> None:
         """Note that the entries up to *index* are committed."""
         if self._log.term_at(index) == self._log.term:
-            self._start_index = 0
+            self._opened_index = 0
 
-    def note_accepted(self, prev_index: int) -> None:
+    def record_accepted(self, prev_index: int) -> None:
         """Note that a leader's entries after *prev_index* were accepted into the log."""
-        if prev_index >= self._start_index:
+        if prev_index >= self._opened_index:
             return
         # What was read at the start may have been replaced.
-        self._start_index = self._log.last_index
-        self._start_table = self._read_all()
-        self._newest_at = None
+        self._opened_index = self._log.last_index
+        self._opened_table = self._table_of_whole_log()
+        self._cache_key = None
 
-    def _read_newest(self, state: ReplicatedState, applied_index: int) -> Table:
-        if self._start_index:
-            base, first = self._start_table, self._start_index + 1
+    def _compute_newest(self, state: ReplicatedState, applied_index: int) -> VoterTable:
+        if self._opened_index:
+            base, first = self._opened_table, self._opened_index + 1
         else:
             base, first = state.config.controllers, applied_index + 1
         if first > self._log.last_index:
             return dict(base)
         entries = self._log.entries_from(first, self._log.last_index - first + 1)
-        is_founded = state.is_founded or bool(self._start_index)
+        is_founded = state.is_founded or bool(self._opened_index)
         return newest_table(base, is_founded, (entry.payload for entry in entries))
 
-    def _read_all(self) -> Table:
+    def _table_of_whole_log(self) -> VoterTable:
         """Return the table after every entry of the log, committed or not."""
         log = self._log
         state = ReplicatedState(self._initial)
--- a/src/foldloom/controllers/election.py
+++ b/src/foldloom/controllers/election.py
@@ -17,14 +17,14 @@
 from foldloom.logs import CONTROLLER_LOG
 
 
-class _Vote(NamedTuple):
+class _VoteResponse(NamedTuple):
     """The reply of *box* to a request for its vote, or ``None`` if there was none."""
 
     box: str
     reply: VoteReply | None
 
 
-class Elections:
+class ElectionHandlers:
     """The elections of one controller.
 
     Args:
@@ -36,17 +36,17 @@
         controller.network.on(RequestVote, self._on_request_vote)
         controller.network.on(StandNow, self._on_stand_now)
 
-    async def stand(self, is_handover: bool = False) -> None:
+    async def run_election(self, is_handover: bool = False) -> None:
         """Ask for trial votes, then for real ones; lead if a majority gives them."""
         if not await self._gather_votes(self._controller.log.term + 1, True, is_handover):
             return
-        async with self._controller.turn:
+        async with self._controller.state_lock:
             has_leader = self._controller.contact.silent_ms < self._controller.election_timeout_ms
             if has_leader and not is_handover:
                 return
             term = self._controller.log.term + 1
             await self._controller.log.save_term_vote(term, self._controller.box)
-        self._controller.contact.forget()
+        self._controller.contact.clear_leader()
         CONTROLLER_LOG.info("Stand for election in term {}.", term)
         is_won = await self._gather_votes(term, False, is_handover)
         # A leader of this very term may have made contact meanwhile: then this one must not lead.
@@ -58,55 +58,59 @@
         log = self._controller.log
         request = RequestVote(term, log.last_index, log.last_term, is_trial, is_handover)
         others = [box for box in self._controller.controllers if box != self._controller.box]
-        asked = [asyncio.create_task(self._ask_vote(box, request)) for box in others]
+        vote_requests = [asyncio.create_task(self._request_vote(box, request)) for box in others]
         try:
-            return await self._has_majority(term, asked)
+            return await self._has_majority(term, vote_requests)
         finally:
-            for task in asked:
+            for task in vote_requests:
                 task.cancel()
 
-    async def _has_majority(self, term: int, asked: list[asyncio.Task[_Vote]]) -> bool:
+    async def _has_majority(
+        self, term: int, vote_requests: list[asyncio.Task[_VoteResponse]]
+    ) -> bool:
         """Return whether a majority votes for this controller, as soon as it does.
 
         A controller that is gone is not waited for: another one leads 0.15 s after a planned stop
         of the leader in place of 0.41 s, on loopback with syncs of 40 ms.
         """
         votes = 1
-        for next_vote in asyncio.as_completed(asked):
+        for next_vote in asyncio.as_completed(vote_requests):
             box, reply = await next_vote
             if reply is None:
                 continue
             if reply.term > term:
-                self._controller.notice_term(reply.term)
+                self._controller.observe_term(reply.term)
                 return False
-            if reply.is_granted and self._controller.is_counted(
+            if reply.is_granted and self._controller.is_voter(
                 box, reply.storage_id, reply.is_first
             ):
                 votes += 1
-            if votes >= self._controller.majority:
+            if votes >= self._controller.quorum_size:
                 return True
-        return votes >= self._controller.majority
+        return votes >= self._controller.quorum_size
 
-    async def _ask_vote(self, box: str, request: RequestVote) -> _Vote:
+    async def _request_vote(self, box: str, request: RequestVote) -> _VoteResponse:
         timeout_ms = self._controller.election_timeout_ms / 2
         try:
-            return _Vote(box, await self._controller.network.request(box, request, timeout_ms))
+            return _VoteResponse(
+                box, await self._controller.network.request(box, request, timeout_ms)
+            )
         except PeerUnreachableError:
             # No vote: the others may be a majority, else the next election asks again.
-            return _Vote(box, None)
+            return _VoteResponse(box, None)
 
     async def _on_stand_now(self, sender: str, message: StandNow) -> None:
         if sender != self._controller.leader or message.term != self._controller.log.term:
             return
         if self._controller.may_vote and not self._controller.is_leading:
-            await self.stand(is_handover=True)
+            await self.run_election(is_handover=True)
 
     async def _on_request_vote(self, sender: str, request: RequestVote) -> VoteReply | None:
-        async with self._controller.turn:
+        async with self._controller.state_lock:
             if self._controller.is_failed:
                 return None
             try:
-                is_granted = await self._judge_vote(sender, request)
+                is_granted = await self._grant_vote(sender, request)
             except OSError as error:
                 self._controller.fail(error)
                 return None
@@ -117,7 +121,7 @@
                 self._controller.is_first,
             )
 
-    async def _judge_vote(self, sender: str, request: RequestVote) -> bool:
+    async def _grant_vote(self, sender: str, request: RequestVote) -> bool:
         """Return whether *sender* gets the vote; a real vote is durable by then."""
         has_leader = self._controller.contact.silent_ms < self._controller.election_timeout_ms
         if self._controller.is_leading or (has_leader and not request.is_handover):
@@ -140,5 +144,5 @@
         if voted_for not in ("", sender):
             return False
         await self._controller.log.save_term_vote(request.term, sender)
-        self._controller.contact.note()
+        self._controller.contact.restart_election_timer()
         return True
--- a/src/foldloom/controllers/followers.py
+++ b/src/foldloom/controllers/followers.py
@@ -27,7 +27,7 @@
 
     next_index: int
     match_index: int = 0
-    answered_ms: float = 0.0
+    acknowledged_ms: float = 0.0
     storage_id: str = ""
     is_first: bool = False
 
@@ -60,32 +60,32 @@
         """Return the next entry to send to *box*."""
         return self._followers[box].next_index
 
-    def answered_ms(self, box: str) -> float:
+    def acknowledged_ms(self, box: str) -> float:
         """Return when the newest append that *box* answered was sent; own monotonic clock."""
-        return self._followers[box].answered_ms
+        return self._followers[box].acknowledged_ms
 
-    def note_reply(self, box: str, reply: AppendReply, sent_ms: float) -> None:
+    def record_reply(self, box: str, reply: AppendReply, sent_ms: float) -> None:
         """Note the answer of *box* to an append that was sent at *sent_ms*."""
-        known = self._followers[box]
+        previous = self._followers[box]
         if reply.is_ok:
-            changed = known._replace(
+            changed = previous._replace(
                 next_index=reply.match_index + 1, match_index=reply.match_index
             )
         else:
-            hint = min(known.next_index - 1, reply.match_index + 1)
-            changed = known._replace(next_index=max(1, hint), match_index=0)
+            hint = min(previous.next_index - 1, reply.match_index + 1)
+            changed = previous._replace(next_index=max(1, hint), match_index=0)
         self._followers[box] = changed._replace(
-            answered_ms=sent_ms, storage_id=reply.storage_id, is_first=reply.is_first
+            acknowledged_ms=sent_ms, storage_id=reply.storage_id, is_first=reply.is_first
         )
 
-    def counts(self, box: str) -> bool:
+    def is_voter(self, box: str) -> bool:
         """Return whether the answers of *box* count toward a majority."""
         if box == self._controller.box:
             return self._controller.may_vote
         follower = self._followers.get(box)
         if follower is None:
             return False
-        return self._controller.is_counted(box, follower.storage_id, follower.is_first)
+        return self._controller.is_voter(box, follower.storage_id, follower.is_first)
 
     def holds_committed(self, box: str, storage_id: str) -> bool:
         """Return whether *box* holds, in the folder *storage_id*, everything that is committed."""
@@ -99,35 +99,37 @@
         answering = [
             box
             for box in self._controller.controllers
-            if self.counts(box)
-            and (box == self._controller.box or self._followers[box].answered_ms >= since_ms)
+            if self.is_voter(box)
+            and (box == self._controller.box or self._followers[box].acknowledged_ms >= since_ms)
         ]
-        return len(answering) >= self._controller.majority
+        return len(answering) >= self._controller.quorum_size
 
-    def silent_since(self, since_ms: float) -> list[str]:
+    def unresponsive_since(self, since_ms: float) -> list[str]:
         """Return who has answered no append that was sent since then."""
-        return [box for box, follower in self._followers.items() if follower.answered_ms < since_ms]
+        return [
+            box for box, follower in self._followers.items() if follower.acknowledged_ms < since_ms
+        ]
 
     def successor(self) -> str:
         """Return the controller that could lead at once, or an empty string."""
         ready = [
             box
             for box in self._controller.controllers
-            if self.counts(box)
+            if self.is_voter(box)
             and box != self._controller.box
             and self._followers[box].match_index >= self._controller.log.last_index
         ]
-        return max(ready, key=lambda box: self._followers[box].answered_ms, default="")
+        return max(ready, key=lambda box: self._followers[box].acknowledged_ms, default="")
 
-    def agreed_index(self) -> int:
+    def quorum_match_index(self) -> int:
         """Return the index up to which a majority holds the log durably; 0 if none does."""
         log = self._controller.log
         matches = [
             log.durable_index if box == self._controller.box else self._followers[box].match_index
             for box in self._controller.controllers
-            if self.counts(box)
+            if self.is_voter(box)
         ]
-        if len(matches) < self._controller.majority:
+        if len(matches) < self._controller.quorum_size:
             return 0
         matches.sort(reverse=True)
-        return matches[self._controller.majority - 1]
+        return matches[self._controller.quorum_size - 1]
--- a/src/foldloom/controllers/following.py
+++ b/src/foldloom/controllers/following.py
@@ -13,7 +13,7 @@
 from foldloom.controllers.participant import Replica
 
 
-class Following:
+class ReplicationHandlers:
     """The leader's messages, as one controller handles them.
 
     Args:
@@ -26,7 +26,7 @@
         controller.network.on(InstallSnapshot, self._on_install)
 
     async def _on_append(self, sender: str, message: Append) -> AppendReply | None:
-        async with self._controller.turn:
+        async with self._controller.state_lock:
             try:
                 return await self._accept_entries(sender, message)
             except OSError as error:
@@ -46,14 +46,14 @@
         if prev_term is None and message.prev_index > self._controller.log.snapshot.last_index:
             return self._append_reply(False, self._controller.log.snapshot.last_index)
         await self._controller.log.accept(message.entries)
-        self._controller.applied.note_accepted(message.prev_index)
-        self._controller.contact.note()
+        self._controller.applied.record_accepted(message.prev_index)
+        self._controller.contact.restart_election_timer()
         match_index = message.prev_index + len(message.entries)
         self._controller.commit(min(message.commit_index, match_index))
         return self._append_reply(True, match_index)
 
     async def _on_install(self, sender: str, message: InstallSnapshot) -> AppendReply | None:
-        async with self._controller.turn:
+        async with self._controller.state_lock:
             try:
                 if not await self._accept_leader(sender, message.term):
                     return None if self._controller.is_failed else self._append_reply(False, 0)
--- a/src/foldloom/controllers/handover.py
+++ b/src/foldloom/controllers/handover.py
@@ -16,7 +16,7 @@
 
 # Seconds between two checks whether another controller could lead, or leads: small against an
 # election.
-_CHECK_S = 0.01
+_POLL_INTERVAL_S = 0.01
 
 
 async def transfer_leadership(controller: StoppingLeader) -> None:
@@ -32,15 +32,15 @@
     controller.step_down()
     controller.network.send(successor, StandNow(term))
     while controller.log.term == term and monotonic_ms() < deadline_ms:
-        await asyncio.sleep(_CHECK_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
     CONTROLLER_LOG.event("leader.handed_over", to=successor)
 
 
 async def _await_successor(controller: StoppingLeader, deadline_ms: float) -> str:
     """Return a controller that holds the whole log, or '' if none does by *deadline_ms*."""
-    while controller.is_leading and controller.majority > 1:
+    while controller.is_leading and controller.quorum_size > 1:
         successor = controller.successor()
         if successor or monotonic_ms() >= deadline_ms:
             return successor
-        await asyncio.sleep(_CHECK_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
     return ""
--- a/src/foldloom/controllers/holder.py
+++ b/src/foldloom/controllers/holder.py
@@ -15,7 +15,7 @@
 
 from foldloom.controllers.config import Config, apply_changes, decode_config, encode_config
 from foldloom.controllers.messages import ConfigPull, ConfigReply
-from foldloom.controllers.state import CHANGES_KEPT, ChangeSet
+from foldloom.controllers.state import CHANGE_SETS_RETAINED_MAX, ChangeSet
 from foldloom.controllers.storage import write_whole
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.logs import CONFIG_LOG
@@ -43,7 +43,7 @@
         self._config = initial
         self._cache = Path(cache_folder) / _CACHE_NAME if cache_folder else None
         self._change_sets: list[ChangeSet] = []
-        self._adopted = asyncio.Event()
+        self._version_changed = asyncio.Event()
         self._is_pulling = False
         self._tasks = TaskSet()
         self._read_cache()
@@ -61,19 +61,19 @@
         if not change_sets or change_sets[0].version != self._config.version + 1:
             self._change_sets.clear()
         self._change_sets.extend(change_sets)
-        del self._change_sets[:-CHANGES_KEPT]
+        del self._change_sets[:-CHANGE_SETS_RETAINED_MAX]
         self._config = config
         CONFIG_LOG.info("Version {} is in force.", config.version)
         self._write_cache()
-        self._adopted.set()
+        self._version_changed.set()
 
     async def wait_version(self, version: int, timeout_s: float) -> bool:
         """Wait until *version* or a later one is in force here; return whether it is in time."""
         try:
             async with TimeLimit(timeout_s * 1_000):
                 while self._config.version < version:
-                    self._adopted.clear()
-                    await self._adopted.wait()
+                    self._version_changed.clear()
+                    await self._version_changed.wait()
         except TimeoutError:
             # Who asked says that what follows may be about an older version.
             return False
@@ -87,10 +87,10 @@
         self._tasks.spawn(self._pull(box))
 
     async def _pull(self, box: str) -> None:
-        have = self._config.version
+        known_version = self._config.version
         try:
             reply: ConfigReply = await self._network.request(
-                box, ConfigPull(have), _PULL_TIMEOUT_MS
+                box, ConfigPull(known_version), _PULL_TIMEOUT_MS
             )
         except PeerUnreachableError:
             # The next heartbeat with a newer version leads here again.
@@ -100,7 +100,7 @@
         if reply.config:
             self.adopt(decode_config(reply.config))
             return
-        if have != self._config.version:
+        if known_version != self._config.version:
             return
         config = self._config
         for change_set in reply.change_sets:
@@ -109,9 +109,9 @@
 
     def _on_pull(self, _sender: str, message: ConfigPull) -> ConfigReply:
         missing = [known for known in self._change_sets if known.version > message.have]
-        is_whole = len(missing) == self._config.version - message.have
+        is_complete = len(missing) == self._config.version - message.have
         # Version 0 comes from a box's own settings: there is nothing to build changes on.
-        if missing and is_whole and message.have:
+        if missing and is_complete and message.have:
             return ConfigReply(missing, b"")
         return ConfigReply([], encode_config(self._config))
 
--- a/src/foldloom/controllers/leader_contact.py
+++ b/src/foldloom/controllers/leader_contact.py
@@ -14,7 +14,7 @@
 
     def __init__(self) -> None:
         self._leader = ""
-        self._contact_ms = monotonic_ms()
+        self._timer_started_ms = monotonic_ms()
 
     @property
     def leader(self) -> str:
@@ -24,17 +24,17 @@
     @property
     def silent_ms(self) -> float:
         """Milliseconds since a leader was last in contact, or a wait for one began."""
-        return monotonic_ms() - self._contact_ms
+        return monotonic_ms() - self._timer_started_ms
 
     def follow(self, leader: str) -> None:
         """Note that *leader* leads in the present term, and is in contact."""
         self._leader = leader
-        self.note()
+        self.restart_election_timer()
 
-    def note(self) -> None:
+    def restart_election_timer(self) -> None:
         """Begin a new wait before an election."""
-        self._contact_ms = monotonic_ms()
+        self._timer_started_ms = monotonic_ms()
 
-    def forget(self) -> None:
+    def clear_leader(self) -> None:
         """Know of no leader, as a new term began or this controller stopped leading."""
         self._leader = ""
--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -38,23 +38,23 @@
         self._term = controller.log.term
         self._first_index = controller.log.last_index + 1
         self._followers = FollowerTable(controller)
-        self._voters = VoterChanges(
-            controller, self._followers, self._first_index, self._append, self.follow_members
+        self._voter_changes = VoterChanges(
+            controller, self._followers, self._first_index, self._append, self.update_followers
         )
         self._wakeups: dict[str, asyncio.Event] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._proposals: dict[int, asyncio.Future[Answer]] = {}
-        self._dirty = asyncio.Event()
-        self._answered = asyncio.Condition()
+        self._flush_requested = asyncio.Event()
+        self._reply_received = asyncio.Condition()
         self._started_ms = monotonic_ms()
 
     def start(self) -> None:
         """Begin the term with an entry of its own and start the tasks."""
-        self._controller.log.add(self._controller.applied.first_payload())
+        self._controller.log.add(self._controller.applied.initial_payload())
         self._tasks["flush"] = asyncio.create_task(self._flush())
-        self._tasks["watch"] = asyncio.create_task(self._watch())
-        self._dirty.set()
-        self.follow_members()
+        self._tasks["watch"] = asyncio.create_task(self._monitor_quorum())
+        self._flush_requested.set()
+        self.update_followers()
 
     def stop(self) -> None:
         """End the tasks; what was proposed and not committed stays unknown."""
@@ -66,9 +66,11 @@
                 future.exception()
         self._proposals.clear()
 
-    def follow_members(self) -> None:
+    def update_followers(self) -> None:
         """Replicate to each controller that counts and each standby, and to no other."""
-        members = {*self._controller.controllers, *self._voters.standbys} - {self._controller.box}
+        members = {*self._controller.controllers, *self._voter_changes.standbys} - {
+            self._controller.box
+        }
         for box in members - self._followers.boxes:
             self._followers.add(box)
             self._wakeups[box] = asyncio.Event()
@@ -82,9 +84,9 @@
         """Return the controller that could lead at once, or an empty string."""
         return self._followers.successor()
 
-    def admit(self, box: str, storage_id: str) -> None:
+    def handle_readmit(self, box: str, storage_id: str) -> None:
         """Note that *box* wants to be counted; take it in once that is safe."""
-        self._voters.admit(box, storage_id)
+        self._voter_changes.handle_readmit(box, storage_id)
 
     async def propose(self, payload: bytes) -> Answer:
         """Append *payload* and return its answer once it is committed and applied.
@@ -95,8 +97,8 @@
         entry = self._controller.log.add(payload)
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._proposals[entry.log_index] = future
-        self._dirty.set()
-        self._wake_all()
+        self._flush_requested.set()
+        self._wake_replication()
         return await future
 
     def resolve(self, index: int, answer: Answer) -> None:
@@ -112,39 +114,41 @@
             NotLeaderError: It does not, or can't show it in time.
         """
         started = monotonic_ms()
-        self._wake_all()
+        self._wake_replication()
         try:
-            async with TimeLimit(self._controller.election_timeout_ms), self._answered:
-                await self._answered.wait_for(lambda: self._is_current_since(started))
+            async with TimeLimit(self._controller.election_timeout_ms), self._reply_received:
+                await self._reply_received.wait_for(
+                    lambda: self._is_leader_confirmed_since(started)
+                )
         except TimeoutError:
             raise NotLeaderError() from None
 
     def _append(self, command: Command) -> int:
         """Append a command that nobody waits for, and return its index."""
         entry = self._controller.log.add(encode_command(command))
-        self.follow_members()
-        self._dirty.set()
-        self._wake_all()
+        self.update_followers()
+        self._flush_requested.set()
+        self._wake_replication()
         return entry.log_index
 
     async def _flush(self) -> None:
         """Write and sync added entries, all that have collected at a time (group commit)."""
         while True:
-            await self._dirty.wait()
-            self._dirty.clear()
+            await self._flush_requested.wait()
+            self._flush_requested.clear()
             try:
                 await self._controller.log.flush()
             except OSError as error:
                 self._controller.fail(error)
                 return
-            self._advance()
+            self._advance_commit_index()
 
-    async def _watch(self) -> None:
+    async def _monitor_quorum(self) -> None:
         """Step down when no majority has answered for an election time-out."""
         timeout = self._controller.election_timeout_ms
         while True:
             await asyncio.sleep(timeout / 2_000)
-            self._voters.advance()
+            self._voter_changes.propose_next_change()
             since = monotonic_ms() - timeout
             if since > self._started_ms and not self._followers.is_acknowledged_since(since):
                 CONTROLLER_LOG.warning("Step down: no majority answers.")
@@ -178,13 +182,13 @@
             # It is silent: its time of contact stays, and the next heartbeat asks it again.
             return False
         if reply.term > self._term:
-            self._controller.notice_term(reply.term)
+            self._controller.observe_term(reply.term)
             return False
-        self._followers.note_reply(box, reply, sent_ms)
-        self._voters.pin(box, reply.storage_id, reply.is_first)
-        self._advance()
-        async with self._answered:
-            self._answered.notify_all()
+        self._followers.record_reply(box, reply, sent_ms)
+        self._voter_changes.record_storage_id(box, reply.storage_id, reply.is_first)
+        self._advance_commit_index()
+        async with self._reply_received:
+            self._reply_received.notify_all()
         return self._followers.next_index(box) <= self._controller.log.last_index
 
     def _next_message(self, box: str) -> Append | InstallSnapshot:
@@ -198,20 +202,22 @@
             self._term, next_index - 1, prev_term, entries, self._controller.applied.commit_index
         )
 
-    def _is_current_since(self, since_ms: float) -> bool:
-        has_committed_own = self._controller.applied.commit_index >= self._first_index
-        return has_committed_own and self._followers.is_acknowledged_since(since_ms)
+    def _is_leader_confirmed_since(self, since_ms: float) -> bool:
+        has_committed_in_term = self._controller.applied.commit_index >= self._first_index
+        return has_committed_in_term and self._followers.is_acknowledged_since(since_ms)
 
-    def _advance(self) -> None:
+    def _advance_commit_index(self) -> None:
         """Commit what a majority holds, if it is of this term."""
         controller = self._controller
-        agreed = self._followers.agreed_index()
-        is_own = controller.log.term_at(agreed) == self._term
-        if agreed > controller.applied.commit_index and is_own:
-            controller.commit(agreed)
-            self._voters.pin(controller.box, controller.storage_id, controller.is_first)
-            self._wake_all()
-
-    def _wake_all(self) -> None:
+        quorum_index = self._followers.quorum_match_index()
+        is_current_term = controller.log.term_at(quorum_index) == self._term
+        if quorum_index > controller.applied.commit_index and is_current_term:
+            controller.commit(quorum_index)
+            self._voter_changes.record_storage_id(
+                controller.box, controller.storage_id, controller.is_first
+            )
+            self._wake_replication()
+
+    def _wake_replication(self) -> None:
         for wakeup in self._wakeups.values():
             wakeup.set()
--- a/src/foldloom/controllers/log.py
+++ b/src/foldloom/controllers/log.py
@@ -12,7 +12,7 @@
 import threading
 from collections.abc import Callable
 
-from foldloom.controllers.records import Entry, Recovered, Snapshot, TermVote
+from foldloom.controllers.records import Entry, RecoveredLog, Snapshot, TermVote
 from foldloom.controllers.storage import LogStorage, format_folder, set_aside
 from foldloom.exceptions import LostMemoryError
 from foldloom.logs import CONTROLLER_LOG
@@ -30,7 +30,7 @@
         recovered: What it held.
     """
 
-    def __init__(self, storage: LogStorage, recovered: Recovered) -> None:
+    def __init__(self, storage: LogStorage, recovered: RecoveredLog) -> None:
         self._storage = storage
         self._term_vote = recovered.term_vote
         self._snapshot = recovered.snapshot
@@ -38,7 +38,7 @@
         self._written_index = self.last_index
         self._durable_index = self.last_index
         self._lock = asyncio.Lock()
-        self._disk = threading.Lock()
+        self._disk_lock = threading.Lock()
         self._is_closed = False
 
     @property
@@ -88,10 +88,10 @@
         """Return the entry at *index*."""
         return self._entries[index - self._snapshot.last_index - 1]
 
-    def entries_from(self, index: int, most: int) -> list[Entry]:
+    def entries_from(self, index: int, limit: int) -> list[Entry]:
         """Return at most *most* entries from *index* on."""
         start = index - self._snapshot.last_index - 1
-        return self._entries[start : start + most]
+        return self._entries[start : start + limit]
 
     def add(self, payload: bytes) -> Entry:
         """Append one entry of the leader in memory; :meth:`flush` makes it durable."""
@@ -110,12 +110,12 @@
             OSError: The disk failed; nothing that relies on it may be answered.
         """
         async with self._lock:
-            fresh = self.entries_from(self._written_index + 1, len(self._entries))
-            if not fresh:
+            new_entries = self.entries_from(self._written_index + 1, len(self._entries))
+            if not new_entries:
                 return
-            last = fresh[-1].log_index
+            last = new_entries[-1].log_index
             self._written_index = last
-            await self._on_disk(lambda: self._write(fresh))
+            await self._run_on_disk(lambda: self._write(new_entries))
             self._durable_index = min(last, self.last_index)
 
     async def save_term_vote(self, term: int, voted_for: str) -> None:
@@ -126,7 +126,7 @@
         """
         self._term_vote = TermVote(term, voted_for)
         async with self._lock:
-            await self._on_disk(lambda: self._write_term_vote(self._term_vote))
+            await self._run_on_disk(lambda: self._write_term_vote(self._term_vote))
 
     async def accept(self, entries: list[Entry]) -> None:
         """Append a leader's *entries*; those that differ from ours replace ours, durably.
@@ -135,16 +135,16 @@
             OSError: The disk failed.
         """
         async with self._lock:
-            fresh = self._fresh_of(entries)
-            if not fresh:
+            new_entries = self._missing_entries(entries)
+            if not new_entries:
                 return
-            first = fresh[0].log_index
-            cut_from = first if first <= self.last_index else 0
-            if cut_from:
+            first = new_entries[0].log_index
+            truncate_from = first if first <= self.last_index else 0
+            if truncate_from:
                 del self._entries[first - self._snapshot.last_index - 1 :]
-            self._entries.extend(fresh)
+            self._entries.extend(new_entries)
             self._written_index = self.last_index
-            await self._on_disk(lambda: self._write(fresh, cut_from))
+            await self._run_on_disk(lambda: self._write(new_entries, truncate_from))
             self._durable_index = self.last_index
 
     async def compact(self, snapshot: Snapshot) -> None:
@@ -156,18 +156,18 @@
         async with self._lock:
             if snapshot.last_index <= self._snapshot.last_index:
                 return
-            keeps_tail = self.term_at(snapshot.last_index) == snapshot.term
-            rest = (
+            retains_suffix = self.term_at(snapshot.last_index) == snapshot.term
+            suffix = (
                 self._entries[snapshot.last_index - self._snapshot.last_index :]
-                if keeps_tail
+                if retains_suffix
                 else []
             )
-            written = [entry for entry in rest if entry.log_index <= self._written_index]
+            written_suffix = [entry for entry in suffix if entry.log_index <= self._written_index]
             self._snapshot = snapshot
-            self._entries = rest
-            self._written_index = snapshot.last_index + len(written)
-            await self._on_disk(
-                lambda: self._storage.save_snapshot(snapshot, self._term_vote, written)
+            self._entries = suffix
+            self._written_index = snapshot.last_index + len(written_suffix)
+            await self._run_on_disk(
+                lambda: self._storage.save_snapshot(snapshot, self._term_vote, written_suffix)
             )
             self._durable_index = self._written_index
 
@@ -179,17 +179,17 @@
         """
         async with self._lock:
             entries = list(self._entries)
-            await self._on_disk(
+            await self._run_on_disk(
                 lambda: self._storage.save_snapshot(self._snapshot, self._term_vote, entries)
             )
 
     def close(self) -> None:
         """Wait for the write in hand, then close the storage; later writes fail."""
-        with self._disk:
+        with self._disk_lock:
             self._is_closed = True
             self._storage.close()
 
-    async def _on_disk(self, operation: Callable[[], None]) -> None:
+    async def _run_on_disk(self, operation: Callable[[], None]) -> None:
         """Run *operation* in a thread.
 
         The thread goes on if the caller is cancelled; one operation at a time touches the file.
@@ -201,7 +201,7 @@
         """
 
         def run() -> None:
-            with self._disk:
+            with self._disk_lock:
                 if self._is_closed:
                     raise OSError(errno.EIO, "an earlier write failed, or the log is closed")
                 try:
@@ -212,13 +212,13 @@
 
         await asyncio.to_thread(run)
 
-    def _write(self, entries: list[Entry], cut_from: int = 0) -> None:
+    def _write(self, entries: list[Entry], truncate_from: int = 0) -> None:
         """Write and sync *entries*, in place of those from *cut_from* on if it is not 0.
 
         Runs in a thread: a stalled disk holds up the write as well as the sync.
         """
-        if cut_from:
-            self._storage.cut_from(cut_from)
+        if truncate_from:
+            self._storage.cut_from(truncate_from)
         self._storage.append(entries)
         self._storage.sync()
 
@@ -226,7 +226,7 @@
         self._storage.save_term_vote(term_vote)
         self._storage.sync()
 
-    def _fresh_of(self, entries: list[Entry]) -> list[Entry]:
+    def _missing_entries(self, entries: list[Entry]) -> list[Entry]:
         """Return the tail of *entries* that this log does not hold."""
         for position, entry in enumerate(entries):
             if entry.log_index <= self._snapshot.last_index:
--- a/src/foldloom/controllers/members.py
+++ b/src/foldloom/controllers/members.py
@@ -22,7 +22,7 @@
     decode_command,
 )
 
-Table = dict[str, str]
+VoterTable = dict[str, str]
 
 
 class Standby(NamedTuple):
@@ -39,7 +39,7 @@
     is_current: bool
 
 
-def newest_table(committed: Table, is_founded: bool, payloads: Iterable[bytes]) -> Table:
+def newest_table(committed: VoterTable, is_founded: bool, payloads: Iterable[bytes]) -> VoterTable:
     """Return *committed* with what the entries after it change.
 
     Args:
@@ -58,15 +58,15 @@
     return table
 
 
-def majority_of(table: Collection[str]) -> int:
+def quorum_size_of(table: Collection[str]) -> int:
     """Return how many controllers are more than half."""
     return len(table) // 2 + 1
 
 
 def next_change(
     table: Collection[str],
-    founders: int,
-    silent: Collection[str],
+    target_count: int,
+    unresponsive: Collection[str],
     standbys: Iterable[Standby],
     leader: str,
 ) -> Command | None:
@@ -82,33 +82,35 @@
         standbys: Who could come in.
         leader: Who decides; it never lets itself go.
     """
-    gone = sorted(box for box in table if box in silent and box != leader)
-    if len(table) > founders:
+    replaceable = sorted(box for box in table if box in unresponsive and box != leader)
+    if len(table) > target_count:
         # A change is half done. If the silent one is back, the order of names decides.
-        leaving = gone or sorted(box for box in table if box != leader)
-        return ControllerLeaveCommand(leaving[-1])
-    ready = sorted(one for one in standbys if one.is_current and one.box not in table)
-    if not gone or not ready:
+        removable = replaceable or sorted(box for box in table if box != leader)
+        return ControllerLeaveCommand(removable[-1])
+    eligible = sorted(
+        standby for standby in standbys if standby.is_current and standby.box not in table
+    )
+    if not replaceable or not eligible:
         return None
-    return ControllerJoinCommand(ready[0].box, ready[0].storage_id)
+    return ControllerJoinCommand(eligible[0].box, eligible[0].storage_id)
 
 
 @singledispatch
-def _change(_command: Any, _table: Table) -> None:
+def _change(_command: Any, _table: VoterTable) -> None:
     """Change nothing: most commands are about something else."""
 
 
 @_change.register
-def _(command: VoterReadyCommand, table: Table) -> None:
+def _(command: VoterReadyCommand, table: VoterTable) -> None:
     if command.box in table:
         table[command.box] = command.storage_id
 
 
 @_change.register
-def _(command: ControllerJoinCommand, table: Table) -> None:
+def _(command: ControllerJoinCommand, table: VoterTable) -> None:
     table[command.box] = command.storage_id
 
 
 @_change.register
-def _(command: ControllerLeaveCommand, table: Table) -> None:
+def _(command: ControllerLeaveCommand, table: VoterTable) -> None:
     table.pop(command.box, None)
--- a/src/foldloom/controllers/participant.py
+++ b/src/foldloom/controllers/participant.py
@@ -28,7 +28,7 @@
         """The controllers that count, and their data folders' ids."""
 
     @property
-    def majority(self) -> int:
+    def quorum_size(self) -> int:
         """How many controllers are more than half."""
 
     @property
@@ -43,10 +43,10 @@
     def may_vote(self) -> bool:
         """Whether this controller's memory counts."""
 
-    def is_counted(self, box: str, storage_id: str, is_first: bool) -> bool:
+    def is_voter(self, box: str, storage_id: str, is_first: bool) -> bool:
         """Return whether the configuration counts *box* with this data folder."""
 
-    def notice_term(self, term: int) -> None:
+    def observe_term(self, term: int) -> None:
         """Adopt a newer *term* that a peer is in."""
 
     def fail(self, error: OSError) -> None:
@@ -57,7 +57,7 @@
     """A controller that may stand for election, and votes."""
 
     contact: LeaderContact
-    turn: asyncio.Lock
+    state_lock: asyncio.Lock
 
     @property
     def leader(self) -> str:
@@ -92,7 +92,7 @@
 
     applied: AppliedState
     contact: LeaderContact
-    turn: asyncio.Lock
+    state_lock: asyncio.Lock
 
     @property
     def is_failed(self) -> bool:
--- a/src/foldloom/controllers/plans.py
+++ b/src/foldloom/controllers/plans.py
@@ -63,13 +63,13 @@
     @property
     def words(self) -> list[str]:
         """One sentence a change."""
-        return [_sentence(change) for change in self.changes]
+        return [_describe(change) for change in self.changes]
 
 
 def make_plan(config: Config, intents: list[Intent]) -> Result[Plan, str]:
     """Return the plan that *intents* mean on *config*, or why there is none."""
     working = config
-    touched: list[tuple[str, str]] = []
+    changed_keys: list[tuple[str, str]] = []
     for intent in intents:
         steps = _steps(intent, working)
         if steps.is_error():
@@ -77,10 +77,10 @@
         for section, name, after in steps.ok:
             change = Change(section=section, name=name, after=after)
             working = apply_changes(working, [change], working.version)
-            if (section, name) not in touched:
-                touched.append((section, name))
+            if (section, name) not in changed_keys:
+                changed_keys.append((section, name))
     changes = []
-    for section, name in touched:
+    for section, name in changed_keys:
         before = section_value(config, section, name)
         after = section_value(working, section, name)
         if before != after:
@@ -99,18 +99,18 @@
 
 @_steps.register
 def _service(intent: ServiceIntent, config: Config) -> Step:
-    known = config.services.get(intent.name)
-    base = known or Service(workers=["*"], concurrency_max=0, restart=RESTART_NEVER)
+    existing = config.services.get(intent.name)
+    base = existing or Service(workers=["*"], concurrency_max=0, restart=RESTART_NEVER)
     after = _merged(base, intent, ("workers", "concurrency_max", "restart"))
     return Ok([(SERVICES, intent.name, after)])
 
 
 @_steps.register
 def _endpoint(intent: EndpointIntent, config: Config) -> Step:
-    known = config.endpoints.get(intent.name)
-    if known is None and (intent.endpoint is UNSET or intent.zone is UNSET):
+    existing = config.endpoints.get(intent.name)
+    if existing is None and (intent.endpoint is UNSET or intent.zone is UNSET):
         return Error(f"worker {intent.name}: endpoint and zone are required for a new worker")
-    base = known or Endpoint(endpoint="", zone="", slots=8, state=ACTIVE)
+    base = existing or Endpoint(endpoint="", zone="", slots=8, state=ACTIVE)
     after = _merged(base, intent, ("endpoint", "zone", "slots"))
     after["state"] = ACTIVE
     if after["slots"] < 1:
@@ -122,10 +122,10 @@
 
 @_steps.register
 def _endpoint_leaving(intent: EndpointLeavingIntent, config: Config) -> Step:
-    known = config.endpoints.get(intent.name)
-    if known is None:
+    existing = config.endpoints.get(intent.name)
+    if existing is None:
         return Error(f"worker {intent.name}: unknown")
-    return Ok([(ENDPOINTS, intent.name, {**known, "state": LEAVING})])
+    return Ok([(ENDPOINTS, intent.name, {**existing, "state": LEAVING})])
 
 
 @_steps.register
@@ -144,37 +144,37 @@
     return Ok([(intent.section, intent.name, None)])
 
 
-def _coming_boxes(config: Config) -> dict[str, str]:
+def _next_box_zones(config: Config) -> dict[str, str]:
     boxes = config.boxes
     return dict(boxes["current"] if boxes["next"] is None else boxes["next"])
 
 
 @_steps.register
 def _box_joining(intent: BoxJoiningIntent, config: Config) -> Step:
-    coming = _coming_boxes(config)
-    coming[intent.name] = intent.zone
-    return _next_boxes(config, coming)
+    next_zones = _next_box_zones(config)
+    next_zones[intent.name] = intent.zone
+    return _next_boxes(config, next_zones)
 
 
 @_steps.register
 def _box_leaving(intent: BoxLeavingIntent, config: Config) -> Step:
-    coming = _coming_boxes(config)
-    if intent.name not in coming:
+    next_zones = _next_box_zones(config)
+    if intent.name not in next_zones:
         return Error(f"box {intent.name}: unknown")
-    del coming[intent.name]
-    if not coming:
+    del next_zones[intent.name]
+    if not next_zones:
         return Error("boxes: the last box can't leave")
-    return _next_boxes(config, coming)
+    return _next_boxes(config, next_zones)
 
 
-def _next_boxes(config: Config, coming: dict[str, str]) -> Step:
+def _next_boxes(config: Config, next_zones: dict[str, str]) -> Step:
     boxes = config.boxes
-    if boxes["next"] is not None and boxes["next"] != coming:
+    if boxes["next"] is not None and boxes["next"] != next_zones:
         return Error("boxes: the change before is still joint")
-    if coming == boxes["current"]:
+    if next_zones == boxes["current"]:
         return Ok([(BOXES, "list", boxes)])
     after = BoxList(
-        epoch=boxes["epoch"] + 1, current=boxes["current"], next=coming, dead=boxes["dead"]
+        epoch=boxes["epoch"] + 1, current=boxes["current"], next=next_zones, dead=boxes["dead"]
     )
     return Ok([(BOXES, "list", after)])
 
@@ -214,23 +214,23 @@
     return after
 
 
-def _sentence(change: Change) -> str:
+def _describe(change: Change) -> str:
     """Return *change* in words."""
     before, after = change.get("before"), change.get("after")
     subject = f"{change['section']} {change['name']}"
     if before is None:
-        return f"{subject}: add {_shown(after)}."
+        return f"{subject}: add {_format_json(after)}."
     if after is None:
         return f"{subject}: remove."
     if not isinstance(before, dict) or not isinstance(after, dict):
-        return f"{subject}: from {_shown(before)} to {_shown(after)}."
+        return f"{subject}: from {_format_json(before)} to {_format_json(after)}."
     parts = [
-        f"{key} from {_shown(before.get(key))} to {_shown(value)}"
+        f"{key} from {_format_json(before.get(key))} to {_format_json(value)}"
         for key, value in after.items()
         if before.get(key) != value
     ]
     return f"{subject}: {', '.join(parts)}."
 
 
-def _shown(value: Any) -> str:
+def _format_json(value: Any) -> str:
     return msgspec.json.encode(value).decode()
--- a/src/foldloom/controllers/readmission.py
+++ b/src/foldloom/controllers/readmission.py
@@ -16,10 +16,12 @@
 _READMIT_INTERVAL_S = 0.2
 # Election time-outs without a leader after which a controller asks whether it still counts: above
 # one election.
-_REPLACED_AFTER_TIMEOUTS = 2
+_LEADER_SILENT_ELECTION_TIMEOUTS = 2
 
 
-async def ask_readmission(controller: Voter, contacts: Callable[[], list[str]]) -> None:
+async def request_readmission(
+    controller: Voter, known_controllers: Callable[[], list[str]]
+) -> None:
     """Ask while *controller* is not counted, or its leader is silent, until cancelled.
 
     One that was replaced while it was away counts itself still; only the leader's silence
@@ -29,14 +31,14 @@
         controller: The controller.
         contacts: Returns the controllers that may know the leader.
     """
-    silent_max_ms = _REPLACED_AFTER_TIMEOUTS * controller.election_timeout_ms
+    silent_max_ms = _LEADER_SILENT_ELECTION_TIMEOUTS * controller.election_timeout_ms
     while True:
         await asyncio.sleep(_READMIT_INTERVAL_S)
         has_leader = controller.contact.silent_ms < silent_max_ms
-        is_counted = controller.may_vote and has_leader
-        if controller.is_failed or controller.is_leading or is_counted:
+        is_following = controller.may_vote and has_leader
+        if controller.is_failed or controller.is_leading or is_following:
             continue
         leader = controller.contact.leader
-        asked = [leader] if leader and has_leader else contacts()
-        for box in asked:
+        targets = [leader] if leader and has_leader else known_controllers()
+        for box in targets:
             controller.network.send(box, Readmit(controller.storage_id))
--- a/src/foldloom/controllers/records.py
+++ b/src/foldloom/controllers/records.py
@@ -24,7 +24,7 @@
 # An entry of the log.
 _ENTRY = 2
 # Drops the entries from an index on.
-_CUT = 3
+_TRUNCATION = 3
 # The state up to an index; in a file of its own.
 _SNAPSHOT = 4
 # Who the folder is; in a file of its own.
@@ -61,7 +61,7 @@
     state: bytes
 
 
-class Recovered(NamedTuple):
+class RecoveredLog(NamedTuple):
     """What the disk held at start."""
 
     term_vote: TermVote
@@ -90,9 +90,9 @@
     return b"".join(_record(_ENTRY, _ENCODER.encode(entry)) for entry in entries)
 
 
-def encode_cut(index: int) -> bytes:
+def encode_truncation(index: int) -> bytes:
     """Return the record that drops the entries from *index* on."""
-    return _record(_CUT, _ENCODER.encode(index))
+    return _record(_TRUNCATION, _ENCODER.encode(index))
 
 
 def encode_term_vote(term_vote: TermVote) -> bytes:
@@ -134,7 +134,7 @@
     return msgspec.msgpack.decode(record.body, type=Snapshot)
 
 
-def replay_log(data: bytes, snapshot: Snapshot) -> tuple[Recovered, int]:
+def replay_log(data: bytes, snapshot: Snapshot) -> tuple[RecoveredLog, int]:
     """Return what the log's bytes say after *snapshot*, and how many of them are good.
 
     Raises:
@@ -147,7 +147,7 @@
         kind, body, offset = record
         if kind == _TERM:
             term_vote = msgspec.msgpack.decode(body, type=TermVote)
-        elif kind == _CUT:
+        elif kind == _TRUNCATION:
             first = msgspec.msgpack.decode(body, type=int)
             entries = [entry for entry in entries if entry.log_index < first]
         else:
@@ -157,7 +157,7 @@
     for position, entry in enumerate(entries, snapshot.last_index + 1):
         if entry.log_index != position:
             raise LostMemoryError("entries are missing from the log")
-    return Recovered(term_vote, snapshot, entries), offset
+    return RecoveredLog(term_vote, snapshot, entries), offset
 
 
 class _Record(NamedTuple):
@@ -171,10 +171,10 @@
 def _record(kind: int, body: bytes) -> bytes:
     content = bytes([kind]) + body
     checksum = xxhash.xxh3_64_intdigest(content)
-    return _HEADER.pack(len(content), _header_check(len(content), checksum), checksum) + content
+    return _HEADER.pack(len(content), _header_checksum(len(content), checksum), checksum) + content
 
 
-def _header_check(length: int, checksum: int) -> int:
+def _header_checksum(length: int, checksum: int) -> int:
     return xxhash.xxh32_intdigest(struct.pack("<IQ", length, checksum))
 
 
@@ -187,8 +187,8 @@
     start = offset + _HEADER.size
     if start > len(data) or not any(data[offset:]):
         return None
-    length, header_check, checksum = _HEADER.unpack_from(data, offset)
-    if header_check != _header_check(length, checksum):
+    length, header_checksum, checksum = _HEADER.unpack_from(data, offset)
+    if header_checksum != _header_checksum(length, checksum):
         raise LostMemoryError(f"the record header at byte {offset} is damaged")
     end = start + length
     if end > len(data):
--- a/src/foldloom/controllers/requests.py
+++ b/src/foldloom/controllers/requests.py
@@ -20,7 +20,7 @@
 from foldloom.peers.wire import PeerNetwork
 
 
-class AskedController(Proposer, Protocol):
+class RequestTarget(Proposer, Protocol):
     """A controller as other boxes see it."""
 
     network: PeerNetwork
@@ -31,14 +31,14 @@
         """The leader's box as far as known, or an empty string."""
 
 
-class Requests:
+class RequestHandlers:
     """Other boxes' requests, as one controller answers them.
 
     Args:
         controller: The controller.
     """
 
-    def __init__(self, controller: AskedController) -> None:
+    def __init__(self, controller: RequestTarget) -> None:
         self._controller = controller
         controller.network.on(Propose, self._on_propose)
         controller.network.on(ReadBarrier, self._on_barrier)
@@ -63,4 +63,4 @@
 
     def _on_readmit(self, sender: str, message: Readmit) -> None:
         if self._controller.leadership is not None:
-            self._controller.leadership.admit(sender, message.storage_id)
+            self._controller.leadership.handle_readmit(sender, message.storage_id)
--- a/src/foldloom/controllers/state.py
+++ b/src/foldloom/controllers/state.py
@@ -42,9 +42,9 @@
 from foldloom.controllers.plans import make_plan
 
 # Commands whose answers are kept for resends: four days of the 2,400 changes a day to design for.
-COMMANDS_KEPT = 10_000
+COMMANDS_RETAINED_MAX = 10_000
 # Change sets kept for boxes that lag; others pull the whole configuration.
-CHANGES_KEPT = 256
+CHANGE_SETS_RETAINED_MAX = 256
 
 
 class ChangeSet(NamedTuple):
@@ -69,7 +69,7 @@
 NO_PUBLICATION = Publication(0, b"")
 
 
-class _Saved(NamedTuple):
+class _SnapshotBody(NamedTuple):
     """The state as a snapshot holds it."""
 
     config: bytes
@@ -82,7 +82,7 @@
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_SAVED = msgspec.msgpack.Decoder(_Saved)
+_SNAPSHOT_DECODER = msgspec.msgpack.Decoder(_SnapshotBody)
 
 
 class ReplicatedState:
@@ -123,10 +123,10 @@
 
     def changes_since(self, version: int) -> list[ChangeSet]:
         """Return the change sets after *version*; none if they are kept no longer."""
-        missing = self._config.version - version
-        if not 0 < missing <= len(self._change_sets):
+        count = self._config.version - version
+        if not 0 < count <= len(self._change_sets):
             return []
-        return self._change_sets[-missing:]
+        return self._change_sets[-count:]
 
     def apply(self, payload: bytes) -> Answer:
         """Apply one committed entry and return what it came to."""
@@ -137,7 +137,7 @@
     def dump(self) -> bytes:
         """Return the whole state for a snapshot."""
         commands = [(name, digest, answer) for name, (digest, answer) in self._answers.items()]
-        saved = _Saved(
+        body = _SnapshotBody(
             encode_config(self._config),
             commands,
             self._incarnations,
@@ -146,18 +146,18 @@
             self._publication,
             self._founder_count,
         )
-        return _ENCODER.encode(saved)
+        return _ENCODER.encode(body)
 
     def load(self, data: bytes) -> None:
         """Replace the state by the one that :meth:`dump` gave."""
-        saved = _SAVED.decode(data)
-        self._config = decode_config(saved.config)
-        self._answers = {name: (digest, answer) for name, digest, answer in saved.commands}
-        self._incarnations = dict(saved.incarnations)
-        self._change_sets = list(saved.change_sets)
-        self._is_founded = saved.is_founded
-        self._publication = saved.publication
-        self._founder_count = saved.founder_count
+        body = _SNAPSHOT_DECODER.decode(data)
+        self._config = decode_config(body.config)
+        self._answers = {name: (digest, answer) for name, digest, answer in body.commands}
+        self._incarnations = dict(body.incarnations)
+        self._change_sets = list(body.change_sets)
+        self._is_founded = body.is_founded
+        self._publication = body.publication
+        self._founder_count = body.founder_count
 
     def found(self, command: FoundCommand) -> Answer:
         """Adopt the first boxes and controllers; a second time changes nothing."""
@@ -171,16 +171,16 @@
 
     def confirm(self, command: ConfirmCommand) -> Answer:
         """Apply a confirm; a command id answered before gets the same answer again."""
-        content = command.digest
-        known = self._answers.get(command.command)
-        if known is not None:
-            digest, answer = known
-            if digest == content:
+        requested_digest = command.digest
+        recorded = self._answers.get(command.command)
+        if recorded is not None:
+            digest, answer = recorded
+            if digest == requested_digest:
                 return answer
             return Answer(409, self._config.version, "this command id was used for other content")
-        answer = self._judge(command)
-        self._answers[command.command] = (content, answer)
-        while len(self._answers) > COMMANDS_KEPT:
+        answer = self._apply_confirm(command)
+        self._answers[command.command] = (requested_digest, answer)
+        while len(self._answers) > COMMANDS_RETAINED_MAX:
             del self._answers[next(iter(self._answers))]
         return answer
 
@@ -198,17 +198,17 @@
             self._incarnations[command.box] = (newest, before)
         return Answer(200, self._config.version, number=before)
 
-    def take_in(self, command: VoterReadyCommand) -> Answer:
+    def readmit_voter(self, command: VoterReadyCommand) -> Answer:
         """Count a controller again under its new storage id."""
         if command.box not in self._config.controllers:
             return Answer(409, self._config.version, "no controller of this configuration")
         return self._set_controller(command.box, command.storage_id)
 
-    def join(self, command: ControllerJoinCommand) -> Answer:
+    def add_controller(self, command: ControllerJoinCommand) -> Answer:
         """Count one controller more."""
         return self._set_controller(command.box, command.storage_id)
 
-    def leave(self, command: ControllerLeaveCommand) -> Answer:
+    def remove_controller(self, command: ControllerLeaveCommand) -> Answer:
         """Count a controller no longer."""
         return self._set_controller(command.box, None)
 
@@ -221,7 +221,7 @@
         self._change([Change(section=BOXES, name="list", before=boxes, after=after)])
         return Answer(200, self._config.version)
 
-    def _judge(self, command: ConfirmCommand) -> Answer:
+    def _apply_confirm(self, command: ConfirmCommand) -> Answer:
         intents = parse_intents(command.intents)
         if intents.is_error():
             return Answer(400, self._config.version, intents.error)
@@ -244,7 +244,7 @@
         version = self._config.version + 1
         self._config = apply_changes(self._config, changes, version)
         self._change_sets.append(ChangeSet(version, changes))
-        del self._change_sets[:-CHANGES_KEPT]
+        del self._change_sets[:-CHANGE_SETS_RETAINED_MAX]
 
 
 @singledispatch
@@ -264,7 +264,7 @@
 
 @_apply.register
 def _(command: VoterReadyCommand, state: ReplicatedState) -> Answer:
-    return state.take_in(command)
+    return state.readmit_voter(command)
 
 
 @_apply.register
@@ -284,9 +284,9 @@
 
 @_apply.register
 def _(command: ControllerJoinCommand, state: ReplicatedState) -> Answer:
-    return state.join(command)
+    return state.add_controller(command)
 
 
 @_apply.register
 def _(command: ControllerLeaveCommand, state: ReplicatedState) -> Answer:
-    return state.leave(command)
+    return state.remove_controller(command)
--- a/src/foldloom/controllers/storage.py
+++ b/src/foldloom/controllers/storage.py
@@ -20,16 +20,16 @@
     EMPTY_SNAPSHOT,
     Entry,
     Identity,
-    Recovered,
+    RecoveredLog,
     Snapshot,
     TermVote,
     decode_identity,
     decode_snapshot,
-    encode_cut,
     encode_entries,
     encode_identity,
     encode_snapshot,
     encode_term_vote,
+    encode_truncation,
     replay_log,
 )
 from foldloom.exceptions import LostMemoryError
@@ -100,7 +100,7 @@
         """Bytes written since start, snapshots included."""
         return self._bytes_written
 
-    def open(self) -> Recovered:
+    def open(self) -> RecoveredLog:
         """Read everything back and open the log for appending.
 
         Raises:
@@ -111,14 +111,14 @@
         if not identity.exists() or not log.exists():
             raise LostMemoryError("the data folder has no identity or no log")
         snapshot = self._read_snapshot()
-        recovered, good_bytes = replay_log(log.read_bytes(), snapshot)
+        recovered, valid_bytes = replay_log(log.read_bytes(), snapshot)
         self._identity = decode_identity(identity.read_bytes())
         self._fd = os.open(log, os.O_RDWR)
-        if os.fstat(self._fd).st_size != good_bytes:
-            os.ftruncate(self._fd, good_bytes)
+        if os.fstat(self._fd).st_size != valid_bytes:
+            os.ftruncate(self._fd, valid_bytes)
             self._fsync(self._fd)
         os.lseek(self._fd, 0, os.SEEK_END)
-        self._log_bytes = good_bytes
+        self._log_bytes = valid_bytes
         return recovered
 
     def close(self) -> None:
@@ -133,7 +133,7 @@
 
     def cut_from(self, index: int) -> None:
         """Drop the entries from *index* on; counts only after :meth:`sync`."""
-        self._write(encode_cut(index))
+        self._write(encode_truncation(index))
 
     def save_term_vote(self, term_vote: TermVote) -> None:
         """Write the term and the vote; they count only after :meth:`sync`."""
--- a/src/foldloom/controllers/voter_changes.py
+++ b/src/foldloom/controllers/voter_changes.py
@@ -21,16 +21,16 @@
 
 # Election time-outs of silence after which a controller may be replaced by a standby: above a
 # restart, which takes 1 to 2 s on the users' bench.
-_GONE_AFTER_TIMEOUTS = 2.5
+_REPLACE_AFTER_ELECTION_TIMEOUTS = 2.5
 # Election time-outs without a request after which a standby is forgotten.
-_STANDBY_KEPT_TIMEOUTS = 10
+_STANDBY_TTL_ELECTION_TIMEOUTS = 10
 
 
-class _Candidacy(NamedTuple):
+class _MembershipRequest(NamedTuple):
     """A controller that asks to be counted, and when it asked."""
 
     storage_id: str
-    since_ms: float
+    requested_ms: float
 
 
 class VoterChanges:
@@ -50,18 +50,18 @@
         followers: FollowerTable,
         first_index: int,
         append: Callable[[Command], int],
-        follow: Callable[[], None],
+        update_followers: Callable[[], None],
     ) -> None:
         self._controller = controller
         self._followers = followers
         self._first_index = first_index
         self._append = append
-        self._follow = follow
+        self._update_followers = update_followers
         self._started_ms = monotonic_ms()
-        self._candidacies: dict[str, _Candidacy] = {}
-        self._standbys: dict[str, _Candidacy] = {}
-        self._newest_index = 0
-        self._taken_in: set[tuple[str, str]] = set()
+        self._readmission_requests: dict[str, _MembershipRequest] = {}
+        self._standbys: dict[str, _MembershipRequest] = {}
+        self._last_change_index = 0
+        self._admitted: set[tuple[str, str]] = set()
 
     @property
     def standbys(self) -> set[str]:
@@ -69,10 +69,10 @@
         return set(self._standbys)
 
     @property
-    def _has_committed_own(self) -> bool:
+    def _has_committed_in_term(self) -> bool:
         return self._controller.applied.commit_index >= self._first_index
 
-    def admit(self, box: str, storage_id: str) -> None:
+    def handle_readmit(self, box: str, storage_id: str) -> None:
         """Note that *box* wants to be counted; take it in once that is safe.
 
         It is safe when every other controller has answered this term since the request
@@ -80,69 +80,73 @@
         memory. *box* must also hold everything that is committed.
         """
         if box not in self._controller.controllers:
-            self._note_standby(box, storage_id)
+            self._register_standby(box, storage_id)
             return
-        known = self._candidacies.get(box)
-        if known is None or known.storage_id != storage_id:
-            known = _Candidacy(storage_id, monotonic_ms())
-            self._candidacies[box] = known
-        if not self._has_committed_own or not self._followers.holds_committed(box, storage_id):
+        request = self._readmission_requests.get(box)
+        if request is None or request.storage_id != storage_id:
+            request = _MembershipRequest(storage_id, monotonic_ms())
+            self._readmission_requests[box] = request
+        if not self._has_committed_in_term or not self._followers.holds_committed(box, storage_id):
             return
         others = self._controller.controllers.keys() - {box, self._controller.box}
-        if any(self._followers.answered_ms(other) < known.since_ms for other in others):
+        if any(self._followers.acknowledged_ms(other) < request.requested_ms for other in others):
             return
-        self._take_in(box, storage_id)
+        self._append_voter_ready(box, storage_id)
 
-    def pin(self, box: str, storage_id: str, is_first: bool) -> None:
+    def record_storage_id(self, box: str, storage_id: str, is_first: bool) -> None:
         """Write down the data folder of a controller of a new system."""
         if self._controller.controllers.get(box) == ANY_STORAGE and is_first:
-            self._take_in(box, storage_id)
+            self._append_voter_ready(box, storage_id)
 
-    def advance(self) -> None:
+    def propose_next_change(self) -> None:
         """Replace a controller that is gone by one that stands by, a step at a time."""
         now_ms = monotonic_ms()
         timeout_ms = self._controller.election_timeout_ms
-        self._forget_standbys(now_ms - _STANDBY_KEPT_TIMEOUTS * timeout_ms)
+        self._expire_standbys(now_ms - _STANDBY_TTL_ELECTION_TIMEOUTS * timeout_ms)
         commit_index = self._controller.applied.commit_index
-        if not self._has_committed_own or commit_index < self._newest_index:
+        if not self._has_committed_in_term or commit_index < self._last_change_index:
             return
-        gone_since_ms = now_ms - _GONE_AFTER_TIMEOUTS * timeout_ms
+        unresponsive_since_ms = now_ms - _REPLACE_AFTER_ELECTION_TIMEOUTS * timeout_ms
         # Nobody could answer this term's leader before it led.
-        is_long_enough = self._started_ms < gone_since_ms
+        has_observed_long_enough = self._started_ms < unresponsive_since_ms
         standbys = [
-            Standby(box, known.storage_id, self._followers.holds_committed(box, known.storage_id))
-            for box, known in self._standbys.items()
+            Standby(
+                box, request.storage_id, self._followers.holds_committed(box, request.storage_id)
+            )
+            for box, request in self._standbys.items()
         ]
         command = next_change(
             self._controller.controllers,
             self._controller.applied.state.founder_count,
-            self._followers.silent_since(gone_since_ms) if is_long_enough else [],
+            self._followers.unresponsive_since(unresponsive_since_ms)
+            if has_observed_long_enough
+            else [],
             standbys,
             self._controller.box,
         )
         if command is not None:
             CONTROLLER_LOG.info("Change of controllers: {}.", command)
-            self._newest_index = self._append(command)
+            self._last_change_index = self._append(command)
 
-    def _take_in(self, box: str, storage_id: str) -> None:
-        if (box, storage_id) in self._taken_in:
+    def _append_voter_ready(self, box: str, storage_id: str) -> None:
+        if (box, storage_id) in self._admitted:
             return
-        self._taken_in.add((box, storage_id))
+        self._admitted.add((box, storage_id))
         CONTROLLER_LOG.info("Take in {} with data folder {}.", box, storage_id)
-        self._newest_index = self._append(VoterReadyCommand(box, storage_id))
+        self._last_change_index = self._append(VoterReadyCommand(box, storage_id))
 
-    def _note_standby(self, box: str, storage_id: str) -> None:
+    def _register_standby(self, box: str, storage_id: str) -> None:
         """Replicate to a controller that does not count, so that it can come in at once."""
         if box == self._controller.box:
             return
         if box not in self._standbys:
             CONTROLLER_LOG.info("Controller {} stands by with data folder {}.", box, storage_id)
-        self._standbys[box] = _Candidacy(storage_id, monotonic_ms())
-        self._follow()
+        self._standbys[box] = _MembershipRequest(storage_id, monotonic_ms())
+        self._update_followers()
 
-    def _forget_standbys(self, before_ms: float) -> None:
+    def _expire_standbys(self, before_ms: float) -> None:
         """Forget those that have not asked since *before_ms*."""
-        for box, known in list(self._standbys.items()):
-            if known.since_ms < before_ms:
+        for box, request in list(self._standbys.items()):
+            if request.requested_ms < before_ms:
                 del self._standbys[box]
-                self._follow()
+                self._update_followers()
--- a/tests/test_boxes_controllers.py
+++ b/tests/test_boxes_controllers.py
@@ -41,7 +41,7 @@
     )
 
 
-class Core:
+class ControllerGroup:
     """Controllers in one event loop, each with its own sockets and data folder."""
 
     def __init__(self, folder: Path, founders: int = 3) -> None:
@@ -83,7 +83,7 @@
                     return True
             return False
 
-        await until(publish_once, f"version {version} is acknowledged")
+        await wait_until(publish_once, f"version {version} is acknowledged")
 
     async def read(self) -> bytes:
         """Read the newest through any controller."""
@@ -97,7 +97,7 @@
                     return True
             return False
 
-        await until(read_once, "the newest is read")
+        await wait_until(read_once, "the newest is read")
         return found[0]
 
     def leader(self) -> int:
@@ -116,38 +116,38 @@
             await self.kill(port)
 
 
-async def until(condition: Callable[[], Awaitable[Any]], what: str) -> None:
+async def wait_until(condition: Callable[[], Awaitable[Any]], description: str) -> None:
     """Wait for *condition*; fail when it does not come true in time."""
     deadline = asyncio.get_running_loop().time() + _WAIT_S
     while asyncio.get_running_loop().time() < deadline:
         if await condition():
             return
         await asyncio.sleep(0.05)
-    raise AssertionError(f"not within {_WAIT_S} s: {what}")
+    raise AssertionError(f"not within {_WAIT_S} s: {description}")
 
 
-def play(folder: Path, scenario: Callable[[Core], Awaitable[None]]) -> None:
+def run_scenario(folder: Path, scenario: Callable[[ControllerGroup], Awaitable[None]]) -> None:
     """Found a core of three and play *scenario* on it."""
 
     async def run() -> None:
-        core = Core(folder)
+        group = ControllerGroup(folder)
         try:
-            await core.start_all(is_first_start=True)
-            await core.publish(1)
-            await scenario(core)
+            await group.start_all(is_first_start=True)
+            await group.publish(1)
+            await scenario(group)
         finally:
-            await core.stop()
+            await group.stop()
 
     asyncio.run(run())
 
 
-async def members_are(core: Core, ports: set[int]) -> None:
+async def wait_for_members(group: ControllerGroup, ports: set[int]) -> None:
     """Wait until just *ports* count."""
 
-    async def are() -> bool:
-        return core.members() == ports
+    async def has_members() -> bool:
+        return group.members() == ports
 
-    await until(are, f"members {ports}, now {core.members()}")
+    await wait_until(has_members, f"members {ports}, now {group.members()}")
 
 
 class TestPublishing:
@@ -156,45 +156,45 @@
     def test_highest_version_holds(self, tmp_path: Path) -> None:
         """A version that is not above the one held is acknowledged and changes nothing."""
 
-        async def scenario(core: Core) -> None:
-            await core.publish(7)
-            await core.publish(3)
-            assert await core.read() == b"7"
+        async def scenario(group: ControllerGroup) -> None:
+            await group.publish(7)
+            await group.publish(3)
+            assert await group.read() == b"7"
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_all_killed(self, tmp_path: Path) -> None:
         """All are killed right after an acknowledgement and come back with what it said."""
 
-        async def scenario(core: Core) -> None:
-            await core.publish(5)
-            for port in core.ports:
-                await core.kill(port)
-            await core.start_all()
-            assert await core.read() == b"5"
+        async def scenario(group: ControllerGroup) -> None:
+            await group.publish(5)
+            for port in group.ports:
+                await group.kill(port)
+            await group.start_all()
+            assert await group.read() == b"5"
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_wiped_then_another_lost(self, tmp_path: Path) -> None:
         """A wiped disk does not vote; what was acknowledged is read once both others are back."""
 
-        async def scenario(core: Core) -> None:
-            wiped, behind = core.leader(), next(p for p in core.ports if p != core.leader())
-            await core.kill(behind)
-            await core.publish(9)
-            await core.kill(wiped)
-            core.wipe(wiped)
-            kept = next(port for port in core.ports if port not in (wiped, behind))
-            await core.kill(kept)
-            await core.start(wiped)
-            await core.start(behind)
+        async def scenario(group: ControllerGroup) -> None:
+            wiped, behind = group.leader(), next(p for p in group.ports if p != group.leader())
+            await group.kill(behind)
+            await group.publish(9)
+            await group.kill(wiped)
+            group.wipe(wiped)
+            kept = next(port for port in group.ports if port not in (wiped, behind))
+            await group.kill(kept)
+            await group.start(wiped)
+            await group.start(behind)
             await asyncio.sleep(2.5)
-            assert core.leader() == 0
-            await core.start(kept)
-            assert await core.read() == b"9"
-            await members_are(core, set(core.ports))
+            assert group.leader() == 0
+            await group.start(kept)
+            assert await group.read() == b"9"
+            await wait_for_members(group, set(group.ports))
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
 
 class TestReplacing:
@@ -204,52 +204,52 @@
     def test_another_address(self, tmp_path: Path, is_leader: bool) -> None:
         """An empty one at another address takes the place of one that is gone."""
 
-        async def scenario(core: Core) -> None:
-            leader = core.leader()
-            gone = leader if is_leader else next(p for p in core.ports if p != leader)
+        async def scenario(group: ControllerGroup) -> None:
+            leader = group.leader()
+            gone = leader if is_leader else next(p for p in group.ports if p != leader)
             fresh = free_port()
-            await core.kill(gone)
-            await core.start(fresh)
-            expected = {*core.ports, fresh} - {gone}
-            await members_are(core, expected)
-            await core.publish(4)
+            await group.kill(gone)
+            await group.start(fresh)
+            expected = {*group.ports, fresh} - {gone}
+            await wait_for_members(group, expected)
+            await group.publish(4)
             # The newcomer counts: another one may be lost now.
-            await core.kill(next(port for port in core.ports if port != gone))
-            await core.publish(6)
-            assert await core.read() == b"6"
+            await group.kill(next(port for port in group.ports if port != gone))
+            await group.publish(6)
+            assert await group.read() == b"6"
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_replaced_one_comes_back(self, tmp_path: Path) -> None:
         """One that was replaced while it was away stands by and does no harm."""
 
-        async def scenario(core: Core) -> None:
-            away = next(port for port in core.ports if port != core.leader())
+        async def scenario(group: ControllerGroup) -> None:
+            away = next(port for port in group.ports if port != group.leader())
             fresh = free_port()
-            await core.kill(away)
-            await core.start(fresh)
-            expected = {*core.ports, fresh} - {away}
-            await members_are(core, expected)
-            await core.start(away)
-            await core.publish(8)
+            await group.kill(away)
+            await group.start(fresh)
+            expected = {*group.ports, fresh} - {away}
+            await wait_for_members(group, expected)
+            await group.start(away)
+            await group.publish(8)
             await asyncio.sleep(1.5)
-            assert core.members() == expected
-            assert await core.read() == b"8"
+            assert group.members() == expected
+            assert await group.read() == b"8"
             # It follows as a standby, so it can come in again.
-            await core.kill(fresh)
-            await members_are(core, set(core.ports))
+            await group.kill(fresh)
+            await wait_for_members(group, set(group.ports))
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_spare_stands_by(self, tmp_path: Path) -> None:
         """One that is added while all are there gets no vote."""
 
-        async def scenario(core: Core) -> None:
-            await core.start(free_port())
+        async def scenario(group: ControllerGroup) -> None:
+            await group.start(free_port())
             await asyncio.sleep(1.5)
-            assert core.members() == set(core.ports)
+            assert group.members() == set(group.ports)
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
 
 class FullDisks:
@@ -274,15 +274,15 @@
 
         monkeypatch.setattr(LogStorage, "_write", write_or_refuse)
 
-    async def fill(self, core: Core, port: int) -> None:
+    async def fill(self, group: ControllerGroup, port: int) -> None:
         """Let the disk of the controller at *port* be full until a write was refused."""
-        folder = core.folder_of(port)
+        folder = group.folder_of(port)
         self.folders.add(folder)
         version = 20
         async with asyncio.timeout(_WAIT_S):
             while not self.refused:
                 version += 1
-                await core.publish(version)
+                await group.publish(version)
         await asyncio.sleep(0.5)
         self.folders.discard(folder)
 
@@ -297,15 +297,15 @@
         """Once its disk takes writes again, the controller counts: another one may be lost."""
         disks = FullDisks(monkeypatch)
 
-        async def scenario(core: Core) -> None:
-            leader = core.leader()
-            full = leader if is_leader else next(p for p in core.ports if p != leader)
-            await disks.fill(core, full)
-            await core.kill(next(port for port in core.ports if port != full))
-            await core.publish(90)
-            assert await core.read() == b"90"
+        async def scenario(group: ControllerGroup) -> None:
+            leader = group.leader()
+            full = leader if is_leader else next(p for p in group.ports if p != leader)
+            await disks.fill(group, full)
+            await group.kill(next(port for port in group.ports if port != full))
+            await group.publish(90)
+            assert await group.read() == b"90"
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_another_replaced_afterwards(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
@@ -313,27 +313,27 @@
         """A second controller is replaced by an empty one; changes are acknowledged still."""
         disks = FullDisks(monkeypatch)
 
-        async def scenario(core: Core) -> None:
-            full, gone = [port for port in core.ports if port != core.leader()]
-            await disks.fill(core, full)
-            await core.kill(gone)
+        async def scenario(group: ControllerGroup) -> None:
+            full, gone = [port for port in group.ports if port != group.leader()]
+            await disks.fill(group, full)
+            await group.kill(gone)
             fresh = free_port()
-            await core.start(fresh)
-            await core.publish(90)
-            await members_are(core, {*core.ports, fresh} - {gone})
-            assert await core.read() == b"90"
+            await group.start(fresh)
+            await group.publish(90)
+            await wait_for_members(group, {*group.ports, fresh} - {gone})
+            assert await group.read() == b"90"
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
 
-async def seconds_until_led(core: Core) -> float:
+async def seconds_until_leader(group: ControllerGroup) -> float:
     """Wait until a controller leads; return how long that took."""
     began = asyncio.get_running_loop().time()
 
-    async def is_led() -> bool:
-        return core.leader() != 0
+    async def has_leader() -> bool:
+        return group.leader() != 0
 
-    await until(is_led, "another leads")
+    await wait_until(has_leader, "another leads")
     return asyncio.get_running_loop().time() - began
 
 
@@ -343,15 +343,15 @@
     def test_another_leads_at_once(self, tmp_path: Path) -> None:
         """Another controller leads before an election time-out has passed."""
 
-        async def scenario(core: Core) -> None:
-            leader = core.leader()
-            host = core.hosts.pop(leader)
+        async def scenario(group: ControllerGroup) -> None:
+            leader = group.leader()
+            host = group.hosts.pop(leader)
             stopping = asyncio.create_task(host.stop())
-            assert await seconds_until_led(core) < 0.5
+            assert await seconds_until_leader(group) < 0.5
             await stopping
-            await core.publish(2)
+            await group.publish(2)
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_another_leads_at_once_though_an_entry_is_on_its_way(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
@@ -363,15 +363,15 @@
             time.sleep(_SLOW_SYNC_S)
             sync(storage)
 
-        async def scenario(core: Core) -> None:
-            leader = core.leader()
-            host = core.hosts.pop(leader)
+        async def scenario(group: ControllerGroup) -> None:
+            leader = group.leader()
+            host = group.hosts.pop(leader)
             monkeypatch.setattr(LogStorage, "sync", sync_slowly)
             publishing = asyncio.create_task(host.publish(2, b"2", _TIMEOUT_MS))
             await asyncio.sleep(_SLOW_SYNC_S / 2)
             stopping = asyncio.create_task(host.stop())
-            assert await seconds_until_led(core) < 0.5
+            assert await seconds_until_leader(group) < 0.5
             await asyncio.gather(publishing, stopping)
-            assert await core.read() == b"2"
+            assert await group.read() == b"2"
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
--- a/tests/test_controllers_controller_table.py
+++ b/tests/test_controllers_controller_table.py
@@ -67,7 +67,7 @@
         log = opened(tmp_path, _FOUND, _JOIN)
         table = ControllerTable(log, _EMPTY)
         asyncio.run(log.accept([Entry(2, 2, encode_command(_LEAVE))]))
-        table.note_accepted(1)
+        table.record_accepted(1)
         assert set(table.newest(ReplicatedState(_EMPTY), 0)) == {"c2"}
 
     def test_the_applied_state_counts_once_a_term_has_committed(self, tmp_path: Path) -> None:
@@ -76,6 +76,6 @@
         table = ControllerTable(log, _EMPTY)
         state = ReplicatedState(_EMPTY)
         state.apply(encode_command(_FOUND))
-        table.note_committed(2)
+        table.record_committed(2)
         assert set(table.newest(state, 1)) == {"c1", "c2", "c3"}
         assert set(table.newest(state, 2)) == {"c1", "c2"}
--- a/tests/test_controllers_election.py
+++ b/tests/test_controllers_election.py
@@ -12,7 +12,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from foldloom.controllers.election import Elections
+from foldloom.controllers.election import ElectionHandlers
 from foldloom.controllers.messages import RequestVote, VoteReply
 from foldloom.exceptions import PeerUnreachableError
 from models.virtual_time import VirtualTimeLoop, run_in_virtual_time
@@ -22,7 +22,7 @@
 _AT_ONCE_S = 0.1
 
 
-class _Network:
+class _FakeNetwork:
     """Two other controllers: b votes at once as it is told to, c is gone."""
 
     def __init__(self, is_granted: bool, term: int) -> None:
@@ -45,46 +45,46 @@
 class _Candidate(SimpleNamespace):
     """A controller of three whose leader is gone."""
 
-    def __init__(self, network: _Network) -> None:
+    def __init__(self, network: _FakeNetwork) -> None:
         super().__init__(
             network=network,
             box="a",
             election_timeout_ms=_TIMEOUT_MS,
             log=SimpleNamespace(term=1, last_index=3, last_term=1, save_term_vote=self._save),
-            turn=asyncio.Lock(),
+            state_lock=asyncio.Lock(),
             controllers={"a": "?", "b": "?", "c": "?"},
-            majority=2,
+            quorum_size=2,
             leader="",
-            contact=SimpleNamespace(silent_ms=1e9, forget=lambda: None),
-            has_led=False,
-            noticed_term=0,
+            contact=SimpleNamespace(silent_ms=1e9, clear_leader=lambda: None),
+            is_leader=False,
+            observed_term=0,
         )
 
     async def _save(self, term: int, _box: str) -> None:
         self.log.term = term
 
-    def is_counted(self, _box: str, _storage_id: str, _is_first: bool) -> bool:
+    def is_voter(self, _box: str, _storage_id: str, _is_first: bool) -> bool:
         """Count both."""
         return True
 
-    def notice_term(self, term: int) -> None:
+    def observe_term(self, term: int) -> None:
         """Note a newer term."""
-        self.noticed_term = term
+        self.observed_term = term
 
     def lead(self) -> None:
         """Note that it leads."""
-        self.has_led = True
+        self.is_leader = True
 
 
-def _stand(is_granted: bool, term: int, within_s: float) -> _Candidate:
-    async def play() -> _Candidate:
-        candidate = _Candidate(_Network(is_granted, term))
-        elections = Elections(candidate)  # type: ignore[arg-type]
-        await asyncio.wait_for(elections.stand(), within_s)
+def _run_election(is_granted: bool, term: int, within_s: float) -> _Candidate:
+    async def run() -> _Candidate:
+        candidate = _Candidate(_FakeNetwork(is_granted, term))
+        elections = ElectionHandlers(candidate)  # type: ignore[arg-type]
+        await asyncio.wait_for(elections.run_election(), within_s)
         assert asyncio.all_tasks() - {asyncio.current_task()} == set()
         return candidate
 
-    candidate: _Candidate = run_in_virtual_time(play(), VirtualTimeLoop())
+    candidate: _Candidate = run_in_virtual_time(run(), VirtualTimeLoop())
     return candidate
 
 
@@ -93,8 +93,8 @@
 
     def test_a_majority_is_enough(self) -> None:
         """The candidate leads as soon as the other one has voted in both rounds."""
-        candidate = _stand(True, 1, _AT_ONCE_S)
-        assert candidate.has_led
+        candidate = _run_election(True, 1, _AT_ONCE_S)
+        assert candidate.is_leader
         assert sorted(candidate.network.asked) == [
             ("b", False),
             ("b", True),
@@ -104,9 +104,9 @@
 
     def test_one_that_votes_for_nobody(self) -> None:
         """Without the other one's vote the one that is gone is waited for, and nobody leads."""
-        assert not _stand(False, 1, 1.0).has_led
+        assert not _run_election(False, 1, 1.0).is_leader
 
     def test_a_newer_term(self) -> None:
         """A reply of a newer term ends the election at once."""
-        candidate = _stand(False, 9, _AT_ONCE_S)
-        assert (candidate.has_led, candidate.noticed_term) == (False, 9)
+        candidate = _run_election(False, 9, _AT_ONCE_S)
+        assert (candidate.is_leader, candidate.observed_term) == (False, 9)
--- a/tests/test_controllers_followers.py
+++ b/tests/test_controllers_followers.py
@@ -19,9 +19,9 @@
     controller: Any = SimpleNamespace(
         box="c1",
         may_vote=True,
-        majority=2,
+        quorum_size=2,
         controllers=_FOLDERS,
-        is_counted=lambda box, storage_id, _is_first: _FOLDERS.get(box) == storage_id,
+        is_voter=lambda box, storage_id, _is_first: _FOLDERS.get(box) == storage_id,
         log=SimpleNamespace(last_index=9, durable_index=durable_index),
         applied=SimpleNamespace(commit_index=commit_index),
     )
@@ -45,15 +45,15 @@
     def test_middle_of_three(self, own: int, others: tuple[int, int], agreed: int) -> None:
         """The leader's own log counts up to what is synced, as any other's."""
         table = _table(durable_index=own)
-        table.note_reply("c2", _reply(others[0], "s2"), 1.0)
-        table.note_reply("c3", _reply(others[1], "s3"), 1.0)
-        assert table.agreed_index() == agreed
+        table.record_reply("c2", _reply(others[0], "s2"), 1.0)
+        table.record_reply("c3", _reply(others[1], "s3"), 1.0)
+        assert table.quorum_match_index() == agreed
 
     def test_another_data_folder_does_not_count(self) -> None:
         """One that lost its memory holds what it says, but may have promised more before."""
         table = _table()
-        table.note_reply("c2", _reply(9, "new"), 1.0)
-        assert table.agreed_index() == 0
+        table.record_reply("c2", _reply(9, "new"), 1.0)
+        assert table.quorum_match_index() == 0
 
 
 class TestAnswers:
@@ -63,33 +63,33 @@
         """The next append begins behind what the follower says it holds, at the latest."""
         table = _table()
         assert table.next_index("c2") == 10
-        table.note_reply("c2", _reply(4, "s2", is_ok=False), 1.0)
+        table.record_reply("c2", _reply(4, "s2", is_ok=False), 1.0)
         assert table.next_index("c2") == 5
-        table.note_reply("c2", _reply(9, "s2", is_ok=False), 1.0)
+        table.record_reply("c2", _reply(9, "s2", is_ok=False), 1.0)
         assert table.next_index("c2") == 4
 
     def test_majority_since(self) -> None:
         """The leader and one answer are a majority of three."""
         table = _table()
-        table.note_reply("c2", _reply(9, "s2"), 5.0)
+        table.record_reply("c2", _reply(9, "s2"), 5.0)
         assert table.is_acknowledged_since(5.0)
         assert not table.is_acknowledged_since(6.0)
-        assert table.silent_since(5.0) == ["c3"]
+        assert table.unresponsive_since(5.0) == ["c3"]
 
     def test_successor_holds_the_whole_log(self) -> None:
         """Of those, the one that was last in contact."""
         table = _table()
-        table.note_reply("c2", _reply(8, "s2"), 7.0)
+        table.record_reply("c2", _reply(8, "s2"), 7.0)
         assert table.successor() == ""
-        table.note_reply("c3", _reply(9, "s3"), 5.0)
+        table.record_reply("c3", _reply(9, "s3"), 5.0)
         assert table.successor() == "c3"
-        table.note_reply("c2", _reply(9, "s2"), 7.0)
+        table.record_reply("c2", _reply(9, "s2"), 7.0)
         assert table.successor() == "c2"
 
     def test_holding_what_is_committed(self) -> None:
         """Only in the folder that it asks to be counted with."""
         table = _table(commit_index=6)
-        table.note_reply("c2", _reply(6, "s2"), 1.0)
+        table.record_reply("c2", _reply(6, "s2"), 1.0)
         assert table.holds_committed("c2", "s2")
         assert not table.holds_committed("c2", "new")
         assert not table.holds_committed("c3", "s3")
--- a/tests/test_controllers_members.py
+++ b/tests/test_controllers_members.py
@@ -11,7 +11,7 @@
     VoterReadyCommand,
     encode_command,
 )
-from foldloom.controllers.members import Standby, majority_of, newest_table, next_change
+from foldloom.controllers.members import Standby, newest_table, next_change, quorum_size_of
 
 _TABLE = {"a": "1", "b": "2", "c": "3"}
 _READY = Standby("d", "4", True)
@@ -40,7 +40,7 @@
 
     def test_majority(self) -> None:
         """More than half, also of an even number."""
-        assert [majority_of(range(size)) for size in (1, 2, 3, 4, 5)] == [1, 2, 2, 3, 3]
+        assert [quorum_size_of(range(size)) for size in (1, 2, 3, 4, 5)] == [1, 2, 2, 3, 3]
 
 
 class TestNextChange:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -98,13 +98,13 @@
         assert state.config.boxes["epoch"] == 2
 
 
-class Peer:
+class FakeNetwork:
     """A network that hands every question to one other box's holder."""
 
     def __init__(self) -> None:
         """Know no handler yet."""
         self.handlers: dict[type, Any] = {}
-        self.other: Peer | None = None
+        self.other: FakeNetwork | None = None
         self.replies: list[ConfigReply] = []
 
     def on(self, message_type: type, handler: Any) -> None:
@@ -124,7 +124,7 @@
     def test_pulls_changes_and_never_goes_back(self) -> None:
         """A box behind pulls change sets, one at version 0 the whole; none takes an older one."""
         state = _state()
-        peers: list[Any] = [Peer(), Peer()]
+        peers: list[Any] = [FakeNetwork(), FakeNetwork()]
         peers[1].other = peers[0]
         source, puller = (ConfigHolder(peer, state.config) for peer in peers)
 
