--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -1,10 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""One controller of the replicated log: its parts put to work on one data folder.
+"""One controller of the replicated log, composed of its parts on one data folder.
 
-Owns the role (leading, following, failed) and the log. Relies on its parts: elections, following,
-leadership, contact with the leader, compaction, what is applied. The rules are Raft's as published
-(Ongaro and Ousterhout, 2014), with trial votes before an election (Ongaro's dissertation, section
-9.6), step-down without a majority (section 6.2), and a data folder's identity behind every vote.
+Owns the role (leader, follower, failed) and the log. Follows Raft (Ongaro and Ousterhout, 2014)
+with pre-votes (Ongaro's dissertation, 2014, section 9.6) and step-down without a majority (section
+6.2). Every vote carries its data folder's identity.
 """
 
 from __future__ import annotations
@@ -34,18 +33,17 @@
 from foldloom.settings import Settings
 from foldloom.tasks import TaskSet
 
-# Seconds between two attempts to open a data folder again whose disk failed, because a disk that is
-# full may be freed at any time, and one attempt costs a read and a write of the whole log.
+# After a disk failure. Each attempt reads and rewrites the whole log.
 _REOPEN_INTERVAL_S = 1.0
 
 
 class Callbacks(NamedTuple):
-    """What a controller asks of its box, and tells it.
+    """Callbacks from a controller to its box.
 
     Args:
-        on_config: Called with each newer confirmed configuration and what led to it.
+        on_config: Called with each newer confirmed configuration and the changes since the last.
         on_publication: Called with each newer published document.
-        contacts: Returns the controllers that may know the leader.
+        contacts: Returns the controllers to contact when no leader is known.
     """
 
     on_config: Callable[[Config, list[ChangeSet]], None] = lambda _config, _changes: None
@@ -61,9 +59,9 @@
         network: The peers.
         metrics: Counters.
         initial: The configuration at version 0.
-        callbacks: What it asks of its box, and tells it.
+        callbacks: Callbacks to the box.
 
-    ``contact``: the contact with the leader. ``turn``: held while a term or the log changes.
+    ``contact`` tracks the leader. ``state_lock`` is held while the term or the log changes.
     """
 
     def __init__(
@@ -93,7 +91,7 @@
         RequestHandlers(self)
 
     def _load_log(self, storage: LogStorage, log: ReplicatedLog) -> None:
-        """Begin with what the data folder holds; only its snapshot is known to be committed."""
+        """Load the data folder; of its contents, only the snapshot is known to be committed."""
         self._storage, self.log = storage, log
         on_publication = self._callbacks.on_publication
         self.applied = AppliedState(log, self._initial, self._adopt_config, on_publication)
@@ -106,37 +104,37 @@
 
     @property
     def leader(self) -> str:
-        """The leader's box as far as known, or an empty string."""
+        """The leader's box, or an empty string if unknown."""
         return self.box if self._leadership is not None else self.contact.leader
 
     @property
     def is_leading(self) -> bool:
-        """Whether this controller leads, as far as it knows."""
+        """Whether this controller considers itself the leader."""
         return self._leadership is not None
 
     @property
     def is_failed(self) -> bool:
-        """Whether the disk failed: this controller takes no part."""
+        """Whether the disk failed and the data folder is not reopened yet."""
         return self._is_failed
 
     @property
     def leadership(self) -> Leadership | None:
-        """The present term of leading, if any."""
+        """The current term as leader, or ``None``."""
         return self._leadership
 
     @property
     def controllers(self) -> dict[str, str]:
-        """The controllers that count, by the own log, and their data folders' ids."""
+        """The voters by this controller's log, with their storage ids."""
         return self.applied.controllers
 
     @property
     def quorum_size(self) -> int:
-        """How many controllers are more than half."""
+        """The number of voters in a majority."""
         return quorum_size_of(self.controllers)
 
     @property
     def storage_id(self) -> str:
-        """This data folder's id."""
+        """The id of this controller's data folder."""
         return self._storage.identity.storage_id
 
     @property
@@ -151,12 +149,12 @@
 
     @property
     def may_vote(self) -> bool:
-        """Whether this controller's memory counts."""
+        """Whether this controller is a voter with its current data folder."""
         return not self._is_failed and self.is_voter(self.box, self.storage_id, self.is_first)
 
     @property
     def summary(self) -> dict[str, object]:
-        """Facts for ``foldloom status``."""
+        """The status shown by ``foldloom status``."""
         return {
             "leader": self.leader,
             "term": self.log.term,
@@ -168,14 +166,14 @@
         }
 
     def is_voter(self, box: str, storage_id: str, is_first: bool) -> bool:
-        """Return whether the configuration counts *box* with this data folder."""
+        """Return whether *box* is a voter with this data folder."""
         expected = self.controllers.get(box, "")
         if expected == ANY_STORAGE:
             return is_first
         return bool(storage_id) and expected == storage_id
 
     async def run(self) -> None:
-        """Stand for election when the leader is silent, and ask to be counted, until cancelled."""
+        """Run elections and request readmission when needed, until cancelled."""
         self._tasks.spawn(request_readmission(self, self._callbacks.contacts))
         while True:
             if self._is_failed:
@@ -194,31 +192,31 @@
                 self.fail(error)
 
     async def stop(self) -> None:
-        """End all tasks; close the storage after the write in hand, which would outlive it."""
+        """Stop all tasks, then close the storage once the write in progress has ended."""
         self.step_down()
         await self._tasks.stop()
         await asyncio.to_thread(self.log.close)
 
     def successor(self) -> str:
-        """Return the controller that could lead at once in this leader's place, or ''."""
+        """Return the voter that is ready to take over leadership, or an empty string."""
         return "" if self._leadership is None else self._leadership.successor()
 
     def fail(self, error: OSError) -> None:
-        """Take no part until the data folder can be opened again.
+        """Stop participating until the data folder is reopened.
 
-        After a failed write it is not known what is on disk, so nothing may be answered that
-        relies on it: no vote, no acknowledgement of entries.
+        After a failed write the contents of the disk are unknown, so no vote is granted and no
+        entry is acknowledged.
         """
-        CONTROLLER_LOG.error("The disk failed: {}. No vote until it takes writes again.", error)
+        CONTROLLER_LOG.error("Disk failure: {}. Voting is disabled until it is writable.", error)
         self._is_failed = True
         self.step_down()
 
     async def _reopen(self) -> None:
-        """Begin again with what is on disk, as after a restart, if the disk takes writes.
+        """Reload the data folder, as after a restart, if the disk is writable.
 
-        Nothing that the failed write was about has been answered to anyone, so it does not matter
-        whether it is on disk. All that is read back is written and synced anew first: after a
-        failed sync, what can be read need not be on the disk.
+        The failed write was never acknowledged, so either outcome on disk is correct. Everything
+        read back is written and synced again first: after a failed sync, readable data may not be
+        durable.
         """
         async with self.state_lock:
             try:
@@ -226,23 +224,21 @@
                 storage, log = await asyncio.to_thread(open_storage, self._settings)
                 await log.rewrite()
             except OSError as error:
-                CONTROLLER_LOG.warning("The data folder can't be opened again yet: {}.", error)
+                CONTROLLER_LOG.warning("Reopening the data folder failed: {}.", error)
                 return
             self._load_log(storage, log)
             self._is_failed = False
             self.contact.restart_election_timer()
-            CONTROLLER_LOG.info(
-                "The disk takes writes again: entry {} is the last.", log.last_index
-            )
+            CONTROLLER_LOG.info("Data folder reopened; the last log index is {}.", log.last_index)
 
     def follow(self, leader: str) -> None:
-        """Note that *leader* leads in the present term, and is in contact."""
+        """Accept *leader* as the leader of the current term and restart the election timer."""
         if self.contact.leader != leader:
-            CONTROLLER_LOG.info("Follow {} in term {}.", leader, self.log.term)
+            CONTROLLER_LOG.info("Following leader {} in term {}.", leader, self.log.term)
         self.contact.follow(leader)
 
     def lead(self) -> None:
-        """Begin to lead in the present term."""
+        """Become leader in the current term."""
         self._metrics.count("controller.elections-won")
         self._leadership = Leadership(self)
         self._leadership.start()
@@ -257,7 +253,7 @@
         leadership.stop()
 
     def observe_term(self, term: int) -> None:
-        """Adopt a newer *term* that a peer is in, in a task of its own."""
+        """Adopt a peer's newer *term* in a background task."""
         if term > self.log.term:
             self._tasks.spawn(self._adopt_term_in_turn(term))
 
@@ -269,7 +265,7 @@
                 self.fail(error)
 
     async def adopt_term(self, term: int) -> None:
-        """Adopt *term* durably if it is newer, and stop leading.
+        """Adopt *term* durably and step down if it is newer.
 
         Raises:
             OSError: The disk failed.
@@ -285,12 +281,12 @@
         self._compaction.run_if_due()
 
     def _resolve(self, index: int, answer: Answer) -> None:
-        """Return an applied entry's answer to its proposer, if that is on this box."""
+        """Pass an applied entry's answer to its local proposer, if any."""
         if self._leadership is not None:
             self._leadership.resolve(index, answer)
 
     def _adopt_config(self, config: Config, changes: list[ChangeSet]) -> None:
-        """Follow the controllers of a newer configuration, or stop leading if not among them."""
+        """Replicate to the new voters, or step down if this box is not one."""
         if self._leadership is not None:
             if self.box in config.controllers:
                 self._leadership.update_followers()
--- a/src/foldloom/controllers/election.py
+++ b/src/foldloom/controllers/election.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""How a controller comes to lead, and how it votes for others.
+"""Leader election: requesting votes and granting them.
 
-Owns nothing but the handlers of votes. Relies on its controller for term, log and role. The rules
-are Raft's (Ongaro and Ousterhout, 2014, sections 5.2 and 5.4.1) with trial votes (Ongaro's
-dissertation, 2014, section 9.6); a vote counts by the data folder that it came from.
+Implements Raft's RequestVote (Ongaro and Ousterhout, 2014, sections 5.2 and 5.4.1) with pre-votes
+(Ongaro's dissertation, 2014, section 9.6). A vote is valid only for the data folder that it came
+from. Term, log and role belong to the controller.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class _VoteResponse(NamedTuple):
-    """The reply of *box* to a request for its vote, or ``None`` if there was none."""
+    """The reply of *box* to a vote request, or ``None`` if it sent none."""
 
     box: str
     reply: VoteReply | None
 
 
 class ElectionHandlers:
-    """The elections of one controller.
+    """Runs elections for one controller and answers vote requests.
 
     Args:
         controller: The controller.
@@ -37,7 +37,7 @@
         controller.network.on(StandNow, self._on_stand_now)
 
     async def run_election(self, is_handover: bool = False) -> None:
-        """Ask for trial votes, then for real ones; lead if a majority gives them."""
+        """Run a pre-vote, then an election; become leader if a majority grants its vote."""
         if not await self._gather_votes(self._controller.log.term + 1, True, is_handover):
             return
         async with self._controller.state_lock:
@@ -47,11 +47,11 @@
             term = self._controller.log.term + 1
             await self._controller.log.save_term_vote(term, self._controller.box)
         self._controller.contact.clear_leader()
-        CONTROLLER_LOG.info("Stand for election in term {}.", term)
+        CONTROLLER_LOG.info("Starting election in term {}.", term)
         is_won = await self._gather_votes(term, False, is_handover)
-        # A leader of this very term may have made contact meanwhile: then this one must not lead.
+        # Another controller may have made contact as the leader of this term in the meantime.
         if is_won and self._controller.log.term == term and not self._controller.leader:
-            CONTROLLER_LOG.info("Lead in term {}.", term)
+            CONTROLLER_LOG.info("Became leader in term {}.", term)
             self._controller.lead()
 
     async def _gather_votes(self, term: int, is_trial: bool, is_handover: bool) -> bool:
@@ -68,11 +68,7 @@
     async def _has_majority(
         self, term: int, vote_requests: list[asyncio.Task[_VoteResponse]]
     ) -> bool:
-        """Return whether a majority votes for this controller, as soon as it does.
-
-        A controller that is gone is not waited for: another one leads 0.15 s after a planned stop
-        of the leader in place of 0.41 s, on loopback with syncs of 40 ms.
-        """
+        """Return whether a majority grants its vote, without waiting for the remaining replies."""
         votes = 1
         for next_vote in asyncio.as_completed(vote_requests):
             box, reply = await next_vote
@@ -96,7 +92,7 @@
                 box, await self._controller.network.request(box, request, timeout_ms)
             )
         except PeerUnreachableError:
-            # No vote: the others may be a majority, else the next election asks again.
+            # Counts as no vote: the other controllers may still form a majority.
             return _VoteResponse(box, None)
 
     async def _on_stand_now(self, sender: str, message: StandNow) -> None:
@@ -122,7 +118,11 @@
             )
 
     async def _grant_vote(self, sender: str, request: RequestVote) -> bool:
-        """Return whether *sender* gets the vote; a real vote is durable by then."""
+        """Return whether the vote goes to *sender*; a real vote is durable on return.
+
+        Raises:
+            OSError: The disk failed.
+        """
         has_leader = self._controller.contact.silent_ms < self._controller.election_timeout_ms
         if self._controller.is_leading or (has_leader and not request.is_handover):
             return False
--- a/src/foldloom/controllers/followers.py
+++ b/src/foldloom/controllers/followers.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What a leader knows of the controllers that it replicates to, and what follows from it.
+"""The leader's view of its followers in one term.
 
-Owns a record of each follower for one term. Relies on its controller for the table of controllers
-and the log. Says what is agreed, whether a majority answers, and who could lead next; it sends
-nothing.
+Owns the replication progress of each follower. Derives the quorum's match index, whether a majority
+still replies, and the successor. Sends nothing.
 """
 
 from __future__ import annotations
@@ -15,19 +14,19 @@
 
 
 class Follower(NamedTuple):
-    """What the leader knows of one follower.
+    """Replication progress of one follower.
 
     Args:
         next_index: The next entry to send.
-        match_index: The durable index on which both agree.
-        answered_ms: When the newest append that it answered was sent; own monotonic clock.
-        storage_id: The data folder that it answered from.
+        match_index: The durable index up to which both logs agree.
+        replied_ms: When the newest append with a reply was sent; monotonic clock.
+        storage_id: The data folder that the reply came from.
         is_first: Whether an operator formatted that folder.
     """
 
     next_index: int
     match_index: int = 0
-    acknowledged_ms: float = 0.0
+    replied_ms: float = 0.0
     storage_id: str = ""
     is_first: bool = False
 
@@ -45,27 +44,27 @@
 
     @property
     def boxes(self) -> set[str]:
-        """Who is replicated to."""
+        """The boxes that entries are replicated to."""
         return set(self._followers)
 
     def add(self, box: str) -> None:
-        """Begin to replicate to *box*, from the end of the log until it answers what it holds."""
+        """Start replication to *box* at the end of the log; its first reply corrects the index."""
         self._followers[box] = Follower(self._controller.log.last_index + 1)
 
     def remove(self, box: str) -> None:
-        """Replicate to *box* no longer."""
+        """Stop replication to *box*."""
         del self._followers[box]
 
     def next_index(self, box: str) -> int:
         """Return the next entry to send to *box*."""
         return self._followers[box].next_index
 
-    def acknowledged_ms(self, box: str) -> float:
-        """Return when the newest append that *box* answered was sent; own monotonic clock."""
-        return self._followers[box].acknowledged_ms
+    def replied_ms(self, box: str) -> float:
+        """Return when the newest append that *box* replied to was sent; monotonic clock."""
+        return self._followers[box].replied_ms
 
     def record_reply(self, box: str, reply: AppendReply, sent_ms: float) -> None:
-        """Note the answer of *box* to an append that was sent at *sent_ms*."""
+        """Record the reply of *box* to an append sent at *sent_ms*."""
         previous = self._followers[box]
         if reply.is_ok:
             changed = previous._replace(
@@ -75,11 +74,11 @@
             hint = min(previous.next_index - 1, reply.match_index + 1)
             changed = previous._replace(next_index=max(1, hint), match_index=0)
         self._followers[box] = changed._replace(
-            acknowledged_ms=sent_ms, storage_id=reply.storage_id, is_first=reply.is_first
+            replied_ms=sent_ms, storage_id=reply.storage_id, is_first=reply.is_first
         )
 
     def is_voter(self, box: str) -> bool:
-        """Return whether the answers of *box* count toward a majority."""
+        """Return whether *box* counts toward a majority."""
         if box == self._controller.box:
             return self._controller.may_vote
         follower = self._followers.get(box)
@@ -88,30 +87,28 @@
         return self._controller.is_voter(box, follower.storage_id, follower.is_first)
 
     def holds_committed(self, box: str, storage_id: str) -> bool:
-        """Return whether *box* holds, in the folder *storage_id*, everything that is committed."""
+        """Return whether *box* holds all committed entries in the data folder *storage_id*."""
         follower = self._followers.get(box)
         if follower is None or follower.storage_id != storage_id:
             return False
         return follower.match_index >= self._controller.applied.commit_index
 
-    def is_acknowledged_since(self, since_ms: float) -> bool:
-        """Return whether a majority has answered an append that was sent since then."""
-        answering = [
+    def is_quorum_responsive_since(self, since_ms: float) -> bool:
+        """Return whether a majority has replied to an append sent at *since_ms* or later."""
+        responsive = [
             box
             for box in self._controller.controllers
             if self.is_voter(box)
-            and (box == self._controller.box or self._followers[box].acknowledged_ms >= since_ms)
+            and (box == self._controller.box or self._followers[box].replied_ms >= since_ms)
         ]
-        return len(answering) >= self._controller.quorum_size
+        return len(responsive) >= self._controller.quorum_size
 
     def unresponsive_since(self, since_ms: float) -> list[str]:
-        """Return who has answered no append that was sent since then."""
-        return [
-            box for box, follower in self._followers.items() if follower.acknowledged_ms < since_ms
-        ]
+        """Return the followers without a reply to an append sent at *since_ms* or later."""
+        return [box for box, follower in self._followers.items() if follower.replied_ms < since_ms]
 
     def successor(self) -> str:
-        """Return the controller that could lead at once, or an empty string."""
+        """Return the most recently responsive voter with the whole log, or an empty string."""
         ready = [
             box
             for box in self._controller.controllers
@@ -119,10 +116,10 @@
             and box != self._controller.box
             and self._followers[box].match_index >= self._controller.log.last_index
         ]
-        return max(ready, key=lambda box: self._followers[box].acknowledged_ms, default="")
+        return max(ready, key=lambda box: self._followers[box].replied_ms, default="")
 
     def quorum_match_index(self) -> int:
-        """Return the index up to which a majority holds the log durably; 0 if none does."""
+        """Return the index up to which a majority holds the log durably; 0 if there is none."""
         log = self._controller.log
         matches = [
             log.durable_index if box == self._controller.box else self._followers[box].match_index
--- a/src/foldloom/controllers/following.py
+++ b/src/foldloom/controllers/following.py
@@ -1,10 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""How a controller follows a leader: entries and snapshots, as in Raft.
+"""The follower's side of replication: Raft's AppendEntries and InstallSnapshot.
 
-Owns nothing but the two handlers. Relies on its controller for the log, the term and what is
-applied. The rules are those of AppendEntries and InstallSnapshot (Ongaro and Ousterhout, 2014,
-sections 5.3 and 7): a leader of an older term is turned down, entries are accepted only behind one
-that both hold, and an answer is given only once they are durable.
+Follows Ongaro and Ousterhout, 2014, sections 5.3 and 7: messages of older terms are rejected,
+entries are accepted only after an entry that both logs share, and a reply is sent only once the
+entries are durable.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 
 
 class ReplicationHandlers:
-    """The leader's messages, as one controller handles them.
+    """Handles the leader's appends and snapshots for one controller.
 
     Args:
         controller: The controller.
@@ -65,7 +64,11 @@
             return self._append_reply(True, message.snapshot.last_index)
 
     async def _accept_leader(self, sender: str, term: int) -> bool:
-        """Return whether *sender* leads in *term*; note the contact."""
+        """Return whether *sender* is accepted as the leader of *term*; adopt a newer term.
+
+        Raises:
+            OSError: The disk failed.
+        """
         if self._controller.is_failed or term < self._controller.log.term:
             return False
         if term > self._controller.log.term:
--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""What a controller does while it leads: replicate, commit, prove that it still leads.
+"""One term as leader: replication, commitment and proof of leadership.
 
-Owns one term's tasks and the proposals that wait for their entry. Relies on the table of followers
-for what is agreed, and on its controller to commit. The rules are Raft's (Ongaro and Ousterhout,
-2014, sections 5.3, 5.4.2 and 8): only an entry of the own term is committed by counting.
+Owns the term's tasks and the proposals that wait for their entry to be applied. Follows Raft
+(Ongaro and Ousterhout, 2014, sections 5.3, 5.4.2 and 8): only entries of the current term are
+committed by counting replicas.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from foldloom.logs import CONTROLLER_LOG
 from foldloom.time_limits import TimeLimit
 
-# Entries in one append, to bound a message to some hundred kilobytes.
+# Bounds one append to a few hundred kilobytes.
 _ENTRIES_PER_APPEND = 500
-# Heartbeats in an election time-out, so that several may be lost before a follower stands.
+# Several heartbeats may be lost before a follower starts an election.
 _HEARTBEATS_PER_ELECTION_TIMEOUT = 6
 
 
 class Leadership:
-    """One term of leading.
+    """One term as leader.
 
     Args:
         controller: The controller that leads.
@@ -49,7 +49,7 @@
         self._started_ms = monotonic_ms()
 
     def start(self) -> None:
-        """Begin the term with an entry of its own and start the tasks."""
+        """Append the first entry of the term and start the tasks."""
         self._controller.log.add(self._controller.applied.initial_payload())
         self._tasks["flush"] = asyncio.create_task(self._flush())
         self._tasks["watch"] = asyncio.create_task(self._monitor_quorum())
@@ -57,7 +57,7 @@
         self.update_followers()
 
     def stop(self) -> None:
-        """End the tasks; what was proposed and not committed stays unknown."""
+        """Cancel the tasks and fail the pending proposals, whose outcome is unknown."""
         for task in self._tasks.values():
             task.cancel()
         for future in self._proposals.values():
@@ -67,7 +67,7 @@
         self._proposals.clear()
 
     def update_followers(self) -> None:
-        """Replicate to each controller that counts and each standby, and to no other."""
+        """Replicate to the current voters and standbys only."""
         members = {*self._controller.controllers, *self._voter_changes.standbys} - {
             self._controller.box
         }
@@ -81,11 +81,11 @@
             del self._wakeups[box]
 
     def successor(self) -> str:
-        """Return the controller that could lead at once, or an empty string."""
+        """Return the voter that is ready to take over leadership, or an empty string."""
         return self._followers.successor()
 
     def handle_readmit(self, box: str, storage_id: str) -> None:
-        """Note that *box* wants to be counted; take it in once that is safe."""
+        """Handle a request of *box* to become a voter."""
         self._voter_changes.handle_readmit(box, storage_id)
 
     async def propose(self, payload: bytes) -> Answer:
@@ -102,16 +102,16 @@
         return await future
 
     def resolve(self, index: int, answer: Answer) -> None:
-        """Resolve the proposal of the applied entry at *index* with its answer."""
+        """Complete the proposal of the applied entry at *index* with *answer*."""
         future = self._proposals.pop(index, None)
         if future is not None and not future.done():
             future.set_result(answer)
 
     async def barrier(self) -> None:
-        """Return once a majority has confirmed that this controller leads now.
+        """Return once a majority has confirmed that this controller is still the leader.
 
         Raises:
-            NotLeaderError: It does not, or can't show it in time.
+            NotLeaderError: No majority confirmed it within the election timeout.
         """
         started = monotonic_ms()
         self._wake_replication()
@@ -124,7 +124,7 @@
             raise NotLeaderError() from None
 
     def _append(self, command: Command) -> int:
-        """Append a command that nobody waits for, and return its index."""
+        """Append a command without waiting for its answer, and return its index."""
         entry = self._controller.log.add(encode_command(command))
         self.update_followers()
         self._flush_requested.set()
@@ -132,7 +132,7 @@
         return entry.log_index
 
     async def _flush(self) -> None:
-        """Write and sync added entries, all that have collected at a time (group commit)."""
+        """Write and sync added entries in groups (group commit)."""
         while True:
             await self._flush_requested.wait()
             self._flush_requested.clear()
@@ -144,19 +144,21 @@
             self._advance_commit_index()
 
     async def _monitor_quorum(self) -> None:
-        """Step down when no majority has answered for an election time-out."""
+        """Step down if no majority has replied within the election timeout."""
         timeout = self._controller.election_timeout_ms
         while True:
             await asyncio.sleep(timeout / 2_000)
             self._voter_changes.propose_next_change()
             since = monotonic_ms() - timeout
-            if since > self._started_ms and not self._followers.is_acknowledged_since(since):
-                CONTROLLER_LOG.warning("Step down: no majority answers.")
+            if since > self._started_ms and not self._followers.is_quorum_responsive_since(since):
+                CONTROLLER_LOG.warning(
+                    "Stepping down: no quorum replied within the election timeout."
+                )
                 self._controller.step_down()
                 return
 
     async def _replicate(self, box: str) -> None:
-        """Send *box* what it misses, and heartbeats, one append at a time."""
+        """Send entries and heartbeats to *box*, one append at a time."""
         interval_ms = self._controller.election_timeout_ms / _HEARTBEATS_PER_ELECTION_TIMEOUT
         while True:
             self._wakeups[box].clear()
@@ -167,11 +169,11 @@
                 async with TimeLimit(interval_ms):
                     await self._wakeups[box].wait()
             except TimeoutError:
-                # Nothing to send: a heartbeat is due.
+                # No new entries: send a heartbeat.
                 continue
 
     async def _replicate_once(self, box: str) -> bool:
-        """Send one append; return whether there is more to send at once."""
+        """Send one append; return whether *box* still lacks entries."""
         message = self._next_message(box)
         sent_ms = monotonic_ms()
         try:
@@ -179,7 +181,7 @@
                 box, message, self._controller.election_timeout_ms / 2
             )
         except PeerUnreachableError:
-            # It is silent: its time of contact stays, and the next heartbeat asks it again.
+            # The follower's reply time stays unchanged; the next heartbeat tries again.
             return False
         if reply.term > self._term:
             self._controller.observe_term(reply.term)
@@ -204,10 +206,10 @@
 
     def _is_leader_confirmed_since(self, since_ms: float) -> bool:
         has_committed_in_term = self._controller.applied.commit_index >= self._first_index
-        return has_committed_in_term and self._followers.is_acknowledged_since(since_ms)
+        return has_committed_in_term and self._followers.is_quorum_responsive_since(since_ms)
 
     def _advance_commit_index(self) -> None:
-        """Commit what a majority holds, if it is of this term."""
+        """Commit up to the quorum's match index if that entry is of this term."""
         controller = self._controller
         quorum_index = self._followers.quorum_match_index()
         is_current_term = controller.log.term_at(quorum_index) == self._term
--- a/src/foldloom/controllers/log.py
+++ b/src/foldloom/controllers/log.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
 """The replicated log of one controller: entries in memory, written and synced in groups.
 
-Owns the entries, the term and the vote, and the one lock under which the disk changes. Relies on
-storage, which may fail at any write.
+Owns the entries, the term and the vote, and the lock for changes on disk. Any write to storage may
+fail.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 class ReplicatedLog:
     """Entries after a snapshot, the term and the vote.
 
-    Every change on disk runs under one lock and in a thread, so that the event loop goes
-    on. Whatever is appended while a sync runs goes into the next one.
+    Changes on disk run in a thread, one at a time. Entries added during a sync are part of the next
+    one.
 
     Args:
         storage: The opened storage.
-        recovered: What it held.
+        recovered: The contents of the storage.
     """
 
     def __init__(self, storage: LogStorage, recovered: RecoveredLog) -> None:
@@ -43,7 +43,7 @@
 
     @property
     def term(self) -> int:
-        """The newest term known."""
+        """The newest known term."""
         return self._term_vote.term
 
     @property
@@ -53,7 +53,7 @@
 
     @property
     def snapshot(self) -> Snapshot:
-        """The state that the entries follow."""
+        """The snapshot that the entries follow."""
         return self._snapshot
 
     @property
@@ -73,11 +73,11 @@
 
     @property
     def entry_count(self) -> int:
-        """How many entries are kept after the snapshot."""
+        """The number of entries after the snapshot."""
         return len(self._entries)
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of the entry at *index*, or ``None`` if it is not kept."""
+        """Return the term of the entry at *index*, or ``None`` if the log doesn't hold it."""
         if index == self._snapshot.last_index:
             return self._snapshot.term
         if not self._snapshot.last_index < index <= self.last_index:
@@ -89,25 +89,25 @@
         return self._entries[index - self._snapshot.last_index - 1]
 
     def entries_from(self, index: int, limit: int) -> list[Entry]:
-        """Return at most *most* entries from *index* on."""
+        """Return at most *limit* entries, starting at *index*."""
         start = index - self._snapshot.last_index - 1
         return self._entries[start : start + limit]
 
     def add(self, payload: bytes) -> Entry:
-        """Append one entry of the leader in memory; :meth:`flush` makes it durable."""
+        """Append an entry in memory, as leader; :meth:`flush` makes it durable."""
         entry = Entry(self.last_index + 1, self.term, payload)
         self._entries.append(entry)
         return entry
 
     def drop_unwritten(self) -> None:
-        """Forget the entries that never went to disk."""
+        """Discard the entries that were never written to disk."""
         del self._entries[self._written_index - self._snapshot.last_index :]
 
     async def flush(self) -> None:
-        """Write and sync everything that was added.
+        """Write and sync all added entries.
 
         Raises:
-            OSError: The disk failed; nothing that relies on it may be answered.
+            OSError: The disk failed; the entries must not be acknowledged.
         """
         async with self._lock:
             new_entries = self.entries_from(self._written_index + 1, len(self._entries))
@@ -119,7 +119,7 @@
             self._durable_index = min(last, self.last_index)
 
     async def save_term_vote(self, term: int, voted_for: str) -> None:
-        """Make a newer term, or a vote in this term, durable before it is answered.
+        """Make a newer term, or a vote in this term, durable.
 
         Raises:
             OSError: The disk failed.
@@ -129,7 +129,7 @@
             await self._run_on_disk(lambda: self._write_term_vote(self._term_vote))
 
     async def accept(self, entries: list[Entry]) -> None:
-        """Append a leader's *entries*; those that differ from ours replace ours, durably.
+        """Append a leader's *entries* durably, replacing conflicting ones.
 
         Raises:
             OSError: The disk failed.
@@ -172,7 +172,7 @@
             self._durable_index = self._written_index
 
     async def rewrite(self) -> None:
-        """Write and sync the snapshot, the term, the vote and all entries anew.
+        """Write and sync the snapshot, the term, the vote and all entries again.
 
         Raises:
             OSError: The disk failed.
@@ -184,17 +184,16 @@
             )
 
     def close(self) -> None:
-        """Wait for the write in hand, then close the storage; later writes fail."""
+        """Wait for the write in progress, then close the storage; later writes fail."""
         with self._disk_lock:
             self._is_closed = True
             self._storage.close()
 
     async def _run_on_disk(self, operation: Callable[[], None]) -> None:
-        """Run *operation* in a thread.
+        """Run *operation* in a thread, which continues if the caller is cancelled.
 
-        The thread goes on if the caller is cancelled; one operation at a time touches the file.
-        After a failed one none does: a record behind one that is cut short would be taken for
-        damage when the log is read back.
+        After a failed operation all later ones are refused: a record behind a truncated one would
+        be read back as damage.
 
         Raises:
             OSError: The disk failed, now or in an earlier operation.
@@ -213,9 +212,9 @@
         await asyncio.to_thread(run)
 
     def _write(self, entries: list[Entry], truncate_from: int = 0) -> None:
-        """Write and sync *entries*, in place of those from *cut_from* on if it is not 0.
+        """Write and sync *entries*; first drop those from *truncate_from* on unless it is 0.
 
-        Runs in a thread: a stalled disk holds up the write as well as the sync.
+        Runs in a thread, as a stalled disk blocks writes as well as syncs.
         """
         if truncate_from:
             self._storage.cut_from(truncate_from)
@@ -227,7 +226,7 @@
         self._storage.sync()
 
     def _missing_entries(self, entries: list[Entry]) -> list[Entry]:
-        """Return the tail of *entries* that this log does not hold."""
+        """Return the tail of *entries* that this log doesn't hold."""
         for position, entry in enumerate(entries):
             if entry.log_index <= self._snapshot.last_index:
                 continue
@@ -237,12 +236,16 @@
 
 
 def open_storage(settings: Settings) -> tuple[LogStorage, ReplicatedLog]:
-    """Open the data folder; one that lost its memory is set aside and made anew."""
+    """Open the data folder; set a damaged one aside and format a new one.
+
+    Raises:
+        OSError: The disk failed.
+    """
     storage = LogStorage(settings.data_folder, settings.timings.sync_delay_ms)
     try:
         recovered = storage.open()
     except LostMemoryError as error:
-        CONTROLLER_LOG.error("Memory lost: {}. No vote until readmitted.", error)
+        CONTROLLER_LOG.error("Memory lost: {}. Voting is disabled until readmission.", error)
         set_aside(settings.data_folder)
         format_folder(settings.data_folder, is_first=False)
         storage = LogStorage(settings.data_folder, settings.timings.sync_delay_ms)
--- a/src/foldloom/controllers/state.py
+++ b/src/foldloom/controllers/state.py
@@ -1,11 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The replicated state: the configuration, the commands already answered, the boxes' lives.
+"""The replicated state machine: configuration, answers of past commands, box incarnations.
 
-Owns the state that a log's entries build, and its form in a snapshot. Relies on the order of
-entries only.
-
-Every controller applies the same committed entries in the same order, so all hold the
-same state. Nothing here reads a clock or a random number.
+Owns the state that log entries build, and its form in a snapshot. Applying an entry is
+deterministic, without clock or random numbers, so that all controllers reach the same state.
 """
 
 from __future__ import annotations
@@ -41,25 +38,25 @@
 from foldloom.controllers.intents import parse_intents
 from foldloom.controllers.plans import make_plan
 
-# Commands whose answers are kept for resends: four days of the 2,400 changes a day to design for.
+# Answers retained for retried commands.
 COMMANDS_RETAINED_MAX = 10_000
-# Change sets kept for boxes that lag; others pull the whole configuration.
+# Boxes that lag further behind pull the whole configuration.
 CHANGE_SETS_RETAINED_MAX = 256
 
 
 class ChangeSet(NamedTuple):
-    """The changes that made a version from the one before."""
+    """The changes that led to *version* from the previous one."""
 
     version: int
     changes: list[Change]
 
 
 class Publication(NamedTuple):
-    """A configuration that an operator publishes whole, under a version of its own.
+    """A document that an operator publishes as a whole, with its own version.
 
     Args:
-        version: The operator's number; the highest one holds. 0: nothing was published.
-        document: What it says, in the operator's own form.
+        version: The operator's version number; the highest one wins. 0: nothing published.
+        document: The contents, in the operator's format.
     """
 
     version: int
@@ -70,7 +67,7 @@
 
 
 class _SnapshotBody(NamedTuple):
-    """The state as a snapshot holds it."""
+    """The state as stored in a snapshot."""
 
     config: bytes
     commands: list[tuple[str, str, Answer]]
@@ -86,7 +83,7 @@
 
 
 class ReplicatedState:
-    """The state that the log's entries build.
+    """The state that log entries build.
 
     Args:
         config: The configuration at version 0.
@@ -103,39 +100,39 @@
 
     @property
     def publication(self) -> Publication:
-        """What was published under the highest version."""
+        """The published document with the highest version."""
         return self._publication
 
     @property
     def founder_count(self) -> int:
-        """How many controllers there are meant to be."""
+        """The intended number of controllers."""
         return self._founder_count
 
     @property
     def is_founded(self) -> bool:
-        """Whether the first boxes and controllers are written down."""
+        """Whether the initial boxes and controllers are recorded."""
         return self._is_founded
 
     @property
     def config(self) -> Config:
-        """The configuration in force."""
+        """The configuration after all applied entries."""
         return self._config
 
     def changes_since(self, version: int) -> list[ChangeSet]:
-        """Return the change sets after *version*; none if they are kept no longer."""
+        """Return the change sets after *version*; empty if some are no longer retained."""
         count = self._config.version - version
         if not 0 < count <= len(self._change_sets):
             return []
         return self._change_sets[-count:]
 
     def apply(self, payload: bytes) -> Answer:
-        """Apply one committed entry and return what it came to."""
+        """Apply one committed entry and return its answer."""
         if not payload:
             return Answer(200, self._config.version)
         return _apply(decode_command(payload), self)
 
     def dump(self) -> bytes:
-        """Return the whole state for a snapshot."""
+        """Return the whole state, encoded for a snapshot."""
         commands = [(name, digest, answer) for name, (digest, answer) in self._answers.items()]
         body = _SnapshotBody(
             encode_config(self._config),
@@ -149,7 +146,7 @@
         return _ENCODER.encode(body)
 
     def load(self, data: bytes) -> None:
-        """Replace the state by the one that :meth:`dump` gave."""
+        """Replace the state by *data*, as encoded by :meth:`dump`."""
         body = _SNAPSHOT_DECODER.decode(data)
         self._config = decode_config(body.config)
         self._answers = {name: (digest, answer) for name, digest, answer in body.commands}
@@ -160,7 +157,7 @@
         self._founder_count = body.founder_count
 
     def found(self, command: FoundCommand) -> Answer:
-        """Adopt the first boxes and controllers; a second time changes nothing."""
+        """Adopt the initial boxes and controllers; repeating it has no effect."""
         if not self._is_founded:
             self._is_founded = True
             self._founder_count = len(command.controllers)
@@ -170,7 +167,7 @@
         return Answer(200, self._config.version)
 
     def confirm(self, command: ConfirmCommand) -> Answer:
-        """Apply a confirm; a command id answered before gets the same answer again."""
+        """Apply a confirmed plan; a retried command id gets its first answer again."""
         requested_digest = command.digest
         recorded = self._answers.get(command.command)
         if recorded is not None:
@@ -185,13 +182,13 @@
         return answer
 
     def publish(self, command: PublishCommand) -> Answer:
-        """Hold a document of a higher version; any other changes nothing."""
+        """Store the document if its version is higher; otherwise do nothing."""
         if command.version > self._publication.version:
             self._publication = Publication(command.version, command.document)
         return Answer(200, self._publication.version)
 
     def record_incarnation(self, command: IncarnationCommand) -> Answer:
-        """Record a box's life; the answer's number is the one before, also when resent."""
+        """Record a box's incarnation and return the previous one, also for a retry."""
         newest, before = self._incarnations.get(command.box, (0, 0))
         if command.incarnation > newest:
             newest, before = command.incarnation, newest
@@ -199,21 +196,21 @@
         return Answer(200, self._config.version, number=before)
 
     def readmit_voter(self, command: VoterReadyCommand) -> Answer:
-        """Count a controller again under its new storage id."""
+        """Make a controller a voter again, under its new storage id."""
         if command.box not in self._config.controllers:
             return Answer(409, self._config.version, "no controller of this configuration")
         return self._set_controller(command.box, command.storage_id)
 
     def add_controller(self, command: ControllerJoinCommand) -> Answer:
-        """Count one controller more."""
+        """Add a voter."""
         return self._set_controller(command.box, command.storage_id)
 
     def remove_controller(self, command: ControllerLeaveCommand) -> Answer:
-        """Count a controller no longer."""
+        """Remove a voter."""
         return self._set_controller(command.box, None)
 
     def settle_boxes(self, command: BoxesSettledCommand) -> Answer:
-        """End a joint box list."""
+        """End the joint phase of the box list."""
         boxes = self._config.boxes
         if boxes["next"] is None or boxes["epoch"] != command.epoch:
             return Answer(409, self._config.version, "no such joint box list")
@@ -249,7 +246,7 @@
 
 @singledispatch
 def _apply(command: Any, _state: ReplicatedState) -> Answer:
-    raise TypeError(f"no effect for {type(command).__name__}")
+    raise TypeError(f"unsupported command type: {type(command).__name__}")
 
 
 @_apply.register
--- a/src/foldloom/controllers/storage.py
+++ b/src/foldloom/controllers/storage.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: MIT
-"""A controller's disk: one log of checksummed records and one snapshot.
+"""A controller's storage: one log of checksummed records and one snapshot.
 
 Owns the data folder: ``identity`` (storage id), ``snapshot`` and ``log``, each made of records
-(:mod:`foldloom.controllers.records`). Relies on the file system's rename and fsync. Nothing counts
-before :meth:`LogStorage.sync` returned. A last record that is cut short, or zeros after the last
-one, is a write that never finished and is dropped. Any other damage, the last record's included,
-can't be told apart from a lost promise and means lost memory, as does a folder without an identity.
+(:mod:`foldloom.controllers.records`). Nothing is durable before :meth:`LogStorage.sync` returns. A
+truncated last record, or zeros after the last one, is an unfinished write and is dropped. Any other
+damage, also in the last record, may affect acknowledged data and raises :class:`LostMemoryError`,
+as does a folder without an identity.
 """
 
 from __future__ import annotations
@@ -36,15 +36,15 @@
 
 
 def format_folder(folder: str, is_first: bool, fsync: Callable[[int], None] = os.fsync) -> Identity:
-    """Make *folder* a new, empty data folder and return its identity.
+    """Create an empty data folder and return its identity.
 
     Args:
         folder: The data folder.
-        is_first: Whether an operator makes it for a new system.
-        fsync: The call that makes a file durable; tests pass one that notes what it is given.
+        is_first: Whether an operator creates it for a new system.
+        fsync: Makes a file durable; replaceable for tests.
 
     Raises:
-        FileExistsError: There is one already.
+        FileExistsError: The folder is already formatted.
     """
     path = Path(folder)
     path.mkdir(parents=True, exist_ok=True)
@@ -57,7 +57,7 @@
 
 
 def set_aside(folder: str) -> None:
-    """Rename what is left of a damaged data folder, for people to look at."""
+    """Rename the files of a damaged data folder, keeping them for inspection."""
     path = Path(folder)
     suffix = f"lost-{time.time_ns()}"
     for name in ("identity", "log", "snapshot"):
@@ -70,8 +70,8 @@
 
     Args:
         folder: The data folder.
-        sync_delay_ms: Added to each sync, to stand for a slower disk in benchmarks.
-        fsync: The call that makes a file durable; tests pass one that fails.
+        sync_delay_ms: Added to each sync, to simulate a slower disk in benchmarks.
+        fsync: Makes a file durable; replaceable for tests.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
 
     @property
     def identity(self) -> Identity:
-        """The folder's identity, known once it is open."""
+        """The folder's identity; valid after :meth:`open`."""
         return self._identity
 
     @property
@@ -101,15 +101,15 @@
         return self._bytes_written
 
     def open(self) -> RecoveredLog:
-        """Read everything back and open the log for appending.
+        """Read the stored data and open the log for appending.
 
         Raises:
-            LostMemoryError: The folder is emptied or damaged.
+            LostMemoryError: The folder is empty or damaged.
         """
         identity = self._folder / "identity"
         log = self._folder / "log"
         if not identity.exists() or not log.exists():
-            raise LostMemoryError("the data folder has no identity or no log")
+            raise LostMemoryError("the data folder has no identity file or no log file")
         snapshot = self._read_snapshot()
         recovered, valid_bytes = replay_log(log.read_bytes(), snapshot)
         self._identity = decode_identity(identity.read_bytes())
@@ -128,22 +128,22 @@
             self._fd = -1
 
     def append(self, entries: list[Entry]) -> None:
-        """Write *entries*; they count only after :meth:`sync`."""
+        """Write *entries*; durable only after :meth:`sync`."""
         self._write(encode_entries(entries))
 
     def cut_from(self, index: int) -> None:
-        """Drop the entries from *index* on; counts only after :meth:`sync`."""
+        """Drop the entries from *index* on; durable only after :meth:`sync`."""
         self._write(encode_truncation(index))
 
     def save_term_vote(self, term_vote: TermVote) -> None:
-        """Write the term and the vote; they count only after :meth:`sync`."""
+        """Write the term and the vote; durable only after :meth:`sync`."""
         self._write(encode_term_vote(term_vote))
 
     def sync(self) -> None:
         """Make everything written so far durable.
 
         Raises:
-            OSError: It may not be durable; nothing that relies on it may be answered.
+            OSError: The data may not be durable and must not be acknowledged.
         """
         if self._sync_delay:
             time.sleep(self._sync_delay)
@@ -180,7 +180,7 @@
 
 
 def write_whole(path: Path, data: bytes, fsync: Callable[[int], None] = os.fsync) -> None:
-    """Write *data* to *path* so that a crash leaves the old file or the new one."""
+    """Replace the file at *path* atomically and durably by *data*."""
     temporary = path.with_suffix(".tmp")
     with temporary.open("wb") as file:
         file.write(data)
--- a/src/foldloom/controllers/voter_changes.py
+++ b/src/foldloom/controllers/voter_changes.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""How a leader changes who counts: lost memory is readmitted, who is gone is replaced by a standby.
+"""Membership changes by the leader: readmission, and replacement by standbys.
 
-Owns who asked to be counted in this term, and the index of the newest change. Relies on the
-followers' answers. Which change is next is decided in :mod:`foldloom.controllers.members`; one
-begins only when the one before is committed, as in Raft (Ongaro's dissertation, 2014, section 4.1).
+Owns this term's readmission requests and standbys, and the index of the newest change.
+:mod:`foldloom.controllers.members` selects the next change; it is proposed only once the previous
+one is committed, as in Raft (Ongaro's dissertation, 2014, section 4.1).
 """
 
 from __future__ import annotations
@@ -19,29 +19,28 @@
 from foldloom.controllers.participant import Leader
 from foldloom.logs import CONTROLLER_LOG
 
-# Election time-outs of silence after which a controller may be replaced by a standby: above a
-# restart, which takes 1 to 2 s on the users' bench.
+# Without a reply for this many election timeouts, a voter may be replaced. Longer than a restart.
 _REPLACE_AFTER_ELECTION_TIMEOUTS = 2.5
-# Election time-outs without a request after which a standby is forgotten.
+# A standby is dropped after this many election timeouts without a request.
 _STANDBY_TTL_ELECTION_TIMEOUTS = 10
 
 
 class _MembershipRequest(NamedTuple):
-    """A controller that asks to be counted, and when it asked."""
+    """A controller's newest request to become a voter."""
 
     storage_id: str
     requested_ms: float
 
 
 class VoterChanges:
-    """The changes of who counts, in one term.
+    """Membership changes of one term.
 
     Args:
         controller: The controller that leads.
-        followers: What is known of the others.
+        followers: Replication progress of the other controllers.
         first_index: The first entry of the term.
-        append: Appends a command that nobody waits for, and returns its index.
-        follow: Replicates to whoever counts or stands by, and to nobody else.
+        append: Appends a command without waiting for its answer, and returns its index.
+        update_followers: Replicates to the current voters and standbys only.
     """
 
     def __init__(
@@ -65,7 +64,7 @@
 
     @property
     def standbys(self) -> set[str]:
-        """Who follows the log without a vote."""
+        """The boxes that receive the log without being voters."""
         return set(self._standbys)
 
     @property
@@ -73,11 +72,12 @@
         return self._controller.applied.commit_index >= self._first_index
 
     def handle_readmit(self, box: str, storage_id: str) -> None:
-        """Note that *box* wants to be counted; take it in once that is safe.
+        """Handle a request of *box* to become a voter; admit it once that is safe.
 
-        It is safe when every other controller has answered this term since the request
-        came: none of them can then win with a vote that *box* gave before it lost its
-        memory. *box* must also hold everything that is committed.
+        A box that lost its data is admitted once it holds all committed entries and every other
+        voter has replied in this term since the request: then no candidate of an older term can win
+        with a vote that *box* gave before the loss. A box that is not in the table becomes a
+        standby.
         """
         if box not in self._controller.controllers:
             self._register_standby(box, storage_id)
@@ -89,17 +89,17 @@
         if not self._has_committed_in_term or not self._followers.holds_committed(box, storage_id):
             return
         others = self._controller.controllers.keys() - {box, self._controller.box}
-        if any(self._followers.acknowledged_ms(other) < request.requested_ms for other in others):
+        if any(self._followers.replied_ms(other) < request.requested_ms for other in others):
             return
         self._append_voter_ready(box, storage_id)
 
     def record_storage_id(self, box: str, storage_id: str, is_first: bool) -> None:
-        """Write down the data folder of a controller of a new system."""
+        """Record the data folder of a founding controller if it is not recorded yet."""
         if self._controller.controllers.get(box) == ANY_STORAGE and is_first:
             self._append_voter_ready(box, storage_id)
 
     def propose_next_change(self) -> None:
-        """Replace a controller that is gone by one that stands by, a step at a time."""
+        """Propose the next step in replacing an unresponsive voter by a standby, if any."""
         now_ms = monotonic_ms()
         timeout_ms = self._controller.election_timeout_ms
         self._expire_standbys(now_ms - _STANDBY_TTL_ELECTION_TIMEOUTS * timeout_ms)
@@ -107,7 +107,7 @@
         if not self._has_committed_in_term or commit_index < self._last_change_index:
             return
         unresponsive_since_ms = now_ms - _REPLACE_AFTER_ELECTION_TIMEOUTS * timeout_ms
-        # Nobody could answer this term's leader before it led.
+        # Replies are recorded only since this controller became leader.
         has_observed_long_enough = self._started_ms < unresponsive_since_ms
         standbys = [
             Standby(
@@ -125,27 +125,27 @@
             self._controller.box,
         )
         if command is not None:
-            CONTROLLER_LOG.info("Change of controllers: {}.", command)
+            CONTROLLER_LOG.info("Proposing membership change: {}.", command)
             self._last_change_index = self._append(command)
 
     def _append_voter_ready(self, box: str, storage_id: str) -> None:
         if (box, storage_id) in self._admitted:
             return
         self._admitted.add((box, storage_id))
-        CONTROLLER_LOG.info("Take in {} with data folder {}.", box, storage_id)
+        CONTROLLER_LOG.info("Admitting voter {} with data folder {}.", box, storage_id)
         self._last_change_index = self._append(VoterReadyCommand(box, storage_id))
 
     def _register_standby(self, box: str, storage_id: str) -> None:
-        """Replicate to a controller that does not count, so that it can come in at once."""
+        """Replicate to a non-voter so that it can become a voter without delay."""
         if box == self._controller.box:
             return
         if box not in self._standbys:
-            CONTROLLER_LOG.info("Controller {} stands by with data folder {}.", box, storage_id)
+            CONTROLLER_LOG.info("Controller {} is a standby with data folder {}.", box, storage_id)
         self._standbys[box] = _MembershipRequest(storage_id, monotonic_ms())
         self._update_followers()
 
     def _expire_standbys(self, before_ms: float) -> None:
-        """Forget those that have not asked since *before_ms*."""
+        """Drop the standbys without a request since *before_ms*."""
         for box, request in list(self._standbys.items()):
             if request.requested_ms < before_ms:
                 del self._standbys[box]
