--- a/src/foldloom/controllers/__init__.py
+++ b/src/foldloom/controllers/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""Controllers: the confirmed configuration."""
+"""Controllers: the replicated log of the confirmed configuration."""
--- a/src/foldloom/controllers/client.py
+++ b/src/foldloom/controllers/client.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""How any box reaches the controllers' leader: proposals and read barriers.
+"""Client of the controllers' leader for any box: proposals and read barriers.
 
-Owns which controller led last. Relies on controllers to name the leader; whether a command whose
-answer was lost took effect stays open, and the same command is sent again.
+Owns which controller led last; controllers name the leader in their replies. A command without a
+reply may have taken effect and is sent again.
 """
 
 from __future__ import annotations
@@ -19,18 +19,17 @@
 from foldloom.peers.wire import PeerNetwork
 from foldloom.verdicts import Problem, may_have_run, not_run
 
-# Milliseconds for one controller: above two elections (600 to 1,200 ms each).
+# Allows for two elections.
 _REQUEST_TIMEOUT_MS = 1_500
-# Seconds until the controllers are asked again: small against an election.
 _RETRY_DELAY_S = 0.05
-# Milliseconds after which a caller should come back: about an election.
+# Roughly the duration of an election.
 _RETRY_AFTER_MS = 500
 
 
 class ControllerClient:
-    """Send commands to whichever controller leads.
+    """Sends commands to the current leader.
 
-    Every command may be sent again: each carries an id that makes a second one harmless.
+    Commands are retried, which is safe as each carries an id that makes it idempotent.
 
     Args:
         network: The peers.
@@ -52,7 +51,7 @@
                 try:
                     reply: ProposeReply = await self._request(box, message, deadline)
                 except PeerUnreachableError:
-                    # It may be in the log: the caller must not take it for not committed.
+                    # The command may be in the log and must not be reported as not committed.
                     is_unknown = True
                     continue
                 self._leader = reply.leader
@@ -66,14 +65,14 @@
         return Error(not_run("no-quorum", detail, _RETRY_AFTER_MS))
 
     async def newest_version(self, timeout_ms: int) -> int | None:
-        """Return the newest confirmed version, or ``None`` if no leader can show it."""
+        """Return the newest confirmed version, or ``None`` if no leader confirmed it in time."""
         deadline = monotonic_ms() + timeout_ms
         while monotonic_ms() < deadline:
             for box in self._by_likely_leader():
                 try:
                     reply: BarrierReply = await self._request(box, ReadBarrier(), deadline)
                 except PeerUnreachableError:
-                    # The next controller is asked until the time is up.
+                    # Try the next controller until the deadline.
                     continue
                 self._leader = reply.leader
                 if reply.is_current:
@@ -82,7 +81,7 @@
         return None
 
     def _by_likely_leader(self) -> list[str]:
-        """Return the controllers, the leader as last known first."""
+        """Return the controllers, the last known leader first."""
         if self._leader not in self._controllers:
             return list(self._controllers)
         others = [box for box in self._controllers if box != self._leader]
--- a/src/foldloom/controllers/commands.py
+++ b/src/foldloom/controllers/commands.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The commands of the replicated log, their bytes in a log entry, and what one comes to.
+"""The commands of the replicated log, their encoding in an entry, and their answers.
 
-Owns nothing: data and its encoding (msgpack, by tag; fields by position). What a command does is in
-:mod:`foldloom.controllers.state`. Entries on disk hold these bytes, so a field is only added at the
-end, with a default.
+Commands are msgpack arrays with a tag; :mod:`foldloom.controllers.state` applies them. Entries on
+disk hold these bytes, so a field may only be added at the end, with a default.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 
 class ConfirmCommand(msgspec.Struct, tag="confirm", array_like=True, frozen=True):
-    """Confirm intents if they still mean the changes that *digest* names."""
+    """Confirm intents if they still result in the changes with this *digest*."""
 
     command: str
     digest: str
@@ -24,42 +23,42 @@
 
 
 class IncarnationCommand(msgspec.Struct, tag="incarnation", array_like=True, frozen=True):
-    """Record that *box* started a life numbered *incarnation*."""
+    """Record that *box* started with this *incarnation*."""
 
     box: str
     incarnation: int
 
 
 class VoterReadyCommand(msgspec.Struct, tag="voter-ready", array_like=True, frozen=True):
-    """Count the controller *box* again, now with the data folder *storage_id*."""
+    """Make the controller *box* a voter again, with the data folder *storage_id*."""
 
     box: str
     storage_id: str
 
 
 class ControllerJoinCommand(msgspec.Struct, tag="controller-join", array_like=True, frozen=True):
-    """Count one controller more, with the data folder *storage_id*."""
+    """Add the voter *box*, with the data folder *storage_id*."""
 
     box: str
     storage_id: str
 
 
 class ControllerLeaveCommand(msgspec.Struct, tag="controller-leave", array_like=True, frozen=True):
-    """Count the controller *box* no longer."""
+    """Remove the voter *box*."""
 
     box: str
 
 
 class BoxesSettledCommand(msgspec.Struct, tag="boxes-settled", array_like=True, frozen=True):
-    """End the joint box list of *epoch*: the next list is the only one."""
+    """End the joint box list of *epoch*; its next list becomes the current one."""
 
     epoch: int
 
 
 class FoundCommand(msgspec.Struct, tag="found", array_like=True, frozen=True):
-    """Write down the boxes and controllers that the system began with.
+    """Record the initial boxes and controllers of the system.
 
-    Settings change when boxes come; what a log is replayed onto must not.
+    Replay must not depend on the settings, which change when boxes are added.
     """
 
     boxes: dict[str, str]
@@ -67,7 +66,7 @@
 
 
 class PublishCommand(msgspec.Struct, tag="publish", array_like=True, frozen=True):
-    """Publish a whole document if *version* is above the one held."""
+    """Publish a document if *version* is higher than the current one."""
 
     version: int
     document: bytes
@@ -89,14 +88,14 @@
 
 
 class Answer(NamedTuple):
-    """What a command came to.
+    """The result of a command.
 
     Args:
-        status: 200 if done, 409 for a conflict, 400 if the intents are wrong.
-        version: The configuration version after it.
-        detail: For people.
-        plan: With 409, the fresh plan.
-        number: For an incarnation, the one recorded before (0: first boot).
+        status: 200 if applied, 409 for a conflict, 400 for invalid intents.
+        version: The configuration version after the command.
+        detail: Human-readable explanation.
+        plan: With 409, the updated plan.
+        number: For an incarnation, the previously recorded one (0: first start).
     """
 
     status: int
@@ -107,10 +106,10 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Return the bytes of *command* for a log entry."""
+    """Return *command* encoded for a log entry."""
     return _ENCODER.encode(command)
 
 
 def decode_command(payload: bytes) -> Command:
-    """Return the command in a log entry's *payload*."""
+    """Return the command decoded from a log entry's *payload*."""
     return _COMMAND_DECODER.decode(payload)
--- a/src/foldloom/controllers/compaction.py
+++ b/src/foldloom/controllers/compaction.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""When a controller's log is replaced by a snapshot, and the one task that does it.
+"""Log compaction: replaces a controller's log by a snapshot once it is long enough.
 
-Owns whether a snapshot is being written. Relies on the log, which keeps the entries behind the
-snapshot, and on what is applied for the snapshot itself (Ongaro and Ousterhout, 2014, section 7).
+The log keeps the entries after the snapshot (Ongaro and Ousterhout, 2014, section 7).
 """
 
 from __future__ import annotations
@@ -14,15 +13,14 @@
 from foldloom.logs import CONTROLLER_LOG
 from foldloom.tasks import TaskSet
 
-# Entries and bytes of the log at which it is replaced by a snapshot, so that a restart replays
-# little, and the disk of 128 MB of the users' controllers is never near full.
+# Bounds the entries replayed at a restart.
 _SNAPSHOT_ENTRIES = 200
-# The same in bytes of the log.
+# Bounds the disk space of the log.
 _SNAPSHOT_LOG_BYTES = 8 * 1024 * 1024
 
 
 class CompactedController(Protocol):
-    """A controller as its compaction sees it."""
+    """The part of a controller that compaction uses."""
 
     log: ReplicatedLog
     applied: AppliedState
@@ -32,15 +30,15 @@
         """The log file's size in bytes."""
 
     def fail(self, error: OSError) -> None:
-        """Take no part until the data folder can be opened again."""
+        """Stop participating until the data folder is reopened."""
 
 
 class Compaction:
-    """Replace a controller's log by a snapshot whenever it has grown.
+    """Compacts a controller's log when it exceeds its limits.
 
     Args:
         controller: The controller.
-        tasks: Takes the task that writes a snapshot.
+        tasks: Runs the compaction task.
     """
 
     def __init__(self, controller: CompactedController, tasks: TaskSet) -> None:
@@ -55,7 +53,7 @@
         return self._controller.log_bytes > _SNAPSHOT_LOG_BYTES
 
     def run_if_due(self) -> None:
-        """Begin to write a snapshot if the log is long, unless one is being written."""
+        """Start a compaction if the log exceeds its limits and none is running."""
         if self._is_running or not self._is_compaction_due:
             return
         self._is_running = True
@@ -65,9 +63,9 @@
         log, snapshot = self._controller.log, self._controller.applied.snapshot
         try:
             await log.compact(snapshot)
-            CONTROLLER_LOG.info("Snapshot up to entry {}.", snapshot.last_index)
+            CONTROLLER_LOG.info("Log compacted up to index {}.", snapshot.last_index)
         except OSError as error:
-            # The log may have been opened again since; then this was about the one before.
+            # If the log was reopened in the meantime, the error concerns the previous one.
             if log is self._controller.log:
                 self._controller.fail(error)
         finally:
--- a/src/foldloom/controllers/config.py
+++ b/src/foldloom/controllers/config.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The configuration: services, endpoints, customers and the list of boxes.
+"""The configuration: services, endpoints, customers, the box list and the controllers.
 
-Owns nothing: types, and the change of one into the next. Stored sections keep older names
-(``workers``, ``members``), mapped in ``_FIELDS``.
+Types, and functions that apply changes. Stored sections keep older names (``workers``,
+``members``), mapped in ``_FIELDS``.
 """
 
 from __future__ import annotations
@@ -23,11 +23,10 @@
 BOXES = "boxes"
 CONTROLLERS = "controllers"
 
-# The data folder's id of a controller whose folder an operator formatted and nobody has seen yet.
+# Storage id of a founding controller whose folder is not recorded yet.
 ANY_STORAGE = "?"
 
-# Sections are named in plans, in the log and in operators' answers; two names are older than the
-# code's words.
+# Section names as used in plans, log entries and HTTP answers.
 _FIELDS = {
     SERVICES: "services",
     ENDPOINTS: "endpoints",
@@ -38,10 +37,10 @@
 
 
 class Service(TypedDict):
-    """A kind of task and where it may run.
+    """A kind of task and the endpoints that may run it.
 
-    ``workers`` holds shell patterns on endpoint names. ``concurrency_max`` is a bound on its
-    running tasks on each zone (0: none). ``restart`` is ``never`` or ``after-worker-death``.
+    ``workers`` holds shell patterns for endpoint names. ``concurrency_max`` limits its running
+    tasks per zone (0: no limit). ``restart`` is ``never`` or ``after-worker-death``.
     """
 
     workers: list[str]
@@ -50,7 +49,7 @@
 
 
 class Endpoint(TypedDict):
-    """A back end that runs tasks at ``endpoint`` (a URL), ``slots`` at a time."""
+    """An endpoint at the URL ``endpoint`` that runs up to ``slots`` tasks at a time."""
 
     endpoint: str
     zone: str
@@ -59,7 +58,7 @@
 
 
 class Customer(TypedDict):
-    """A customer: its ``quota`` is its weight, ``concurrency_max`` a bound (0: none)."""
+    """A customer: ``quota`` is its weight, ``concurrency_max`` its limit (0: no limit)."""
 
     quota: int
     concurrency_max: int
@@ -68,8 +67,8 @@
 class BoxList(TypedDict):
     """The boxes that hold claims, by zone.
 
-    ``next`` is the coming list while a change is joint, else ``None``. ``dead`` names boxes
-    of the old list that an operator declared dead. ``epoch`` rises with every step.
+    ``next`` is the list that a joint change leads to, ``None`` outside of one. ``dead`` names boxes
+    of the current list that an operator declared dead. ``epoch`` increases with every step.
     """
 
     epoch: int
@@ -82,12 +81,12 @@
     """A confirmed configuration.
 
     Args:
-        version: Rises by one with each confirmed change.
+        version: Increases by one with each confirmed change.
         services: Services by name.
         endpoints: Endpoints by name.
         customers: Customers by name.
-        boxes: The claim replicas' list.
-        controllers: Storage id of each controller; empty until it may vote.
+        boxes: The boxes that hold claim replicas.
+        controllers: Storage ids by controller; empty for a controller that may not vote yet.
     """
 
     version: int
@@ -101,7 +100,7 @@
 class Change(TypedDict):
     """One change of a plan: the value of ``section.name`` before and after.
 
-    ``None`` stands for "not there".
+    ``None`` means that there is no value.
     """
 
     section: str
@@ -115,33 +114,33 @@
 
 
 def empty_config(box_zones: dict[str, str], controllers: dict[str, str]) -> Config:
-    """Return version 0: no services, the boxes and controllers of the settings."""
+    """Return version 0: the boxes and controllers of the settings, and nothing else."""
     boxes = BoxList(epoch=0, current=dict(box_zones), next=None, dead=[])
     return Config(0, {}, {}, {}, boxes, dict(controllers))
 
 
 def encode_config(config: Config) -> bytes:
-    """Return the bytes of *config*."""
+    """Return *config* encoded."""
     return _ENCODER.encode(config)
 
 
 def decode_config(data: bytes) -> Config:
-    """Return the configuration in *data*.
+    """Return the configuration encoded in *data*.
 
     Raises:
-        msgspec.DecodeError: The bytes are no configuration.
+        msgspec.DecodeError: The bytes are not a valid configuration.
     """
     return _DECODER.decode(data)
 
 
 def config_fields(config: Config) -> dict[str, Any]:
-    """Return *config* as operators get it, under the names of its sections."""
+    """Return *config* as shown to operators, under its section names."""
     sections = {section: getattr(config, field) for section, field in _FIELDS.items()}
     return {"version": config.version, **sections}
 
 
 def section_value(config: Config, section: str, name: str) -> Any:
-    """Return what stands at ``section.name``, or ``None``."""
+    """Return the value of ``section.name``, or ``None`` if there is none."""
     if section == BOXES:
         return config.boxes
     values: dict[str, Any] = getattr(config, _FIELDS[section])
@@ -149,7 +148,7 @@
 
 
 def apply_changes(config: Config, changes: list[Change], version: int) -> Config:
-    """Return *config* with *changes* made, as *version*."""
+    """Return *config* with *changes* applied, as *version*."""
     sections: dict[str, Any] = {
         SERVICES: dict(config.services),
         ENDPOINTS: dict(config.endpoints),
@@ -170,7 +169,7 @@
 
 
 def endpoints_of(config: Config, service: str) -> list[str]:
-    """Return the names of the active endpoints that may serve *service*."""
+    """Return the names of the active endpoints eligible for *service*."""
     definition = config.services.get(service)
     if definition is None:
         return []
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -17,7 +17,7 @@
 from foldloom.controllers.commands import Answer
 from foldloom.controllers.compaction import Compaction
 from foldloom.controllers.config import ANY_STORAGE, Config
-from foldloom.controllers.election import ElectionHandlers
+from foldloom.controllers.election import Elections
 from foldloom.controllers.following import ReplicationHandlers
 from foldloom.controllers.leader_contact import LeaderContact
 from foldloom.controllers.leadership import Leadership
@@ -86,7 +86,7 @@
         self._tasks = TaskSet()
         self._compaction = Compaction(self, self._tasks)
         self._load_log(*open_storage(settings))
-        self._elections = ElectionHandlers(self)
+        self._elections = Elections(self)
         ReplicationHandlers(self)
         RequestHandlers(self)
 
--- a/src/foldloom/controllers/controller_table.py
+++ b/src/foldloom/controllers/controller_table.py
@@ -1,10 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Which controllers count, as one controller's own log says.
+"""The voters according to one controller's own log.
 
-Owns the table that was read at the start and the newest one that was worked out. Relies on the log
-and on the state of what is applied. As in Raft (Ongaro's dissertation, 2014, section 4.1), the
-newest table in the log counts, committed or not. After a start it is not known what is committed,
-so the table after every entry of the log counts until an entry of the present term is committed.
+As in Raft (Ongaro's dissertation, 2014, section 4.1), the newest table in the log applies, whether
+committed or not. The commit index is unknown after a start, so the table after all log entries
+applies until an entry of the current term is committed.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 
 class ControllerTable:
-    """The controllers that count, and their data folders' ids.
+    """The voters and their storage ids.
 
     Args:
         log: The controller's log, as opened.
@@ -36,7 +35,7 @@
 
         Args:
             state: The state after the applied entries.
-            applied_index: The last of them.
+            applied_index: The index of the last applied entry.
         """
         key = (applied_index, self._log.last_index, self._log.last_term)
         if key != self._cache_key:
@@ -45,15 +44,15 @@
         return self._cached_table
 
     def record_committed(self, index: int) -> None:
-        """Note that the entries up to *index* are committed."""
+        """Record that the entries up to *index* are committed."""
         if self._log.term_at(index) == self._log.term:
             self._opened_index = 0
 
     def record_accepted(self, prev_index: int) -> None:
-        """Note that a leader's entries after *prev_index* were accepted into the log."""
+        """Record that a leader's entries after *prev_index* were accepted into the log."""
         if prev_index >= self._opened_index:
             return
-        # What was read at the start may have been replaced.
+        # Entries that the opened table was computed from may have been replaced.
         self._opened_index = self._log.last_index
         self._opened_table = self._table_of_whole_log()
         self._cache_key = None
@@ -70,7 +69,7 @@
         return newest_table(base, is_founded, (entry.payload for entry in entries))
 
     def _table_of_whole_log(self) -> VoterTable:
-        """Return the table after every entry of the log, committed or not."""
+        """Return the table after all log entries, committed or not."""
         log = self._log
         state = ReplicatedState(self._initial)
         if log.snapshot.last_index:
--- a/src/foldloom/controllers/election.py
+++ b/src/foldloom/controllers/election.py
@@ -24,7 +24,7 @@
     reply: VoteReply | None
 
 
-class ElectionHandlers:
+class Elections:
     """Runs elections for one controller and answers vote requests.
 
     Args:
@@ -126,14 +126,14 @@
         has_leader = self._controller.contact.silent_ms < self._controller.election_timeout_ms
         if self._controller.is_leading or (has_leader and not request.is_handover):
             return False
-        is_recent = (request.last_term, request.last_index) >= (
+        is_up_to_date = (request.last_term, request.last_index) >= (
             self._controller.log.last_term,
             self._controller.log.last_index,
         )
         if (
             not self._controller.may_vote
             or request.term < self._controller.log.term
-            or not is_recent
+            or not is_up_to_date
         ):
             return False
         if request.is_trial:
--- a/src/foldloom/controllers/followers.py
+++ b/src/foldloom/controllers/followers.py
@@ -19,7 +19,7 @@
     Args:
         next_index: The next entry to send.
         match_index: The durable index up to which both logs agree.
-        replied_ms: When the newest append with a reply was sent; monotonic clock.
+        replied_ms: Send time of the newest append that was replied to; monotonic clock.
         storage_id: The data folder that the reply came from.
         is_first: Whether an operator formatted that folder.
     """
@@ -67,13 +67,13 @@
         """Record the reply of *box* to an append sent at *sent_ms*."""
         previous = self._followers[box]
         if reply.is_ok:
-            changed = previous._replace(
+            updated = previous._replace(
                 next_index=reply.match_index + 1, match_index=reply.match_index
             )
         else:
             hint = min(previous.next_index - 1, reply.match_index + 1)
-            changed = previous._replace(next_index=max(1, hint), match_index=0)
-        self._followers[box] = changed._replace(
+            updated = previous._replace(next_index=max(1, hint), match_index=0)
+        self._followers[box] = updated._replace(
             replied_ms=sent_ms, storage_id=reply.storage_id, is_first=reply.is_first
         )
 
@@ -93,7 +93,7 @@
             return False
         return follower.match_index >= self._controller.applied.commit_index
 
-    def is_quorum_responsive_since(self, since_ms: float) -> bool:
+    def has_quorum_since(self, since_ms: float) -> bool:
         """Return whether a majority has replied to an append sent at *since_ms* or later."""
         responsive = [
             box
--- a/src/foldloom/controllers/handover.py
+++ b/src/foldloom/controllers/handover.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""A planned stop of the leader: another controller leads first.
+"""Leadership transfer before a planned stop of the leader.
 
-Owns nothing. As in Raft's leadership transfer (Ongaro's dissertation, 2014, section 3.10), the
-successor gets the end of the log, and then stands for election at once.
+As in Raft (Ongaro's dissertation, 2014, section 3.10), the successor receives the rest of the log
+and then starts an election immediately.
 """
 
 from __future__ import annotations
@@ -14,15 +14,13 @@
 from foldloom.controllers.participant import StoppingLeader
 from foldloom.logs import CONTROLLER_LOG
 
-# Seconds between two checks whether another controller could lead, or leads: small against an
-# election.
 _POLL_INTERVAL_S = 0.01
 
 
 async def transfer_leadership(controller: StoppingLeader) -> None:
-    """Have another controller lead if *controller* does; take at most one election time-out.
+    """Transfer leadership if *controller* is the leader, within one election timeout.
 
-    New proposals are taken until the successor is up to date, so the wait for it is bounded.
+    Proposals are accepted until the successor is up to date, so the wait for it is bounded.
     """
     deadline_ms = monotonic_ms() + controller.election_timeout_ms
     successor = await _await_successor(controller, deadline_ms)
@@ -37,7 +35,7 @@
 
 
 async def _await_successor(controller: StoppingLeader, deadline_ms: float) -> str:
-    """Return a controller that holds the whole log, or '' if none does by *deadline_ms*."""
+    """Return a voter that holds the whole log, or '' if there is none by *deadline_ms*."""
     while controller.is_leading and controller.quorum_size > 1:
         successor = controller.successor()
         if successor or monotonic_ms() >= deadline_ms:
--- a/src/foldloom/controllers/holder.py
+++ b/src/foldloom/controllers/holder.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The configuration in force on this box: it only rises, and is pulled from any peer.
+"""The configuration in effect on this box; its version never decreases.
 
-Owns the configuration in force here, and its copy on disk where there is a disk. Relies on the own
-controller or on peers for newer ones.
+Owns the current configuration and its cached copy on disk, if there is a disk. Newer versions come
+from the local controller or are pulled from peers.
 """
 
 from __future__ import annotations
@@ -24,18 +24,17 @@
 from foldloom.time_limits import TimeLimit
 
 _CACHE_NAME = "config-in-force"
-# Milliseconds for a pull of changes or of the whole configuration: for some hundred kilobytes on a
-# slow link.
+# Allows for a few hundred kilobytes on a slow link.
 _PULL_TIMEOUT_MS = 1_000
 
 
 class ConfigHolder:
-    """Hold the newest configuration that this box has seen confirmed.
+    """Holds the newest confirmed configuration seen by this box.
 
     Args:
         network: The peers.
         initial: Version 0.
-        cache_folder: Where to keep it over a restart; empty for a box without a disk.
+        cache_folder: Folder for a copy that survives a restart; empty for a box without a disk.
     """
 
     def __init__(self, network: PeerNetwork, initial: Config, cache_folder: str = "") -> None:
@@ -51,11 +50,11 @@
 
     @property
     def config(self) -> Config:
-        """The configuration in force."""
+        """The configuration in effect."""
         return self._config
 
     def adopt(self, config: Config, change_sets: Sequence[ChangeSet] = ()) -> None:
-        """Adopt *config* if it is newer; *change_sets* lead to it, as far as known."""
+        """Adopt *config* if it is newer; *change_sets* are the known changes up to it."""
         if config.version <= self._config.version:
             return
         if not change_sets or change_sets[0].version != self._config.version + 1:
@@ -63,24 +62,24 @@
         self._change_sets.extend(change_sets)
         del self._change_sets[:-CHANGE_SETS_RETAINED_MAX]
         self._config = config
-        CONFIG_LOG.info("Version {} is in force.", config.version)
+        CONFIG_LOG.info("Configuration version {} is in effect.", config.version)
         self._write_cache()
         self._version_changed.set()
 
     async def wait_version(self, version: int, timeout_s: float) -> bool:
-        """Wait until *version* or a later one is in force here; return whether it is in time."""
+        """Return whether *version* or a later one takes effect here within *timeout_s*."""
         try:
             async with TimeLimit(timeout_s * 1_000):
                 while self._config.version < version:
                     self._version_changed.clear()
                     await self._version_changed.wait()
         except TimeoutError:
-            # Who asked says that what follows may be about an older version.
+            # The caller reports that its answer may be outdated.
             return False
         return True
 
     def note_version(self, box: str, version: int) -> None:
-        """Pull from *box* if it has a newer version in force."""
+        """Pull from *box* if its version is newer."""
         if version <= self._config.version or self._is_pulling:
             return
         self._is_pulling = True
@@ -93,7 +92,7 @@
                 box, ConfigPull(known_version), _PULL_TIMEOUT_MS
             )
         except PeerUnreachableError:
-            # The next heartbeat with a newer version leads here again.
+            # The next heartbeat with a newer version starts another pull.
             return
         finally:
             self._is_pulling = False
@@ -110,7 +109,7 @@
     def _on_pull(self, _sender: str, message: ConfigPull) -> ConfigReply:
         missing = [known for known in self._change_sets if known.version > message.have]
         is_complete = len(missing) == self._config.version - message.have
-        # Version 0 comes from a box's own settings: there is nothing to build changes on.
+        # Version 0 depends on each box's settings, so changes can't be applied to it.
         if missing and is_complete and message.have:
             return ConfigReply(missing, b"")
         return ConfigReply([], encode_config(self._config))
@@ -121,7 +120,7 @@
         try:
             cached = decode_config(self._cache.read_bytes())
         except msgspec.DecodeError:
-            CONFIG_LOG.warning("The cached configuration is damaged and not used.")
+            CONFIG_LOG.warning("Ignoring the cached configuration: it can't be decoded.")
             return
         if cached.version > self._config.version:
             self._config = cached
@@ -132,4 +131,4 @@
         try:
             write_whole(self._cache, encode_config(self._config), lambda _fd: None)
         except OSError as error:
-            CONFIG_LOG.warning("The configuration could not be cached: {}.", error)
+            CONFIG_LOG.warning("Writing the configuration cache failed: {}.", error)
--- a/src/foldloom/controllers/intents.py
+++ b/src/foldloom/controllers/intents.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""What operators may ask for: one type an intent, and how JSON is checked into them.
+"""The operators' intents and their validation.
 
-Owns nothing. Kinds and fields are promises to operators; GLOSSARY.md maps those that say worker or
+Kinds and fields are a public interface; GLOSSARY.md maps those that use the older words worker and
 member. A field left out (``UNSET``) keeps its value.
 """
 
@@ -13,7 +13,7 @@
 from expression import Error, Ok, Result
 from msgspec import UNSET, UnsetType
 
-# Intents in one plan: above twice the 1,700 endpoints of the size to design for.
+# Maximum number of intents in one plan.
 INTENTS_MAX = 5_000
 
 
@@ -27,7 +27,7 @@
 
 
 class EndpointIntent(msgspec.Struct, tag_field="kind", tag="worker", forbid_unknown_fields=True):
-    """Add or change an endpoint; it becomes active."""
+    """Add or change an endpoint, and make it active."""
 
     name: str
     endpoint: str | UnsetType = UNSET
@@ -76,7 +76,7 @@
 
 
 class BoxDeadIntent(msgspec.Struct, tag_field="kind", tag="box-dead", forbid_unknown_fields=True):
-    """Declare that a box of the old list will never come back with its memory."""
+    """Declare that a box of the current list has permanently lost its data."""
 
     name: str
 
@@ -104,7 +104,7 @@
 
 
 def parse_intents(raw: Any) -> Result[list[Intent], str]:
-    """Check *raw* (a list of JSON objects) and return the intents, or what is wrong."""
+    """Validate *raw* (a list of JSON objects) and return the intents, or an error message."""
     if not isinstance(raw, list) or not raw:
         return Error("intents: expected a list that is not empty")
     if len(raw) > INTENTS_MAX:
--- a/src/foldloom/controllers/leader_contact.py
+++ b/src/foldloom/controllers/leader_contact.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Which leader a controller follows, and for how long it has been silent.
+"""The leader that a controller follows, and the time since its last message.
 
-Owns both. Relies on the box's clock. Elections and requests to be counted go by the silence.
+Elections and readmission requests depend on that time.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class LeaderContact:
-    """One controller's contact with the leader."""
+    """Tracks the leader and runs the election timer of one controller."""
 
     def __init__(self) -> None:
         self._leader = ""
@@ -23,18 +23,18 @@
 
     @property
     def silent_ms(self) -> float:
-        """Milliseconds since a leader was last in contact, or a wait for one began."""
+        """Milliseconds since the election timer was last restarted."""
         return monotonic_ms() - self._timer_started_ms
 
     def follow(self, leader: str) -> None:
-        """Note that *leader* leads in the present term, and is in contact."""
+        """Set the leader of the current term and restart the election timer."""
         self._leader = leader
         self.restart_election_timer()
 
     def restart_election_timer(self) -> None:
-        """Begin a new wait before an election."""
+        """Restart the election timer."""
         self._timer_started_ms = monotonic_ms()
 
     def clear_leader(self) -> None:
-        """Know of no leader, as a new term began or this controller stopped leading."""
+        """Clear the leader, at a new term or after stepping down."""
         self._leader = ""
--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -150,7 +150,7 @@
             await asyncio.sleep(timeout / 2_000)
             self._voter_changes.propose_next_change()
             since = monotonic_ms() - timeout
-            if since > self._started_ms and not self._followers.is_quorum_responsive_since(since):
+            if since > self._started_ms and not self._followers.has_quorum_since(since):
                 CONTROLLER_LOG.warning(
                     "Stepping down: no quorum replied within the election timeout."
                 )
@@ -206,7 +206,7 @@
 
     def _is_leader_confirmed_since(self, since_ms: float) -> bool:
         has_committed_in_term = self._controller.applied.commit_index >= self._first_index
-        return has_committed_in_term and self._followers.is_quorum_responsive_since(since_ms)
+        return has_committed_in_term and self._followers.has_quorum_since(since_ms)
 
     def _advance_commit_index(self) -> None:
         """Commit up to the quorum's match index if that entry is of this term."""
--- a/src/foldloom/controllers/members.py
+++ b/src/foldloom/controllers/members.py
@@ -1,10 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Who counts among the controllers, and how that changes: decisions only.
+"""Membership of the controllers: the table of voters and its next change.
 
-Owns nothing. Relies on the encoding of commands, to read the ones that change the table.
-
-The newest table in a controller's own log counts, committed or not, as published for Raft.
-Controllers come and go one at a time: a change begins only when the one before is committed.
+Pure functions. The newest table in a controller's own log applies, whether committed or not, as in
+Raft. Voters are added and removed one at a time; a change begins only once the previous one is
+committed.
 """
 
 from __future__ import annotations
@@ -26,12 +25,12 @@
 
 
 class Standby(NamedTuple):
-    """A controller that follows the log without a vote.
+    """A controller that receives the log without being a voter.
 
     Args:
         box: The controller.
         storage_id: Its data folder.
-        is_current: Whether it holds everything that is committed.
+        is_current: Whether it holds all committed entries.
     """
 
     box: str
@@ -40,12 +39,12 @@
 
 
 def newest_table(committed: VoterTable, is_founded: bool, payloads: Iterable[bytes]) -> VoterTable:
-    """Return *committed* with what the entries after it change.
+    """Return *committed* with the changes of the entries after it.
 
     Args:
-        committed: The table after the entries that are applied.
-        is_founded: Whether one of them founded the system; later ones then change nothing.
-        payloads: The entries after them.
+        committed: The table after the applied entries.
+        is_founded: Whether the system is founded; later founding entries have no effect.
+        payloads: The payloads of the entries after the applied ones.
     """
     table = dict(committed)
     for payload in payloads:
@@ -54,12 +53,12 @@
             table = table if is_founded else dict(command.controllers)
             is_founded = True
         else:
-            _change(command, table)
+            _apply_to_table(command, table)
     return table
 
 
 def quorum_size_of(table: Collection[str]) -> int:
-    """Return how many controllers are more than half."""
+    """Return the number of voters in a majority of *table*."""
     return len(table) // 2 + 1
 
 
@@ -70,21 +69,21 @@
     standbys: Iterable[Standby],
     leader: str,
 ) -> Command | None:
-    """Return the next change of members that replaces a controller that is gone, if any.
+    """Return the next step in replacing an unresponsive voter, or ``None``.
 
-    A standby comes in first, then the silent one goes: in between, a majority is one more, and
-    what is committed is on a majority both before and after.
+    The standby is added before the unresponsive voter is removed. The majorities before and after
+    each step overlap, so committed entries stay on a majority.
 
     Args:
-        table: Who counts.
-        founders: How many there are meant to be.
-        silent: Those of them that have not answered for long.
-        standbys: Who could come in.
-        leader: Who decides; it never lets itself go.
+        table: The voters.
+        target_count: The intended number of voters.
+        unresponsive: Voters without a recent reply.
+        standbys: The standbys.
+        leader: The leader, which never removes itself.
     """
     replaceable = sorted(box for box in table if box in unresponsive and box != leader)
     if len(table) > target_count:
-        # A change is half done. If the silent one is back, the order of names decides.
+        # A replacement is in progress. If every voter responds again, the last name is removed.
         removable = replaceable or sorted(box for box in table if box != leader)
         return ControllerLeaveCommand(removable[-1])
     eligible = sorted(
@@ -96,21 +95,21 @@
 
 
 @singledispatch
-def _change(_command: Any, _table: VoterTable) -> None:
-    """Change nothing: most commands are about something else."""
+def _apply_to_table(_command: Any, _table: VoterTable) -> None:
+    """Ignore commands that don't change the table."""
 
 
-@_change.register
+@_apply_to_table.register
 def _(command: VoterReadyCommand, table: VoterTable) -> None:
     if command.box in table:
         table[command.box] = command.storage_id
 
 
-@_change.register
+@_apply_to_table.register
 def _(command: ControllerJoinCommand, table: VoterTable) -> None:
     table[command.box] = command.storage_id
 
 
-@_change.register
+@_apply_to_table.register
 def _(command: ControllerLeaveCommand, table: VoterTable) -> None:
     table.pop(command.box, None)
--- a/src/foldloom/controllers/messages.py
+++ b/src/foldloom/controllers/messages.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Messages between controllers, and of other boxes to them.
+"""Messages between controllers, and from other boxes to controllers.
 
-Owns the numbers of these messages, which are never used again. Relies on the codec of
-:mod:`foldloom.peers.messages`.
+Message numbers are never reused. The codec is in :mod:`foldloom.peers.messages`.
 """
 
 from __future__ import annotations
@@ -16,9 +15,10 @@
 
 
 class RequestVote(NamedTuple):
-    """A candidate asks for a vote, or whether it would get one (``is_trial``).
+    """A candidate requests a vote, or a pre-vote (``is_trial``).
 
-    With ``is_handover`` the leader asked it to stand, so a recent contact with it does not count.
+    With ``is_handover`` the candidate was selected by the leader, so recent contact with that
+    leader is no reason to refuse.
     """
 
     term: int
@@ -29,7 +29,7 @@
 
 
 class VoteReply(NamedTuple):
-    """The answer, with the voter's newest term and data folder."""
+    """The reply to a vote request, with the voter's term and data folder."""
 
     term: int
     is_granted: bool
@@ -38,7 +38,7 @@
 
 
 class Append(NamedTuple):
-    """The leader sends entries after ``prev_index``; none is a heartbeat."""
+    """Entries after ``prev_index`` from the leader; without entries, a heartbeat."""
 
     term: int
     prev_index: int
@@ -48,16 +48,16 @@
 
 
 class InstallSnapshot(NamedTuple):
-    """The leader sends its whole state, since the entries are kept no longer."""
+    """The leader's snapshot, sent if the entries that the follower lacks are compacted."""
 
     term: int
     snapshot: Snapshot
 
 
 class AppendReply(NamedTuple):
-    """How far the follower's durable log agrees with the leader's.
+    """The index up to which the follower's durable log matches the leader's.
 
-    If not ``is_ok``, ``match_index`` is only a hint of where to try next.
+    If not ``is_ok``, ``match_index`` is only a hint for the next attempt.
     """
 
     term: int
@@ -68,18 +68,18 @@
 
 
 class Propose(NamedTuple):
-    """Any box hands a command to the leader."""
+    """A command from any box to the leader."""
 
     payload: bytes
 
 
 class ProposeReply(NamedTuple):
-    """What came of a proposal.
+    """The result of a proposal.
 
     Args:
         answer: The command's answer, if it was committed.
         is_unknown: Whether it may still be committed although there is no answer.
-        leader: Who leads, as far as known.
+        leader: The leader, or an empty string if unknown.
     """
 
     answer: Answer | None
@@ -88,11 +88,11 @@
 
 
 class ReadBarrier(NamedTuple):
-    """Any box asks for the newest confirmed version."""
+    """A request for the newest confirmed version."""
 
 
 class BarrierReply(NamedTuple):
-    """The newest confirmed version; only true if ``is_current``."""
+    """The newest confirmed version; valid only if ``is_current``."""
 
     is_current: bool
     version: int
@@ -100,25 +100,25 @@
 
 
 class Readmit(NamedTuple):
-    """A controller that lost its memory asks to be counted again."""
+    """A request to become a voter, after data loss or as a new controller."""
 
     storage_id: str
 
 
 class StandNow(NamedTuple):
-    """A leader that is being stopped asks a controller to lead in its place."""
+    """A leader that is about to stop tells its successor to start an election."""
 
     term: int
 
 
 class ConfigPull(NamedTuple):
-    """A box asks for what it misses after version ``have``."""
+    """A request for the changes after version ``have``."""
 
     have: int
 
 
 class ConfigReply(NamedTuple):
-    """The change sets after ``have``, or the whole configuration if they are kept no longer."""
+    """The change sets after ``have``, or the whole configuration if they are not available."""
 
     change_sets: list[ChangeSet]
     config: bytes
--- a/src/foldloom/controllers/participant.py
+++ b/src/foldloom/controllers/participant.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What the parts of a controller need of it: elections, leading, following, a planned stop.
-
-Owns nothing: protocols, so that no part imports the controller, which makes them.
-"""
+"""Protocols of a controller as used by its parts, which must not import it."""
 
 from __future__ import annotations
 
@@ -16,7 +13,7 @@
 
 
 class Participant(Protocol):
-    """A controller as both see it."""
+    """A controller, as used by leaders and followers alike."""
 
     network: PeerNetwork
     box: str
@@ -25,15 +22,15 @@
 
     @property
     def controllers(self) -> dict[str, str]:
-        """The controllers that count, and their data folders' ids."""
+        """The voters, with their storage ids."""
 
     @property
     def quorum_size(self) -> int:
-        """How many controllers are more than half."""
+        """The number of voters in a majority."""
 
     @property
     def storage_id(self) -> str:
-        """This data folder's id."""
+        """The id of this controller's data folder."""
 
     @property
     def is_first(self) -> bool:
@@ -41,38 +38,38 @@
 
     @property
     def may_vote(self) -> bool:
-        """Whether this controller's memory counts."""
+        """Whether this controller is a voter with its current data folder."""
 
     def is_voter(self, box: str, storage_id: str, is_first: bool) -> bool:
-        """Return whether the configuration counts *box* with this data folder."""
+        """Return whether *box* is a voter with this data folder."""
 
     def observe_term(self, term: int) -> None:
-        """Adopt a newer *term* that a peer is in."""
+        """Adopt a peer's newer *term*."""
 
     def fail(self, error: OSError) -> None:
-        """Take no part until the data folder can be opened again."""
+        """Stop participating until the data folder is reopened."""
 
 
 class Voter(Participant, Protocol):
-    """A controller that may stand for election, and votes."""
+    """A controller that votes and may start an election."""
 
     contact: LeaderContact
     state_lock: asyncio.Lock
 
     @property
     def leader(self) -> str:
-        """The leader's box as far as known, or an empty string."""
+        """The leader's box, or an empty string if unknown."""
 
     @property
     def is_leading(self) -> bool:
-        """Whether this controller leads, as far as it knows."""
+        """Whether this controller considers itself the leader."""
 
     @property
     def is_failed(self) -> bool:
-        """Whether the disk failed: this controller takes no part."""
+        """Whether the disk failed and the data folder is not reopened yet."""
 
     def lead(self) -> None:
-        """Begin to lead in the present term."""
+        """Become leader in the current term."""
 
 
 class Leader(Participant, Protocol):
@@ -96,27 +93,27 @@
 
     @property
     def is_failed(self) -> bool:
-        """Whether the disk failed: this controller takes no part."""
+        """Whether the disk failed and the data folder is not reopened yet."""
 
     async def adopt_term(self, term: int) -> None:
-        """Adopt *term* durably if it is newer, and stop leading."""
+        """Adopt *term* durably and step down if it is newer."""
 
     def follow(self, leader: str) -> None:
-        """Note that *leader* leads in the present term, and is in contact."""
+        """Accept *leader* as the leader of the current term and restart the election timer."""
 
     def commit(self, index: int) -> None:
         """Commit and apply the entries up to *index*."""
 
 
 class StoppingLeader(Participant, Protocol):
-    """A controller that may lead and is about to stop."""
+    """A controller that is about to stop and may be the leader."""
 
     @property
     def is_leading(self) -> bool:
-        """Whether this controller leads, as far as it knows."""
+        """Whether this controller considers itself the leader."""
 
     def successor(self) -> str:
-        """Return the controller that could lead at once in this leader's place, or ''."""
+        """Return the voter that is ready to take over leadership, or an empty string."""
 
     def step_down(self) -> None:
         """Stop leading."""
--- a/src/foldloom/controllers/plans.py
+++ b/src/foldloom/controllers/plans.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""From intents to a plan: what a confirm would change, in words and as data.
+"""Plans: the changes that intents would make, as data and as text.
 
-Owns nothing; decisions only. A plan is named by a digest of its changes, so that a confirm of what
-has moved meanwhile is noticed.
+Pure functions. A plan is identified by a digest of its changes, so that a confirm of a plan whose
+changes differ by now is detected.
 """
 
 from __future__ import annotations
@@ -48,12 +48,12 @@
 
 
 class Plan(NamedTuple):
-    """What confirming intents would change.
+    """The changes that confirming intents would make.
 
     Args:
-        base_version: The configuration that the plan was made against.
+        base_version: The configuration version that the plan is based on.
         changes: Every change, with the value before and after.
-        digest: Names the changes; equal changes have equal digests.
+        digest: Identifies the changes; equal changes have equal digests.
     """
 
     base_version: int
@@ -62,27 +62,27 @@
 
     @property
     def words(self) -> list[str]:
-        """One sentence a change."""
+        """One sentence per change."""
         return [_describe(change) for change in self.changes]
 
 
 def make_plan(config: Config, intents: list[Intent]) -> Result[Plan, str]:
-    """Return the plan that *intents* mean on *config*, or why there is none."""
-    working = config
+    """Return the plan for *intents* on *config*, or an error message."""
+    planned_config = config
     changed_keys: list[tuple[str, str]] = []
     for intent in intents:
-        steps = _steps(intent, working)
+        steps = _steps(intent, planned_config)
         if steps.is_error():
             return Error(steps.error)
         for section, name, after in steps.ok:
             change = Change(section=section, name=name, after=after)
-            working = apply_changes(working, [change], working.version)
+            planned_config = apply_changes(planned_config, [change], planned_config.version)
             if (section, name) not in changed_keys:
                 changed_keys.append((section, name))
     changes = []
     for section, name in changed_keys:
         before = section_value(config, section, name)
-        after = section_value(working, section, name)
+        after = section_value(planned_config, section, name)
         if before != after:
             changes.append(Change(section=section, name=name, before=before, after=after))
     return Ok(Plan(config.version, changes, content_digest(changes)))
@@ -93,8 +93,8 @@
 
 @singledispatch
 def _steps(intent: Any, _config: Config) -> Step:
-    """Return the values (section, name, after) that *intent* sets."""
-    raise TypeError(f"no plan for {type(intent).__name__}")
+    """Return the values (section, name, after) that *intent* sets, or an error message."""
+    raise TypeError(f"unsupported intent type: {type(intent).__name__}")
 
 
 @_steps.register
@@ -215,7 +215,7 @@
 
 
 def _describe(change: Change) -> str:
-    """Return *change* in words."""
+    """Return a sentence that describes *change*."""
     before, after = change.get("before"), change.get("after")
     subject = f"{change['section']} {change['name']}"
     if before is None:
--- a/src/foldloom/controllers/proposals.py
+++ b/src/foldloom/controllers/proposals.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Changes proposed to a controller, and reads that must be of the newest state.
-
-Owns nothing. Both are for the leader alone; one that does not lead raises who does, if known.
-"""
+"""Proposals to a controller and linearizable reads; only the leader accepts them."""
 
 from __future__ import annotations
 
@@ -15,18 +12,18 @@
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.time_limits import TimeLimit
 
-# Milliseconds for a commit: above several elections.
+# Allows for several elections.
 _PROPOSE_TIMEOUT_MS = 5_000
 
 
 class Proposer(Protocol):
-    """A controller that may lead."""
+    """A controller that may be the leader."""
 
     contact: LeaderContact
 
     @property
     def leadership(self) -> Leadership | None:
-        """The present term of leading, if any."""
+        """The current term as leader, or ``None``."""
 
     @property
     def state(self) -> ReplicatedState:
@@ -34,25 +31,25 @@
 
 
 async def propose(controller: Proposer, payload: bytes) -> Answer:
-    """Commit *payload* if *controller* leads, and return its answer.
+    """Commit *payload* if *controller* is the leader, and return its answer.
 
     Raises:
-        NotLeaderError: It does not lead: nothing was appended.
-        PeerUnreachableError: It was appended and may still be committed.
+        NotLeaderError: It is not the leader, and nothing was appended.
+        PeerUnreachableError: The payload was appended and may still be committed.
     """
     leadership = _leadership_of(controller)
     try:
         async with TimeLimit(_PROPOSE_TIMEOUT_MS):
             return await leadership.propose(payload)
     except (TimeoutError, NotLeaderError):
-        raise PeerUnreachableError("no majority confirmed it; it may still be") from None
+        raise PeerUnreachableError("not confirmed by a majority; it may still commit") from None
 
 
 async def newest_version(controller: Proposer) -> int:
     """Return the newest confirmed version.
 
     Raises:
-        NotLeaderError: This controller does not lead, or can't show it.
+        NotLeaderError: Leadership was not confirmed by a majority.
     """
     await _leadership_of(controller).barrier()
     return controller.state.config.version
--- a/src/foldloom/controllers/readmission.py
+++ b/src/foldloom/controllers/readmission.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""A controller that does not count asks to be counted: after lost memory, or as a newcomer.
+"""Requests of a non-voter to become a voter, after data loss or as a new controller.
 
-Owns nothing. Relies on the leader, which takes it in once that is safe (``Leadership.admit``).
+The leader decides (``Leadership.handle_readmit``).
 """
 
 from __future__ import annotations
@@ -12,24 +12,22 @@
 from foldloom.controllers.messages import Readmit
 from foldloom.controllers.participant import Voter
 
-# Seconds between two requests to be counted again: small against an election.
 _READMIT_INTERVAL_S = 0.2
-# Election time-outs without a leader after which a controller asks whether it still counts: above
-# one election.
+# After this many election timeouts without a leader, a voter requests readmission.
 _LEADER_SILENT_ELECTION_TIMEOUTS = 2
 
 
 async def request_readmission(
     controller: Voter, known_controllers: Callable[[], list[str]]
 ) -> None:
-    """Ask while *controller* is not counted, or its leader is silent, until cancelled.
+    """Send requests while *controller* is no voter or has no leader, until cancelled.
 
-    One that was replaced while it was away counts itself still; only the leader's silence
-    shows it.
+    A controller that was replaced during its absence is still a voter by its own log; the missing
+    leader is its only sign of the change.
 
     Args:
         controller: The controller.
-        contacts: Returns the controllers that may know the leader.
+        known_controllers: Returns the controllers to contact when no leader is known.
     """
     silent_max_ms = _LEADER_SILENT_ELECTION_TIMEOUTS * controller.election_timeout_ms
     while True:
--- a/src/foldloom/controllers/records.py
+++ b/src/foldloom/controllers/records.py
@@ -1,11 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""The bytes of a controller's data folder: checksummed records, and what a log of them means.
+"""The records in a controller's data folder, and the replay of a log.
 
-Owns nothing: types, and functions of bytes. A record, little-endian, is
-``length (4 bytes) | header checksum (4) | content checksum (8) | kind (1) | body (msgpack)``. The
-length counts kind and body, the content checksum (xxh3) covers them, and the header checksum
-(xxh32) covers length and content checksum. Numbers of kinds are never used again, and a field is
-only added at the end of a body.
+A record, little-endian, is ``length (4 bytes) | header checksum (4) | content checksum (8) | kind
+(1) | body (msgpack)``. The length covers kind and body, as does the content checksum (xxh3); the
+header checksum (xxh32) covers length and content checksum. Kind numbers are never reused, and a
+field may only be added at the end of a body.
 """
 
 from __future__ import annotations
@@ -19,15 +18,15 @@
 from foldloom.exceptions import LostMemoryError
 
 _HEADER = struct.Struct("<IIQ")
-# Kinds of records; numbers on disk are never used again. This one holds term and vote.
+# Kinds of records; the numbers are stored on disk and never reused. Term and vote.
 _TERM = 1
-# An entry of the log.
+# A log entry.
 _ENTRY = 2
 # Drops the entries from an index on.
 _TRUNCATION = 3
-# The state up to an index; in a file of its own.
+# The snapshot, in a separate file.
 _SNAPSHOT = 4
-# Who the folder is; in a file of its own.
+# The folder's identity, in a separate file.
 _IDENTITY = 5
 _ENCODER = msgspec.msgpack.Encoder()
 
@@ -36,8 +35,8 @@
     """One entry of the replicated log.
 
     Args:
-        log_index: Its place, from 1.
-        term: The term of the leader that made it.
+        log_index: Its position, from 1.
+        term: The term of the leader that created it.
         payload: The encoded command; empty for a no-op.
     """
 
@@ -47,7 +46,7 @@
 
 
 class TermVote(NamedTuple):
-    """The newest term that this controller knows, and its vote in it ('' for none)."""
+    """The newest known term, and the vote in it ('' for none)."""
 
     term: int
     voted_for: str
@@ -62,7 +61,7 @@
 
 
 class RecoveredLog(NamedTuple):
-    """What the disk held at start."""
+    """The contents of the storage when it was opened."""
 
     term_vote: TermVote
     snapshot: Snapshot
@@ -73,12 +72,12 @@
 
 
 class Identity(NamedTuple):
-    """Who a data folder is.
+    """The identity of a data folder.
 
     Args:
-        storage_id: Made when the folder was formatted.
-        is_first: Whether an operator formatted it for a new system; ``False`` if the
-            controller did so itself after it lost its memory.
+        storage_id: Generated when the folder was formatted.
+        is_first: Whether an operator formatted it for a new system; ``False`` if the controller did
+            after data loss.
     """
 
     storage_id: str
@@ -111,31 +110,31 @@
 
 
 def decode_identity(data: bytes) -> Identity:
-    """Return the identity in a file's *data*.
+    """Return the identity stored in *data*.
 
     Raises:
         LostMemoryError: The file is damaged.
     """
     record = _parse(data, 0)
     if record is None:
-        raise LostMemoryError("the identity is cut short")
+        raise LostMemoryError("the identity record is truncated")
     return msgspec.msgpack.decode(record.body, type=Identity)
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """Return the snapshot in a file's *data*.
+    """Return the snapshot stored in *data*.
 
     Raises:
         LostMemoryError: The file is damaged.
     """
     record = _parse(data, 0)
     if record is None:
-        raise LostMemoryError("the snapshot is cut short")
+        raise LostMemoryError("the snapshot record is truncated")
     return msgspec.msgpack.decode(record.body, type=Snapshot)
 
 
 def replay_log(data: bytes, snapshot: Snapshot) -> tuple[RecoveredLog, int]:
-    """Return what the log's bytes say after *snapshot*, and how many of them are good.
+    """Return the log's contents after *snapshot*, and the number of valid bytes in *data*.
 
     Raises:
         LostMemoryError: A record is damaged, or entries are missing.
@@ -156,12 +155,12 @@
                 entries.append(entry)
     for position, entry in enumerate(entries, snapshot.last_index + 1):
         if entry.log_index != position:
-            raise LostMemoryError("entries are missing from the log")
+            raise LostMemoryError("the log entries are not consecutive")
     return RecoveredLog(term_vote, snapshot, entries), offset
 
 
 class _Record(NamedTuple):
-    """One record: its kind, its body, and the offset behind it."""
+    """One record: its kind, its body, and the offset after it."""
 
     kind: int
     body: bytes
@@ -179,7 +178,7 @@
 
 
 def _parse(data: bytes, offset: int) -> _Record | None:
-    """Return the record at *offset*, or ``None`` at the good end.
+    """Return the record at *offset*, or ``None`` at the end of the valid data.
 
     Raises:
         LostMemoryError: The record is damaged.
@@ -189,11 +188,11 @@
         return None
     length, header_checksum, checksum = _HEADER.unpack_from(data, offset)
     if header_checksum != _header_checksum(length, checksum):
-        raise LostMemoryError(f"the record header at byte {offset} is damaged")
+        raise LostMemoryError(f"invalid header checksum in the record at byte {offset}")
     end = start + length
     if end > len(data):
         return None
     content = data[start:end]
     if xxhash.xxh3_64_intdigest(content) != checksum:
-        raise LostMemoryError(f"the record at byte {offset} is damaged")
+        raise LostMemoryError(f"invalid content checksum in the record at byte {offset}")
     return _Record(content[0], content[1:], end)
--- a/src/foldloom/controllers/requests.py
+++ b/src/foldloom/controllers/requests.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""What other boxes ask of a controller: commit a command, name the newest version, count a voter.
+"""Handlers of other boxes' requests: proposals, read barriers, readmission.
 
-Owns nothing but the handlers. Relies on its controller: one that does not lead names who does.
+A controller that is not the leader replies with the leader's name.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 
 
 class RequestTarget(Proposer, Protocol):
-    """A controller as other boxes see it."""
+    """A controller as used by the handlers."""
 
     network: PeerNetwork
     box: str
 
     @property
     def leader(self) -> str:
-        """The leader's box as far as known, or an empty string."""
+        """The leader's box, or an empty string if unknown."""
 
 
 class RequestHandlers:
-    """Other boxes' requests, as one controller answers them.
+    """Handles the requests of other boxes to one controller.
 
     Args:
         controller: The controller.
@@ -50,7 +50,7 @@
         except NotLeaderError as error:
             return ProposeReply(None, False, error.leader)
         except PeerUnreachableError:
-            # It was appended and may still be committed.
+            # Appended, and may still be committed.
             return ProposeReply(None, True, self._controller.leader)
         return ProposeReply(answer, False, self._controller.box)
 
--- a/src/foldloom/controllers/state.py
+++ b/src/foldloom/controllers/state.py
@@ -156,13 +156,13 @@
         self._publication = body.publication
         self._founder_count = body.founder_count
 
-    def found(self, command: FoundCommand) -> Answer:
+    def bootstrap(self, command: FoundCommand) -> Answer:
         """Adopt the initial boxes and controllers; repeating it has no effect."""
         if not self._is_founded:
             self._is_founded = True
             self._founder_count = len(command.controllers)
-            first = empty_config(command.boxes, command.controllers)
-            self._config = first._replace(version=1)
+            initial_config = empty_config(command.boxes, command.controllers)
+            self._config = initial_config._replace(version=1)
             self._change_sets.clear()
         return Answer(200, self._config.version)
 
@@ -215,7 +215,7 @@
         if boxes["next"] is None or boxes["epoch"] != command.epoch:
             return Answer(409, self._config.version, "no such joint box list")
         after = BoxList(epoch=command.epoch + 1, current=boxes["next"], next=None, dead=[])
-        self._change([Change(section=BOXES, name="list", before=boxes, after=after)])
+        self._record_changes([Change(section=BOXES, name="list", before=boxes, after=after)])
         return Answer(200, self._config.version)
 
     def _apply_confirm(self, command: ConfirmCommand) -> Answer:
@@ -229,15 +229,17 @@
         if plan.digest != command.digest:
             detail = "the configuration moved in what this plan touches"
             return Answer(409, self._config.version, detail, plan)
-        self._change(plan.changes)
+        self._record_changes(plan.changes)
         return Answer(200, self._config.version)
 
     def _set_controller(self, box: str, storage_id: str | None) -> Answer:
         before = self._config.controllers.get(box)
-        self._change([Change(section=CONTROLLERS, name=box, before=before, after=storage_id)])
+        self._record_changes(
+            [Change(section=CONTROLLERS, name=box, before=before, after=storage_id)]
+        )
         return Answer(200, self._config.version)
 
-    def _change(self, changes: list[Change]) -> None:
+    def _record_changes(self, changes: list[Change]) -> None:
         version = self._config.version + 1
         self._config = apply_changes(self._config, changes, version)
         self._change_sets.append(ChangeSet(version, changes))
@@ -271,7 +273,7 @@
 
 @_apply.register
 def _(command: FoundCommand, state: ReplicatedState) -> Answer:
-    return state.found(command)
+    return state.bootstrap(command)
 
 
 @_apply.register
--- a/tests/test_controllers_election.py
+++ b/tests/test_controllers_election.py
@@ -12,7 +12,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from foldloom.controllers.election import ElectionHandlers
+from foldloom.controllers.election import Elections
 from foldloom.controllers.messages import RequestVote, VoteReply
 from foldloom.exceptions import PeerUnreachableError
 from models.virtual_time import VirtualTimeLoop, run_in_virtual_time
@@ -79,7 +79,7 @@
 def _run_election(is_granted: bool, term: int, within_s: float) -> _Candidate:
     async def run() -> _Candidate:
         candidate = _Candidate(_FakeNetwork(is_granted, term))
-        elections = ElectionHandlers(candidate)  # type: ignore[arg-type]
+        elections = Elections(candidate)  # type: ignore[arg-type]
         await asyncio.wait_for(elections.run_election(), within_s)
         assert asyncio.all_tasks() - {asyncio.current_task()} == set()
         return candidate
--- a/tests/test_controllers_followers.py
+++ b/tests/test_controllers_followers.py
@@ -72,8 +72,8 @@
         """The leader and one answer are a majority of three."""
         table = _table()
         table.record_reply("c2", _reply(9, "s2"), 5.0)
-        assert table.is_quorum_responsive_since(5.0)
-        assert not table.is_quorum_responsive_since(6.0)
+        assert table.has_quorum_since(5.0)
+        assert not table.has_quorum_since(6.0)
         assert table.unresponsive_since(5.0) == ["c3"]
 
     def test_successor_holds_the_whole_log(self) -> None:
