--- a/tests/test_boxes_controllers.py
+++ b/tests/test_boxes_controllers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Controllers that find each other through seeds: founding, losses, replacements."""
+"""Controllers that use seeds: founding, failures and replacement."""
 
 from __future__ import annotations
 
@@ -62,11 +62,11 @@
             await self.start(port, is_first_start)
 
     async def kill(self, port: int) -> None:
-        """End a controller without a word to the others."""
+        """Stop a controller without notifying the others."""
         await self.hosts.pop(port).kill()
 
     def wipe(self, port: int) -> None:
-        """Lose the disk of a controller that does not run."""
+        """Delete the data folder of a stopped controller."""
         shutil.rmtree(self._folder / str(port))
 
     def folder_of(self, port: int) -> Path:
@@ -74,7 +74,7 @@
         return self._folder / str(port)
 
     async def publish(self, version: int) -> None:
-        """Publish through any controller until one acknowledges."""
+        """Publish through any controller until one acknowledges it."""
 
         async def publish_once() -> bool:
             for host in list(self.hosts.values()):
@@ -86,7 +86,7 @@
         await wait_until(publish_once, f"version {version} is acknowledged")
 
     async def read(self) -> bytes:
-        """Read the newest through any controller."""
+        """Read the newest document through any controller."""
         found: list[bytes] = []
 
         async def read_once() -> bool:
@@ -106,18 +106,18 @@
         return leading[0] if leading else 0
 
     def members(self) -> set[int]:
-        """Return the ports of the controllers that count, as the leader knows."""
+        """Return the ports of the voters as reported by the leader."""
         host = self.hosts.get(self.leader())
         return set() if host is None else {int(one.rpartition(":")[2]) for one in host.members}
 
     async def stop(self) -> None:
-        """End all."""
+        """Stop all controllers."""
         for port in list(self.hosts):
             await self.kill(port)
 
 
 async def wait_until(condition: Callable[[], Awaitable[Any]], description: str) -> None:
-    """Wait for *condition*; fail when it does not come true in time."""
+    """Wait for *condition*; fail if it is not met in time."""
     deadline = asyncio.get_running_loop().time() + _WAIT_S
     while asyncio.get_running_loop().time() < deadline:
         if await condition():
@@ -127,7 +127,7 @@
 
 
 def run_scenario(folder: Path, scenario: Callable[[ControllerGroup], Awaitable[None]]) -> None:
-    """Found a core of three and play *scenario* on it."""
+    """Found a group of three and run *scenario* on it."""
 
     async def run() -> None:
         group = ControllerGroup(folder)
@@ -142,7 +142,7 @@
 
 
 async def wait_for_members(group: ControllerGroup, ports: set[int]) -> None:
-    """Wait until just *ports* count."""
+    """Wait until exactly *ports* are voters."""
 
     async def has_members() -> bool:
         return group.members() == ports
@@ -151,10 +151,10 @@
 
 
 class TestPublishing:
-    """What is acknowledged holds."""
+    """Acknowledged documents are kept."""
 
     def test_highest_version_holds(self, tmp_path: Path) -> None:
-        """A version that is not above the one held is acknowledged and changes nothing."""
+        """A version that is not newer is acknowledged and has no effect."""
 
         async def scenario(group: ControllerGroup) -> None:
             await group.publish(7)
@@ -164,7 +164,7 @@
         run_scenario(tmp_path, scenario)
 
     def test_all_killed(self, tmp_path: Path) -> None:
-        """All are killed right after an acknowledgement and come back with what it said."""
+        """An acknowledged document survives a kill of all controllers."""
 
         async def scenario(group: ControllerGroup) -> None:
             await group.publish(5)
@@ -176,7 +176,7 @@
         run_scenario(tmp_path, scenario)
 
     def test_wiped_then_another_lost(self, tmp_path: Path) -> None:
-        """A wiped disk does not vote; what was acknowledged is read once both others are back."""
+        """A wiped controller does not vote; acknowledged data is read once both others are back."""
 
         async def scenario(group: ControllerGroup) -> None:
             wiped, behind = group.leader(), next(p for p in group.ports if p != group.leader())
@@ -198,11 +198,11 @@
 
 
 class TestReplacing:
-    """Controllers that are gone for good."""
+    """Controllers that fail permanently."""
 
     @pytest.mark.parametrize("is_leader", [True, False])
     def test_another_address(self, tmp_path: Path, is_leader: bool) -> None:
-        """An empty one at another address takes the place of one that is gone."""
+        """A new controller at another address replaces a failed one."""
 
         async def scenario(group: ControllerGroup) -> None:
             leader = group.leader()
@@ -213,7 +213,7 @@
             expected = {*group.ports, fresh} - {gone}
             await wait_for_members(group, expected)
             await group.publish(4)
-            # The newcomer counts: another one may be lost now.
+            # The new controller is a voter: another one may fail now.
             await group.kill(next(port for port in group.ports if port != gone))
             await group.publish(6)
             assert await group.read() == b"6"
@@ -221,7 +221,7 @@
         run_scenario(tmp_path, scenario)
 
     def test_replaced_one_comes_back(self, tmp_path: Path) -> None:
-        """One that was replaced while it was away stands by and does no harm."""
+        """A controller that was replaced in its absence becomes a standby."""
 
         async def scenario(group: ControllerGroup) -> None:
             away = next(port for port in group.ports if port != group.leader())
@@ -235,14 +235,14 @@
             await asyncio.sleep(1.5)
             assert group.members() == expected
             assert await group.read() == b"8"
-            # It follows as a standby, so it can come in again.
+            # As a standby it can become a voter again.
             await group.kill(fresh)
             await wait_for_members(group, set(group.ports))
 
         run_scenario(tmp_path, scenario)
 
     def test_spare_stands_by(self, tmp_path: Path) -> None:
-        """One that is added while all are there gets no vote."""
+        """A controller added while all voters respond does not become a voter."""
 
         async def scenario(group: ControllerGroup) -> None:
             await group.start(free_port())
@@ -253,10 +253,10 @@
 
 
 class FullDisks:
-    """Data folders whose writes are refused for want of space.
+    """Data folders whose writes fail for lack of space.
 
     Args:
-        monkeypatch: Puts the refusal in.
+        monkeypatch: Installs the failure.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -267,7 +267,7 @@
         def write_or_refuse(storage: LogStorage, data: bytes) -> None:
             if storage._folder in self.folders:
                 self.refused += 1
-                # What a full disk leaves: the first part of a record.
+                # A full disk leaves the first part of a record.
                 write(storage, data[: len(data) // 2])
                 raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
             write(storage, data)
@@ -275,7 +275,7 @@
         monkeypatch.setattr(LogStorage, "_write", write_or_refuse)
 
     async def fill(self, group: ControllerGroup, port: int) -> None:
-        """Let the disk of the controller at *port* be full until a write was refused."""
+        """Keep the disk of the controller at *port* full until a write fails."""
         folder = group.folder_of(port)
         self.folders.add(folder)
         version = 20
@@ -288,13 +288,13 @@
 
 
 class TestFullDisk:
-    """A disk that takes no writes for a while."""
+    """A disk that temporarily rejects writes."""
 
     @pytest.mark.parametrize("is_leader", [True, False])
     def test_takes_part_again(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, is_leader: bool
     ) -> None:
-        """Once its disk takes writes again, the controller counts: another one may be lost."""
+        """Once its disk is writable again, the controller is a voter: another one may fail."""
         disks = FullDisks(monkeypatch)
 
         async def scenario(group: ControllerGroup) -> None:
@@ -310,7 +310,7 @@
     def test_another_replaced_afterwards(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """A second controller is replaced by an empty one; changes are acknowledged still."""
+        """With a second controller replaced by an empty one, changes are still acknowledged."""
         disks = FullDisks(monkeypatch)
 
         async def scenario(group: ControllerGroup) -> None:
@@ -327,7 +327,7 @@
 
 
 async def seconds_until_leader(group: ControllerGroup) -> float:
-    """Wait until a controller leads; return how long that took."""
+    """Wait until there is a leader; return the duration."""
     began = asyncio.get_running_loop().time()
 
     async def has_leader() -> bool:
@@ -341,7 +341,7 @@
     """A planned stop of the leader."""
 
     def test_another_leads_at_once(self, tmp_path: Path) -> None:
-        """Another controller leads before an election time-out has passed."""
+        """Another controller becomes leader before an election timeout has passed."""
 
         async def scenario(group: ControllerGroup) -> None:
             leader = group.leader()
@@ -356,7 +356,7 @@
     def test_another_leads_at_once_though_an_entry_is_on_its_way(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """The leader has its newest entry acknowledged by another before it stops."""
+        """The leader waits for its newest entry to reach another controller before it stops."""
         sync = LogStorage.sync
 
         def sync_slowly(storage: LogStorage) -> None:
--- a/tests/test_controllers_controller_table.py
+++ b/tests/test_controllers_controller_table.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which controllers count by one controller's own log."""
+"""Guards against applying the wrong table of voters from a controller's own log."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def opened(folder: Path, *commands: Command) -> ReplicatedLog:
-    """Return a log of term 1 that was opened with an entry for each of *commands*."""
+    """Return a log of term 1, reopened with an entry for each of *commands*."""
     format_folder(str(folder), is_first=True)
     storage = LogStorage(str(folder), 0)
     log = ReplicatedLog(storage, storage.open())
@@ -45,16 +45,16 @@
 
 
 class TestControllerTable:
-    """The newest table, whatever of it is committed."""
+    """The newest table in the log applies, whether committed or not."""
 
     def test_every_entry_counts_after_a_start(self, tmp_path: Path) -> None:
-        """Nothing is known to be committed then: the whole log says who counts."""
+        """The commit index is unknown after a start, so the whole log determines the table."""
         table = ControllerTable(opened(tmp_path, _FOUND, _JOIN), _EMPTY)
         state = ReplicatedState(_EMPTY)
         assert table.newest(state, 0) == {"c1": "s1", "c2": "s2", "c3": "s3"}
 
     def test_an_entry_counts_before_it_is_committed(self, tmp_path: Path) -> None:
-        """A change counts as soon as it is in the log."""
+        """A change applies as soon as it is in the log."""
         log = opened(tmp_path, _FOUND)
         table = ControllerTable(log, _EMPTY)
         state = ReplicatedState(_EMPTY)
@@ -63,7 +63,7 @@
         assert set(table.newest(state, 0)) == {"c1", "c2", "c3"}
 
     def test_replaced_entries(self, tmp_path: Path) -> None:
-        """What a leader replaced of the log of the start counts no more."""
+        """Entries that a leader replaced no longer affect the table."""
         log = opened(tmp_path, _FOUND, _JOIN)
         table = ControllerTable(log, _EMPTY)
         asyncio.run(log.accept([Entry(2, 2, encode_command(_LEAVE))]))
@@ -71,7 +71,7 @@
         assert set(table.newest(ReplicatedState(_EMPTY), 0)) == {"c2"}
 
     def test_the_applied_state_counts_once_a_term_has_committed(self, tmp_path: Path) -> None:
-        """From then on the applied state is the base, and the entries after it change it."""
+        """Once an entry of the term is committed, the applied state is the base of the table."""
         log = opened(tmp_path, _FOUND, _JOIN)
         table = ControllerTable(log, _EMPTY)
         state = ReplicatedState(_EMPTY)
--- a/tests/test_controllers_election.py
+++ b/tests/test_controllers_election.py
@@ -1,10 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""How long an election takes while one controller of three is gone.
-
-Each of its two rounds waited for the reply of the controller that was gone, 300 ms each with the
-default time-outs, also when the other one had voted at once. Found as a planned stop of the leader
-after which another led only 0.41 s later, of which the disks took 0.15 s.
-"""
+"""An election must not wait for an unreachable controller once a majority has voted."""
 
 from __future__ import annotations
 
@@ -18,12 +13,12 @@
 from models.virtual_time import VirtualTimeLoop, run_in_virtual_time
 
 _TIMEOUT_MS = 600
-# Seconds within which two that answer at once must have a leader: far below one time-out of a vote.
+# Well below the timeout of one vote request.
 _AT_ONCE_S = 0.1
 
 
 class _FakeNetwork:
-    """Two other controllers: b votes at once as it is told to, c is gone."""
+    """Two peers: b replies immediately with the given vote, c is unreachable."""
 
     def __init__(self, is_granted: bool, term: int) -> None:
         self._is_granted = is_granted
@@ -31,10 +26,10 @@
         self.asked: list[tuple[str, bool]] = []
 
     def on(self, kind: type, handler: Any) -> None:
-        """Register nothing."""
+        """Ignore the handler."""
 
     async def request(self, box: str, request: RequestVote, timeout_ms: float) -> VoteReply:
-        """Answer for b, and run into the time-out for c."""
+        """Reply for b; time out for c."""
         self.asked.append((box, request.is_trial))
         if box == "b":
             return VoteReply(self._term, self._is_granted, "folder-b", True)
@@ -43,7 +38,7 @@
 
 
 class _Candidate(SimpleNamespace):
-    """A controller of three whose leader is gone."""
+    """A controller of three whose leader is unreachable."""
 
     def __init__(self, network: _FakeNetwork) -> None:
         super().__init__(
@@ -64,15 +59,15 @@
         self.log.term = term
 
     def is_voter(self, _box: str, _storage_id: str, _is_first: bool) -> bool:
-        """Count both."""
+        """Accept every voter."""
         return True
 
     def observe_term(self, term: int) -> None:
-        """Note a newer term."""
+        """Record a newer term."""
         self.observed_term = term
 
     def lead(self) -> None:
-        """Note that it leads."""
+        """Record that it became leader."""
         self.is_leader = True
 
 
@@ -89,10 +84,10 @@
 
 
 class TestOneIsGone:
-    """Two of three controllers are up."""
+    """Two of three controllers are reachable."""
 
     def test_a_majority_is_enough(self) -> None:
-        """The candidate leads as soon as the other one has voted in both rounds."""
+        """The candidate becomes leader as soon as the reachable peer grants both votes."""
         candidate = _run_election(True, 1, _AT_ONCE_S)
         assert candidate.is_leader
         assert sorted(candidate.network.asked) == [
@@ -103,10 +98,10 @@
         ]
 
     def test_one_that_votes_for_nobody(self) -> None:
-        """Without the other one's vote the one that is gone is waited for, and nobody leads."""
+        """Without the reachable peer's vote, no leader is elected."""
         assert not _run_election(False, 1, 1.0).is_leader
 
     def test_a_newer_term(self) -> None:
-        """A reply of a newer term ends the election at once."""
+        """A reply with a newer term ends the election immediately."""
         candidate = _run_election(False, 9, _AT_ONCE_S)
         assert (candidate.is_leader, candidate.observed_term) == (False, 9)
--- a/tests/test_controllers_faults.py
+++ b/tests/test_controllers_faults.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A confirmed configuration is in force everywhere and never reverts: real processes."""
+"""A confirmed configuration reaches every box and is never reverted; uses real processes."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 
 
 class Rig:
-    """Boxes behind a fault proxy."""
+    """A cluster behind a fault proxy."""
 
     def __init__(self, folder: Path, **options: Any) -> None:
-        """Start everything."""
+        """Start the proxy and the cluster."""
         self.proxy = FaultProxy()
         self.cluster = Cluster(folder, address_of=self.proxy.address_of, **options)
         self.cluster.start()
 
     def close(self) -> None:
-        """End everything."""
+        """Stop the cluster and the proxy."""
         self.cluster.end()
         self.proxy.close()
 
     def leader(self, boxes: list[str] | None = None) -> str:
-        """Return the box that leads, by its own word and in the newest term."""
+        """Return the box that reports itself as leader in the newest term."""
         asked = boxes or self.cluster.controllers
 
         def found() -> str | None:
@@ -50,17 +50,17 @@
         return str(wait_until(found, "a leader"))
 
     def set_quota(self, quota: int, boxes: list[str] | None = None) -> int:
-        """Confirm a member's quota; return the version."""
+        """Confirm a customer's quota; return the version."""
         intents = [{"kind": "member", "name": "m1", "quota": quota}]
         return self.cluster.confirm(intents, boxes)
 
     def quota(self, box: str) -> int:
-        """Return the member's quota in force on *box*."""
+        """Return the customer's quota in effect on *box*."""
         answer = self.cluster.cli("config", "--url", self.cluster.url(box))
         return int(json.loads(answer.stdout)["members"]["m1"]["quota"])
 
     def confirm_at(self, box: str, command: str, intents: list[dict[str, Any]]) -> HttpAnswer:
-        """Plan and confirm at one box, once."""
+        """Plan and confirm at one box, without a retry."""
         plan = self.cluster.plan(box, intents)
         return self.cluster.confirm_plan(box, plan.fields["digest"], command, intents)
 
@@ -78,10 +78,10 @@
 
 
 class TestLeaderLost:
-    """The leader killed, frozen, cut off."""
+    """The leader is killed, paused or partitioned."""
 
     def test_killed(self, rig: Rig) -> None:
-        """What was confirmed before the leader was killed stays, and more is confirmed."""
+        """Confirmed changes survive the leader's death, and later changes are confirmed."""
         version = rig.set_quota(5)
         leader = rig.leader()
         rig.cluster.kill(leader)
@@ -95,13 +95,13 @@
         assert rig.quota(leader) == 6
 
     def test_frozen_and_woken(self, rig: Rig) -> None:
-        """A leader that was frozen and believes itself in charge confirms nothing old."""
+        """A paused leader that resumes confirms nothing on outdated state."""
         leader = rig.leader()
         others = [box for box in rig.cluster.boxes if box != leader]
         rig.cluster.signal(leader, signal.SIGSTOP)
         version = rig.set_quota(7, others)
         rig.cluster.signal(leader, signal.SIGCONT)
-        # At once, while it may still believe that it leads:
+        # Immediately, while it may still consider itself the leader.
         late = rig.cluster.plan(leader, _quota(9))
         rig.cluster.wait_version(version)
         assert rig.quota(leader) == 7
@@ -109,7 +109,7 @@
         assert all(rig.quota(box) == 7 for box in rig.cluster.boxes)
 
     def test_cut_off_for_long(self, rig: Rig) -> None:
-        """A cut-off leader confirms nothing and says whether it may have taken effect."""
+        """A partitioned leader confirms nothing and reports whether it may have taken effect."""
         leader = rig.leader()
         others = [box for box in rig.cluster.boxes if box != leader]
         rig.proxy.cut_zone(leader[0])
@@ -128,10 +128,10 @@
 
 
 class TestOperators:
-    """Operators that race and resend."""
+    """Operators that race and retry."""
 
     def test_race(self, rig: Rig) -> None:
-        """Of two conflicting intents on one base exactly one wins; the other gets the plan."""
+        """Of two conflicting confirms on one base exactly one wins; the other gets a new plan."""
         for round_number in range(5):
             values = (10 + 2 * round_number, 11 + 2 * round_number)
             digests = [rig.cluster.plan("a1", _quota(value)).fields["digest"] for value in values]
@@ -173,14 +173,14 @@
         assert rig.cluster.status(other)["version"] == made
 
     def test_unrelated_change_rebases(self, rig: Rig) -> None:
-        """A plan made stale by an unrelated change is confirmed if its changes are the same."""
+        """A plan with an outdated base is confirmed if its changes are still the same."""
         plan = rig.cluster.plan("a1", _quota(30)).fields
         rig.cluster.confirm([{"kind": "member", "name": "m2", "quota": 2}])
         answer = rig.cluster.confirm_plan("a1", plan["digest"], "rebased", _quota(30))
         assert answer.status == 200
 
     def test_nothing_before_confirm(self, rig: Rig) -> None:
-        """A plan that nobody confirms changes nothing; without a token there is none."""
+        """A plan without a confirm changes nothing."""
         before = rig.cluster.status("a1")["version"]
         assert rig.cluster.plan("a1", _quota(40)).fields["plan"]
         assert rig.cluster.status("a1")["version"] == before
@@ -200,10 +200,10 @@
 
 
 class TestLostDisks:
-    """Emptied data folders."""
+    """Emptied or damaged data folders."""
 
     def test_wiped_controller_is_taken_in_again(self, rig: Rig) -> None:
-        """A wiped controller does not vote until the others have taken it in."""
+        """A wiped controller does not vote until the others have readmitted it."""
         version = rig.set_quota(50)
         wiped = next(box for box in rig.cluster.boxes if box != rig.leader())
         rig.cluster.kill(wiped)
@@ -212,7 +212,7 @@
         wait_until(lambda: rig.cluster.status(wiped)["controller"]["may_vote"], "taken in")
         assert "Memory lost" in rig.cluster.log(wiped)
         assert rig.quota(wiped) == 50
-        # Its vote counts now: with another one gone, the two confirm.
+        # It is a voter again: with another controller down, the remaining two confirm.
         rig.cluster.wait_version(version)
         gone = next(box for box in rig.cluster.boxes if box not in (wiped, rig.leader()))
         rig.cluster.kill(gone)
@@ -220,7 +220,7 @@
         assert rig.set_quota(51, left) > version
 
     def test_second_loss_before_recovery(self, rig: Rig) -> None:
-        """Wiped, and a second one lost before it recovered: nothing is confirmed or reverts."""
+        """With one controller wiped and another down, nothing is confirmed or reverted."""
         version = rig.set_quota(60)
         wiped, lost, kept = rig.cluster.boxes
         rig.cluster.wait_version(version)
@@ -240,7 +240,7 @@
         assert {rig.quota(box) for box in rig.cluster.boxes} == {62}
 
     def test_damaged_log(self, rig: Rig) -> None:
-        """A controller whose log was damaged keeps out of votes until it is taken in."""
+        """A controller with a damaged log does not vote until it is readmitted."""
         rig.set_quota(70)
         box = next(box for box in rig.cluster.boxes if box != rig.leader())
         rig.cluster.kill(box)
@@ -254,10 +254,10 @@
 
 
 class TestEvenHalves:
-    """Equal numbers on each side."""
+    """A partition into halves of equal size."""
 
     def test_two_and_two(self, tmp_path: Path) -> None:
-        """Of four live controllers cut two and two, neither half confirms anything."""
+        """With four controllers partitioned into two and two, neither half confirms."""
         rig = Rig(tmp_path, zones="ab", boxes_per_zone=2, controllers=4)
         try:
             version = rig.set_quota(80)
@@ -275,10 +275,10 @@
 
 
 class TestManyChanges:
-    """Processes restarted after hundreds of changes."""
+    """Restarts after hundreds of changes."""
 
     def test_all_killed_after_500(self, rig: Rig) -> None:
-        """All processes killed after 500 changes come back to the newest one, in any order."""
+        """After 500 changes and a kill of all processes, the newest version is recovered."""
         leader = rig.leader()
         version = 0
         for number in range(500):
@@ -295,7 +295,7 @@
             time.sleep(0.3)
         rig.cluster.wait_version(version)
         assert {rig.quota(box) for box in rig.cluster.boxes} == {1499}
-        # The controllers' own state, not only what each box had in force:
+        # Checks the controllers' state as well as the configuration in effect on each box.
         digest = _digest_of(rig, 1499, before=1498)
         resent = rig.cluster.confirm_plan("a1", digest, "change-499", _quota(1499))
         assert resent.fields == {"version": version}
@@ -305,10 +305,10 @@
 
 
 class TestCutOffEntry:
-    """An entry box restarted inside a cut-off zone."""
+    """An entry box restarted inside a partitioned zone."""
 
     def test_serves_and_takes_no_older_version(self, tmp_path: Path) -> None:
-        """It takes what its zone has in force, says so, and serves; never an older version."""
+        """It serves with its zone's configuration, reports it as unconfirmed, and never reverts."""
         rig = Rig(tmp_path, boxes_per_zone=3)
         try:
             version = rig.set_quota(90)
@@ -330,10 +330,10 @@
 
 
 class TestReplacedBoxes:
-    """Boxes and controllers that come and go."""
+    """Boxes and controllers that are added and replaced."""
 
     def test_box_joins_through_a_joint_list(self, tmp_path: Path) -> None:
-        """A joining box takes part once every box knows and a retention time has passed."""
+        """A joining box holds claims once the joint box list has settled."""
         overrides = {"timings": {"resubmission_window_ms": 2_000, "deadline_max_ms": 2_000}}
         cluster = Cluster(tmp_path, overrides=overrides)
         with cluster:
@@ -359,7 +359,7 @@
             assert max(cluster.starts().values()) == 1
 
     def test_controller_replaced(self, tmp_path: Path) -> None:
-        """A new controller takes an old one's place, is taken in and then counts."""
+        """A new controller replaces an old one and becomes a voter."""
         rig = Rig(tmp_path, boxes_per_zone=2, controllers=3)
         try:
             cluster = rig.cluster
--- a/tests/test_controllers_followers.py
+++ b/tests/test_controllers_followers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What a leader concludes from its followers' answers."""
+"""Guards against wrong conclusions of a leader from its followers' replies."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def _table(durable_index: int = 9, commit_index: int = 0) -> FollowerTable:
-    """Return what c1, which leads and holds 9 entries, knows of c2 and c3."""
+    """Return the follower table of leader c1, which holds 9 entries, with c2 and c3."""
     controller: Any = SimpleNamespace(
         box="c1",
         may_vote=True,
@@ -36,31 +36,31 @@
 
 
 class TestAgreedIndex:
-    """Up to where a majority holds the log durably."""
+    """The index up to which a majority holds the log durably."""
 
     @pytest.mark.parametrize(
         ("own", "others", "agreed"),
         [(9, (7, 0), 7), (9, (7, 8), 8), (5, (7, 8), 7), (5, (0, 0), 0)],
     )
     def test_middle_of_three(self, own: int, others: tuple[int, int], agreed: int) -> None:
-        """The leader's own log counts up to what is synced, as any other's."""
+        """The leader's own log is included up to its durable index."""
         table = _table(durable_index=own)
         table.record_reply("c2", _reply(others[0], "s2"), 1.0)
         table.record_reply("c3", _reply(others[1], "s3"), 1.0)
         assert table.quorum_match_index() == agreed
 
     def test_another_data_folder_does_not_count(self) -> None:
-        """One that lost its memory holds what it says, but may have promised more before."""
+        """A controller that lost its data is not part of a majority until it is readmitted."""
         table = _table()
         table.record_reply("c2", _reply(9, "new"), 1.0)
         assert table.quorum_match_index() == 0
 
 
 class TestAnswers:
-    """Who has answered, and how far they are."""
+    """Replication progress and responsiveness of followers."""
 
     def test_refused_append_steps_back(self) -> None:
-        """The next append begins behind what the follower says it holds, at the latest."""
+        """After a rejected append the next one starts at the follower's hint or earlier."""
         table = _table()
         assert table.next_index("c2") == 10
         table.record_reply("c2", _reply(4, "s2", is_ok=False), 1.0)
@@ -69,7 +69,7 @@
         assert table.next_index("c2") == 4
 
     def test_majority_since(self) -> None:
-        """The leader and one answer are a majority of three."""
+        """The leader and one reply are a majority of three."""
         table = _table()
         table.record_reply("c2", _reply(9, "s2"), 5.0)
         assert table.has_quorum_since(5.0)
@@ -77,7 +77,7 @@
         assert table.unresponsive_since(5.0) == ["c3"]
 
     def test_successor_holds_the_whole_log(self) -> None:
-        """Of those, the one that was last in contact."""
+        """The successor holds the whole log and has the most recent reply."""
         table = _table()
         table.record_reply("c2", _reply(8, "s2"), 7.0)
         assert table.successor() == ""
@@ -87,7 +87,7 @@
         assert table.successor() == "c2"
 
     def test_holding_what_is_committed(self) -> None:
-        """Only in the folder that it asks to be counted with."""
+        """Committed entries are recognized only in the data folder that the request names."""
         table = _table(commit_index=6)
         table.record_reply("c2", _reply(6, "s2"), 1.0)
         assert table.holds_committed("c2", "s2")
--- a/tests/test_controllers_members.py
+++ b/tests/test_controllers_members.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Who counts among the controllers, and how one that is gone is replaced."""
+"""Guards against wrong voter tables and wrong replacements of unresponsive voters."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class TestNewestTable:
-    """The newest table in the own log counts."""
+    """The newest table in a controller's own log applies."""
 
     def test_uncommitted_changes_count(self) -> None:
-        """Joins, leaves and new data folders count as soon as they are in the log."""
+        """Joins, leaves and new data folders apply as soon as they are in the log."""
         payloads = [
             encode_command(ControllerJoinCommand("d", "4")),
             b"",
@@ -32,47 +32,47 @@
         assert newest_table(_TABLE, True, payloads) == {"a": "1", "b": "5", "d": "4"}
 
     def test_founded_once(self) -> None:
-        """The first founding entry counts, a later one changes nothing."""
+        """Only the first founding entry has an effect."""
         first = encode_command(FoundCommand({}, {"a": "?"}))
         again = encode_command(FoundCommand({}, {"z": "?"}))
         assert newest_table({}, False, [first, again]) == {"a": "?"}
         assert newest_table(_TABLE, True, [again]) == _TABLE
 
     def test_majority(self) -> None:
-        """More than half, also of an even number."""
+        """The quorum size is more than half, also of an even number."""
         assert [quorum_size_of(range(size)) for size in (1, 2, 3, 4, 5)] == [1, 2, 2, 3, 3]
 
 
 class TestNextChange:
-    """One controller at a time is replaced."""
+    """Voters are replaced one at a time."""
 
     def test_nothing_without_a_standby(self) -> None:
-        """A silent controller stays while nobody could come in."""
+        """An unresponsive voter is kept while there is no standby."""
         assert next_change(_TABLE, 3, ["c"], [], "a") is None
 
     def test_nothing_while_all_answer(self) -> None:
-        """A standby waits while nobody is gone."""
+        """A standby is not added while all voters respond."""
         assert next_change(_TABLE, 3, [], [_READY], "a") is None
 
     def test_standby_must_be_current(self) -> None:
-        """One that lacks committed entries does not come in."""
+        """A standby that lacks committed entries is not added."""
         late = _READY._replace(is_current=False)
         assert next_change(_TABLE, 3, ["c"], [late], "a") is None
 
     def test_join_then_leave(self) -> None:
-        """The standby comes in first, then the silent one goes."""
+        """The standby is added before the unresponsive voter is removed."""
         assert next_change(_TABLE, 3, ["c"], [_READY], "a") == ControllerJoinCommand("d", "4")
         joint = {**_TABLE, "d": "4"}
         assert next_change(joint, 3, ["c"], [], "a") == ControllerLeaveCommand("c")
 
     def test_silent_one_came_back(self) -> None:
-        """A change that is half done ends, whoever is back; the leader stays."""
+        """A replacement in progress is completed if all voters respond again; the leader stays."""
         joint = {**_TABLE, "d": "4"}
         change = next_change(joint, 3, [], [], "d")
         assert isinstance(change, ControllerLeaveCommand)
         assert change.box != "d"
 
     def test_even_number_of_founders(self) -> None:
-        """Four founders are no change that is half done."""
+        """Four founders are not a replacement in progress."""
         founders = {**_TABLE, "d": "4"}
         assert next_change(founders, 4, [], [], "a") is None
--- a/tests/test_controllers_model.py
+++ b/tests/test_controllers_model.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The controllers' log, checked exhaustively on its small specification."""
+"""Exhaustive check of the controllers' protocol on its small specification."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class TestControllersProtocol:
-    """Three controllers: terms, votes, entries, crashes, a wiped disk."""
+    """Three controllers with terms, votes, entries, crashes and a wiped disk."""
 
     @pytest.mark.parametrize(
         "bounds", [Bounds(2, 2, 1, 1), Bounds(3, 2, 1, 0), Bounds(3, 2, 0, 1), Bounds(4, 1, 0, 0)]
     )
     def test_confirmed_entries_stay(self, bounds: Bounds) -> None:
-        """One leader a term, and every later leader holds every confirmed entry."""
+        """There is one leader per term, and every later leader holds every confirmed entry."""
         assert _check(Rules(), bounds) == {"one_leader_a_term": True, "confirmed_stays": True}
 
     @pytest.mark.parametrize(
@@ -39,5 +39,5 @@
         ],
     )
     def test_every_rule_is_needed(self, rule: str, bounds: Bounds, broken: str) -> None:
-        """Leaving out one rule gives a counterexample."""
+        """Without any one of the rules there is a counterexample."""
         assert _check(Rules()._replace(**{rule: False}), bounds)[broken] is False
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The replicated state: founding, commands, snapshots; replicas of a submission."""
+"""The replicated state: founding, commands, snapshots; the claim replicas of a submission."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     """Entries applied in order."""
 
     def test_founding_makes_settings_not_matter(self) -> None:
-        """Two controllers with other settings hold the same state after the same entries."""
+        """Controllers with different settings reach the same state from the same entries."""
         entries = [
             encode_command(FoundCommand({"a1": "a"}, {"a1": "?"})),
             encode_command(VoterReadyCommand("a1", "x1")),
@@ -54,7 +54,7 @@
         assert states[0].config.controllers == {"a1": "x1"}
 
     def test_snapshot_holds_everything(self) -> None:
-        """A state loaded from a snapshot answers commands and lives as the first one did."""
+        """A state loaded from a snapshot gives the same answers and incarnations."""
         state = _state()
         raw = [{"kind": "member", "name": "m", "quota": 2}]
         first = _confirm(state, "c1", raw)
@@ -68,7 +68,7 @@
         assert other.dump() != state.dump()
 
     def test_resent_incarnation_gives_the_one_before(self) -> None:
-        """A life recorded twice is still told as the first one."""
+        """A retried incarnation gets the same answer as the first attempt."""
         state = _state()
         command = encode_command(IncarnationCommand("b1", 5))
         assert [state.apply(command).number for _ in range(2)] == [0, 0]
@@ -83,12 +83,12 @@
         ],
     )
     def test_intents_that_mean_nothing(self, raw: list[Any], reason: str) -> None:
-        """Intents that can't be carried out are refused with why."""
+        """Intents that can't be applied are refused with a reason."""
         planned = make_plan(_state().config, parse_intents(raw).ok)
         assert reason in planned.error
 
     def test_box_list_goes_joint_and_settles(self) -> None:
-        """A joining box makes the list joint; settling the right epoch ends that."""
+        """A joining box starts a joint list; settling its epoch ends it."""
         state = _state()
         _confirm(state, "c", [{"kind": "box-joining", "name": "a4", "zone": "a"}])
         assert state.config.boxes["next"] is not None
@@ -99,30 +99,30 @@
 
 
 class FakeNetwork:
-    """A network that hands every question to one other box's holder."""
+    """A network that passes every request to another box's handlers."""
 
     def __init__(self) -> None:
-        """Know no handler yet."""
+        """Start without handlers."""
         self.handlers: dict[type, Any] = {}
         self.other: FakeNetwork | None = None
         self.replies: list[ConfigReply] = []
 
     def on(self, message_type: type, handler: Any) -> None:
-        """Remember a handler."""
+        """Register a handler."""
         self.handlers[message_type] = handler
 
     async def request(self, _box: str, message: ConfigPull, _timeout_ms: float) -> ConfigReply:
-        """Ask the other box."""
+        """Call the other box's handler."""
         assert self.other is not None
         self.replies.append(self.other.handlers[ConfigPull]("me", message))
         return self.replies[-1]
 
 
 class TestConfigHolder:
-    """The configuration in force on a box."""
+    """The configuration in effect on a box."""
 
     def test_pulls_changes_and_never_goes_back(self) -> None:
-        """A box behind pulls change sets, one at version 0 the whole; none takes an older one."""
+        """A box pulls change sets, or from version 0 the whole; it adopts no older version."""
         state = _state()
         peers: list[Any] = [FakeNetwork(), FakeNetwork()]
         peers[1].other = peers[0]
@@ -151,10 +151,10 @@
 
 
 class TestReplicas:
-    """Which boxes hold a submission's claim."""
+    """The boxes that hold a submission's claim."""
 
     def test_plain_ids_have_one_in_each_zone(self) -> None:
-        """A plain id has a replica in each of three zones, spread evenly."""
+        """An untagged id has a replica in each of three zones, evenly distributed."""
         counts: Counter[str] = Counter()
         for number in range(900):
             replicas = claim_replicas(f"s-{number}", _BOXES)
@@ -163,7 +163,7 @@
         assert min(counts.values()) > 200
 
     def test_tagged_ids_stay_in_their_zone(self) -> None:
-        """A tagged id has all replicas in its zone; with two boxes there both must vote."""
+        """A tagged id has all replicas in its zone; with two boxes both must vote."""
         assert {box[0] for box in claim_replicas("b~x", _BOXES)} == {"b"}
         two = {"b1": "b", "b2": "b", "a1": "a"}
         boxes = BoxList(epoch=0, current=two, next=None, dead=[])
@@ -172,7 +172,7 @@
         assert sets.is_majority({"b1", "b2"})
 
     def test_joint_needs_a_majority_of_both(self) -> None:
-        """While the list is joint, votes must be more than half of the old and of the new."""
+        """A joint list requires a majority of the current and of the next list."""
         old = {"a1": "a", "b1": "b", "c1": "c"}
         new = {"a1": "a", "b2": "b", "c2": "c"}
         sets = replica_sets("s", BoxList(epoch=1, current=old, next=new, dead=[]))
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A controller's disk: any crash point, torn tail, flipped bit, failed sync, full disk."""
+"""A controller's storage under crashes, truncated tails, flipped bits and failed syncs."""
 
 from __future__ import annotations
 
@@ -23,10 +23,9 @@
 
 
 def overwrite(path: Path, data: bytes | bytearray) -> None:
-    """Have a file hold *data*; a file that is emptied first is written to disk when it is closed.
+    """Overwrite *path* with *data* in place.
 
-    File systems do so to keep what replaces a file from being lost, and the next change of it
-    waits for the disk.
+    Truncating the file first would make file systems flush it when it is closed.
     """
     with path.open("r+b") as file:
         file.write(data)
@@ -34,7 +33,7 @@
 
 
 class Held(NamedTuple):
-    """What the log holds once its first ``size`` bytes are on disk."""
+    """The log's contents once its first ``size`` bytes are durable."""
 
     size: int
     entries: tuple[Entry, ...]
@@ -42,44 +41,43 @@
 
 
 class SyncedFiles:
-    """A stand-in for ``fsync`` that notes what a loss of power would leave.
+    """Replaces ``fsync`` and records which bytes would survive a power loss.
 
-    The machine below loses power by itself, so a real sync adds nothing but its time: it makes
-    some 5,000 of them, which at 25 ms each take longer than a test may.
+    Real syncs would make the state machine below exceed the time limit of a test.
     """
 
     def __init__(self) -> None:
         self._bytes: dict[int, int] = {}
 
     def sync(self, descriptor: int) -> None:
-        """Note that a file is on disk as it is now, or that the names in a folder are."""
+        """Record a file, or the names in a folder, as durable in its current state."""
         status = os.fstat(descriptor)
         self._bytes[status.st_ino] = status.st_size
 
     def lose(self, path: Path) -> None:
-        """Note that a file, or the names in a folder, will change and are not on disk yet."""
+        """Record that a file, or the names in a folder, is about to change and not durable."""
         if path.exists():
             self._bytes.pop(path.stat().st_ino, None)
 
     def note_read(self, path: Path) -> None:
-        """Note that a file came back from disk as it is now."""
+        """Record a file as durable in its current state."""
         status = path.stat()
         self._bytes[status.st_ino] = status.st_size
 
     def bytes_of(self, path: Path) -> int:
-        """Return how much of a file is on disk for certain, -1 if it was never synced."""
+        """Return the number of durable bytes of a file, -1 if it was never synced."""
         return self._bytes.get(path.stat().st_ino, -1)
 
     def holds(self, path: Path) -> bool:
-        """Return whether all of a file, or the names in a folder, are on disk."""
+        """Return whether all of a file, or the names in a folder, are durable."""
         return self.bytes_of(path) == path.stat().st_size
 
 
 class StorageMachine(RuleBasedStateMachine):
-    """Drive the storage beside a list of what each written byte count means."""
+    """Compare the storage with the expected contents for each written byte count."""
 
     def __init__(self) -> None:
-        """Make a new folder."""
+        """Create a new folder."""
         super().__init__()
         self.folder = Path(tempfile.mkdtemp(prefix="foldloom-storage-"))
         self.begin()
@@ -96,18 +94,18 @@
         self.open()
 
     def open(self) -> None:
-        """Open the folder as a restarted controller does."""
+        """Open the folder as after a restart."""
         self.storage = LogStorage(str(self.folder), fsync=self.synced.sync)
         self.recovered = self.storage.open()
 
     def note(self, entries: tuple[Entry, ...], term_vote: TermVote) -> None:
-        """Note what the bytes written so far mean."""
+        """Record the expected contents for the bytes written so far."""
         self.history.append(Held(self.storage.log_bytes, entries, term_vote))
 
     @precondition(lambda self: not self.is_damaged)
     @rule(payload=payloads)
     def append(self, payload: bytes) -> None:
-        """Write one entry, unsynced."""
+        """Write one entry, without a sync."""
         held = self.history[-1]
         index = self.snapshot.last_index + len(held.entries) + 1
         entry = Entry(index, held.term_vote.term, payload)
@@ -117,7 +115,7 @@
     @precondition(lambda self: not self.is_damaged and self.history[-1].entries)
     @rule(share=shares)
     def cut(self, share: float) -> None:
-        """Drop a tail, unsynced."""
+        """Drop a tail, without a sync."""
         held = self.history[-1]
         kept = held.entries[: int(len(held.entries) * share)]
         self.storage.cut_from(held.entries[len(kept)].log_index)
@@ -126,7 +124,7 @@
     @precondition(lambda self: not self.is_damaged)
     @rule(voted_for=st.sampled_from(["", "a1", "b1"]))
     def vote(self, voted_for: str) -> None:
-        """Write a newer term and a vote, unsynced."""
+        """Write a newer term and a vote, without a sync."""
         held = self.history[-1]
         term_vote = TermVote(held.term_vote.term + 1, voted_for)
         self.storage.save_term_vote(term_vote)
@@ -135,7 +133,7 @@
     @precondition(lambda self: not self.is_damaged)
     @rule()
     def sync(self) -> None:
-        """Make all of it durable."""
+        """Make everything written durable."""
         self.storage.sync()
         assert self.synced.holds(self.folder / "log")
         del self.history[:-1]
@@ -143,7 +141,7 @@
     @precondition(lambda self: not self.is_damaged and self.history[-1].entries)
     @rule(share=shares)
     def compact(self, share: float) -> None:
-        """Replace a part of the entries by a snapshot."""
+        """Replace some of the entries by a snapshot."""
         held = self.history[-1]
         last = held.entries[int(len(held.entries) * share)]
         rest = [entry for entry in held.entries if entry.log_index > last.log_index]
@@ -158,7 +156,7 @@
     @precondition(lambda self: not self.is_damaged)
     @rule(share=shares, zeros=st.integers(0, 40))
     def crash(self, share: float, zeros: int) -> None:
-        """Lose any part of what was not synced: what is whole comes back, exactly."""
+        """Lose any part of the unsynced bytes; all complete records are recovered."""
         self.storage.close()
         log = self.folder / "log"
         durable, written = self.history[0].size, self.history[-1].size
@@ -167,19 +165,19 @@
         left = whole[: durable + int((written - durable) * share)] + bytes(zeros)
         overwrite(log, left)
         self.synced.note_read(log)
-        # A record that ends in zeros may be cut and padded into itself: what counts is how
-        # far the file still is what was written, not where it was cut.
+        # A record that ends in zeros may be restored by the padding: the expected contents depend
+        # on the length of the common prefix.
         intact = len(os.path.commonprefix([left, whole]))
         expected = [held for held in self.history if held.size <= intact][-1]
         try:
             self.open()
         except LostMemoryError:
-            # Only a record cut in its midst and padded can't be told from damage.
+            # Only a truncated and padded record is indistinguishable from damage.
             assert zeros
             assert any(left[expected.size :])
             self.is_damaged = True
             return
-        # What was dropped must not come back: a later loss of power could bring it.
+        # Dropped bytes must not reappear after a later power loss.
         assert self.synced.holds(log)
         assert self.recovered.snapshot == self.snapshot
         assert tuple(self.recovered.entries) == expected.entries
@@ -189,7 +187,7 @@
     @precondition(lambda self: not self.is_damaged and self.history[-1].size > 0)
     @rule(share=shares, bit=st.integers(0, 7))
     def flip(self, share: float, bit: int) -> None:
-        """Flip one bit of a synced log, its last record included: a clear refusal."""
+        """A flipped bit in a synced log, also in the last record, is detected."""
         self.sync()
         self.storage.close()
         log = self.folder / "log"
@@ -203,7 +201,7 @@
     @precondition(lambda self: self.is_damaged)
     @rule()
     def replace(self) -> None:
-        """Set the damaged folder aside, as a controller does, and begin anew."""
+        """Set the damaged folder aside and format a new one."""
         self.storage.close()
         set_aside(str(self.folder))
         self.begin()
@@ -218,10 +216,10 @@
 
 
 class TestKeptCases:
-    """Cases that the machine found once, kept as they were."""
+    """Regression cases found by the state machine."""
 
     def test_zeros_complete_a_record_that_ends_in_zero(self) -> None:
-        """A record whose last byte is zero, cut there and padded, is whole again."""
+        """A record truncated before its final zero byte and padded with a zero is complete."""
         machine = StorageMachine()
         try:
             machine.append(payload=b"")
@@ -232,16 +230,16 @@
 
 
 class TestLostFolder:
-    """Folders that must not count."""
+    """Empty or damaged folders must be rejected."""
 
     def test_emptied(self, tmp_path: Path) -> None:
-        """An emptied folder is lost memory, not a new controller."""
+        """An emptied folder is reported as data loss, not opened as a new controller."""
         with pytest.raises(LostMemoryError):
             LogStorage(str(tmp_path)).open()
 
     @pytest.mark.parametrize("name", ["identity", "log", "snapshot"])
     def test_damaged_or_missing_part(self, tmp_path: Path, name: str) -> None:
-        """A folder of which one file is damaged is lost memory."""
+        """Damage to any one file is reported as data loss."""
         format_folder(str(tmp_path), is_first=True)
         storage = LogStorage(str(tmp_path))
         storage.open()
@@ -262,7 +260,7 @@
 
 
 class TestFailedSync:
-    """A disk that can't hold what it was given."""
+    """A disk whose syncs fail."""
 
     async def _flush(self, code: int, folder: str) -> None:
         def fail(_fd: int) -> None:
@@ -279,5 +277,5 @@
 
     @pytest.mark.parametrize("code", [errno.EIO, errno.ENOSPC])
     def test_nothing_counts(self, tmp_path: Path, code: int) -> None:
-        """After a failed sync nothing is durable and the caller is told."""
+        """After a failed sync no entry is durable and the caller gets the error."""
         asyncio.run(self._flush(code, str(tmp_path)))
