--- a/src/foldloom/controllers/messages.py
+++ b/src/foldloom/controllers/messages.py
@@ -106,7 +106,7 @@
 
 
 class StandNow(NamedTuple):
-    """A leader that is about to stop tells its successor to start an election."""
+    """Leadership transfer: the receiver starts an election immediately."""
 
     term: int
 
--- a/src/foldloom/controllers/storage.py
+++ b/src/foldloom/controllers/storage.py
@@ -78,7 +78,7 @@
         self, folder: str, sync_delay_ms: int = 0, fsync: Callable[[int], None] = os.fsync
     ) -> None:
         self._folder = Path(folder)
-        self._sync_delay = sync_delay_ms / 1_000
+        self._sync_delay_s = sync_delay_ms / 1_000
         self._fsync = fsync
         self._identity = Identity("", False)
         self._fd = -1
@@ -145,8 +145,8 @@
         Raises:
             OSError: The data may not be durable and must not be acknowledged.
         """
-        if self._sync_delay:
-            time.sleep(self._sync_delay)
+        if self._sync_delay_s:
+            time.sleep(self._sync_delay_s)
         self._fsync(self._fd)
 
     def save_snapshot(self, snapshot: Snapshot, term_vote: TermVote, entries: list[Entry]) -> None:
--- a/tests/test_boxes_controllers.py
+++ b/tests/test_boxes_controllers.py
@@ -87,23 +87,23 @@
 
     async def read(self) -> bytes:
         """Read the newest document through any controller."""
-        found: list[bytes] = []
+        documents: list[bytes] = []
 
         async def read_once() -> bool:
             for host in list(self.hosts.values()):
                 answer = await host.newest(_TIMEOUT_MS)
                 if answer.is_ok():
-                    found.append(answer.ok.document)
+                    documents.append(answer.ok.document)
                     return True
             return False
 
         await wait_until(read_once, "the newest is read")
-        return found[0]
+        return documents[0]
 
     def leader(self) -> int:
         """Return the port of the leader, or 0."""
-        leading = [port for port, host in self.hosts.items() if host.is_leading]
-        return leading[0] if leading else 0
+        leaders = [port for port, host in self.hosts.items() if host.is_leading]
+        return leaders[0] if leaders else 0
 
     def members(self) -> set[int]:
         """Return the ports of the voters as reported by the leader."""
@@ -328,13 +328,13 @@
 
 async def seconds_until_leader(group: ControllerGroup) -> float:
     """Wait until there is a leader; return the duration."""
-    began = asyncio.get_running_loop().time()
+    started_s = asyncio.get_running_loop().time()
 
     async def has_leader() -> bool:
         return group.leader() != 0
 
     await wait_until(has_leader, "another leads")
-    return asyncio.get_running_loop().time() - began
+    return asyncio.get_running_loop().time() - started_s
 
 
 class TestHandover:
--- a/tests/test_controllers_controller_table.py
+++ b/tests/test_controllers_controller_table.py
@@ -26,7 +26,7 @@
 _LEAVE = ControllerLeaveCommand("c1")
 
 
-def opened(folder: Path, *commands: Command) -> ReplicatedLog:
+def open_log(folder: Path, *commands: Command) -> ReplicatedLog:
     """Return a log of term 1, reopened with an entry for each of *commands*."""
     format_folder(str(folder), is_first=True)
     storage = LogStorage(str(folder), 0)
@@ -49,13 +49,13 @@
 
     def test_every_entry_counts_after_a_start(self, tmp_path: Path) -> None:
         """The commit index is unknown after a start, so the whole log determines the table."""
-        table = ControllerTable(opened(tmp_path, _FOUND, _JOIN), _EMPTY)
+        table = ControllerTable(open_log(tmp_path, _FOUND, _JOIN), _EMPTY)
         state = ReplicatedState(_EMPTY)
         assert table.newest(state, 0) == {"c1": "s1", "c2": "s2", "c3": "s3"}
 
     def test_an_entry_counts_before_it_is_committed(self, tmp_path: Path) -> None:
         """A change applies as soon as it is in the log."""
-        log = opened(tmp_path, _FOUND)
+        log = open_log(tmp_path, _FOUND)
         table = ControllerTable(log, _EMPTY)
         state = ReplicatedState(_EMPTY)
         assert set(table.newest(state, 0)) == {"c1", "c2"}
@@ -64,7 +64,7 @@
 
     def test_replaced_entries(self, tmp_path: Path) -> None:
         """Entries that a leader replaced no longer affect the table."""
-        log = opened(tmp_path, _FOUND, _JOIN)
+        log = open_log(tmp_path, _FOUND, _JOIN)
         table = ControllerTable(log, _EMPTY)
         asyncio.run(log.accept([Entry(2, 2, encode_command(_LEAVE))]))
         table.record_accepted(1)
@@ -72,7 +72,7 @@
 
     def test_the_applied_state_counts_once_a_term_has_committed(self, tmp_path: Path) -> None:
         """Once an entry of the term is committed, the applied state is the base of the table."""
-        log = opened(tmp_path, _FOUND, _JOIN)
+        log = open_log(tmp_path, _FOUND, _JOIN)
         table = ControllerTable(log, _EMPTY)
         state = ReplicatedState(_EMPTY)
         state.apply(encode_command(_FOUND))
--- a/tests/test_controllers_election.py
+++ b/tests/test_controllers_election.py
@@ -14,7 +14,7 @@
 
 _TIMEOUT_MS = 600
 # Well below the timeout of one vote request.
-_AT_ONCE_S = 0.1
+_IMMEDIATE_MAX_S = 0.1
 
 
 class _FakeNetwork:
@@ -88,7 +88,7 @@
 
     def test_a_majority_is_enough(self) -> None:
         """The candidate becomes leader as soon as the reachable peer grants both votes."""
-        candidate = _run_election(True, 1, _AT_ONCE_S)
+        candidate = _run_election(True, 1, _IMMEDIATE_MAX_S)
         assert candidate.is_leader
         assert sorted(candidate.network.asked) == [
             ("b", False),
@@ -103,5 +103,5 @@
 
     def test_a_newer_term(self) -> None:
         """A reply with a newer term ends the election immediately."""
-        candidate = _run_election(False, 9, _AT_ONCE_S)
+        candidate = _run_election(False, 9, _IMMEDIATE_MAX_S)
         assert (candidate.is_leader, candidate.observed_term) == (False, 9)
--- a/tests/test_controllers_faults.py
+++ b/tests/test_controllers_faults.py
@@ -34,20 +34,20 @@
 
     def leader(self, boxes: list[str] | None = None) -> str:
         """Return the box that reports itself as leader in the newest term."""
-        asked = boxes or self.cluster.controllers
+        queried = boxes or self.cluster.controllers
 
-        def found() -> str | None:
-            leading = []
-            for box in asked:
+        def find_leader() -> str | None:
+            leaders = []
+            for box in queried:
                 try:
                     one = self.cluster.status(box)["controller"]
                 except OSError:
                     continue
                 if one["leader"] == box:
-                    leading.append((one["term"], box))
-            return max(leading)[1] if leading else None
+                    leaders.append((one["term"], box))
+            return max(leaders)[1] if leaders else None
 
-        return str(wait_until(found, "a leader"))
+        return str(wait_until(find_leader, "a leader"))
 
     def set_quota(self, quota: int, boxes: list[str] | None = None) -> int:
         """Confirm a customer's quota; return the version."""
@@ -121,9 +121,9 @@
         version = rig.set_quota(9, others)
         assert rig.quota(leader) == 1
         rig.proxy.heal()
-        began = time.monotonic()
+        started_s = time.monotonic()
         rig.cluster.wait_version(version)
-        assert time.monotonic() - began < 10
+        assert time.monotonic() - started_s < 10
         assert {rig.quota(box) for box in rig.cluster.boxes} == {9}
 
 
@@ -156,21 +156,21 @@
         first = rig.confirm_at("a1", "once", _quota(20))
         digest = rig.cluster.plan("a1", _quota(20)).fields["digest"]
         assert digest != ""
-        made = first.fields["version"]
+        confirmed_version = first.fields["version"]
         original = _digest_of(rig, 20, before=1)
         again = rig.cluster.confirm_plan("b1", original, "once", _quota(20))
-        assert again.fields == {"version": made}
+        assert again.fields == {"version": confirmed_version}
         leader = rig.leader()
         rig.cluster.kill(leader)
         other = next(box for box in rig.cluster.boxes if box != leader)
         wait_until(
             lambda: (
                 rig.cluster.confirm_plan(other, original, "once", _quota(20)).fields
-                == {"version": made}
+                == {"version": confirmed_version}
             ),
             "the same answer after a leader change",
         )
-        assert rig.cluster.status(other)["version"] == made
+        assert rig.cluster.status(other)["version"] == confirmed_version
 
     def test_unrelated_change_rebases(self, rig: Rig) -> None:
         """A plan with an outdated base is confirmed if its changes are still the same."""
