--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -128,7 +128,7 @@
         return self.applied.controllers
 
     @property
-    def quorum_size(self) -> int:
+    def majority(self) -> int:
         """The number of voters in a majority."""
         return quorum_size_of(self.controllers)
 
--- a/src/foldloom/controllers/participant.py
+++ b/src/foldloom/controllers/participant.py
@@ -25,7 +25,7 @@
         """The voters, with their storage ids."""
 
     @property
-    def quorum_size(self) -> int:
+    def majority(self) -> int:
         """The number of voters in a majority."""
 
     @property
--- a/src/foldloom/controllers/state.py
+++ b/src/foldloom/controllers/state.py
@@ -169,9 +169,9 @@
     def confirm(self, command: ConfirmCommand) -> Answer:
         """Apply a confirmed plan; a retried command id gets its first answer again."""
         requested_digest = command.digest
-        recorded = self._answers.get(command.command)
-        if recorded is not None:
-            digest, answer = recorded
+        known = self._answers.get(command.command)
+        if known is not None:
+            digest, answer = known
             if digest == requested_digest:
                 return answer
             return Answer(409, self._config.version, "this command id was used for other content")
--- a/src/foldloom/controllers/storage.py
+++ b/src/foldloom/controllers/storage.py
@@ -111,14 +111,14 @@
         if not identity.exists() or not log.exists():
             raise LostMemoryError("the data folder has no identity file or no log file")
         snapshot = self._read_snapshot()
-        recovered, valid_bytes = replay_log(log.read_bytes(), snapshot)
+        recovered, good_bytes = replay_log(log.read_bytes(), snapshot)
         self._identity = decode_identity(identity.read_bytes())
         self._fd = os.open(log, os.O_RDWR)
-        if os.fstat(self._fd).st_size != valid_bytes:
-            os.ftruncate(self._fd, valid_bytes)
+        if os.fstat(self._fd).st_size != good_bytes:
+            os.ftruncate(self._fd, good_bytes)
             self._fsync(self._fd)
         os.lseek(self._fd, 0, os.SEEK_END)
-        self._log_bytes = valid_bytes
+        self._log_bytes = good_bytes
         return recovered
 
     def close(self) -> None:
--- a/tests/test_boxes_controllers.py
+++ b/tests/test_boxes_controllers.py
@@ -41,7 +41,7 @@
     )
 
 
-class ControllerGroup:
+class Core:
     """Controllers in one event loop, each with its own sockets and data folder."""
 
     def __init__(self, folder: Path, founders: int = 3) -> None:
@@ -83,7 +83,7 @@
                     return True
             return False
 
-        await wait_until(publish_once, f"version {version} is acknowledged")
+        await until(publish_once, f"version {version} is acknowledged")
 
     async def read(self) -> bytes:
         """Read the newest document through any controller."""
@@ -97,7 +97,7 @@
                     return True
             return False
 
-        await wait_until(read_once, "the newest is read")
+        await until(read_once, "the newest is read")
         return documents[0]
 
     def leader(self) -> int:
@@ -116,7 +116,7 @@
             await self.kill(port)
 
 
-async def wait_until(condition: Callable[[], Awaitable[Any]], description: str) -> None:
+async def until(condition: Callable[[], Awaitable[Any]], description: str) -> None:
     """Wait for *condition*; fail if it is not met in time."""
     deadline = asyncio.get_running_loop().time() + _WAIT_S
     while asyncio.get_running_loop().time() < deadline:
@@ -126,11 +126,11 @@
     raise AssertionError(f"not within {_WAIT_S} s: {description}")
 
 
-def run_scenario(folder: Path, scenario: Callable[[ControllerGroup], Awaitable[None]]) -> None:
+def play(folder: Path, scenario: Callable[[Core], Awaitable[None]]) -> None:
     """Found a group of three and run *scenario* on it."""
 
     async def run() -> None:
-        group = ControllerGroup(folder)
+        group = Core(folder)
         try:
             await group.start_all(is_first_start=True)
             await group.publish(1)
@@ -141,13 +141,13 @@
     asyncio.run(run())
 
 
-async def wait_for_members(group: ControllerGroup, ports: set[int]) -> None:
+async def wait_for_members(group: Core, ports: set[int]) -> None:
     """Wait until exactly *ports* are voters."""
 
     async def has_members() -> bool:
         return group.members() == ports
 
-    await wait_until(has_members, f"members {ports}, now {group.members()}")
+    await until(has_members, f"members {ports}, now {group.members()}")
 
 
 class TestPublishing:
@@ -156,29 +156,29 @@
     def test_highest_version_holds(self, tmp_path: Path) -> None:
         """A version that is not newer is acknowledged and has no effect."""
 
-        async def scenario(group: ControllerGroup) -> None:
+        async def scenario(group: Core) -> None:
             await group.publish(7)
             await group.publish(3)
             assert await group.read() == b"7"
 
-        run_scenario(tmp_path, scenario)
+        play(tmp_path, scenario)
 
     def test_all_killed(self, tmp_path: Path) -> None:
         """An acknowledged document survives a kill of all controllers."""
 
-        async def scenario(group: ControllerGroup) -> None:
+        async def scenario(group: Core) -> None:
             await group.publish(5)
             for port in group.ports:
                 await group.kill(port)
             await group.start_all()
             assert await group.read() == b"5"
 
-        run_scenario(tmp_path, scenario)
+        play(tmp_path, scenario)
 
     def test_wiped_then_another_lost(self, tmp_path: Path) -> None:
         """A wiped controller does not vote; acknowledged data is read once both others are back."""
 
-        async def scenario(group: ControllerGroup) -> None:
+        async def scenario(group: Core) -> None:
             wiped, behind = group.leader(), next(p for p in group.ports if p != group.leader())
             await group.kill(behind)
             await group.publish(9)
@@ -194,7 +194,7 @@
             assert await group.read() == b"9"
             await wait_for_members(group, set(group.ports))
 
-        run_scenario(tmp_path, scenario)
+        play(tmp_path, scenario)
 
 
 class TestReplacing:
@@ -204,7 +204,7 @@
     def test_another_address(self, tmp_path: Path, is_leader: bool) -> None:
         """A new controller at another address replaces a failed one."""
 
-        async def scenario(group: ControllerGroup) -> None:
+        async def scenario(group: Core) -> None:
             leader = group.leader()
             gone = leader if is_leader else next(p for p in group.ports if p != leader)
             fresh = free_port()
@@ -218,12 +218,12 @@
             await group.publish(6)
             assert await group.read() == b"6"
 
-        run_scenario(tmp_path, scenario)
+        play(tmp_path, scenario)
 
     def test_replaced_one_comes_back(self, tmp_path: Path) -> None:
         """A controller that was replaced in its absence becomes a standby."""
 
-        async def scenario(group: ControllerGroup) -> None:
+        async def scenario(group: Core) -> None:
             away = next(port for port in group.ports if port != group.leader())
             fresh = free_port()
             await group.kill(away)
@@ -239,17 +239,17 @@
             await group.kill(fresh)
             await wait_for_members(group, set(group.ports))
 
-        run_scenario(tmp_path, scenario)
+        play(tmp_path, scenario)
 
     def test_spare_stands_by(self, tmp_path: Path) -> None:
         """A controller added while all voters respond does not become a voter."""
 
-        async def scenario(group: ControllerGroup) -> None:
+        async def scenario(group: Core) -> None:
             await group.start(free_port())
             await asyncio.sleep(1.5)
             assert group.members() == set(group.ports)
 
-        run_scenario(tmp_path, scenario)
+        play(tmp_path, scenario)
 
 
 class FullDisks:
@@ -274,7 +274,7 @@
 
         monkeypatch.setattr(LogStorage, "_write", write_or_refuse)
 
-    async def fill(self, group: ControllerGroup, port: int) -> None:
+    async def fill(self, group: Core, port: int) -> None:
         """Keep the disk of the controller at *port* full until a write fails."""
         folder = group.folder_of(port)
         self.folders.add(folder)
@@ -297,7 +297,7 @@
         """Once its disk is writable again, the controller is a voter: another one may fail."""
         disks = FullDisks(monkeypatch)
 
-        async def scenario(group: ControllerGroup) -> None:
+        async def scenario(group: Core) -> None:
             leader = group.leader()
             full = leader if is_leader else next(p for p in group.ports if p != leader)
             await disks.fill(group, full)
@@ -305,7 +305,7 @@
             await group.publish(90)
             assert await group.read() == b"90"
 
-        run_scenario(tmp_path, scenario)
+        play(tmp_path, scenario)
 
     def test_another_replaced_afterwards(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
@@ -313,7 +313,7 @@
         """With a second controller replaced by an empty one, changes are still acknowledged."""
         disks = FullDisks(monkeypatch)
 
-        async def scenario(group: ControllerGroup) -> None:
+        async def scenario(group: Core) -> None:
             full, gone = [port for port in group.ports if port != group.leader()]
             await disks.fill(group, full)
             await group.kill(gone)
@@ -323,17 +323,17 @@
             await wait_for_members(group, {*group.ports, fresh} - {gone})
             assert await group.read() == b"90"
 
-        run_scenario(tmp_path, scenario)
+        play(tmp_path, scenario)
 
 
-async def seconds_until_leader(group: ControllerGroup) -> float:
+async def seconds_until_leader(group: Core) -> float:
     """Wait until there is a leader; return the duration."""
     started_s = asyncio.get_running_loop().time()
 
     async def has_leader() -> bool:
         return group.leader() != 0
 
-    await wait_until(has_leader, "another leads")
+    await until(has_leader, "another leads")
     return asyncio.get_running_loop().time() - started_s
 
 
@@ -343,7 +343,7 @@
     def test_another_leads_at_once(self, tmp_path: Path) -> None:
         """Another controller becomes leader before an election timeout has passed."""
 
-        async def scenario(group: ControllerGroup) -> None:
+        async def scenario(group: Core) -> None:
             leader = group.leader()
             host = group.hosts.pop(leader)
             stopping = asyncio.create_task(host.stop())
@@ -351,7 +351,7 @@
             await stopping
             await group.publish(2)
 
-        run_scenario(tmp_path, scenario)
+        play(tmp_path, scenario)
 
     def test_another_leads_at_once_though_an_entry_is_on_its_way(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
@@ -363,7 +363,7 @@
             time.sleep(_SLOW_SYNC_S)
             sync(storage)
 
-        async def scenario(group: ControllerGroup) -> None:
+        async def scenario(group: Core) -> None:
             leader = group.leader()
             host = group.hosts.pop(leader)
             monkeypatch.setattr(LogStorage, "sync", sync_slowly)
@@ -374,4 +374,4 @@
             await asyncio.gather(publishing, stopping)
             assert await group.read() == b"2"
 
-        run_scenario(tmp_path, scenario)
+        play(tmp_path, scenario)
