--- a/src/foldloom/cli/explain.py
+++ b/src/foldloom/cli/explain.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-_KEYS_FIRST = ("time", "box", "event")
-_NOT_TOLD = frozenset((*_KEYS_FIRST, "level", "part", "job"))
-_ENDED = "job.ended"
-_BELIEFS = frozenset(
+_HEADER_KEYS = ("time", "box", "event")
+_HIDDEN_FIELDS = frozenset((*_HEADER_KEYS, "level", "part", "job"))
+_JOB_ENDED = "job.ended"
+_CONTEXT_EVENTS = frozenset(
     (
         "owner.claimed",
         "owner.left",
@@ -37,7 +37,7 @@
 _OLD_ENDPOINT_FIELD, _ENDPOINT_FIELD = "worker", "endpoint"
 
 
-class Line(NamedTuple):
+class LogLine(NamedTuple):
     """One event.
 
     Args:
@@ -70,12 +70,12 @@
     """
 
     job: str
-    lines: list[Line]
+    lines: list[LogLine]
     outcome: str
     cause: str
 
 
-def read_lines(files: Iterable[str]) -> Iterator[Line]:
+def read_lines(files: Iterable[str]) -> Iterator[LogLine]:
     """Return the events in *files*; what is no event is passed over.
 
     Raises:
@@ -89,58 +89,60 @@
                     yield line
 
 
-def explain(job: str, lines: Iterable[Line]) -> Life:
+def explain(job: str, lines: Iterable[LogLine]) -> Life:
     """Return the life of *job*, an id or the first part of one."""
-    every = sorted(lines, key=lambda line: line.time)
-    own = [line for line in every if str(line.fields.get("job", "")).startswith(job)]
-    if not own:
+    all_lines = sorted(lines, key=lambda line: line.time)
+    job_lines = [line for line in all_lines if str(line.fields.get("job", "")).startswith(job)]
+    if not job_lines:
         return Life(job, [], "", "no log tells of it")
-    first, last = own[0].time, own[-1].time
-    boxes = {line.box for line in own}
+    first, last = job_lines[0].time, job_lines[-1].time
+    boxes = {line.box for line in job_lines}
     shown = [
         line
-        for line in every
-        if line in own or (line.event in _BELIEFS and line.box in boxes)
+        for line in all_lines
+        if line in job_lines or (line.event in _CONTEXT_EVENTS and line.box in boxes)
         if first <= line.time <= last
     ]
-    ended = [line for line in own if line.event == _ENDED]
-    outcome = "" if not ended else str(ended[-1].fields.get("outcome", ""))
-    return Life(str(own[0].fields["job"]), shown, outcome, _cause(own, ended))
+    end_lines = [line for line in job_lines if line.event == _JOB_ENDED]
+    outcome = "" if not end_lines else str(end_lines[-1].fields.get("outcome", ""))
+    return Life(str(job_lines[0].fields["job"]), shown, outcome, _cause(job_lines, end_lines))
 
 
 def life_text(life: Life) -> str:
     """Return a life as a person reads it."""
     shown = [
-        Line(
+        LogLine(
             line.time,
             line.box,
             line.event,
-            {key: value for key, value in line.fields.items() if key not in _NOT_TOLD},
+            {key: value for key, value in line.fields.items() if key not in _HIDDEN_FIELDS},
         ).text
         for line in life.lines
     ]
     return "\n".join([*shown, f"outcome: {life.outcome or 'unknown'}", f"cause: {life.cause}"])
 
 
-def _cause(own: list[Line], ended: list[Line]) -> str:
+def _cause(job_lines: list[LogLine], end_lines: list[LogLine]) -> str:
     """Return the reason that was given, and what went wrong on the way to it."""
-    reasons = [str(line.fields.get("reason", "")) for line in ended]
+    reasons = [str(line.fields.get("reason", "")) for line in end_lines]
     retries = [
         f"{line.fields.get('run')} {line.fields.get('cause')} on {line.fields.get('endpoint')}"
-        for line in own
+        for line in job_lines
         if line.event == "run.retried"
     ]
-    lost = [f"owner {line.fields.get('owner')} lost" for line in own if line.event == "run.lost"]
+    lost = [
+        f"owner {line.fields.get('owner')} lost" for line in job_lines if line.event == "run.lost"
+    ]
     resumed = [
         f"resumed at owner {line.fields.get('owner')}"
-        for line in own
+        for line in job_lines
         if line.event == "runs.resumed"
     ]
     parts = [part for part in [*lost, *resumed, *retries, *reasons] if part]
     return "; ".join(parts) or "nothing went wrong"
 
 
-def _parse(text: str) -> Line | None:
+def _parse(text: str) -> LogLine | None:
     """Return the event on a line; a bench or a supervisor may have put something before it."""
     start = text.find("{")
     if start < 0:
@@ -152,17 +154,17 @@
         return None
     if not isinstance(fields, dict) or "event" not in fields:
         return None
-    time, box, event = (str(fields.pop(key, "")) for key in _KEYS_FIRST)
-    return Line(time, box, _present_event(event), _present_fields(fields))
+    time, box, event = (str(fields.pop(key, "")) for key in _HEADER_KEYS)
+    return LogLine(time, box, _current_event_name(event), _current_field_names(fields))
 
 
-def _present_event(event: str) -> str:
+def _current_event_name(event: str) -> str:
     """Return the name that *event* has in this release."""
     if not event.startswith(_OLD_EVENT_PREFIX):
         return event
     return _EVENT_PREFIX + event.removeprefix(_OLD_EVENT_PREFIX)
 
 
-def _present_fields(fields: dict[str, Any]) -> dict[str, Any]:
+def _current_field_names(fields: dict[str, Any]) -> dict[str, Any]:
     """Return *fields* under the names that they have in this release, in the same order."""
     return {_ENDPOINT_FIELD if key == _OLD_ENDPOINT_FIELD else key: fields[key] for key in fields}
--- a/src/foldloom/cli/load.py
+++ b/src/foldloom/cli/load.py
@@ -76,13 +76,13 @@
     Args:
         url: Where, with its submission id.
         customer: Whose it is.
-        sizes_ms: How long each of its tasks takes.
+        durations_ms: How long each of its tasks takes.
         due_s: When, from the run's start.
     """
 
     url: str
     customer: str
-    sizes_ms: list[int]
+    durations_ms: list[int]
     due_s: float
 
 
@@ -194,12 +194,12 @@
     for number in itertools.count():
         if due_s >= options.seconds:
             return
-        sizes = [
+        durations = [
             rng.randint(options.task_ms_min, options.task_ms_max) for _ in range(options.tasks)
         ]
         customer = rng.choices(customers, weights)[0]
         url = f"{rng.choice(urls)}/v1/jobs/{run_id}-{number}"
-        yield _PlannedJob(url, customer, sizes, due_s)
+        yield _PlannedJob(url, customer, durations, due_s)
         due_s += rng.expovariate(options.jobs_per_second)
 
 
@@ -212,7 +212,7 @@
         "member": job.customer,
         "repeatable": options.repeatable,
         "deadline_ms": options.deadline_ms,
-        "tasks": [{"payload": {"ms": size}} for size in job.sizes_ms],
+        "tasks": [{"payload": {"ms": size}} for size in job.durations_ms],
     }
     is_whole = True
     try:
@@ -221,11 +221,11 @@
             outcome = fields.get("reason", fields["verdict"])
             if response.status == 200:
                 got = [answer["echo"]["ms"] for answer in fields["answers"]]
-                is_whole = got == job.sizes_ms
+                is_whole = got == job.durations_ms
     except (aiohttp.ClientError, OSError, TimeoutError) as error:
         outcome = type(error).__name__
     taken_ms = (time.monotonic() - began_s - job.due_s) * 1_000
-    ideal_ms = float(max(job.sizes_ms))
+    ideal_ms = float(max(job.durations_ms))
     return Sample(job.due_s, taken_ms, ideal_ms, outcome, job.customer, is_whole)
 
 
--- a/src/foldloom/cli/main.py
+++ b/src/foldloom/cli/main.py
@@ -152,10 +152,10 @@
                 --members, --task-ms-min, --task-ms-max, --deadline-ms, --repeatable.
         """
         try:
-            chosen = LoadOptions(**options)
+            load_options = LoadOptions(**options)
         except TypeError as error:
             raise CommandError(str(error).partition(") ")[2], EXIT_USAGE) from error
-        report = run_load(chosen)
+        report = run_load(load_options)
         _print_json(report.fields()) if json else print(report.text())
 
     def explain(self, job: str, *logs: str, json: bool = False) -> None:
--- a/src/foldloom/exposition.py
+++ b/src/foldloom/exposition.py
@@ -21,8 +21,8 @@
 
 from foldloom.metrics import BUCKETS_MS, Metrics
 
-_NOT_A_NAME = re.compile(r"[^a-zA-Z0-9_]")
-_LAST_BUCKET = "+Inf"
+_INVALID_NAME_CHARACTERS = re.compile(r"[^a-zA-Z0-9_]")
+_INFINITE_BOUND = "+Inf"
 
 
 class _BoxCollector(Collector):
@@ -38,16 +38,16 @@
     def collect(self) -> Iterator[Metric]:
         """Yield every figure."""
         for name, count in sorted(self._metrics.counts.items()):
-            yield CounterMetricFamily(_name(name), name, value=count)
+            yield CounterMetricFamily(_metric_name(name), name, value=count)
         for name, value in sorted(self._metrics.gauges.items()):
-            yield GaugeMetricFamily(_name(name), name, value=value)
-        bounds = [*map(str, BUCKETS_MS), _LAST_BUCKET]
+            yield GaugeMetricFamily(_metric_name(name), name, value=value)
+        bounds = [*map(str, BUCKETS_MS), _INFINITE_BOUND]
         for name, histogram in sorted(self._metrics.histograms.items()):
-            up_to = itertools.accumulate(histogram.counts)
+            cumulative_counts = itertools.accumulate(histogram.counts)
             yield HistogramMetricFamily(
-                _name(name),
+                _metric_name(name),
                 name,
-                buckets=list(zip(bounds, map(float, up_to), strict=True)),
+                buckets=list(zip(bounds, map(float, cumulative_counts), strict=True)),
                 sum_value=histogram.total_ms,
             )
 
@@ -59,5 +59,5 @@
     return generate_latest(registry)
 
 
-def _name(name: str) -> str:
-    return "foldloom_" + _NOT_A_NAME.sub("_", name)
+def _metric_name(name: str) -> str:
+    return "foldloom_" + _INVALID_NAME_CHARACTERS.sub("_", name)
--- a/src/foldloom/logs.py
+++ b/src/foldloom/logs.py
@@ -30,20 +30,20 @@
 # Events of a kind at once: two seconds' worth.
 _BURST_EVENTS = 400.0
 # Seconds between two batches, so that a log is never far behind.
-_WRITE_EVERY_S = 0.1
+_WRITE_INTERVAL_S = 0.1
 # Lines that may wait for a slow reader: some 8 MB.
-_LINES_MAX = 20_000
+_PENDING_LINES_MAX = 20_000
 # Seconds for the last batch when a process ends.
 _CLOSE_TIMEOUT_S = 0.5
-_PLAIN = (int, float, bool, str)
+_JSON_SCALARS = (int, float, bool, str)
 
 
-class _Allowance(NamedTuple):
+class _TokenBucket(NamedTuple):
     """How many events of a kind may be logged now, as of a time, and how many were left out."""
 
-    events: float
-    as_of_s: float
-    left_out: int
+    tokens: float
+    updated_s: float
+    suppressed: int
 
 
 class EventLimits:
@@ -56,24 +56,24 @@
     def __init__(self, per_s: float = EVENTS_PER_S) -> None:
         self._per_s = per_s
         self._burst = per_s * _BURST_EVENTS / EVENTS_PER_S
-        self._allowances: dict[str, _Allowance] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
 
     def admit(self, kind: str, now_s: float) -> int | None:
         """Count an event of *kind*; return how many were left out before, ``None`` if it is too."""
-        known = self._allowances.get(kind, _Allowance(self._burst, now_s, 0))
-        grown = known.events + (now_s - known.as_of_s) * self._per_s
-        events = min(self._burst, grown)
-        if events < 1:
-            self._allowances[kind] = _Allowance(events, now_s, known.left_out + 1)
+        bucket = self._buckets.get(kind, _TokenBucket(self._burst, now_s, 0))
+        refilled = bucket.tokens + (now_s - bucket.updated_s) * self._per_s
+        tokens = min(self._burst, refilled)
+        if tokens < 1:
+            self._buckets[kind] = _TokenBucket(tokens, now_s, bucket.suppressed + 1)
             return None
-        self._allowances[kind] = _Allowance(events - 1, now_s, 0)
-        return known.left_out
+        self._buckets[kind] = _TokenBucket(tokens - 1, now_s, 0)
+        return bucket.suppressed
 
 
 _LIMITS = EventLimits()
 
 
-class PartLogger(logbook.Logger):  # type: ignore[misc]
+class ComponentLogger(logbook.Logger):  # type: ignore[misc]
     """The logger of one part of the code."""
 
     def event(self, kind: str, **fields: Any) -> None:
@@ -85,22 +85,22 @@
         """
         if self.disabled:
             return
-        left_out = _LIMITS.admit(kind, time.monotonic())
-        if left_out is None:
+        suppressed = _LIMITS.admit(kind, time.monotonic())
+        if suppressed is None:
             return
-        if left_out:
-            fields["left_out"] = left_out
+        if suppressed:
+            fields["left_out"] = suppressed
         self.info(kind, **fields)
 
 
-ENTRY_LOG = PartLogger("entry")
-CLAIM_LOG = PartLogger("claim")
-PLACE_LOG = PartLogger("place")
-CONTROLLER_LOG = PartLogger("controller")
-CONFIG_LOG = PartLogger("config")
-ENDPOINT_LOG = PartLogger("endpoint")
-PEER_LOG = PartLogger("peer")
-PROCESS_LOG = PartLogger("process")
+ENTRY_LOG = ComponentLogger("entry")
+CLAIM_LOG = ComponentLogger("claim")
+PLACE_LOG = ComponentLogger("place")
+CONTROLLER_LOG = ComponentLogger("controller")
+CONFIG_LOG = ComponentLogger("config")
+ENDPOINT_LOG = ComponentLogger("endpoint")
+PEER_LOG = ComponentLogger("peer")
+PROCESS_LOG = ComponentLogger("process")
 
 
 class BatchHandler(logbook.Handler):  # type: ignore[misc]
@@ -109,17 +109,22 @@
     Args:
         descriptor: The open file that takes the lines.
         level: The least level.
-        form: ``text`` or ``json``.
+        line_format: ``text`` or ``json``.
         box: What this process is called in JSON lines.
         lines_max: How many lines may wait.
     """
 
     def __init__(
-        self, descriptor: int, level: int, form: str, box: str = "", lines_max: int = _LINES_MAX
+        self,
+        descriptor: int,
+        level: int,
+        line_format: str,
+        box: str = "",
+        lines_max: int = _PENDING_LINES_MAX,
     ) -> None:
         super().__init__(level, bubble=False)
         self._descriptor = descriptor
-        self._is_json = form == "json"
+        self._is_json = line_format == "json"
         self._box = box
         self._lines_max = lines_max
         self._lines: deque[str] = deque()
@@ -133,7 +138,7 @@
         if len(self._lines) >= self._lines_max:
             self._dropped += 1
             return
-        self._lines.append(self._json(record) if self._is_json else _text(record))
+        self._lines.append(self._format_json(record) if self._is_json else _format_text(record))
 
     def close(self) -> None:
         """Write what waits, unless the reader does not take it in time."""
@@ -141,7 +146,7 @@
         self._thread.join(_CLOSE_TIMEOUT_S)
 
     def _write_batches(self) -> None:
-        while not self._is_closed.wait(_WRITE_EVERY_S):
+        while not self._is_closed.wait(_WRITE_INTERVAL_S):
             self._write()
         self._write()
 
@@ -161,7 +166,7 @@
             # Nobody reads the lines any more; the work goes on.
             return
 
-    def _json(self, record: logbook.LogRecord) -> str:
+    def _format_json(self, record: logbook.LogRecord) -> str:
         fields: dict[str, Any] = {
             "time": record.time.isoformat(),
             "level": record.level_name,
@@ -171,7 +176,7 @@
         kwargs = record.kwargs or {}
         fields["event" if kwargs else "message"] = record.message
         for key, value in kwargs.items():
-            fields[str(key)] = value if isinstance(value, _PLAIN) else str(value)
+            fields[str(key)] = value if isinstance(value, _JSON_SCALARS) else str(value)
         return msgspec.json.encode(fields).decode()
 
     def _dropped_line(self, dropped: int) -> str:
@@ -181,7 +186,7 @@
         return msgspec.json.encode(fields).decode()
 
 
-def _text(record: logbook.LogRecord) -> str:
+def _format_text(record: logbook.LogRecord) -> str:
     """Return *record* as a sentence with its fields behind it."""
     fields = "".join(f" {key}={value}" for key, value in (record.kwargs or {}).items())
     moment = f"{record.time:%Y-%m-%dT%H:%M:%S.%f}"
--- a/src/foldloom/metrics.py
+++ b/src/foldloom/metrics.py
@@ -30,7 +30,7 @@
     total_ms: float
 
 
-class _Durations:
+class _DurationBuckets:
     """Durations while they are being counted."""
 
     __slots__ = ("counts", "total_ms")
@@ -50,7 +50,7 @@
     def __init__(self, settings: StatsdSettings | None = None) -> None:
         self._counts: Counter[str] = Counter()
         self._gauges: dict[str, float] = {}
-        self._durations: dict[str, _Durations] = {}
+        self._durations: dict[str, _DurationBuckets] = {}
         self._client = None
         if settings is not None and settings.host:
             self._client = statsd.StatsClient(settings.host, settings.port, prefix=settings.prefix)
@@ -69,8 +69,8 @@
     def histograms(self) -> dict[str, Histogram]:
         """The durations so far, by name."""
         return {
-            name: Histogram(tuple(known.counts), known.total_ms)
-            for name, known in self._durations.items()
+            name: Histogram(tuple(buckets.counts), buckets.total_ms)
+            for name, buckets in self._durations.items()
         }
 
     def count(self, name: str, by: int = 1) -> None:
@@ -87,8 +87,8 @@
 
     def timing(self, name: str, milliseconds: float) -> None:
         """Record a duration in milliseconds, or a ratio times 1,000."""
-        known = self._durations.setdefault(name, _Durations())
-        known.counts[bisect_left(BUCKETS_MS, milliseconds)] += 1
-        known.total_ms += milliseconds
+        buckets = self._durations.setdefault(name, _DurationBuckets())
+        buckets.counts[bisect_left(BUCKETS_MS, milliseconds)] += 1
+        buckets.total_ms += milliseconds
         if self._client is not None:
             self._client.timing(name, milliseconds)
--- a/src/foldloom/metrics_server.py
+++ b/src/foldloom/metrics_server.py
@@ -36,7 +36,7 @@
         """Listen, if there is an address and nobody else listens there."""
         if not self._address:
             return
-        self._runner = web.ServerRunner(web.Server(self._answer), shutdown_timeout=0)
+        self._runner = web.ServerRunner(web.Server(self._handle), shutdown_timeout=0)
         await self._runner.setup()
         host, _, port = self._address.rpartition(":")
         try:
@@ -50,14 +50,14 @@
         if self._runner is not None:
             await self._runner.cleanup()
 
-    async def _answer(self, request: web.BaseRequest) -> web.Response:
+    async def _handle(self, request: web.BaseRequest) -> web.Response:
         if request.path != METRICS_PATH:
             return web.Response(status=404)
-        body = await asyncio.to_thread(_text, self._metrics)
+        body = await asyncio.to_thread(_render, self._metrics)
         return web.Response(body=body, headers={"Content-Type": _CONTENT_TYPE})
 
 
-def _text(metrics: Metrics) -> bytes:
+def _render(metrics: Metrics) -> bytes:
     # Imported when first asked for, and off the loop: the library takes 14 MB and 0.17 s, which
     # a box that nobody asks should not pay.
     exposition = importlib.import_module("foldloom.exposition")
--- a/src/foldloom/pauses.py
+++ b/src/foldloom/pauses.py
@@ -20,7 +20,7 @@
 from foldloom.time_limits import catch_up
 
 # Milliseconds between two looks at the clock.
-_LOOK_EVERY_MS = 100.0
+_SAMPLE_INTERVAL_MS = 100.0
 # Milliseconds that a process must have stood still to be noted: less does not cost it a right.
 PAUSE_MIN_MS = 100.0
 # Milliseconds that the two clocks may differ over one look without a suspension.
@@ -45,16 +45,20 @@
 async def watch_pauses(on_pause: Callable[[Pause], None]) -> None:
     """Call *on_pause* each time that this process stood still, until cancelled."""
     while True:
-        looked_ms, ran_ms, used_s = monotonic_ms(), running_ms(), time.process_time()
-        await asyncio.sleep(_LOOK_EVERY_MS / 1_000)
-        passed_ms = monotonic_ms() - looked_ms
-        suspended_ms = passed_ms - (running_ms() - ran_ms)
+        began_ms, began_running_ms, began_processor_s = (
+            monotonic_ms(),
+            running_ms(),
+            time.process_time(),
+        )
+        await asyncio.sleep(_SAMPLE_INTERVAL_MS / 1_000)
+        elapsed_ms = monotonic_ms() - began_ms
+        suspended_ms = elapsed_ms - (running_ms() - began_running_ms)
         if suspended_ms >= _SUSPENDED_MIN_MS:
             catch_up()
-        paused_ms = max(passed_ms - _LOOK_EVERY_MS, suspended_ms)
+        paused_ms = max(elapsed_ms - _SAMPLE_INTERVAL_MS, suspended_ms)
         if paused_ms < PAUSE_MIN_MS:
             continue
-        processor_ms = (time.process_time() - used_s) * 1_000
+        processor_ms = (time.process_time() - began_processor_s) * 1_000
         on_pause(Pause(int(paused_ms), int(processor_ms), max(0, int(suspended_ms))))
 
 
--- a/src/foldloom/peers/clock_probes.py
+++ b/src/foldloom/peers/clock_probes.py
@@ -21,7 +21,7 @@
 from foldloom.tasks import TaskSet
 
 # Milliseconds for which a probe waits for its reply, and until the next one of the same peer.
-_PROBE_MS = 1_000
+_PROBE_INTERVAL_MS = 1_000
 
 
 class ClockProbe(NamedTuple):
@@ -55,9 +55,9 @@
         self._network = network
         self._metrics = metrics
         self._tasks = tasks
-        self._probed: set[str] = set()
+        self._probed_boxes: set[str] = set()
 
-    def note_expired(self, sender: str, frame: Frame, age_ms: float) -> None:
+    def drop_expired(self, sender: str, frame: Frame, age_ms: float) -> None:
         """Note that a message of *sender* was dropped at this age."""
         self._metrics.count("messages.dropped.expired")
         PEER_LOG.event(
@@ -67,17 +67,17 @@
             age_ms=int(age_ms),
             ttl_ms=frame.ttl_ms,
         )
-        if sender in self._probed:
+        if sender in self._probed_boxes:
             return
-        self._probed.add(sender)
+        self._probed_boxes.add(sender)
         self._tasks.spawn(self._probe(sender))
 
     async def _probe(self, box: str) -> None:
         try:
-            await self._network.request(box, ClockProbe(), _PROBE_MS)
-            await asyncio.sleep(_PROBE_MS / 1_000)
+            await self._network.request(box, ClockProbe(), _PROBE_INTERVAL_MS)
+            await asyncio.sleep(_PROBE_INTERVAL_MS / 1_000)
         except PeerUnreachableError:
             # Its next message that is too old has it probed again.
             return
         finally:
-            self._probed.discard(box)
+            self._probed_boxes.discard(box)
--- a/src/foldloom/peers/connection.py
+++ b/src/foldloom/peers/connection.py
@@ -26,14 +26,14 @@
 _FRAMES_PER_ENVELOPE_MAX = 500
 # Milliseconds between ZeroMQ's heartbeats on a connection, and of silence after which it is given
 # up: close to the silence after which a peer counts as gone (1,000 ms).
-_HEARTBEAT_IVL_MS = 500
+_HEARTBEAT_INTERVAL_MS = 500
 # The silence that ends such a connection.
 _HEARTBEAT_TIMEOUT_MS = 1_500
 # The same with seed discovery, where a connection to an address that is gone, or behind a cut that
 # has healed, must be made anew soon. Chosen as half: long enough for a lost packet to be sent again
 # twice. They alone show a connection that has gone silent without a reset; two boxes on loopback
 # answered each other again 1.15 s after that, and 1.95 s with the values above.
-_DISCOVERY_HEARTBEAT_IVL_MS = 250
+_DISCOVERY_HEARTBEAT_INTERVAL_MS = 250
 # The silence that ends it then.
 _DISCOVERY_HEARTBEAT_TIMEOUT_MS = 750
 # Milliseconds for a connection with seed discovery: an owner's silence.
@@ -41,16 +41,16 @@
 # Milliseconds for ZeroMQ's handshake, in which there are no heartbeats yet: the longest that they
 # let a silence last afterwards. With ZeroMQ's own 30 s a connection that fell silent in its
 # handshake kept two boxes on loopback apart for 30.1 s.
-_HANDSHAKE_TIMEOUT_MS = _HEARTBEAT_IVL_MS + _HEARTBEAT_TIMEOUT_MS
+_HANDSHAKE_TIMEOUT_MS = _HEARTBEAT_INTERVAL_MS + _HEARTBEAT_TIMEOUT_MS
 # The same with seed discovery.
-_DISCOVERY_HANDSHAKE_TIMEOUT_MS = _DISCOVERY_HEARTBEAT_IVL_MS + _DISCOVERY_HEARTBEAT_TIMEOUT_MS
+_DISCOVERY_HANDSHAKE_TIMEOUT_MS = _DISCOVERY_HEARTBEAT_INTERVAL_MS + _DISCOVERY_HEARTBEAT_TIMEOUT_MS
 # Milliseconds until a connection is tried again, doubled up to the maximum.
 _RECONNECT_MS = 50
 # The longest such pause.
 _RECONNECT_MAX_MS = 500
 
 
-class Sender(NamedTuple):
+class SenderIdentity(NamedTuple):
     """Who sends.
 
     Args:
@@ -69,14 +69,16 @@
 
     Args:
         peer: The peer.
-        own: Who sends.
+        identity: Who sends.
         curve: The keys.
         metrics: Counters.
     """
 
-    def __init__(self, peer: PeerSettings, own: Sender, curve: Curve, metrics: Metrics) -> None:
+    def __init__(
+        self, peer: PeerSettings, identity: SenderIdentity, curve: Curve, metrics: Metrics
+    ) -> None:
         self._peer = peer
-        self._own = own
+        self._identity = identity
         self._curve = curve
         self._metrics = metrics
         self._outbox: list[Frame] = []
@@ -90,24 +92,24 @@
             (zmq.IMMEDIATE, 1),
             (zmq.RECONNECT_IVL, _RECONNECT_MS),
             (zmq.RECONNECT_IVL_MAX, _RECONNECT_MAX_MS),
-            *self._silence_options,
+            *self._liveness_options,
         ]
 
     @property
-    def _silence_options(self) -> list[tuple[int, int]]:
+    def _liveness_options(self) -> list[tuple[int, int]]:
         """How soon a connection that fell silent is given up.
 
         With seed discovery boxes come and go at any address, so a connection to one that is
         gone, or behind a cut that has healed, must be made anew soon.
         """
-        if not self._own.uses_discovery:
+        if not self._identity.uses_discovery:
             return [
-                (zmq.HEARTBEAT_IVL, _HEARTBEAT_IVL_MS),
+                (zmq.HEARTBEAT_IVL, _HEARTBEAT_INTERVAL_MS),
                 (zmq.HEARTBEAT_TIMEOUT, _HEARTBEAT_TIMEOUT_MS),
                 (zmq.HANDSHAKE_IVL, _HANDSHAKE_TIMEOUT_MS),
             ]
         return [
-            (zmq.HEARTBEAT_IVL, _DISCOVERY_HEARTBEAT_IVL_MS),
+            (zmq.HEARTBEAT_IVL, _DISCOVERY_HEARTBEAT_INTERVAL_MS),
             (zmq.HEARTBEAT_TIMEOUT, _DISCOVERY_HEARTBEAT_TIMEOUT_MS),
             (zmq.CONNECT_TIMEOUT, _CONNECT_TIMEOUT_MS),
             (zmq.HANDSHAKE_IVL, _DISCOVERY_HANDSHAKE_TIMEOUT_MS),
@@ -127,7 +129,9 @@
         dealer = context.socket(zmq.DEALER)
         for option, value in self._options:
             dealer.setsockopt(option, value)
-        dealer.setsockopt(zmq.IDENTITY, f"{self._own.box}/{self._own.incarnation}".encode())
+        dealer.setsockopt(
+            zmq.IDENTITY, f"{self._identity.box}/{self._identity.incarnation}".encode()
+        )
         self._curve.secure_client(dealer, self._peer)
         dealer.connect(f"tcp://{self._peer.address}")
         try:
@@ -141,7 +145,9 @@
             dealer.close()
 
     def _send(self, dealer: zmq.Socket[bytes], frames: list[Frame]) -> None:
-        envelope = Envelope(self._own.box, self._own.incarnation, int(monotonic_ms()), frames)
+        envelope = Envelope(
+            self._identity.box, self._identity.incarnation, int(monotonic_ms()), frames
+        )
         data = encode_envelope(envelope)
         try:
             # Never wait on a peer that can't take the message now.
--- a/src/foldloom/peers/curve.py
+++ b/src/foldloom/peers/curve.py
@@ -40,8 +40,8 @@
         shadow = zmq.asyncio.Context.shadow(context.underlying)
         self._authenticator = AsyncioAuthenticator(shadow)
         self._authenticator.start()
-        known_keys = _KnownKeys(set(self._box_by_key), self._metrics)
-        self._authenticator.configure_curve_callback("*", known_keys)
+        allowlist = _KeyAllowlist(set(self._box_by_key), self._metrics)
+        self._authenticator.configure_curve_callback("*", allowlist)
 
     def stop(self) -> None:
         """Admit nobody any more."""
@@ -64,14 +64,14 @@
         socket.curve_publickey = zmq.curve_public(self._secret_key)
         socket.curve_serverkey = peer.public_key.encode()
 
-    def is_genuine(self, sender: str, part: zmq.Frame) -> bool:
+    def is_authenticated(self, sender: str, part: zmq.Frame) -> bool:
         """Return whether *part* came over a connection with the key of *sender*."""
         if not self._secret_key_file:
             return True
         return self._box_by_key.get(str(part.get("User-Id"))) == sender
 
 
-class _KnownKeys:
+class _KeyAllowlist:
     """The authenticator's callback.
 
     Args:
--- a/src/foldloom/peers/inbound.py
+++ b/src/foldloom/peers/inbound.py
@@ -19,7 +19,7 @@
 from foldloom.peers.curve import Curve
 
 # Envelopes taken before other tasks get their turn.
-_ENVELOPES_AT_ONCE = 50
+_RECEIVE_BATCH_MAX = 50
 # The largest envelope that is received: far above a snapshot.
 _ENVELOPE_MAX_BYTES = 64 * 1024 * 1024
 
@@ -69,7 +69,7 @@
         loop.add_reader(descriptor, readable.set)
         try:
             while True:
-                self._take_some(router)
+                self._receive_batch(router)
                 if int(router.getsockopt(zmq.EVENTS)) & zmq.POLLIN:
                     await asyncio.sleep(0)
                     continue
@@ -79,9 +79,9 @@
             loop.remove_reader(descriptor)
             router.close()
 
-    def _take_some(self, router: zmq.Socket[bytes]) -> None:
+    def _receive_batch(self, router: zmq.Socket[bytes]) -> None:
         """Receive what has arrived, up to a bound, so that other tasks get their turn."""
-        for _ in range(_ENVELOPES_AT_ONCE):
+        for _ in range(_RECEIVE_BATCH_MAX):
             try:
                 parts = router.recv_multipart(zmq.NOBLOCK, copy=False)
             except zmq.Again:
--- a/src/foldloom/peers/lives.py
+++ b/src/foldloom/peers/lives.py
@@ -15,11 +15,11 @@
 from typing import NamedTuple, Protocol
 
 # Milliseconds of age below which a message shows its sender's present life: the usual time to live.
-_FRESH_MS = 1_000.0
+_FRESH_AGE_MAX_MS = 1_000.0
 # Lives of a sender whose clocks are known: more restarts within one message's age are not expected.
-_LIVES_KEPT = 4
+_INCARNATIONS_KEPT_MAX = 4
 # Share by which two steady clocks may drift apart: 100 parts in a million, as usual for quartz.
-_DRIFT_PER_MS = 1e-4
+_DRIFT_RATIO_MAX = 1e-4
 
 
 class Lives(Protocol):
@@ -43,41 +43,41 @@
         """
 
 
-class _Offset(NamedTuple):
+class _ClockOffset(NamedTuple):
     """How far one life's clock is behind the receiver's: the least seen.
 
     Args:
         life: The life.
         offset_ms: The receiver's clock less the sender's.
-        seen_ms: When that was seen; the receiver's clock.
+        observed_ms: When that was seen; the receiver's clock.
     """
 
     life: int
     offset_ms: float
-    seen_ms: float
+    observed_ms: float
 
     def least_at(self, now_ms: float) -> float:
         """Return the least offset to be expected by now.
 
         Clocks drift apart slowly; a bound that never rose would age every message.
         """
-        return self.offset_ms + (now_ms - self.seen_ms) * _DRIFT_PER_MS
+        return self.offset_ms + (now_ms - self.observed_ms) * _DRIFT_RATIO_MAX
 
 
-def _offset_by(
-    known: _Offset | None, life: int, sent_ms: float, now_ms: float, age_max_ms: float
-) -> _Offset:
+def _updated_offset(
+    known: _ClockOffset | None, life: int, sent_ms: float, now_ms: float, age_max_ms: float
+) -> _ClockOffset:
     """Return what is known of a life's clock once one more message of it has arrived."""
     offset_ms = now_ms - sent_ms
     if known is None or offset_ms <= known.least_at(now_ms):
-        return _Offset(life, offset_ms, now_ms)
+        return _ClockOffset(life, offset_ms, now_ms)
     least_ms = offset_ms - age_max_ms
     if least_ms > known.least_at(now_ms):
-        return _Offset(life, least_ms, now_ms)
+        return _ClockOffset(life, least_ms, now_ms)
     return known
 
 
-def _age_ms(offset: _Offset, sent_ms: float, now_ms: float) -> float:
+def _age_ms(offset: _ClockOffset, sent_ms: float, now_ms: float) -> float:
     return max(0.0, now_ms - sent_ms - offset.least_at(now_ms))
 
 
@@ -85,7 +85,7 @@
     """Lives that are numbered upwards: what comes from a lower one is dropped."""
 
     def __init__(self) -> None:
-        self._known: dict[str, _Offset] = {}
+        self._known: dict[str, _ClockOffset] = {}
 
     def current(self, sender: str) -> int:
         """Return the highest life seen of *sender*, or 0."""
@@ -101,7 +101,7 @@
             return None
         if known is not None and life > known.life:
             known = None
-        offset = _offset_by(known, life, sent_ms, now_ms, age_max_ms)
+        offset = _updated_offset(known, life, sent_ms, now_ms, age_max_ms)
         self._known[sender] = offset
         return _age_ms(offset, sent_ms, now_ms)
 
@@ -114,7 +114,7 @@
     """
 
     def __init__(self) -> None:
-        self._known: dict[str, dict[int, _Offset]] = {}
+        self._known: dict[str, dict[int, _ClockOffset]] = {}
         self._current: dict[str, int] = {}
 
     def current(self, sender: str) -> int:
@@ -126,10 +126,10 @@
     ) -> float | None:
         """Return the age of a message; take its life as the present one if it is fresh."""
         lives = self._known.setdefault(sender, {})
-        lives[life] = _offset_by(lives.get(life), life, sent_ms, now_ms, age_max_ms)
-        while len(lives) > _LIVES_KEPT:
+        lives[life] = _updated_offset(lives.get(life), life, sent_ms, now_ms, age_max_ms)
+        while len(lives) > _INCARNATIONS_KEPT_MAX:
             del lives[next(iter(lives))]
         age_ms = _age_ms(lives[life], sent_ms, now_ms)
-        if age_ms <= _FRESH_MS:
+        if age_ms <= _FRESH_AGE_MAX_MS:
             self._current[sender] = life
         return age_ms
--- a/src/foldloom/peers/messages.py
+++ b/src/foldloom/peers/messages.py
@@ -15,9 +15,9 @@
 
 _ENCODER = msgspec.msgpack.Encoder()
 _KINDS: dict[int, type] = {}
-_KIND_OF: dict[type, int] = {}
-_COUNTED_AS: dict[type, str] = {}
-_DECODERS: dict[int, msgspec.msgpack.Decoder[Any]] = {}
+_KIND_BY_TYPE: dict[type, int] = {}
+_METRIC_NAME_BY_TYPE: dict[type, str] = {}
+_DECODER_BY_KIND: dict[int, msgspec.msgpack.Decoder[Any]] = {}
 
 MessageType = TypeVar("MessageType", bound=type)
 
@@ -56,7 +56,7 @@
     frames: list[Frame]
 
 
-_ENVELOPES = msgspec.msgpack.Decoder(Envelope)
+_ENVELOPE_DECODER = msgspec.msgpack.Decoder(Envelope)
 
 
 def register(kind: int, message_type: MessageType, counted_as: str = "") -> MessageType:
@@ -74,20 +74,20 @@
     if kind in _KINDS:
         raise ValueError(f"kind {kind} is taken by {_KINDS[kind].__name__}")
     _KINDS[kind] = message_type
-    _KIND_OF[message_type] = kind
-    _COUNTED_AS[message_type] = counted_as or message_type.__name__
-    _DECODERS[kind] = msgspec.msgpack.Decoder(message_type)
+    _KIND_BY_TYPE[message_type] = kind
+    _METRIC_NAME_BY_TYPE[message_type] = counted_as or message_type.__name__
+    _DECODER_BY_KIND[kind] = msgspec.msgpack.Decoder(message_type)
     return message_type
 
 
 def kind_of(message: object) -> int:
     """Return the registered number of *message*'s type."""
-    return _KIND_OF[type(message)]
+    return _KIND_BY_TYPE[type(message)]
 
 
 def counted_as(message: object) -> str:
     """Return the name under which sent messages of *message*'s type are counted."""
-    return _COUNTED_AS[type(message)]
+    return _METRIC_NAME_BY_TYPE[type(message)]
 
 
 def encode_body(message: object) -> msgspec.Raw:
@@ -106,7 +106,7 @@
     Raises:
         msgspec.DecodeError: The bytes are no envelope.
     """
-    return _ENVELOPES.decode(data)
+    return _ENVELOPE_DECODER.decode(data)
 
 
 def decode_body(frame: Frame) -> Any:
@@ -115,7 +115,7 @@
     Raises:
         msgspec.DecodeError: The kind is unknown or the fields are wrong.
     """
-    decoder = _DECODERS.get(frame.kind)
+    decoder = _DECODER_BY_KIND.get(frame.kind)
     if decoder is None:
         raise msgspec.DecodeError(f"unknown message kind {frame.kind}")
     try:
--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -26,7 +26,7 @@
 from foldloom.logs import PEER_LOG
 from foldloom.metrics import Metrics
 from foldloom.peers.clock_probes import ClockProbe, ClockProbes
-from foldloom.peers.connection import PeerConnection, Sender
+from foldloom.peers.connection import PeerConnection, SenderIdentity
 from foldloom.peers.curve import Curve
 from foldloom.peers.inbound import InboundSocket
 from foldloom.peers.lives import FreshLives, Lives, OrderedLives
@@ -51,18 +51,18 @@
 Handler = Callable[[str, Any], Any]
 
 
-class _Waiting(NamedTuple):
+class _PendingRequest(NamedTuple):
     """A request that waits for its reply.
 
     Args:
         box: Who was asked.
         reply: What takes the reply.
-        asked_ms: When; own clock.
+        started_ms: When; own clock.
     """
 
     box: str
     reply: asyncio.Future[Any]
-    asked_ms: float
+    started_ms: float
 
 
 class PeerNetwork:
@@ -84,9 +84,9 @@
         self._is_started = False
         self._zone_by_box = {peer.box: peer.zone for peer in settings.peers}
         self._handlers: dict[type, Handler] = {}
-        self._waiting: dict[int, _Waiting] = {}
+        self._pending_requests: dict[int, _PendingRequest] = {}
         self._lives: Lives = FreshLives() if self._uses_discovery else OrderedLives()
-        self._senders: dict[str, asyncio.Task[None]] = {}
+        self._send_tasks: dict[str, asyncio.Task[None]] = {}
         # Drawn, since a reply names no life: one that an earlier life of this box was sent must not
         # be taken for the reply to a request of this one.
         self._next_id = secrets.randbits(_REQUEST_ID_BITS)
@@ -94,7 +94,7 @@
         self._probes = ClockProbes(self, metrics, self._tasks)
         self._curve = Curve(settings, metrics)
         self._inbound = InboundSocket(settings.listen, self._curve, self._accept, metrics)
-        self._own = Sender(settings.box, incarnation, self._uses_discovery)
+        self._identity = SenderIdentity(settings.box, incarnation, self._uses_discovery)
         self._connections = {box: self._connection_to(peer) for box, peer in self._peers.items()}
         self.on(ClockProbe, lambda _sender, probe: probe)
 
@@ -149,7 +149,7 @@
         if not self._uses_discovery or box not in self._peers:
             return
         del self._peers[box], self._connections[box]
-        task = self._senders.pop(box, None)
+        task = self._send_tasks.pop(box, None)
         if task is not None:
             task.cancel()
 
@@ -162,7 +162,7 @@
     def send(self, box: str, message: object, ttl_ms: int = DEFAULT_TTL_MS) -> None:
         """Send *message* to *box* without waiting for anything; it may be lost."""
         if box == self._settings.box:
-            asyncio.get_running_loop().call_soon(self._dispatch_own, message)
+            asyncio.get_running_loop().call_soon(self._dispatch_local, message)
             return
         self._enqueue(box, message, 0, 0, ttl_ms)
 
@@ -173,11 +173,11 @@
             PeerUnreachableError: No reply within *timeout_ms*.
         """
         if box == self._settings.box:
-            return await self._answer_own(message)
+            return await self._request_local(message)
         self._next_id += 1
         request_id = self._next_id
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._waiting[request_id] = _Waiting(box, future, monotonic_ms())
+        self._pending_requests[request_id] = _PendingRequest(box, future, monotonic_ms())
         try:
             self._enqueue(box, message, request_id, 0, int(timeout_ms) + 1)
             # Not wait_for: up to Python 3.11 it loses a cancellation that comes with the reply.
@@ -186,13 +186,13 @@
         except TimeoutError:
             raise PeerUnreachableError(f"{box} did not answer in {timeout_ms:.0f} ms") from None
         finally:
-            self._waiting.pop(request_id, None)
+            self._pending_requests.pop(request_id, None)
 
-    async def _answer_own(self, message: object) -> Any:
+    async def _request_local(self, message: object) -> Any:
         reply = self._handlers[type(message)](self._settings.box, message)
         return await reply if inspect.iscoroutine(reply) else reply
 
-    def _dispatch_own(self, message: object) -> None:
+    def _dispatch_local(self, message: object) -> None:
         reply = self._handlers[type(message)](self._settings.box, message)
         if inspect.iscoroutine(reply):
             self._tasks.spawn(reply)
@@ -210,16 +210,16 @@
             self._metrics.count(f"messages.sent.{counted_as(message)}")
 
     def _connection_to(self, peer: PeerSettings) -> PeerConnection:
-        return PeerConnection(peer, self._own, self._curve, self._metrics)
+        return PeerConnection(peer, self._identity, self._curve, self._metrics)
 
     def _connect(self, box: str) -> None:
-        self._senders[box] = self._tasks.spawn(self._connections[box].run(self._context))
+        self._send_tasks[box] = self._tasks.spawn(self._connections[box].run(self._context))
 
     def _accept(self, parts: list[zmq.Frame]) -> None:
         data = parts[-1].bytes
         envelope = decode_envelope(data)
         self._metrics.count("bytes.received", len(data))
-        if not self._is_genuine(envelope.sender, parts[-1]):
+        if not self._is_authenticated(envelope.sender, parts[-1]):
             self._metrics.count("messages.dropped.stranger")
             PEER_LOG.warning("Dropped a message that claims to be from {}.", envelope.sender)
             return
@@ -236,7 +236,7 @@
             return
         for frame in envelope.frames:
             if age_ms > frame.ttl_ms:
-                self._probes.note_expired(envelope.sender, frame, age_ms)
+                self._probes.drop_expired(envelope.sender, frame, age_ms)
                 continue
             self._dispatch(envelope.sender, frame)
 
@@ -244,26 +244,26 @@
         """Return how old an envelope can be at most: a reply is younger than its request."""
         age_max_ms = math.inf
         for frame in envelope.frames:
-            waiting = self._waiting.get(frame.reply_to) if frame.reply_to else None
-            if waiting is not None and waiting.box == envelope.sender:
-                age_max_ms = min(age_max_ms, now_ms - waiting.asked_ms)
+            pending = self._pending_requests.get(frame.reply_to) if frame.reply_to else None
+            if pending is not None and pending.box == envelope.sender:
+                age_max_ms = min(age_max_ms, now_ms - pending.started_ms)
         return age_max_ms
 
-    def _is_genuine(self, sender: str, part: zmq.Frame) -> bool:
+    def _is_authenticated(self, sender: str, part: zmq.Frame) -> bool:
         if sender not in self._peers:
             if not self._uses_discovery or not is_address(sender):
                 return False
             self.add_peer(sender)
-        return self._curve.is_genuine(sender, part)
+        return self._curve.is_authenticated(sender, part)
 
     def _dispatch(self, sender: str, frame: Frame) -> None:
         message = decode_body(frame)
         if frame.reply_to:
-            waiting = self._waiting.get(frame.reply_to)
-            if waiting is None or waiting.box != sender or waiting.reply.done():
+            pending = self._pending_requests.get(frame.reply_to)
+            if pending is None or pending.box != sender or pending.reply.done():
                 self._metrics.count("messages.wasted.late-reply")
                 return
-            waiting.reply.set_result(message)
+            pending.reply.set_result(message)
             return
         handler = self._handlers.get(type(message))
         if handler is None:
@@ -271,13 +271,13 @@
             return
         reply = handler(sender, message)
         if inspect.iscoroutine(reply):
-            task = self._tasks.spawn(self._reply_later(sender, frame, reply))
+            task = self._tasks.spawn(self._reply_when_done(sender, frame, reply))
             # A task that is cancelled before its first step does not await what it was given.
             task.add_done_callback(lambda _task: reply.close())
             return
         self._reply(sender, frame, reply)
 
-    async def _reply_later(self, sender: str, frame: Frame, reply: Any) -> None:
+    async def _reply_when_done(self, sender: str, frame: Frame, reply: Any) -> None:
         try:
             self._reply(sender, frame, await reply)
         except Exception:
--- a/src/foldloom/settings_file.py
+++ b/src/foldloom/settings_file.py
@@ -57,16 +57,16 @@
     try:
         settings = msgspec.convert(raw, Settings)
     except msgspec.ValidationError as error:
-        key, reason = _explain(str(error))
+        key, reason = _key_and_reason(str(error))
         raise SettingsError(path, key, reason) from error
-    _check_whole(settings, path)
+    _check_consistency(settings, path)
     return settings
 
 
-def _explain(message: str) -> tuple[str, str]:
+def _key_and_reason(message: str) -> tuple[str, str]:
     """Split a checker's *message* into the dotted key and the reason."""
-    reason, _, at = message.partition(" - at `$")
-    key = at.rstrip("`").lstrip(".")
+    reason, _, location = message.partition(" - at `$")
+    key = location.rstrip("`").lstrip(".")
     match = re.match(r"Object contains unknown field `(.+)`", reason)
     if match is None:
         missing = re.match(r"Object missing required field `(.+)`", reason)
@@ -74,8 +74,8 @@
             return ".".join(filter(None, (key, missing.group(1)))), "is required"
         return key, reason
     unknown = match.group(1)
-    known = _field_names(key)
-    nearest = difflib.get_close_matches(unknown, known, n=1, cutoff=0.0)
+    known_names = _field_names(key)
+    nearest = difflib.get_close_matches(unknown, known_names, n=1, cutoff=0.0)
     hint = f"; did you mean {nearest[0]}?" if nearest else ""
     return ".".join(filter(None, (key, unknown))), f"unknown key{hint}"
 
@@ -95,7 +95,7 @@
     return [field.encode_name for field in msgspec.structs.fields(owner)]
 
 
-def _check_whole(settings: Settings, path: str) -> None:
+def _check_consistency(settings: Settings, path: str) -> None:
     """Check the fields against each other.
 
     Raises:
@@ -108,22 +108,24 @@
         _check_address(peer.address, "peers.address", path)
     _check_address(settings.listen, "listen", path)
     if settings.seeds:
-        _check_own(settings, path)
+        _check_local_settings(settings, path)
         _check_seeds(settings, path)
         return
     names = [peer.box for peer in settings.peers]
     if len(set(names)) != len(names):
         raise SettingsError(path, "peers", "a box is listed twice")
-    own = [peer for peer in settings.peers if peer.box == settings.box]
-    if not own:
+    own_entries = [peer for peer in settings.peers if peer.box == settings.box]
+    if not own_entries:
         raise SettingsError(path, "box", "this box is not among the peers")
-    if own[0].zone != settings.zone or sorted(own[0].roles) != sorted(settings.roles):
+    if own_entries[0].zone != settings.zone or sorted(own_entries[0].roles) != sorted(
+        settings.roles
+    ):
         raise SettingsError(path, "peers", "zone or roles of this box differ from its own entry")
-    _check_own(settings, path)
+    _check_local_settings(settings, path)
     _check_keys(settings, path)
 
 
-def _check_own(settings: Settings, path: str) -> None:
+def _check_local_settings(settings: Settings, path: str) -> None:
     """Check the fields that say nothing of other boxes.
 
     Raises:
--- a/src/foldloom/time_limits.py
+++ b/src/foldloom/time_limits.py
@@ -17,7 +17,7 @@
 
 from foldloom.clock import monotonic_ms
 
-_open: dict[asyncio.Timeout, float] = {}
+_deadline_ms_by_timeout: dict[asyncio.Timeout, float] = {}
 
 
 class TimeLimit:
@@ -35,7 +35,7 @@
 
     async def __aenter__(self) -> TimeLimit:
         await self._timeout.__aenter__()
-        _open[self._timeout] = monotonic_ms() + self._limit_ms
+        _deadline_ms_by_timeout[self._timeout] = monotonic_ms() + self._limit_ms
         self._timeout.reschedule(asyncio.get_running_loop().time() + self._limit_ms / 1_000)
         return self
 
@@ -45,7 +45,7 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        del _open[self._timeout]
+        del _deadline_ms_by_timeout[self._timeout]
         # It raises what it has to, and swallows nothing.
         await self._timeout.__aexit__(kind, error, traceback)
 
@@ -64,7 +64,7 @@
     """Let each open limit end when its time is over, after the machine was suspended."""
     now_ms = monotonic_ms()
     loop_s = asyncio.get_running_loop().time()
-    for timeout, deadline_ms in _open.items():
+    for timeout, deadline_ms in _deadline_ms_by_timeout.items():
         # One that has expired is ending already.
         if not timeout.expired():
             timeout.reschedule(loop_s + (deadline_ms - now_ms) / 1_000)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -31,7 +31,7 @@
 from foldloom.static_peers.claims.messages import ClaimReply, ClaimRequest, Vote
 from foldloom.static_peers.membership import Heartbeat
 
-_BEAT = Heartbeat(1, False, True, [])
+_HEARTBEAT = Heartbeat(1, False, True, [])
 
 
 def _raw_settings(ports: dict[str, int], box: str) -> dict[str, Any]:
@@ -54,32 +54,32 @@
     return Envelope(sender, incarnation, int(monotonic_ms()), [frame])
 
 
-class Heard(NamedTuple):
-    """What one box heard, and its counters."""
+class Received(NamedTuple):
+    """What one box received, and its counters."""
 
     messages: list[Any]
     counts: dict[str, int]
 
 
-def _hear(act: Callable[[zmq.Socket[bytes]], None], expected: int) -> Heard:
-    """Run box ``a1`` of two, let *act* send to it as a raw peer, return what was heard."""
+def _receive(act: Callable[[zmq.Socket[bytes]], None], expected: int) -> Received:
+    """Run box ``a1`` of two, let *act* send to it as a raw peer, return what was received."""
     ports = {"a1": free_port(), "b1": free_port()}
-    heard: list[Any] = []
+    received: list[Any] = []
 
     async def run() -> dict[str, int]:
         metrics = Metrics()
         network = PeerNetwork(settings_from(_raw_settings(ports, "a1")), 5, metrics)
-        network.on(Heartbeat, lambda sender, message: heard.append((sender, message)))
+        network.on(Heartbeat, lambda sender, message: received.append((sender, message)))
         await network.start()
         context = zmq.Context()
         socket: zmq.Socket[bytes] = context.socket(zmq.DEALER)
         socket.connect(f"tcp://127.0.0.1:{ports['a1']}")
         await asyncio.to_thread(act, socket)
         deadline = time.monotonic() + 5
-        received = "bytes.received"
-        while len(heard) < expected and time.monotonic() < deadline:
+        counter = "bytes.received"
+        while len(received) < expected and time.monotonic() < deadline:
             await asyncio.sleep(0.01)
-        while received not in metrics.counts and time.monotonic() < deadline:
+        while counter not in metrics.counts and time.monotonic() < deadline:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.1)
         counts = metrics.counts
@@ -88,7 +88,7 @@
         return counts
 
     counts = asyncio.run(run())
-    return Heard(heard, counts)
+    return Received(received, counts)
 
 
 class TestStop:
@@ -125,7 +125,7 @@
                 await network.start()
             async with asyncio.timeout(5):
                 while not stopping:
-                    networks[sender].send("a1", _BEAT)
+                    networks[sender].send("a1", _HEARTBEAT)
                     await asyncio.sleep(0.01)
             await asyncio.gather(*stopping)
             await networks["b1"].stop()
@@ -142,22 +142,22 @@
 
     def test_unknown_sender_is_counted(self) -> None:
         """A message of a box that is not in the settings is dropped and counted."""
-        data = encode_envelope(_envelope("z9", 1, _BEAT))
-        heard = _hear(lambda socket: socket.send(data), 0)
-        assert heard.messages == []
-        assert heard.counts["messages.dropped.stranger"] == 1
+        data = encode_envelope(_envelope("z9", 1, _HEARTBEAT))
+        received = _receive(lambda socket: socket.send(data), 0)
+        assert received.messages == []
+        assert received.counts["messages.dropped.stranger"] == 1
 
     def test_malformed_is_counted(self) -> None:
-        """Bytes that are no envelope are dropped; the next message is heard."""
-        good = encode_envelope(_envelope("b1", 1, _BEAT))
+        """Bytes that are no envelope are dropped; the next message is received."""
+        good = encode_envelope(_envelope("b1", 1, _HEARTBEAT))
 
         def act(socket: zmq.Socket[bytes]) -> None:
             socket.send(b"\xc1 nonsense")
             socket.send(good)
 
-        heard = _hear(act, 1)
-        assert len(heard.messages) == 1
-        assert heard.counts["messages.dropped.malformed"] == 1
+        received = _receive(act, 1)
+        assert len(received.messages) == 1
+        assert received.counts["messages.dropped.malformed"] == 1
 
 
 class TestLateMessages:
@@ -165,29 +165,29 @@
 
     def test_expired_is_dropped(self) -> None:
         """A message older than its time to live, by the receiver's clock, is dropped."""
-        first = encode_envelope(_envelope("b1", 1, _BEAT))
-        late = _envelope("b1", 1, _BEAT, ttl_ms=100)
+        first = encode_envelope(_envelope("b1", 1, _HEARTBEAT))
+        late = _envelope("b1", 1, _HEARTBEAT, ttl_ms=100)
         late = encode_envelope(late._replace(sent_ms=late.sent_ms - 500))
 
         def act(socket: zmq.Socket[bytes]) -> None:
             socket.send(first)
             socket.send(late)
 
-        heard = _hear(act, 1)
-        assert len(heard.messages) == 1
-        assert heard.counts["messages.dropped.expired"] == 1
+        received = _receive(act, 1)
+        assert len(received.messages) == 1
+        assert received.counts["messages.dropped.expired"] == 1
 
     def test_older_life_is_dropped(self) -> None:
         """A message of an earlier life of a restarted box is dropped."""
-        datas = [encode_envelope(_envelope("b1", life, _BEAT)) for life in (7, 6)]
+        datas = [encode_envelope(_envelope("b1", life, _HEARTBEAT)) for life in (7, 6)]
 
         def act(socket: zmq.Socket[bytes]) -> None:
             for data in datas:
                 socket.send(data)
 
-        heard = _hear(act, 1)
-        assert len(heard.messages) == 1
-        assert heard.counts["messages.dropped.old-incarnation"] == 1
+        received = _receive(act, 1)
+        assert len(received.messages) == 1
+        assert received.counts["messages.dropped.old-incarnation"] == 1
 
 
 class TestOtherReleases:
@@ -195,13 +195,13 @@
 
     def test_more_fields(self) -> None:
         """Fields that this release does not know are dropped."""
-        longer = msgspec.Raw(msgspec.msgpack.encode([*_BEAT, "new", 1]))
-        assert decode_body(Frame(kind_of(_BEAT), 0, 0, 0, longer)) == _BEAT
+        longer = msgspec.Raw(msgspec.msgpack.encode([*_HEARTBEAT, "new", 1]))
+        assert decode_body(Frame(kind_of(_HEARTBEAT), 0, 0, 0, longer)) == _HEARTBEAT
 
     def test_fewer_fields(self) -> None:
         """Fields that an older release does not send take their defaults."""
-        shorter = msgspec.Raw(msgspec.msgpack.encode(list(_BEAT)[:4]))
-        assert decode_body(Frame(kind_of(_BEAT), 0, 0, 0, shorter)) == _BEAT
+        shorter = msgspec.Raw(msgspec.msgpack.encode(list(_HEARTBEAT)[:4]))
+        assert decode_body(Frame(kind_of(_HEARTBEAT), 0, 0, 0, shorter)) == _HEARTBEAT
 
 
 class TestCancelledRequests:
@@ -213,10 +213,10 @@
 
         async def run() -> None:
             network = PeerNetwork(settings_from(_raw_settings(ports, "a1")), 5, Metrics())
-            request = asyncio.create_task(network.request("b1", _BEAT, 1_000.0))
+            request = asyncio.create_task(network.request("b1", _HEARTBEAT, 1_000.0))
             await asyncio.sleep(0)
-            (waiting,) = network._waiting.values()
-            waiting.reply.set_result("reply")
+            (pending,) = network._pending_requests.values()
+            pending.reply.set_result("reply")
             request.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await request
@@ -257,7 +257,7 @@
     """CURVE keys between boxes."""
 
     def test_boxes_with_keys_serve_and_strangers_get_nothing(self, tmp_path: Path) -> None:
-        """Boxes that know each other's keys serve; a socket without a key is not heard."""
+        """Boxes that know each other's keys serve; a socket without a key is not received."""
         cluster = Cluster(tmp_path)
         keys = {box: zmq.curve_keypair() for box in cluster.boxes}
         write = cluster.write_settings
