--- a/src/foldloom/addresses.py
+++ b/src/foldloom/addresses.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Addresses of boxes, as text.
-
-Owns nothing. Relies on no other module.
-"""
+"""Validation of textual box addresses."""
 
 from __future__ import annotations
 
@@ -10,11 +7,11 @@
 
 
 def is_address(text: str) -> bool:
-    """Return whether *text* is ``IP:port``."""
+    """Return whether *text* has the form ``IP:port``."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host)
     except ValueError:
-        # The host is no IP address: the caller names the key.
+        # Host names are not resolved.
         return False
     return port.isdigit() and 1 <= int(port) <= 65535
--- a/src/foldloom/cli/__init__.py
+++ b/src/foldloom/cli/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""The command-line tool."""
+"""The ``foldloom`` command-line tool."""
--- a/src/foldloom/cli/client.py
+++ b/src/foldloom/cli/client.py
@@ -1,9 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""HTTP calls of the command-line tool.
-
-Owns the box address and the operator token of one command. Relies on the HTTP interface only; a
-call is never sent again by itself.
-"""
+"""HTTP client of the command-line tool. Requests are never retried automatically."""
 
 from __future__ import annotations
 
@@ -18,53 +14,57 @@
 from foldloom.exceptions import CommandError
 
 DEFAULT_URL = "http://127.0.0.1:8101"
-# Exit codes are promises to scripts (docs/operate.md). This one is for all other failures.
+# Exit codes are a stable interface for scripts (docs/operate.md). Any failure not listed below.
 EXIT_FAILURE = 1
-# Wrong usage or settings.
+# Invalid usage or settings.
 EXIT_USAGE = 2
-# The work certainly did not run.
+# Refused: no task has run.
 EXIT_REFUSED = 3
-# The work may have run.
+# Failed: tasks may have run.
 EXIT_FAILED = 4
-# Another content or another plan.
+# The content or the plan conflicts with an earlier one.
 EXIT_CONFLICT = 5
-# No answer; it may have taken effect.
+# No response; the request may have taken effect.
 EXIT_UNREACHABLE = 6
-# Seconds for one call: above the longest deadline of a job (60 s) and a confirm (6 s).
+# Timeout of one request; must exceed the longest deadline of a job.
 _TIMEOUT_S = 90.0
 
 
 class Reply(NamedTuple):
-    """An HTTP answer: its status and its decoded JSON."""
+    """An HTTP response: status and decoded JSON body."""
 
     status: int
     fields: Any
 
 
 def base_url(url: str) -> str:
-    """Return the box to talk to: *url*, else ``FOLDLOOM_URL``, else the default."""
+    """Return the base URL of the box: *url*, else ``FOLDLOOM_URL``, else the default."""
     return (url or os.environ.get("FOLDLOOM_URL", "") or DEFAULT_URL).rstrip("/")
 
 
 def operator_headers(token_file: str) -> dict[str, str]:
-    """Return the operator's headers: from the file, else ``FOLDLOOM_TOKEN``.
+    """Return the authorization header, with the token from the file or ``FOLDLOOM_TOKEN``.
 
     Raises:
-        CommandError: The file can't be read or there is no token.
+        CommandError: The file can't be read, or there is no token.
     """
     token = os.environ.get("FOLDLOOM_TOKEN", "")
     if token_file:
         try:
             token = Path(token_file).read_text(encoding="utf-8").split()[0]
         except (OSError, IndexError) as error:
-            raise CommandError(f"no token in {token_file}", EXIT_USAGE) from error
+            raise CommandError(
+                f"can't read an operator token from {token_file}", EXIT_USAGE
+            ) from error
     if not token:
-        raise CommandError("give --token-file or set FOLDLOOM_TOKEN", EXIT_USAGE)
+        raise CommandError(
+            "operator token required: pass --token-file or set FOLDLOOM_TOKEN", EXIT_USAGE
+        )
     return {"Authorization": f"Bearer {token}"}
 
 
 def call(method: str, url: str, body: Any = None, headers: dict[str, str] | None = None) -> Reply:
-    """Make one call and return its answer.
+    """Send one request and return the response.
 
     Raises:
         CommandError: The box can't be reached.
@@ -91,15 +91,15 @@
     try:
         return msgspec.json.decode(raw)
     except msgspec.DecodeError:
-        # Not an answer of foldloom: shown as it came.
+        # Not a response of foldloom; returned as text.
         return raw.decode("utf-8", "replace")
 
 
 def expect_ok(reply: Reply) -> Any:
-    """Return the fields of a 200 answer.
+    """Return the decoded body of a 200 response.
 
     Raises:
-        CommandError: Any other answer, with the documented exit code.
+        CommandError: The status is not 200; carries the documented exit code.
     """
     if reply.status == 200:
         return reply.fields
@@ -112,7 +112,7 @@
 
 
 def exit_code_of(status: int, fields: dict[str, Any]) -> int:
-    """Return the documented exit code of an answer."""
+    """Return the documented exit code for a response."""
     if status == 200:
         return 0
     if status == 409:
--- a/src/foldloom/cli/explain.py
+++ b/src/foldloom/cli/explain.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""The life of one request, collected from the logs of several boxes.
+"""Timeline of one job, merged from the JSON logs of several boxes.
 
-Owns nothing: it reads log files and sorts their lines by time. Relies on the events' names, those
-of the release before included.
+Relies on the names of log events, including those of the previous release.
 """
 
 from __future__ import annotations
@@ -32,19 +31,19 @@
     )
 )
 
-# The release before called an endpoint a worker; its logs are still read.
+# The previous release used "worker" for "endpoint"; its logs remain readable.
 _OLD_EVENT_PREFIX, _EVENT_PREFIX = "worker.", "endpoint."
 _OLD_ENDPOINT_FIELD, _ENDPOINT_FIELD = "worker", "endpoint"
 
 
 class LogLine(NamedTuple):
-    """One event.
+    """One log event.
 
     Args:
-        time: The box's time of day, ISO 8601.
-        box: Who wrote it.
-        event: What happened.
-        fields: With which inputs and what outcome.
+        time: Wall-clock time of the box, ISO 8601.
+        box: Name of the box that logged the event.
+        event: Name of the event.
+        fields: Remaining fields of the event.
     """
 
     time: str
@@ -54,19 +53,19 @@
 
     @property
     def text(self) -> str:
-        """The event on one line."""
+        """The event as one line of text."""
         shown = " ".join(f"{key}={value}" for key, value in self.fields.items() if value != "")
         return f"{self.time}  {self.box:24s} {self.event:18s} {shown}"
 
 
 class Life(NamedTuple):
-    """What the logs show of a request.
+    """The timeline of one job.
 
     Args:
-        job: Its id.
-        lines: Its events, and what the boxes that ran it believed meanwhile, in order.
-        outcome: How it was answered; empty if no log shows it.
-        cause: Why, as far as its own events show.
+        job: Id of the job.
+        lines: Events of the job, and context events of the boxes involved, ordered by time.
+        outcome: Outcome of the job; empty if it is not in the logs.
+        cause: Cause of the outcome, derived from the events of the job.
     """
 
     job: str
@@ -76,7 +75,7 @@
 
 
 def read_lines(files: Iterable[str]) -> Iterator[LogLine]:
-    """Return the events in *files*; what is no event is passed over.
+    """Yield the events in *files*; skip lines that are not events.
 
     Raises:
         OSError: A file can't be read.
@@ -90,11 +89,11 @@
 
 
 def explain(job: str, lines: Iterable[LogLine]) -> Life:
-    """Return the life of *job*, an id or the first part of one."""
+    """Return the timeline of *job*, a job id or a prefix of one."""
     all_lines = sorted(lines, key=lambda line: line.time)
     job_lines = [line for line in all_lines if str(line.fields.get("job", "")).startswith(job)]
     if not job_lines:
-        return Life(job, [], "", "no log tells of it")
+        return Life(job, [], "", "not found in the logs")
     first, last = job_lines[0].time, job_lines[-1].time
     boxes = {line.box for line in job_lines}
     shown = [
@@ -109,7 +108,7 @@
 
 
 def life_text(life: Life) -> str:
-    """Return a life as a person reads it."""
+    """Return a timeline as human-readable text."""
     shown = [
         LogLine(
             line.time,
@@ -123,7 +122,7 @@
 
 
 def _cause(job_lines: list[LogLine], end_lines: list[LogLine]) -> str:
-    """Return the reason that was given, and what went wrong on the way to it."""
+    """Return lost owners, resumed runs, retries and the final reason, separated by semicolons."""
     reasons = [str(line.fields.get("reason", "")) for line in end_lines]
     retries = [
         f"{line.fields.get('run')} {line.fields.get('cause')} on {line.fields.get('endpoint')}"
@@ -143,14 +142,14 @@
 
 
 def _parse(text: str) -> LogLine | None:
-    """Return the event on a line; a bench or a supervisor may have put something before it."""
+    """Return the event on a line, or ``None``; a supervisor may have added a prefix to the line."""
     start = text.find("{")
     if start < 0:
         return None
     try:
         fields = msgspec.json.decode(text[start:])
     except msgspec.DecodeError:
-        # Another program may write to the same file.
+        # Other programs may write to the same file.
         return None
     if not isinstance(fields, dict) or "event" not in fields:
         return None
@@ -159,12 +158,12 @@
 
 
 def _current_event_name(event: str) -> str:
-    """Return the name that *event* has in this release."""
+    """Return the name of *event* in this release."""
     if not event.startswith(_OLD_EVENT_PREFIX):
         return event
     return _EVENT_PREFIX + event.removeprefix(_OLD_EVENT_PREFIX)
 
 
 def _current_field_names(fields: dict[str, Any]) -> dict[str, Any]:
-    """Return *fields* under the names that they have in this release, in the same order."""
+    """Return *fields* with the field names of this release, in the same order."""
     return {_ENDPOINT_FIELD if key == _OLD_ENDPOINT_FIELD else key: fields[key] for key in fields}
--- a/src/foldloom/cli/load.py
+++ b/src/foldloom/cli/load.py
@@ -1,10 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Open-loop load: jobs leave at random moments of a fixed mean rate, whatever comes back.
+"""Open-loop load generator with Poisson arrivals at a fixed mean rate.
 
-Owns the histogram of one run. Relies on the HTTP interface only.
-
-Waiting is not hidden: a job's response time counts from the moment it was due. The ideal is
-the longest of its tasks' own times, on a full-speed endpoint.
+The response time of a job is counted from its scheduled time, which avoids coordinated omission.
+The ideal response time is the duration of its longest task on a full-speed endpoint.
 """
 
 from __future__ import annotations
@@ -23,35 +21,35 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-# The histogram counts ratios of response to ideal in thousandths, up to an hour against 1 ms.
+# Ratios of response to ideal time are recorded in thousandths.
 _RATIO_SCALE = 1_000
-# An hour against 1 ms, in thousandths.
+# A response time of one hour for an ideal time of 1 ms.
 _RATIO_MAX = 3_600_000
 _PERCENTILES = (50.0, 90.0, 99.0, 99.9)
-# Seconds for one job: twice the longest deadline of a job (60 s).
+# Timeout of one request; must exceed the longest deadline of a job.
 _TIMEOUT_S = 120.0
-# Characters of a bar.
+# Length of the longest bar, in characters.
 _PLOT_WIDTH = 48
 
 
 class LoadOptions(NamedTuple):
-    """What to send.
+    """Options of a load run.
 
     Args:
-        urls: Entry boxes, separated by commas.
-        jobs_per_second: The mean rate.
-        seconds: For how long.
-        tasks: Tasks a job.
-        seed: Makes times and sizes the same in each run.
-        service: The service.
-        members: Customers; ``name`` or ``name:weight`` of the arrivals, separated by commas.
-        task_ms_min: The shortest task.
-        task_ms_max: The longest task.
-        deadline_ms: How long each answer is of use.
-        repeatable: Whether the jobs are marked so.
-        warmup_seconds: The first part of the run that is not counted.
-        prefix: Begins every submission id.
-        samples: A file for every single job, a JSON list a line; none if empty.
+        urls: Base URLs of entry boxes, separated by commas.
+        jobs_per_second: Mean arrival rate.
+        seconds: Duration of the run.
+        tasks: Tasks per job.
+        seed: Seed of arrival times, task durations and customers.
+        service: Name of the service.
+        members: Customers as ``name`` or ``name:weight``, separated by commas.
+        task_ms_min: Shortest task duration.
+        task_ms_max: Longest task duration.
+        deadline_ms: Deadline of each job.
+        repeatable: Whether jobs are marked as repeatable.
+        warmup_seconds: Initial part of the run that is excluded from the report.
+        prefix: Prefix of every submission id.
+        samples: File for one JSON list per job and line; not written if empty.
     """
 
     urls: str = "http://127.0.0.1:8101"
@@ -71,13 +69,13 @@
 
 
 class _PlannedJob(NamedTuple):
-    """A job that is still to be sent.
+    """A scheduled job.
 
     Args:
-        url: Where, with its submission id.
-        customer: Whose it is.
-        durations_ms: How long each of its tasks takes.
-        due_s: When, from the run's start.
+        url: URL of the job, including its submission id.
+        customer: Customer of the job.
+        durations_ms: Duration of each task.
+        due_s: Scheduled time, relative to the start of the run.
     """
 
     url: str
@@ -87,15 +85,15 @@
 
 
 class Sample(NamedTuple):
-    """One job's end.
+    """The result of one job.
 
     Args:
-        due_s: When it was due, from the run's start.
-        taken_ms: From then to the response.
-        ideal_ms: Its longest task's own time.
-        outcome: ``complete``, or the problem's reason.
-        customer: Whose it was.
-        is_whole: Whether every answer is there and its own.
+        due_s: Scheduled time, relative to the start of the run.
+        taken_ms: Time from the scheduled time to the response.
+        ideal_ms: Duration of the longest task.
+        outcome: ``complete``, the reason of a problem, or the name of a client-side exception.
+        customer: Customer of the job.
+        is_whole: ``False`` if the job completed with missing or wrong answers.
     """
 
     due_s: float
@@ -107,16 +105,16 @@
 
 
 class LoadReport:
-    """The figures of one run.
+    """Statistics of one run.
 
     Args:
-        options: What was sent.
-        samples: Every job's end.
+        options: Options of the run.
+        samples: Results of all jobs, warm-up included.
     """
 
     def __init__(self, options: LoadOptions, samples: list[Sample]) -> None:
         self._options = options
-        self.samples = [one for one in samples if one.due_s >= options.warmup_seconds]
+        self.samples = [sample for sample in samples if sample.due_s >= options.warmup_seconds]
         self._ratios = HdrHistogram(1, _RATIO_MAX, 3)
         self._refusal_ms = HdrHistogram(1, _RATIO_MAX, 3)
         for sample in self.samples:
@@ -127,33 +125,38 @@
                 self._refusal_ms.record_value(max(1, int(sample.taken_ms * _RATIO_SCALE)))
 
     def ratio_at(self, percentile: float) -> float:
-        """Return response over ideal at *percentile* of the complete jobs."""
+        """Return the ratio of response to ideal time at *percentile* of the completed jobs."""
         return self._ratios.get_value_at_percentile(percentile) / _RATIO_SCALE
 
     def fields(self) -> dict[str, Any]:
-        """Return the figures as JSON-like fields."""
+        """Return the statistics as JSON-like fields."""
         outcomes = Counter(sample.outcome for sample in self.samples)
-        customers = Counter(one.customer for one in self.samples if one.outcome == "complete")
+        customers = Counter(
+            sample.customer for sample in self.samples if sample.outcome == "complete"
+        )
         return {
             "options": self._options._asdict(),
             "jobs": len(self.samples),
             "outcomes": dict(outcomes),
-            "not_whole": sum(1 for one in self.samples if not one.is_whole),
-            "response_over_ideal": {f"p{one:g}": self.ratio_at(one) for one in _PERCENTILES},
+            "not_whole": sum(1 for sample in self.samples if not sample.is_whole),
+            "response_over_ideal": {
+                f"p{percentile:g}": self.ratio_at(percentile) for percentile in _PERCENTILES
+            },
             "refusal_ms": {
-                f"p{one:g}": self._refusal_ms.get_value_at_percentile(one) / _RATIO_SCALE
-                for one in _PERCENTILES
+                f"p{percentile:g}": self._refusal_ms.get_value_at_percentile(percentile)
+                / _RATIO_SCALE
+                for percentile in _PERCENTILES
             },
             "complete_by_member": dict(customers),
         }
 
     def text(self) -> str:
-        """Return the figures as a table and a plot of the percentiles."""
+        """Return the statistics as text, with a bar chart of the percentiles."""
         fields = self.fields()
         lines = [f"jobs {fields['jobs']}, not whole {fields['not_whole']}"]
         lines += [f"  {name}: {count}" for name, count in sorted(fields["outcomes"].items())]
         lines.append("response over ideal")
-        highest = max(self.ratio_at(one) for one in _PERCENTILES) or 1.0
+        highest = max(self.ratio_at(percentile) for percentile in _PERCENTILES) or 1.0
         for percentile in _PERCENTILES:
             ratio = self.ratio_at(percentile)
             bar = "#" * max(1, int(ratio / highest * _PLOT_WIDTH))
@@ -162,7 +165,7 @@
 
 
 def run_load(options: LoadOptions) -> LoadReport:
-    """Run the load and return its report."""
+    """Run the load, write the samples file if requested, and return the report."""
     report = uvloop.run(generate(options))
     if options.samples:
         lines = b"".join(msgspec.json.encode(sample) + b"\n" for sample in report.samples)
@@ -171,7 +174,7 @@
 
 
 async def generate(options: LoadOptions) -> LoadReport:
-    """Send every job when it is due and gather the ends."""
+    """Send every job at its scheduled time and return the report."""
     connector = aiohttp.TCPConnector(limit=0)
     timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
     async with aiohttp.ClientSession(connector=connector, timeout=timeout) as session:
@@ -185,7 +188,7 @@
 
 
 def _planned_jobs(options: LoadOptions) -> Iterator[_PlannedJob]:
-    """Yield every job of a run, in the order in which they are due."""
+    """Yield the jobs of a run in order of their scheduled time."""
     rng = random.Random(options.seed)
     urls = options.urls.split(",") if isinstance(options.urls, str) else list(options.urls)
     customers, weights = _customers(options)
@@ -206,13 +209,13 @@
 async def _send(
     session: aiohttp.ClientSession, options: LoadOptions, job: _PlannedJob, began_s: float
 ) -> Sample:
-    """Send one job of a run that began at *began_s* and return its end."""
+    """Send one job of the run that began at *began_s* and return its result."""
     body = {
         "service": options.service,
         "member": job.customer,
         "repeatable": options.repeatable,
         "deadline_ms": options.deadline_ms,
-        "tasks": [{"payload": {"ms": size}} for size in job.durations_ms],
+        "tasks": [{"payload": {"ms": duration_ms}} for duration_ms in job.durations_ms],
     }
     is_whole = True
     try:
@@ -230,9 +233,9 @@
 
 
 def _customers(options: LoadOptions) -> tuple[list[str], list[float]]:
-    """Return the customers and the weights of their arrivals."""
+    """Return the names of the customers and their arrival weights."""
     listed = options.members
-    parts = listed.split(",") if isinstance(listed, str) else [str(one) for one in listed]
+    parts = listed.split(",") if isinstance(listed, str) else [str(part) for part in listed]
     names = [part.partition(":")[0] for part in parts]
     weights = [float(part.partition(":")[2] or 1) for part in parts]
     return names, weights
--- a/src/foldloom/cli/main.py
+++ b/src/foldloom/cli/main.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: MIT
-"""``foldloom``: the command-line tool.
+"""Commands of the ``foldloom`` command-line tool.
 
-Owns nothing. Relies on the HTTP interface of a running box, and on the settings and the data
-folder for the commands that need no box.
+Most commands use the HTTP interface of a running box; some only read the settings, the data folder
+or log files.
 
-Exit codes: 0 done; 1 failure; 2 usage or settings; 3 refused, certainly not run; 4 failed,
-may have run; 5 conflict; 6 box unreachable.
+Exit codes: 0 success; 1 other failure; 2 invalid usage or settings; 3 refused, no task has run;
+4 failed, tasks may have run; 5 conflict; 6 box unreachable.
 """
 
 from __future__ import annotations
@@ -39,17 +39,17 @@
 
 
 class Commands:
-    """Drive foldloom: state intents, look at the plan, confirm it, submit jobs."""
+    """Operate foldloom: plan and confirm configuration changes, submit jobs, inspect boxes."""
 
     def intent(self, kind: str, name: str = "", file: str = "", **fields: Any) -> None:
-        """Print one intent as JSON, or add it to the list in FILE.
+        """Print one intent as JSON, or append it to the list in FILE.
 
         Args:
             kind: service, worker, worker-leaving, member, remove, box-joining, box-leaving,
                 box-dead or controller-replace.
-            name: What it is about.
-            file: A JSON file to add it to; it is made if it is not there.
-            fields: The intent's other fields, for example --endpoint, --zone, --slots.
+            name: Name of the object that the intent changes.
+            file: JSON file to append to; created if missing.
+            fields: Other fields of the intent, for example --endpoint, --zone, --slots.
         """
         intent: dict[str, Any] = {"kind": kind}
         if name:
@@ -65,7 +65,7 @@
         print(f"{len(intents) + 1} intents in {file}")
 
     def plan(self, file: str, url: str = "", token_file: str = "", json: bool = False) -> None:
-        """Show what confirming the intents in FILE would change; nothing takes effect."""
+        """Show the changes that confirming the intents in FILE would make, without making them."""
         fields = self._plan(file, url, token_file)
         if json:
             _print_json(fields)
@@ -83,14 +83,14 @@
         token_file: str = "",
         json: bool = False,
     ) -> None:
-        """Put the intents in FILE in force if they still mean the plan named DIGEST.
+        """Apply the intents in FILE if they still result in the plan with DIGEST.
 
         Args:
-            file: The intents.
-            digest: The plan's digest; ``auto`` plans and confirms in one go.
-            command: An id that makes a resend harmless; one is made and printed if left out.
-            url: The box.
-            token_file: The operator's token.
+            file: JSON file with the intents.
+            digest: Digest of the plan; ``auto`` plans and confirms in one step.
+            command: Idempotency key; generated and printed if omitted.
+            url: Base URL of the box.
+            token_file: File with the operator token.
             json: Print JSON.
         """
         command = str(command or uuid.uuid4().hex)
@@ -103,7 +103,7 @@
         _print_json(fields) if json else print(f"version {fields['version']} is confirmed")
 
     def status(self, url: str = "", token_file: str = "", json: bool = False) -> None:
-        """Show which box has which version in force and who is missing."""
+        """Show the configuration version and state of each box, and the missing boxes."""
         target = f"{base_url(url)}/v1/status"
         fields = expect_ok(call("GET", target, None, operator_headers(token_file)))
         if json:
@@ -111,26 +111,26 @@
             return
         current = "current" if fields["is_confirmed_current"] else "unconfirmed-current"
         print(f"{fields['box']} in {fields['zone']}: version {fields['version']} ({current})")
-        for name, one in sorted(fields["boxes"].items()):
-            state = "live" if one["is_live"] else "silent"
-            if one["is_stopping"]:
+        for name, box in sorted(fields["boxes"].items()):
+            state = "live" if box["is_live"] else "silent"
+            if box["is_stopping"]:
                 state = "stopping"
-            vote = "votes" if one["can_vote"] else "does not vote"
-            print(f"  {name}: version {one['version']}, {state}, {vote}")
+            vote = "votes" if box["can_vote"] else "does not vote"
+            print(f"  {name}: version {box['version']}, {state}, {vote}")
         print("missing: " + (", ".join(fields["missing"]) or "none"))
 
     def config(self, url: str = "", token_file: str = "") -> None:
-        """Print the configuration in force on a box, as JSON."""
+        """Print the active configuration of a box as JSON."""
         target = f"{base_url(url)}/v1/config"
         _print_json(expect_ok(call("GET", target, None, operator_headers(token_file))))
 
     def submit(self, file: str, submission: str = "", url: str = "", json: bool = False) -> None:
-        """Submit the job in FILE (``-``: standard input) and print its answers.
+        """Submit the job in FILE and print its answers.
 
         Args:
-            file: The job's JSON.
-            submission: Its id; one is made if left out. The same id again is the same job.
-            url: The box.
+            file: JSON file with the job; ``-`` reads standard input.
+            submission: Submission id, which identifies resubmissions; generated if omitted.
+            url: Base URL of the box.
             json: Print the whole response.
         """
         submission = str(submission or uuid.uuid4().hex)
@@ -144,7 +144,7 @@
             _print_json(answer)
 
     def load(self, json: bool = False, **options: Any) -> None:
-        """Send jobs at a fixed rate and report response over ideal.
+        """Send jobs at a fixed mean rate and report the ratio of response to ideal time.
 
         Args:
             json: Print JSON.
@@ -159,11 +159,11 @@
         _print_json(report.fields()) if json else print(report.text())
 
     def explain(self, job: str, *logs: str, json: bool = False) -> None:
-        """Show the life of one request, in order, from the JSON logs of the boxes.
+        """Show the timeline of one job from the JSON logs of the boxes.
 
         Args:
-            job: Its id, or the first part of it.
-            logs: Files of JSON lines, of as many boxes as there are.
+            job: Job id, or a prefix of it.
+            logs: JSON log files, one or more.
             json: Print JSON.
         """
         if not logs:
@@ -181,18 +181,18 @@
         _print_json(life._replace(lines=[])._asdict() | {"lines": lines})
 
     def check_settings(self, file: str) -> None:
-        """Check a settings file: exit 0, or 2 and a line with file, key and reason."""
+        """Validate a settings file; exit with 2 and print file, key and reason if it is invalid."""
         settings = load_settings(file)
         print(f"{file}: box {settings.box} in {settings.zone}, roles {', '.join(settings.roles)}")
 
     def init_data(self, file: str) -> None:
-        """Make the empty data folder of a controller of a new system.
+        """Create the data folder of a controller of a new system.
 
-        Never for a controller that lost its folder: that one is taken in again by itself.
+        Not for a controller that has lost its data folder: it is readmitted automatically.
         """
         settings = load_settings(file)
         if CONTROLLER not in settings.roles:
-            raise CommandError(f"{file}: this box is no controller", EXIT_USAGE)
+            raise CommandError(f"{file}: this box does not have the controller role", EXIT_USAGE)
         try:
             identity = format_folder(settings.data_folder, is_first=True)
         except FileExistsError as error:
@@ -200,10 +200,10 @@
         print(f"data folder {identity.storage_id}")
 
     def keys(self, file: str) -> None:
-        """Make a key pair: the secret key goes into FILE, the public one is printed."""
+        """Generate a CURVE key pair: write the secret key to FILE, print the public key."""
         path = Path(file)
         if path.exists():
-            raise CommandError(f"{file} is there already", EXIT_USAGE)
+            raise CommandError(f"{file} already exists", EXIT_USAGE)
         public, secret = zmq.curve_keypair()
         path.touch(mode=0o600)
         path.write_text(secret.decode() + "\n", encoding="ascii")
@@ -223,7 +223,7 @@
     """Return the JSON in *file*, or on standard input for ``-``.
 
     Raises:
-        CommandError: It can't be read.
+        CommandError: The input can't be read or is not valid JSON.
     """
     try:
         text = sys.stdin.read() if file == "-" else Path(file).read_text(encoding="utf-8")
@@ -233,7 +233,11 @@
 
 
 def _read_intents(file: str) -> list[Any]:
-    """Return the list of intents in *file*."""
+    """Return the list of intents in *file*.
+
+    Raises:
+        CommandError: The file can't be read or holds no list of intents.
+    """
     raw = _read_json(file)
     if isinstance(raw, dict):
         raw = raw.get("intents", [raw])
@@ -247,7 +251,7 @@
 
 
 def main() -> None:
-    """Run one command; any error is one line on standard error."""
+    """Run one command; an error is reported as one line on stderr."""
     try:
         fire.Fire(Commands(), name="foldloom")
     except SettingsError as error:
@@ -255,7 +259,6 @@
     except CommandError as error:
         _exit(str(error), error.exit_code)
     except KeyboardInterrupt:
-        # The person who waits has had enough.
         _exit("interrupted", 1)
 
 
--- a/src/foldloom/clock.py
+++ b/src/foldloom/clock.py
@@ -1,16 +1,13 @@
 # SPDX-License-Identifier: MIT
-"""The one clock that decisions use: steady, and unknown to any other box.
+"""The monotonic clock used for leases, grants, deadlines and timeouts; local to the box.
 
-Owns nothing. Relies on the system's clock of time since boot, which a change of the time of day
-does not move.
+While a box is suspended, ``CLOCK_MONOTONIC`` stops, but leases, grants and timeouts on other boxes
+go on expiring. ``CLOCK_BOOTTIME`` includes suspended time and is used where available (Linux only).
+On other platforms the clock is ``CLOCK_MONOTONIC``, so a box resumed from suspension underestimates
+the age of its leases.
 
-A machine may be suspended for seconds: its processes stand still, and ``CLOCK_MONOTONIC`` with
-them, while leases, grants and time-outs elsewhere run out. ``CLOCK_BOOTTIME`` counts that time, so
-a box finds by any look at this clock what is over by now. Only Linux has it. Elsewhere this is
-``CLOCK_MONOTONIC``: a box that was suspended there takes its rights for younger than they are.
-
-Timers of the event loop and of ZeroMQ stay on ``CLOCK_MONOTONIC`` and fire late by the time that
-the machine was suspended: see :mod:`foldloom.time_limits`.
+Timers of the event loop and of ZeroMQ use ``CLOCK_MONOTONIC`` and fire late by the length of a
+suspension; see :mod:`foldloom.time_limits`.
 """
 
 from __future__ import annotations
@@ -21,12 +18,12 @@
 
 
 def monotonic_ms() -> float:
-    """Return the steady clock in milliseconds; it counts the time the machine was suspended."""
+    """Return the monotonic clock in milliseconds, suspended time included where supported."""
     if _HAS_BOOT_CLOCK:
         return time.clock_gettime(time.CLOCK_BOOTTIME) * 1_000
     return time.monotonic() * 1_000
 
 
 def running_ms() -> float:
-    """Return the clock by which timers fire, in milliseconds: it stops with the machine."""
+    """Return the clock of the event loop's timers in milliseconds, suspended time excluded."""
     return time.monotonic() * 1_000
--- a/src/foldloom/daemon.py
+++ b/src/foldloom/daemon.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""``foldloomd SETTINGS.yaml``: run one box until a signal stops it.
+"""Entry point of ``foldloomd SETTINGS.yaml``: runs one box until SIGTERM or SIGINT.
 
-Owns the event loop and the signals. Relies on the settings file; a wrong one ends the process with
-exit code 2.
+Invalid usage or settings end the process with exit code 2.
 """
 
 from __future__ import annotations
@@ -19,12 +18,12 @@
 from foldloom.settings_file import load_settings
 from foldloom.static_peers.box import Box
 
-# Exit code of wrong usage or settings, as the command-line tool's.
+# Exit code for invalid usage or settings; the same as in foldloom.cli.
 _EXIT_USAGE = 2
 
 
 async def run_box(settings: Settings) -> None:
-    """Run a box; SIGTERM or SIGINT begins the planned stop, further ones change nothing."""
+    """Run a box; SIGTERM or SIGINT starts its planned stop, further signals have no effect."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -36,7 +35,7 @@
 
 
 def main() -> None:
-    """Read the settings named on the command line and run the box."""
+    """Load the settings file given on the command line and run the box."""
     if len(sys.argv) != 2 or sys.argv[1].startswith("-"):
         print("usage: foldloomd SETTINGS.yaml", file=sys.stderr)
         raise SystemExit(_EXIT_USAGE)
--- a/src/foldloom/exceptions.py
+++ b/src/foldloom/exceptions.py
@@ -1,23 +1,20 @@
 # SPDX-License-Identifier: MIT
-"""Every exception that foldloom raises to its own callers.
-
-Owns nothing. Relies on no other module.
-"""
+"""Exceptions raised by foldloom."""
 
 from __future__ import annotations
 
 
 class FoldloomError(Exception):
-    """The base of all of foldloom's exceptions."""
+    """Base class of all foldloom exceptions."""
 
 
 class SettingsError(FoldloomError):
-    """A settings file can't be used.
+    """A settings file is unreadable or invalid.
 
     Args:
-        path: The file.
-        key: The dotted key at fault, or an empty string for the whole file.
-        reason: One sentence.
+        path: Path of the settings file.
+        key: Dotted key of the invalid field, or an empty string if the whole file is invalid.
+        reason: Why the field or the file is invalid.
     """
 
     def __init__(self, path: str, key: str, reason: str) -> None:
@@ -28,18 +25,18 @@
 
 
 class PeerUnreachableError(FoldloomError):
-    """A peer did not answer in time or can't be sent to now."""
+    """A peer did not reply within the timeout, or can't be reached."""
 
 
 class LostMemoryError(FoldloomError):
-    """The data folder is emptied or damaged: this controller must not vote."""
+    """The data folder is empty or corrupted, so this controller must not vote."""
 
 
 class NotLeaderError(FoldloomError):
-    """This controller is not the leader; it may know who is.
+    """This controller is not the leader.
 
     Args:
-        leader: The leader's box name, or an empty string.
+        leader: The leader's box name, or an empty string if unknown.
     """
 
     def __init__(self, leader: str = "") -> None:
@@ -48,11 +45,11 @@
 
 
 class CommandError(FoldloomError):
-    """A command-line call failed; the message is one clear line.
+    """A command of the command-line tool failed.
 
     Args:
-        message: The line for stderr.
-        exit_code: The documented exit code.
+        message: A single line for stderr.
+        exit_code: Exit code of the process.
     """
 
     def __init__(self, message: str, exit_code: int = 1) -> None:
--- a/src/foldloom/exposition.py
+++ b/src/foldloom/exposition.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A box's figures as text, in the form that Prometheus reads.
-
-Owns nothing. Relies on the metrics and on prometheus_client for the form.
-"""
+"""Renders a box's metrics in the Prometheus text exposition format."""
 
 from __future__ import annotations
 
@@ -26,17 +23,17 @@
 
 
 class _BoxCollector(Collector):
-    """The figures of one box, read when they are asked for.
+    """Converts a box's metrics to metric families on each scrape.
 
     Args:
-        metrics: The figures.
+        metrics: Metrics of the box.
     """
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        """Yield every figure."""
+        """Yield a metric family for each counter, gauge and histogram."""
         for name, count in sorted(self._metrics.counts.items()):
             yield CounterMetricFamily(_metric_name(name), name, value=count)
         for name, value in sorted(self._metrics.gauges.items()):
@@ -53,7 +50,7 @@
 
 
 def metrics_text(metrics: Metrics) -> bytes:
-    """Return all figures of *metrics* as text."""
+    """Return *metrics* in the Prometheus text format."""
     registry = CollectorRegistry()
     registry.register(_BoxCollector(metrics))
     return generate_latest(registry)
--- a/src/foldloom/logs.py
+++ b/src/foldloom/logs.py
@@ -1,12 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Log lines by logbook: decisions as events with fields, other news as short sentences.
+"""Logging with logbook: structured events for decisions, plain sentences otherwise.
 
-Owns the loggers of all parts and the batch of lines that wait. Relies on logbook and on one
-thread.
-
-Neither a slow reader nor a flood of events may hold a decision up: a kind of event has a rate,
-and lines wait in a bounded batch that a thread writes. What is left out is counted, and the count
-is logged.
+Logging never blocks the event loop: each kind of event is rate-limited, and lines go through a
+bounded queue that a background thread writes. Suppressed events and dropped lines are counted, and
+the counts are logged.
 """
 
 from __future__ import annotations
@@ -24,22 +21,21 @@
 
 from foldloom.settings import LogSettings
 
-# Events of a kind a second: above the 60 jobs a second of the users' days, so that it cuts only
-# floods.
+# Sustained rate of each kind of event.
 EVENTS_PER_S = 200.0
-# Events of a kind at once: two seconds' worth.
+# Burst size for each kind of event.
 _BURST_EVENTS = 400.0
-# Seconds between two batches, so that a log is never far behind.
+# Seconds between two writes.
 _WRITE_INTERVAL_S = 0.1
-# Lines that may wait for a slow reader: some 8 MB.
+# Lines queued for writing; about 8 MB.
 _PENDING_LINES_MAX = 20_000
-# Seconds for the last batch when a process ends.
+# Seconds to wait for the last write at process exit.
 _CLOSE_TIMEOUT_S = 0.5
 _JSON_SCALARS = (int, float, bool, str)
 
 
 class _TokenBucket(NamedTuple):
-    """How many events of a kind may be logged now, as of a time, and how many were left out."""
+    """Rate limit state of one kind of event: tokens at a point in time, and events suppressed."""
 
     tokens: float
     updated_s: float
@@ -47,10 +43,10 @@
 
 
 class EventLimits:
-    """A rate for each kind of event.
+    """A token bucket for each kind of event.
 
     Args:
-        per_s: How many a second; twice as many at once.
+        per_s: Events per second; the burst size is twice that.
     """
 
     def __init__(self, per_s: float = EVENTS_PER_S) -> None:
@@ -59,7 +55,12 @@
         self._buckets: dict[str, _TokenBucket] = {}
 
     def admit(self, kind: str, now_s: float) -> int | None:
-        """Count an event of *kind*; return how many were left out before, ``None`` if it is too."""
+        """Take a token for an event of *kind*.
+
+        Returns:
+            The number of events suppressed since the last admitted one, or ``None`` if this event
+            is suppressed as well.
+        """
         bucket = self._buckets.get(kind, _TokenBucket(self._burst, now_s, 0))
         refilled = bucket.tokens + (now_s - bucket.updated_s) * self._per_s
         tokens = min(self._burst, refilled)
@@ -74,14 +75,14 @@
 
 
 class ComponentLogger(logbook.Logger):  # type: ignore[misc]
-    """The logger of one part of the code."""
+    """The logger of one component."""
 
     def event(self, kind: str, **fields: Any) -> None:
-        """Log a decision or a state change with its inputs, unless the kind is over its rate.
+        """Log a decision or a state change with its inputs, unless *kind* exceeds its rate limit.
 
         Args:
-            kind: ``thing.what-happened``.
-            fields: Ids, inputs, their age or version, and the outcome.
+            kind: Event name, such as ``run.placed``.
+            fields: Ids, inputs with their age or version, and the outcome.
         """
         if self.disabled:
             return
@@ -104,14 +105,14 @@
 
 
 class BatchHandler(logbook.Handler):  # type: ignore[misc]
-    """Keep lines and let a thread write them; lines beyond the bound are dropped and counted.
+    """Queues log lines for a background thread; drops and counts lines while the queue is full.
 
     Args:
-        descriptor: The open file that takes the lines.
-        level: The least level.
+        descriptor: File descriptor that lines are written to.
+        level: Minimum level.
         line_format: ``text`` or ``json``.
-        box: What this process is called in JSON lines.
-        lines_max: How many lines may wait.
+        box: Name of this box in JSON lines.
+        lines_max: Capacity of the queue, in lines.
     """
 
     def __init__(
@@ -134,14 +135,14 @@
         self._thread.start()
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Keep one line."""
+        """Queue one line."""
         if len(self._lines) >= self._lines_max:
             self._dropped += 1
             return
         self._lines.append(self._format_json(record) if self._is_json else _format_text(record))
 
     def close(self) -> None:
-        """Write what waits, unless the reader does not take it in time."""
+        """Write the queued lines; give up when the timeout expires."""
         self._is_closed.set()
         self._thread.join(_CLOSE_TIMEOUT_S)
 
@@ -151,7 +152,7 @@
         self._write()
 
     def _write(self) -> None:
-        # One at a time: another thread goes on adding lines meanwhile.
+        # Other threads append lines concurrently, so the deque can't be copied and cleared.
         lines = [self._lines.popleft() for _ in range(len(self._lines))]
         dropped, self._dropped = self._dropped, 0
         if dropped:
@@ -163,7 +164,7 @@
             while data:
                 data = data[os.write(self._descriptor, data) :]
         except OSError:
-            # Nobody reads the lines any more; the work goes on.
+            # The reader has closed its end; a failed log write must not stop the box.
             return
 
     def _format_json(self, record: logbook.LogRecord) -> str:
@@ -187,18 +188,18 @@
 
 
 def _format_text(record: logbook.LogRecord) -> str:
-    """Return *record* as a sentence with its fields behind it."""
+    """Return *record* as a text line: time, level, component, message, fields."""
     fields = "".join(f" {key}={value}" for key, value in (record.kwargs or {}).items())
     moment = f"{record.time:%Y-%m-%dT%H:%M:%S.%f}"
     return f"{moment} {record.level_name} {record.channel}: {record.message}{fields}"
 
 
 def start_logging(settings: LogSettings, box: str = "") -> logbook.Handler:
-    """Send every part's log lines where *settings* says; return the handler.
+    """Install a handler for the log lines of all components and return it.
 
     Args:
-        settings: Level, form, and the file if it is not standard output.
-        box: What this process is called.
+        settings: Minimum level, format, and the file if not standard output.
+        box: Name of this box in JSON lines.
     """
     level = logbook.lookup_level(settings.level)
     descriptor = sys.stdout.fileno()
--- a/src/foldloom/metrics.py
+++ b/src/foldloom/metrics.py
@@ -1,9 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Counters, gauges and latency histograms: kept in memory, sent by statsd, served as text.
-
-Owns the figures of one process. Relies on statsd only to send them: without it they stay in
-memory.
-"""
+"""Counters, gauges and latency histograms of one process, optionally sent to statsd."""
 
 from __future__ import annotations
 
@@ -19,11 +15,11 @@
 
 
 class Histogram(NamedTuple):
-    """Durations by bucket.
+    """A snapshot of a histogram of durations.
 
     Args:
-        counts: How many fell into each bucket of ``BUCKETS_MS``, the last one beyond them all.
-        total_ms: Their sum.
+        counts: Number of durations in each bucket of ``BUCKETS_MS``, then of those above the last.
+        total_ms: Sum of the durations.
     """
 
     counts: tuple[int, ...]
@@ -31,7 +27,7 @@
 
 
 class _DurationBuckets:
-    """Durations while they are being counted."""
+    """A mutable histogram of durations."""
 
     __slots__ = ("counts", "total_ms")
 
@@ -41,10 +37,10 @@
 
 
 class Metrics:
-    """Count what the box does.
+    """The metrics of one process.
 
     Args:
-        settings: Where statsd listens; an empty host keeps the figures in memory only.
+        settings: Address of the statsd server; nothing is sent while its host is empty.
     """
 
     def __init__(self, settings: StatsdSettings | None = None) -> None:
@@ -57,17 +53,17 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """All counters so far, by name."""
+        """Value of each counter, by name."""
         return dict(self._counts)
 
     @property
     def gauges(self) -> dict[str, float]:
-        """The latest value of each gauge, by name."""
+        """Latest value of each gauge, by name."""
         return dict(self._gauges)
 
     @property
     def histograms(self) -> dict[str, Histogram]:
-        """The durations so far, by name."""
+        """Snapshot of each histogram, by name."""
         return {
             name: Histogram(tuple(buckets.counts), buckets.total_ms)
             for name, buckets in self._durations.items()
--- a/src/foldloom/metrics_server.py
+++ b/src/foldloom/metrics_server.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""A box's figures on an address of their own.
+"""HTTP server for a box's metrics, on its own address.
 
-Owns the listener on the metrics address. Relies on the metrics; an address in use is logged and
-the box goes on.
+If the address is in use, the error is logged and the box runs without the server.
 """
 
 from __future__ import annotations
@@ -20,11 +19,11 @@
 
 
 class MetricsServer:
-    """Serve a box's figures.
+    """Serves a box's metrics.
 
     Args:
-        metrics: The figures.
-        address: ``IP:port``; an empty one serves nothing.
+        metrics: Metrics of the box.
+        address: ``IP:port`` to listen on; empty disables the server.
     """
 
     def __init__(self, metrics: Metrics, address: str) -> None:
@@ -33,7 +32,7 @@
         self._runner: web.ServerRunner | None = None
 
     async def start(self) -> None:
-        """Listen, if there is an address and nobody else listens there."""
+        """Start listening, unless there is no address or it is in use."""
         if not self._address:
             return
         self._runner = web.ServerRunner(web.Server(self._handle), shutdown_timeout=0)
@@ -42,11 +41,11 @@
         try:
             await web.TCPSite(self._runner, host, int(port)).start()
         except OSError as error:
-            # Figures are not worth a box.
+            # Metrics are optional: the box runs without them.
             ENTRY_LOG.event("metrics.not_served", address=self._address, reason=str(error))
 
     async def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -58,8 +57,8 @@
 
 
 def _render(metrics: Metrics) -> bytes:
-    # Imported when first asked for, and off the loop: the library takes 14 MB and 0.17 s, which
-    # a box that nobody asks should not pay.
+    # Imported on the first scrape and off the event loop: prometheus_client is slow to import, and
+    # boxes that are never scraped save its memory.
     exposition = importlib.import_module("foldloom.exposition")
     text: bytes = exposition.metrics_text(metrics)
     return text
--- a/src/foldloom/pauses.py
+++ b/src/foldloom/pauses.py
@@ -1,11 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""The times when this process stood still, for its log and for its limits of time.
+"""Detection of pauses of this process, by a periodic timer that fires late.
 
-Owns nothing. Relies on the event loop: a timer that fires late shows that nothing else ran either.
-
-A box that stands still looks to the others like one whose connections are cut: its rights and its
-leases lapse, its runs are lost and started again. Without a line in its own log nothing would tell
-the two apart. After a suspension of its machine the limits of time that are open are set anew.
+To other boxes a paused box looks like a partitioned one: its leases expire and its runs are
+retried. The log line for a pause distinguishes the two. After a suspension of the box, the open
+time limits are rescheduled.
 """
 
 from __future__ import annotations
@@ -19,22 +17,22 @@
 from foldloom.logs import PROCESS_LOG
 from foldloom.time_limits import catch_up
 
-# Milliseconds between two looks at the clock.
+# Milliseconds between two samples of the clocks.
 _SAMPLE_INTERVAL_MS = 100.0
-# Milliseconds that a process must have stood still to be noted: less does not cost it a right.
+# Shortest pause reported, in milliseconds; shorter ones cost no lease.
 PAUSE_MIN_MS = 100.0
-# Milliseconds that the two clocks may differ over one look without a suspension.
+# Difference between the two clocks over one sample that counts as a suspension, in milliseconds.
 _SUSPENDED_MIN_MS = 10.0
 
 
 class Pause(NamedTuple):
-    """A time when nothing ran in this process, in milliseconds.
+    """A pause of this process's event loop, in milliseconds.
 
     Args:
-        paused_ms: How long.
-        processor_ms: The processor time that it used meanwhile. As much: it was at work on one
-            thing. Next to none: the machine did not run it.
-        suspended_ms: For how much of it the machine itself was suspended.
+        paused_ms: Length of the pause.
+        processor_ms: Processor time used since the last sample. Close to *paused_ms*, the event
+            loop was blocked by a computation; close to 0, the process was not scheduled.
+        suspended_ms: Part of the pause for which the box was suspended.
     """
 
     paused_ms: int
@@ -43,7 +41,7 @@
 
 
 async def watch_pauses(on_pause: Callable[[Pause], None]) -> None:
-    """Call *on_pause* each time that this process stood still, until cancelled."""
+    """Call *on_pause* for each pause of this process, until cancelled."""
     while True:
         began_ms, began_running_ms, began_processor_s = (
             monotonic_ms(),
--- a/src/foldloom/peers/__init__.py
+++ b/src/foldloom/peers/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""Messages between boxes and who is live."""
+"""Messaging between boxes: transport, codec and message age."""
--- a/src/foldloom/peers/clock_probes.py
+++ b/src/foldloom/peers/clock_probes.py
@@ -1,12 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""Messages that came too late, and whether their sender's clock is to blame.
+"""Clock probes to the senders of expired messages.
 
-Owns which peers are being probed. Relies on the network for requests.
-
-Messages look too old because they were held up on their way, or because their sender's clock fell
-back against this box's, as that of a machine that was suspended may. In the second case none of
-them would ever be taken again. A probe tells the two apart: its reply is no older than the probe,
-which corrects what is known of the sender's clock (:mod:`foldloom.peers.lives`).
+A message looks expired if it was delayed, or if the sender's clock has fallen back relative to this
+box's clock, for example during a suspension. In the second case all later messages would be
+dropped. A probe corrects this: its reply can't be older than the probe, which bounds the sender's
+clock offset (:mod:`foldloom.peers.lives`).
 """
 
 from __future__ import annotations
@@ -20,22 +18,22 @@
 from foldloom.peers.messages import Frame, register
 from foldloom.tasks import TaskSet
 
-# Milliseconds for which a probe waits for its reply, and until the next one of the same peer.
+# Timeout of a probe, and minimum interval between probes of the same peer.
 _PROBE_INTERVAL_MS = 1_000
 
 
 class ClockProbe(NamedTuple):
-    """Asks a peer for a reply, and is that reply."""
+    """A probe, which the receiver returns as its reply."""
 
 
 register(3, ClockProbe)
 
 
 class Requester(Protocol):
-    """What sends a probe."""
+    """A network that sends requests."""
 
     async def request(self, box: str, message: object, timeout_ms: float) -> object:
-        """Return the reply of *box*.
+        """Send *message* to *box* and return its reply.
 
         Raises:
             PeerUnreachableError: No reply within *timeout_ms*.
@@ -43,12 +41,12 @@
 
 
 class ClockProbes:
-    """Drop expired messages, and probe who sent them.
+    """Counts expired messages and probes their senders.
 
     Args:
-        network: Sends the probes.
-        metrics: Counters.
-        tasks: Keeps the probes under way.
+        network: Network that sends the probes.
+        metrics: Metrics of the box.
+        tasks: Task set for the probes in flight.
     """
 
     def __init__(self, network: Requester, metrics: Metrics, tasks: TaskSet) -> None:
@@ -57,8 +55,8 @@
         self._tasks = tasks
         self._probed_boxes: set[str] = set()
 
-    def drop_expired(self, sender: str, frame: Frame, age_ms: float) -> None:
-        """Note that a message of *sender* was dropped at this age."""
+    def record_expired(self, sender: str, frame: Frame, age_ms: float) -> None:
+        """Record a message dropped at age *age_ms*; probe *sender* unless a probe is active."""
         self._metrics.count("messages.dropped.expired")
         PEER_LOG.event(
             "message.expired",
@@ -77,7 +75,7 @@
             await self._network.request(box, ClockProbe(), _PROBE_INTERVAL_MS)
             await asyncio.sleep(_PROBE_INTERVAL_MS / 1_000)
         except PeerUnreachableError:
-            # Its next message that is too old has it probed again.
+            # The next expired message starts another probe.
             return
         finally:
             self._probed_boxes.discard(box)
--- a/src/foldloom/peers/connection.py
+++ b/src/foldloom/peers/connection.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The way out to one peer: what waits for it, and the socket that it leaves by.
+"""Outbound connection to one peer: an outbox and a DEALER socket.
 
-Owns a peer's outbox and its DEALER socket. Relies on ZeroMQ to connect again. Nothing here waits
-for the peer: what it can't take now is dropped and counted.
+ZeroMQ reconnects by itself. Sending never blocks: messages that can't be queued are dropped and
+counted.
 """
 
 from __future__ import annotations
@@ -18,45 +18,39 @@
 from foldloom.peers.messages import Envelope, Frame, encode_envelope
 from foldloom.settings import PeerSettings
 
-# Envelopes that ZeroMQ may queue for a peer; beyond it a message is dropped and counted.
+# Envelopes that ZeroMQ may queue for each peer.
 HIGH_WATER_MARK = 1_000
-# Messages that may wait for a peer here, to bound memory to some megabytes a peer.
+# Messages in the outbox of each peer; bounds memory to some megabytes per peer.
 _OUTBOX_MAX = 20_000
-# Messages in one envelope, so that other tasks get their turn.
+# Messages in one envelope; bounds the time for which encoding blocks the event loop.
 _FRAMES_PER_ENVELOPE_MAX = 500
-# Milliseconds between ZeroMQ's heartbeats on a connection, and of silence after which it is given
-# up: close to the silence after which a peer counts as gone (1,000 ms).
+# Interval of ZeroMQ's own heartbeats on a connection.
 _HEARTBEAT_INTERVAL_MS = 500
-# The silence that ends such a connection.
+# Silence after a heartbeat that closes the connection.
 _HEARTBEAT_TIMEOUT_MS = 1_500
-# The same with seed discovery, where a connection to an address that is gone, or behind a cut that
-# has healed, must be made anew soon. Chosen as half: long enough for a lost packet to be sent again
-# twice. They alone show a connection that has gone silent without a reset; two boxes on loopback
-# answered each other again 1.15 s after that, and 1.95 s with the values above.
+# Shorter with seed discovery, to replace a connection soon after a partition has healed.
 _DISCOVERY_HEARTBEAT_INTERVAL_MS = 250
-# The silence that ends it then.
+# Leaves TCP time to retransmit a lost packet.
 _DISCOVERY_HEARTBEAT_TIMEOUT_MS = 750
-# Milliseconds for a connection with seed discovery: an owner's silence.
+# Timeout of connecting with seed discovery; equals the default owner_silent_ms.
 _CONNECT_TIMEOUT_MS = 400
-# Milliseconds for ZeroMQ's handshake, in which there are no heartbeats yet: the longest that they
-# let a silence last afterwards. With ZeroMQ's own 30 s a connection that fell silent in its
-# handshake kept two boxes on loopback apart for 30.1 s.
+# Timeout of ZeroMQ's handshake, during which there are no heartbeats. ZeroMQ's default is 30 s.
 _HANDSHAKE_TIMEOUT_MS = _HEARTBEAT_INTERVAL_MS + _HEARTBEAT_TIMEOUT_MS
 # The same with seed discovery.
 _DISCOVERY_HANDSHAKE_TIMEOUT_MS = _DISCOVERY_HEARTBEAT_INTERVAL_MS + _DISCOVERY_HEARTBEAT_TIMEOUT_MS
-# Milliseconds until a connection is tried again, doubled up to the maximum.
+# Initial reconnect interval, doubled after each attempt.
 _RECONNECT_MS = 50
-# The longest such pause.
+# Maximum reconnect interval.
 _RECONNECT_MAX_MS = 500
 
 
 class SenderIdentity(NamedTuple):
-    """Who sends.
+    """Identity of the sending box.
 
     Args:
-        box: The own box.
-        incarnation: This process's incarnation.
-        uses_discovery: Whether boxes find each other through seeds.
+        box: Name of this box.
+        incarnation: Incarnation of this process.
+        uses_discovery: Whether seed discovery is in use.
     """
 
     box: str
@@ -65,13 +59,13 @@
 
 
 class PeerConnection:
-    """The connection to one peer.
+    """The outbound connection to one peer.
 
     Args:
-        peer: The peer.
-        identity: Who sends.
-        curve: The keys.
-        metrics: Counters.
+        peer: Settings of the peer.
+        identity: Identity of this box.
+        curve: CURVE keys.
+        metrics: Metrics of the box.
     """
 
     def __init__(
@@ -97,10 +91,9 @@
 
     @property
     def _liveness_options(self) -> list[tuple[int, int]]:
-        """How soon a connection that fell silent is given up.
+        """Options that bound how long a silent connection is kept.
 
-        With seed discovery boxes come and go at any address, so a connection to one that is
-        gone, or behind a cut that has healed, must be made anew soon.
+        The bounds are shorter with seed discovery, where boxes come and go at any address.
         """
         if not self._identity.uses_discovery:
             return [
@@ -116,7 +109,7 @@
         ]
 
     def add(self, frame: Frame) -> bool:
-        """Queue *frame*; return whether there is room for it."""
+        """Queue *frame*; return ``False`` if the outbox is full."""
         if len(self._outbox) >= _OUTBOX_MAX:
             self._metrics.count("messages.dropped.outbox-full")
             return False
@@ -125,7 +118,7 @@
         return True
 
     async def run(self, context: zmq.Context[zmq.Socket[bytes]]) -> None:
-        """Send everything that collects, one envelope at a time, until cancelled."""
+        """Send queued frames, batched in envelopes, until cancelled."""
         dealer = context.socket(zmq.DEALER)
         for option, value in self._options:
             dealer.setsockopt(option, value)
@@ -150,7 +143,6 @@
         )
         data = encode_envelope(envelope)
         try:
-            # Never wait on a peer that can't take the message now.
             dealer.send(data, zmq.NOBLOCK)
         except zmq.ZMQError:
             self._metrics.count("messages.dropped.unsendable", len(frames))
--- a/src/foldloom/peers/curve.py
+++ b/src/foldloom/peers/curve.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""CURVE between boxes: with keys in the settings, only boxes of the settings get in.
+"""ZeroMQ CURVE authentication and encryption between boxes.
 
-Owns the own secret key and the authenticator of one box. Relies on ZeroMQ's CURVE; without a key
-file all of this does nothing.
+Only public keys listed in the settings are admitted. Without a secret key file, CURVE is disabled.
 """
 
 from __future__ import annotations
@@ -18,11 +17,11 @@
 
 
 class Curve:
-    """The keys of one box and of its peers.
+    """The CURVE keys of this box and of its peers.
 
     Args:
-        settings: This box's settings.
-        metrics: Counts connections with keys that are not in the settings.
+        settings: Settings of this box.
+        metrics: Counts connections with unknown keys.
     """
 
     def __init__(self, settings: Settings, metrics: Metrics) -> None:
@@ -33,7 +32,7 @@
         self._authenticator: AsyncioAuthenticator | None = None
 
     def start(self, context: zmq.Context[zmq.Socket[bytes]]) -> None:
-        """Read the secret key and admit only the public keys in the settings."""
+        """Read the secret key and start the authenticator."""
         if not self._secret_key_file:
             return
         self._secret_key = read_secret_key(self._secret_key_file)
@@ -44,12 +43,12 @@
         self._authenticator.configure_curve_callback("*", allowlist)
 
     def stop(self) -> None:
-        """Admit nobody any more."""
+        """Stop the authenticator."""
         if self._authenticator is not None:
             self._authenticator.stop()
 
     def secure_server(self, socket: zmq.Socket[bytes]) -> None:
-        """Let *socket* accept only connections with CURVE, if there is a key."""
+        """Require CURVE for connections to *socket*, if CURVE is enabled."""
         if not self._secret_key:
             return
         socket.curve_secretkey = self._secret_key
@@ -57,7 +56,7 @@
         socket.curve_server = True
 
     def secure_client(self, socket: zmq.Socket[bytes], peer: PeerSettings) -> None:
-        """Let *socket* connect to *peer* with CURVE, if there is a key."""
+        """Use CURVE for connections from *socket* to *peer*, if CURVE is enabled."""
         if not self._secret_key:
             return
         socket.curve_secretkey = self._secret_key
@@ -65,7 +64,7 @@
         socket.curve_serverkey = peer.public_key.encode()
 
     def is_authenticated(self, sender: str, part: zmq.Frame) -> bool:
-        """Return whether *part* came over a connection with the key of *sender*."""
+        """Return whether *part* arrived over a connection with the key of *sender*."""
         if not self._secret_key_file:
             return True
         return self._box_by_key.get(str(part.get("User-Id"))) == sender
@@ -75,8 +74,8 @@
     """The authenticator's callback.
 
     Args:
-        keys: The public keys in the settings.
-        metrics: Counts the others.
+        keys: Public keys to admit.
+        metrics: Counts connections with other keys.
     """
 
     def __init__(self, keys: set[str], metrics: Metrics) -> None:
@@ -84,7 +83,7 @@
         self._metrics = metrics
 
     def callback(self, _domain: str, key: bytes) -> bool:
-        """Return whether a connection with the public key *key* is admitted."""
+        """Return whether to admit a connection with the public key *key*."""
         is_known = key.decode("ascii") in self._keys
         if not is_known:
             self._metrics.count("messages.dropped.unknown-key")
@@ -92,5 +91,5 @@
 
 
 def read_secret_key(path: str) -> bytes:
-    """Return the Z85 secret key in the file at *path*."""
+    """Return the Z85-encoded secret key in the file at *path*."""
     return Path(path).read_text(encoding="ascii").strip().encode()
--- a/src/foldloom/peers/inbound.py
+++ b/src/foldloom/peers/inbound.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""The way in: the one socket by which messages of all peers arrive.
+"""The ROUTER socket that receives the envelopes of all peers.
 
-Owns the ROUTER socket. Relies on whoever accepts what arrives: an envelope that can't be read, or
-whose handler fails, is counted or logged here and costs no other one.
+A malformed envelope or a failing handler is counted or logged and does not affect other envelopes.
 """
 
 from __future__ import annotations
@@ -18,20 +17,20 @@
 from foldloom.peers.connection import HIGH_WATER_MARK
 from foldloom.peers.curve import Curve
 
-# Envelopes taken before other tasks get their turn.
+# Envelopes received before yielding to other tasks.
 _RECEIVE_BATCH_MAX = 50
-# The largest envelope that is received: far above a snapshot.
+# Maximum size of an envelope; must exceed that of a controller snapshot.
 _ENVELOPE_MAX_BYTES = 64 * 1024 * 1024
 
 
 class InboundSocket:
-    """The socket that a box binds.
+    """The inbound socket of a box.
 
     Args:
-        address: ``IP:port``.
-        curve: Secures the socket, where there are keys.
-        accept: Called with each envelope's frames.
-        metrics: Counters.
+        address: ``IP:port`` to bind to.
+        curve: CURVE keys.
+        accept: Called with the message parts of each envelope.
+        metrics: Metrics of the box.
     """
 
     def __init__(
@@ -58,10 +57,10 @@
         return router
 
     async def receive(self, router: zmq.Socket[bytes]) -> None:
-        """Have each arriving envelope accepted, until cancelled; then close the socket.
+        """Pass each received envelope to *accept* until cancelled, then close the socket.
 
-        The socket is watched by its file descriptor and then emptied: that costs less for
-        each message than a future of ``zmq.asyncio`` does.
+        The socket's file descriptor is watched and the socket drained, which is cheaper per
+        message than a ``zmq.asyncio`` future.
         """
         readable = asyncio.Event()
         loop = asyncio.get_running_loop()
@@ -80,17 +79,17 @@
             router.close()
 
     def _receive_batch(self, router: zmq.Socket[bytes]) -> None:
-        """Receive what has arrived, up to a bound, so that other tasks get their turn."""
+        """Receive pending envelopes, up to the batch size."""
         for _ in range(_RECEIVE_BATCH_MAX):
             try:
                 parts = router.recv_multipart(zmq.NOBLOCK, copy=False)
             except zmq.Again:
-                # Everything that has arrived was taken.
+                # No envelope is pending.
                 return
             try:
                 self._accept(parts)
             except msgspec.DecodeError as error:
                 self._metrics.count("messages.dropped.malformed")
-                PEER_LOG.warning("Dropped a malformed message: {}.", error)
+                PEER_LOG.warning("Dropped a malformed envelope: {}.", error)
             except Exception:
-                PEER_LOG.exception("A handler failed.")
+                PEER_LOG.exception("Message handler failed.")
--- a/src/foldloom/peers/lives.py
+++ b/src/foldloom/peers/lives.py
@@ -1,12 +1,11 @@
 # SPDX-License-Identifier: MIT
-"""Which life of a peer is the present one, and how old its messages are.
+"""Current incarnation of each peer, and age of its messages.
 
-Owns what is known of each peer's life and clock. Relies on nothing but the envelopes' fields.
-
-A life is one run of a process. Ages are worked out from the least difference seen between the
-receiver's clock and the sender's sending time, both steady, so no clocks are compared. A sender
-whose clock falls back against the receiver's, as that of a machine that was suspended may, would
-look late for good: a reply to a request, which can't be older than the request, corrects that.
+In this module a life is an incarnation: one run of a process. The age of a message is computed from
+the smallest offset observed between the receiver's and the sender's monotonic clocks, so no
+synchronized clocks are needed. If the sender's clock falls back relative to the receiver's, for
+example during a suspension, all its messages would look late; a reply corrects the offset, since it
+can't be older than its request.
 """
 
 from __future__ import annotations
@@ -14,42 +13,45 @@
 import math
 from typing import NamedTuple, Protocol
 
-# Milliseconds of age below which a message shows its sender's present life: the usual time to live.
+# Age up to which a message establishes the current incarnation; the default time-to-live.
 _FRESH_AGE_MAX_MS = 1_000.0
-# Lives of a sender whose clocks are known: more restarts within one message's age are not expected.
+# Incarnations per sender whose clock offsets are kept.
 _INCARNATIONS_KEPT_MAX = 4
-# Share by which two steady clocks may drift apart: 100 parts in a million, as usual for quartz.
+# Maximum drift between two monotonic clocks: 100 ppm, typical of quartz oscillators.
 _DRIFT_RATIO_MAX = 1e-4
 
 
 class Lives(Protocol):
-    """What a network must know of its peers' lives."""
+    """Tracks the current incarnation and the clock offset of each peer."""
 
     def current(self, sender: str) -> int:
-        """Return the present life of *sender*, or 0."""
+        """Return the current incarnation of *sender*, or 0 if unknown."""
 
     def note(
         self, sender: str, life: int, sent_ms: float, now_ms: float, age_max_ms: float = math.inf
     ) -> float | None:
-        """Return the age in milliseconds of a message, or ``None`` if its sender is gone.
+        """Record a message and return its age in milliseconds.
 
         Args:
-            sender: The box that sent it.
-            life: The sender's life.
-            sent_ms: When it was sent; the sender's clock.
-            now_ms: When it arrived; own clock.
-            age_max_ms: How old it can be at most, where that is known otherwise: it was sent in
-                reply to a request of that age.
+            sender: Name of the sending box.
+            life: Incarnation of the sender.
+            sent_ms: Send time by the sender's clock.
+            now_ms: Receive time by the receiver's clock.
+            age_max_ms: Upper bound on the age, known if the message is a reply to a request of
+                that age.
+
+        Returns:
+            The age, or ``None`` if the message is of an outdated incarnation.
         """
 
 
 class _ClockOffset(NamedTuple):
-    """How far one life's clock is behind the receiver's: the least seen.
+    """The smallest clock offset observed for one incarnation.
 
     Args:
-        life: The life.
-        offset_ms: The receiver's clock less the sender's.
-        observed_ms: When that was seen; the receiver's clock.
+        life: The incarnation.
+        offset_ms: Receiver's clock minus sender's clock.
+        observed_ms: Time of the observation by the receiver's clock.
     """
 
     life: int
@@ -57,9 +59,9 @@
     observed_ms: float
 
     def least_at(self, now_ms: float) -> float:
-        """Return the least offset to be expected by now.
+        """Return the smallest offset at *now_ms*, allowing for clock drift.
 
-        Clocks drift apart slowly; a bound that never rose would age every message.
+        Without the allowance, drift would make every later message look older than it is.
         """
         return self.offset_ms + (now_ms - self.observed_ms) * _DRIFT_RATIO_MAX
 
@@ -67,7 +69,7 @@
 def _updated_offset(
     known: _ClockOffset | None, life: int, sent_ms: float, now_ms: float, age_max_ms: float
 ) -> _ClockOffset:
-    """Return what is known of a life's clock once one more message of it has arrived."""
+    """Return the clock offset of an incarnation, updated with one more message."""
     offset_ms = now_ms - sent_ms
     if known is None or offset_ms <= known.least_at(now_ms):
         return _ClockOffset(life, offset_ms, now_ms)
@@ -82,20 +84,20 @@
 
 
 class OrderedLives:
-    """Lives that are numbered upwards: what comes from a lower one is dropped."""
+    """Incarnations with increasing numbers; messages of lower ones are dropped."""
 
     def __init__(self) -> None:
         self._known: dict[str, _ClockOffset] = {}
 
     def current(self, sender: str) -> int:
-        """Return the highest life seen of *sender*, or 0."""
+        """Return the highest incarnation seen of *sender*, or 0 if unknown."""
         known = self._known.get(sender)
         return 0 if known is None else known.life
 
     def note(
         self, sender: str, life: int, sent_ms: float, now_ms: float, age_max_ms: float = math.inf
     ) -> float | None:
-        """Return the age of a message, or ``None`` if it is of an older life."""
+        """Return the age of a message, or ``None`` if it is of an older incarnation."""
         known = self._known.get(sender)
         if known is not None and life < known.life:
             return None
@@ -107,10 +109,10 @@
 
 
 class FreshLives:
-    """Lives without an order: the present one is that of the newest fresh message.
+    """Unordered incarnations; the one with the latest fresh message is current.
 
-    The time of day may jump back over a restart, so a number drawn from it can't order lives.
-    What an earlier life sent and the network held up is recognized by its age instead.
+    The wall clock may be set back across a restart, so incarnation numbers can't be ordered.
+    Delayed messages of an earlier incarnation are recognized by their age instead.
     """
 
     def __init__(self) -> None:
@@ -118,13 +120,13 @@
         self._current: dict[str, int] = {}
 
     def current(self, sender: str) -> int:
-        """Return the life of *sender* that sent the newest fresh message, or 0."""
+        """Return the incarnation of *sender* with the latest fresh message, or 0 if unknown."""
         return self._current.get(sender, 0)
 
     def note(
         self, sender: str, life: int, sent_ms: float, now_ms: float, age_max_ms: float = math.inf
     ) -> float | None:
-        """Return the age of a message; take its life as the present one if it is fresh."""
+        """Return the age of a message; its incarnation becomes current if it is fresh."""
         lives = self._known.setdefault(sender, {})
         lives[life] = _updated_offset(lives.get(life), life, sent_ms, now_ms, age_max_ms)
         while len(lives) > _INCARNATIONS_KEPT_MAX:
--- a/src/foldloom/peers/messages.py
+++ b/src/foldloom/peers/messages.py
@@ -1,10 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The codec for messages between boxes: NamedTuples in msgpack, grouped in envelopes.
+"""Codec for messages between boxes: msgpack-encoded NamedTuples, batched in envelopes.
 
-Owns the registry of messages by number and type. Relies on msgspec.
-
-Fields are only ever added at a message's end, with a default. A longer tuple than this
-release knows is cut to the fields that it knows, so that a rolling upgrade works.
+Owns the registry of message types by number. For rolling upgrades, fields are only added at the end
+of a message, with a default, and unknown trailing fields are ignored.
 """
 
 from __future__ import annotations
@@ -23,14 +21,14 @@
 
 
 class Frame(NamedTuple):
-    """One message inside an envelope.
+    """One message in an envelope.
 
     Args:
-        kind: The registered number of the message's type.
-        id: The sender's number for a request; 0 if no reply is wanted.
-        reply_to: The request that this answers; 0 if it is none.
-        ttl_ms: How long the message is of use after it was sent.
-        body: The encoded message.
+        kind: Registered number of the message type.
+        id: Request id assigned by the sender; 0 if no reply is expected.
+        reply_to: Id of the request that this message replies to; 0 if it is no reply.
+        ttl_ms: Time-to-live after sending, in milliseconds.
+        body: Encoded message.
     """
 
     kind: int
@@ -41,13 +39,13 @@
 
 
 class Envelope(NamedTuple):
-    """All messages that one box had for another at one moment.
+    """A batch of messages from one box to another.
 
     Args:
-        sender: The sending box.
-        incarnation: The sender's incarnation.
-        sent_ms: The sender's monotonic clock at sending, milliseconds.
-        frames: The messages, oldest first.
+        sender: Name of the sending box.
+        incarnation: Incarnation of the sender.
+        sent_ms: Send time by the sender's monotonic clock, in milliseconds.
+        frames: Messages, oldest first.
     """
 
     sender: str
@@ -60,19 +58,19 @@
 
 
 def register(kind: int, message_type: MessageType, counted_as: str = "") -> MessageType:
-    """Give *message_type* its number on the wire; numbers are never used again.
+    """Register *message_type* under its number on the wire; numbers are never reused.
 
     Args:
-        kind: The number.
-        message_type: A NamedTuple.
-        counted_as: Its name in the counter of sent messages, if that is not the class's: the
-            names of metrics stay when a class is renamed.
+        kind: Number of the message type.
+        message_type: A NamedTuple class.
+        counted_as: Name in the counter of sent messages, if it differs from the class name. Keeps
+            the metric name stable when a class is renamed.
 
     Raises:
-        ValueError: The number is taken.
+        ValueError: The number is already registered.
     """
     if kind in _KINDS:
-        raise ValueError(f"kind {kind} is taken by {_KINDS[kind].__name__}")
+        raise ValueError(f"kind {kind} is already registered for {_KINDS[kind].__name__}")
     _KINDS[kind] = message_type
     _KIND_BY_TYPE[message_type] = kind
     _METRIC_NAME_BY_TYPE[message_type] = counted_as or message_type.__name__
@@ -81,39 +79,39 @@
 
 
 def kind_of(message: object) -> int:
-    """Return the registered number of *message*'s type."""
+    """Return the registered number of the type of *message*."""
     return _KIND_BY_TYPE[type(message)]
 
 
 def counted_as(message: object) -> str:
-    """Return the name under which sent messages of *message*'s type are counted."""
+    """Return the name of the type of *message* in the counter of sent messages."""
     return _METRIC_NAME_BY_TYPE[type(message)]
 
 
 def encode_body(message: object) -> msgspec.Raw:
-    """Return *message* encoded for a frame."""
+    """Return *message* encoded as the body of a frame."""
     return msgspec.Raw(_ENCODER.encode(message))
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Return the bytes of *envelope*."""
+    """Return *envelope* encoded."""
     return _ENCODER.encode(envelope)
 
 
 def decode_envelope(data: bytes) -> Envelope:
-    """Return the envelope in *data*.
+    """Decode an envelope.
 
     Raises:
-        msgspec.DecodeError: The bytes are no envelope.
+        msgspec.DecodeError: *data* is not an envelope.
     """
     return _ENVELOPE_DECODER.decode(data)
 
 
 def decode_body(frame: Frame) -> Any:
-    """Return the message in *frame*; extra trailing fields are dropped.
+    """Return the decoded message of *frame*; unknown trailing fields are ignored.
 
     Raises:
-        msgspec.DecodeError: The kind is unknown or the fields are wrong.
+        msgspec.DecodeError: The kind is unknown or the fields are invalid.
     """
     decoder = _DECODER_BY_KIND.get(frame.kind)
     if decoder is None:
--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -1,12 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""Messages between boxes over ZeroMQ: one outbound task a peer, one inbound socket.
+"""Messaging between boxes over ZeroMQ.
 
-Owns the requests that wait for a reply, and the handlers. Relies on the inbound socket, on a
-connection to each peer, and on lives for the age of messages.
-
-Each box binds one ROUTER and connects one DEALER to every peer, by which its requests and replies
-leave. ZeroMQ queues silently and delivers after a cut heals; small high-water marks, ``IMMEDIATE``
-and a time to live on every message keep old messages from having an effect.
+Owns the pending requests and the message handlers. Each box binds one ROUTER socket and connects
+one DEALER socket to every peer, which carries its requests and its replies. ZeroMQ queues messages
+and delivers them after a partition heals; low high-water marks, ``IMMEDIATE`` and a time-to-live on
+every message keep stale messages from taking effect.
 """
 
 from __future__ import annotations
@@ -43,21 +41,21 @@
 from foldloom.tasks import TaskSet
 from foldloom.time_limits import TimeLimit
 
-# Bits of the number of a life's first request; all numbers of a life fit 64 bits.
+# Bits of the random first request id; leaves room to count up within 64 bits.
 _REQUEST_ID_BITS = 62
-# Milliseconds for which a message is of use if its sender says nothing else.
+# Default time-to-live of a message.
 DEFAULT_TTL_MS = 1_000
 
 Handler = Callable[[str, Any], Any]
 
 
 class _PendingRequest(NamedTuple):
-    """A request that waits for its reply.
+    """A request without a reply so far.
 
     Args:
-        box: Who was asked.
-        reply: What takes the reply.
-        started_ms: When; own clock.
+        box: Name of the box that the request was sent to.
+        reply: Future of the reply.
+        started_ms: Send time by the monotonic clock.
     """
 
     box: str
@@ -66,12 +64,12 @@
 
 
 class PeerNetwork:
-    """Send messages to peers and hand theirs to the registered handlers.
+    """Sends messages to peers and dispatches received ones to handlers.
 
     Args:
-        settings: This box's settings.
-        incarnation: This process's incarnation.
-        metrics: Counters for messages by kind.
+        settings: Settings of this box.
+        incarnation: Incarnation of this process.
+        metrics: Metrics of the box.
     """
 
     def __init__(self, settings: Settings, incarnation: int, metrics: Metrics) -> None:
@@ -87,8 +85,8 @@
         self._pending_requests: dict[int, _PendingRequest] = {}
         self._lives: Lives = FreshLives() if self._uses_discovery else OrderedLives()
         self._send_tasks: dict[str, asyncio.Task[None]] = {}
-        # Drawn, since a reply names no life: one that an earlier life of this box was sent must not
-        # be taken for the reply to a request of this one.
+        # Random, so that a reply to an earlier incarnation of this box matches no current request:
+        # replies carry no incarnation of the requester.
         self._next_id = secrets.randbits(_REQUEST_ID_BITS)
         self._tasks = TaskSet()
         self._probes = ClockProbes(self, metrics, self._tasks)
@@ -100,33 +98,33 @@
 
     @property
     def incarnation(self) -> int:
-        """This process's incarnation."""
+        """Incarnation of this process."""
         return self._incarnation
 
     @property
     def peer_names(self) -> list[str]:
-        """All other boxes of the settings."""
+        """Names of all peers."""
         return list(self._peers)
 
     def known_incarnation(self, box: str) -> int:
-        """Return the newest incarnation seen of *box*, or 0."""
+        """Return the current incarnation of *box*, or 0 if unknown."""
         if box == self._settings.box:
             return self._incarnation
         return self._lives.current(box)
 
     def zone_of(self, box: str) -> str:
-        """Return the availability zone of *box*, or an empty string."""
+        """Return the availability zone of *box*, or an empty string if unknown."""
         return self._zone_by_box.get(box, "")
 
     def on(self, message_type: type, handler: Handler) -> None:
         """Call ``handler(sender, message)`` for each message of *message_type*.
 
-        A handler returns the reply, ``None`` for no reply, or a coroutine of either.
+        A handler returns a reply, ``None`` for no reply, or a coroutine that returns either.
         """
         self._handlers[message_type] = handler
 
     async def start(self) -> None:
-        """Bind, connect to every peer and start the tasks."""
+        """Bind the inbound socket and connect to every peer."""
         self._curve.start(self._context)
         router = self._inbound.bind(self._context)
         self._tasks.spawn(self._inbound.receive(router))
@@ -135,7 +133,7 @@
             self._connect(box)
 
     def add_peer(self, box: str) -> None:
-        """Connect to a box found by seed discovery, whose name is its address (``IP:port``)."""
+        """Connect to a box found by seed discovery; its name is its address (``IP:port``)."""
         if box in self._peers or box == self._settings.box:
             return
         peer = PeerSettings(box=box, zone="", roles=[], address=box)
@@ -145,7 +143,7 @@
             self._connect(box)
 
     def drop_peer(self, box: str) -> None:
-        """Close the connection to a box found by seed discovery that is gone."""
+        """Close the connection to a box that has left; no effect without seed discovery."""
         if not self._uses_discovery or box not in self._peers:
             return
         del self._peers[box], self._connections[box]
@@ -154,13 +152,13 @@
             task.cancel()
 
     async def stop(self) -> None:
-        """End the tasks and close the sockets."""
+        """Cancel the tasks and close the sockets."""
         await self._tasks.stop()
         self._curve.stop()
         self._context.destroy(linger=0)
 
     def send(self, box: str, message: object, ttl_ms: int = DEFAULT_TTL_MS) -> None:
-        """Send *message* to *box* without waiting for anything; it may be lost."""
+        """Send *message* to *box* without blocking; it may be lost."""
         if box == self._settings.box:
             asyncio.get_running_loop().call_soon(self._dispatch_local, message)
             return
@@ -180,7 +178,7 @@
         self._pending_requests[request_id] = _PendingRequest(box, future, monotonic_ms())
         try:
             self._enqueue(box, message, request_id, 0, int(timeout_ms) + 1)
-            # Not wait_for: up to Python 3.11 it loses a cancellation that comes with the reply.
+            # asyncio.wait_for may lose a cancellation that arrives with the reply (Python 3.11).
             async with TimeLimit(timeout_ms):
                 return await future
         except TimeoutError:
@@ -221,7 +219,10 @@
         self._metrics.count("bytes.received", len(data))
         if not self._is_authenticated(envelope.sender, parts[-1]):
             self._metrics.count("messages.dropped.stranger")
-            PEER_LOG.warning("Dropped a message that claims to be from {}.", envelope.sender)
+            PEER_LOG.warning(
+                "Dropped an envelope that failed sender authentication: claimed sender {}.",
+                envelope.sender,
+            )
             return
         now_ms = monotonic_ms()
         age_ms = self._lives.note(
@@ -236,12 +237,12 @@
             return
         for frame in envelope.frames:
             if age_ms > frame.ttl_ms:
-                self._probes.drop_expired(envelope.sender, frame, age_ms)
+                self._probes.record_expired(envelope.sender, frame, age_ms)
                 continue
             self._dispatch(envelope.sender, frame)
 
     def _age_max_ms(self, envelope: Envelope, now_ms: float) -> float:
-        """Return how old an envelope can be at most: a reply is younger than its request."""
+        """Return an upper bound on the age of *envelope*: a reply is younger than its request."""
         age_max_ms = math.inf
         for frame in envelope.frames:
             pending = self._pending_requests.get(frame.reply_to) if frame.reply_to else None
@@ -272,7 +273,7 @@
         reply = handler(sender, message)
         if inspect.iscoroutine(reply):
             task = self._tasks.spawn(self._reply_when_done(sender, frame, reply))
-            # A task that is cancelled before its first step does not await what it was given.
+            # A task cancelled before its first step never awaits the coroutine.
             task.add_done_callback(lambda _task: reply.close())
             return
         self._reply(sender, frame, reply)
@@ -281,7 +282,7 @@
         try:
             self._reply(sender, frame, await reply)
         except Exception:
-            PEER_LOG.exception("A handler failed.")
+            PEER_LOG.exception("Message handler failed.")
 
     def _reply(self, sender: str, frame: Frame, reply: object) -> None:
         if reply is None or not frame.id:
--- a/src/foldloom/settings.py
+++ b/src/foldloom/settings.py
@@ -1,10 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""The daemon's settings: a YAML file, every field checked, units in the names.
+"""Types and defaults of the daemon's settings; :mod:`foldloom.settings_file` loads the file.
 
-Owns nothing: types with their defaults. Relies on msgspec to check them;
-:mod:`foldloom.settings_file` reads the file.
-
-Keys are promises to operators. Where a key uses an older word than the code (``worker``,
+Keys are a stable interface for operators. Where a key uses an older term than the code (``worker``,
 ``member``), ``msgspec.field(name=...)`` maps it to the attribute.
 """
 
@@ -28,7 +25,7 @@
 
 
 class HttpSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where callers and operators reach this box, and the bounds on what they send."""
+    """Listen address of the HTTP interface, and limits on connections and requests."""
 
     # IP address to listen on.
     host: str
@@ -50,10 +47,9 @@
 
 
 class PeerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One box of the system, this one included.
+    """One box of the system, which may be this box.
 
-    ``address`` is ``IP:port`` of its peer socket, as seen from this box. ``http_url`` is accepted
-    and ignored: nothing reads it any more, but files that hold it must still load.
+    ``http_url`` is unused and accepted so that older files still load.
     """
 
     # The box's name.
@@ -71,7 +67,7 @@
 
 
 class LimitSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds on jobs, queues, retries and what is kept in memory."""
+    """Limits on jobs, queues, retries and memory."""
 
     # Tasks of a job; more get 413: above the 1,700 of the size to design for.
     tasks_per_job_max: PositiveInt = 2_000
@@ -102,7 +98,7 @@
 
 
 class TimingSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Intervals and time-outs, all in milliseconds."""
+    """Intervals and timeouts, in milliseconds."""
 
     # Between two heartbeats to each box, so that several may be lost before a box counts as silent.
     heartbeat_ms: PositiveInt = 250
@@ -153,7 +149,7 @@
 
 
 class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where log lines go: a file, or standard output if ``file`` is empty."""
+    """Destination, format and level of log lines."""
 
     # The least level that is written.
     level: str = "INFO"
@@ -164,7 +160,7 @@
 
 
 class StatsdSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The statsd server; no metrics are sent while ``host`` is empty."""
+    """Address of the statsd server; no metrics are sent while ``host`` is empty."""
 
     # The statsd server; empty sends nothing.
     host: str = ""
@@ -175,10 +171,10 @@
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole settings file of one box.
+    """The settings file of one box.
 
-    The other boxes are either all listed in ``peers``, or found through ``seeds``: addresses
-    (``IP:port``) of some controllers. With seeds a box's name is its own address.
+    The other boxes are either all listed in ``peers``, or discovered through ``seeds``, the
+    addresses (``IP:port``) of some controllers. With seeds, a box's name is its listen address.
 
     .. versionadded:: 0.1.0
     """
@@ -234,5 +230,5 @@
 
     @property
     def retention_ms(self) -> int:
-        """How long claims and answers are kept: a whole job and the resubmission window."""
+        """Retention of claims and answers: the longest deadline plus the resubmission window."""
         return self.timings.deadline_max_ms + self.timings.resubmission_window_ms
--- a/src/foldloom/settings_file.py
+++ b/src/foldloom/settings_file.py
@@ -1,8 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Settings are read and checked: types by msgspec, then the fields against each other.
+"""Loading and validation of settings: types by msgspec, then consistency between fields.
 
-Owns nothing. What is wrong is named by its dotted key, with the nearest known key for one that is
-unknown, so that an operator finds it without reading this.
+Errors name the dotted key; for an unknown key they suggest the closest known one.
 """
 
 from __future__ import annotations
@@ -33,10 +32,10 @@
 
 
 def load_settings(path: str) -> Settings:
-    """Read and check the settings file at *path*.
+    """Load and validate the settings file at *path*.
 
     Raises:
-        SettingsError: The file is unreadable or a field is wrong; names key and reason.
+        SettingsError: The file is unreadable or a field is invalid.
     """
     try:
         raw = yaml.safe_load(Path(path).read_text(encoding="utf-8"))
@@ -44,15 +43,15 @@
         reason = " ".join(str(error).split())
         raise SettingsError(path, "", reason) from error
     if not isinstance(raw, dict):
-        raise SettingsError(path, "", "expected a mapping at the top")
+        raise SettingsError(path, "", "expected a mapping at the top level")
     return settings_from(raw, path)
 
 
 def settings_from(raw: dict[str, Any], path: str = "<settings>") -> Settings:
-    """Check the mapping *raw* and return the settings.
+    """Validate the mapping *raw* and return the settings.
 
     Raises:
-        SettingsError: A field is wrong.
+        SettingsError: A field is invalid.
     """
     try:
         settings = msgspec.convert(raw, Settings)
@@ -64,7 +63,7 @@
 
 
 def _key_and_reason(message: str) -> tuple[str, str]:
-    """Split a checker's *message* into the dotted key and the reason."""
+    """Split a msgspec validation *message* into the dotted key and the reason."""
     reason, _, location = message.partition(" - at `$")
     key = location.rstrip("`").lstrip(".")
     match = re.match(r"Object contains unknown field `(.+)`", reason)
@@ -96,7 +95,7 @@
 
 
 def _check_consistency(settings: Settings, path: str) -> None:
-    """Check the fields against each other.
+    """Check the consistency of fields with each other.
 
     Raises:
         SettingsError: Two fields contradict each other.
@@ -113,20 +112,22 @@
         return
     names = [peer.box for peer in settings.peers]
     if len(set(names)) != len(names):
-        raise SettingsError(path, "peers", "a box is listed twice")
+        raise SettingsError(path, "peers", "two peers have the same box name")
     own_entries = [peer for peer in settings.peers if peer.box == settings.box]
     if not own_entries:
         raise SettingsError(path, "box", "this box is not among the peers")
     if own_entries[0].zone != settings.zone or sorted(own_entries[0].roles) != sorted(
         settings.roles
     ):
-        raise SettingsError(path, "peers", "zone or roles of this box differ from its own entry")
+        raise SettingsError(
+            path, "peers", "zone or roles differ from the entry of this box in peers"
+        )
     _check_local_settings(settings, path)
     _check_keys(settings, path)
 
 
 def _check_local_settings(settings: Settings, path: str) -> None:
-    """Check the fields that say nothing of other boxes.
+    """Check the fields that concern only this box.
 
     Raises:
         SettingsError: Two fields contradict each other.
@@ -140,23 +141,25 @@
     if settings.logs.format not in ("text", "json"):
         raise SettingsError(path, "logs.format", "must be text or json")
     if bool(settings.http.tls_certificate_file) != bool(settings.http.tls_key_file):
-        raise SettingsError(path, "http.tls_key_file", "certificate and key go together")
+        raise SettingsError(
+            path, "http.tls_key_file", "tls_certificate_file and tls_key_file must be set together"
+        )
 
 
 def _check_seeds(settings: Settings, path: str) -> None:
-    """Check a box that finds the others through seeds.
+    """Check the settings of a box that uses seed discovery.
 
     Raises:
         SettingsError: Two fields contradict each other.
     """
     if settings.peers:
-        raise SettingsError(path, "peers", "peers and seeds exclude each other")
+        raise SettingsError(path, "peers", "peers and seeds are mutually exclusive")
     for seed in settings.seeds:
         _check_address(seed, "seeds", path)
     if settings.box != settings.listen:
-        raise SettingsError(path, "box", "with seeds a box is named by its listen address")
+        raise SettingsError(path, "box", "must equal the listen address when seeds are used")
     if settings.secret_key_file:
-        raise SettingsError(path, "secret_key_file", "keys need every peer in the settings")
+        raise SettingsError(path, "secret_key_file", "CURVE keys are not supported with seeds")
     is_loopback = ipaddress.ip_address(settings.listen.rpartition(":")[0]).is_loopback
     if not is_loopback and not settings.plaintext_peers:
         reason = "must be true to run without keys off the loopback address"
@@ -164,13 +167,21 @@
 
 
 def _check_address(address: str, key: str, path: str) -> None:
-    """Check that *address* is ``IP:port``."""
+    """Check that *address* has the form ``IP:port``.
+
+    Raises:
+        SettingsError: It does not.
+    """
     if not is_address(address):
         raise SettingsError(path, key, f"{address!r} is not IP:port")
 
 
 def _check_keys(settings: Settings, path: str) -> None:
-    """Peers may go without keys only while every address is on loopback."""
+    """Check that CURVE keys are set, unless every address is on loopback.
+
+    Raises:
+        SettingsError: A key is missing.
+    """
     if settings.secret_key_file:
         missing = [peer.box for peer in settings.peers if not peer.public_key]
         if missing:
--- a/src/foldloom/tasks.py
+++ b/src/foldloom/tasks.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Tasks of one part, kept until they end: the event loop itself holds tasks only weakly.
+"""Sets of asyncio tasks that hold strong references until the tasks end.
 
-Owns its tasks. Relies on the event loop.
+The event loop itself keeps only weak references to tasks.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 
 class TaskSet:
-    """The tasks that a part has started and that have not ended."""
+    """The running tasks of one component."""
 
     def __init__(self) -> None:
-        # For its order, which a set of tasks does not have: tasks are cancelled in turn.
+        # A dict as an ordered set: tasks are cancelled in the order in which they were started.
         self._tasks: dict[asyncio.Task[Any], None] = {}
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
@@ -26,17 +26,17 @@
         return task
 
     def cancel(self) -> None:
-        """Cancel every task, and wait for none."""
+        """Cancel every task without waiting for it to end."""
         for task in list(self._tasks):
             task.cancel()
 
     async def stop(self) -> None:
-        """Cancel every task and wait until all have ended."""
+        """Cancel every task and wait until all of them have ended."""
         tasks = list(self._tasks)
         self.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def wait(self) -> None:
-        """Wait until every task has ended, those that are started meanwhile included."""
+        """Wait until every task has ended, including tasks started meanwhile."""
         while self._tasks:
             await asyncio.wait(list(self._tasks))
--- a/src/foldloom/time_limits.py
+++ b/src/foldloom/time_limits.py
@@ -1,13 +1,12 @@
 # SPDX-License-Identifier: MIT
-"""Limits of time that count the time for which the machine was suspended.
+"""Timeouts and sleeps that include the time for which the box was suspended.
 
-Owns the limits that are open. Relies on the event loop's timers, whose clock stops with the
-machine, and on whoever notices a suspension, who must call :func:`catch_up` then.
+The clock of the event loop's timers stops during a suspension, so a plain ``asyncio`` timeout ends
+late by its length: a deadline would be missed, and a planned stop would overrun its bound. After a
+suspension, :func:`catch_up` must be called to reschedule the open timeouts.
 
-Without that, a limit that was open would end late by as much as its machine was suspended: a caller
-whose deadline has passed would wait on, and a planned stop would overrun its bound. Timers that
-only repeat, or whose whole time is some tens of milliseconds, are plain ``asyncio`` ones; so are
-those that may be late without harm, such as the wait until a run is gone for certain.
+Periodic timers, timers of some tens of milliseconds and timers that may fire late without harm use
+plain ``asyncio`` timers.
 """
 
 from __future__ import annotations
@@ -21,12 +20,10 @@
 
 
 class TimeLimit:
-    """What runs within it is cancelled when the time is over, and ``TimeoutError`` raised.
-
-    As :func:`asyncio.timeout`, for ``async with``.
+    """A suspension-aware counterpart of :func:`asyncio.timeout`, for ``async with``.
 
     Args:
-        limit_ms: Milliseconds from entering it; none are left if it is not above 0.
+        limit_ms: Timeout in milliseconds; expires at once if it is 0 or less.
     """
 
     def __init__(self, limit_ms: float) -> None:
@@ -46,25 +43,25 @@
         traceback: TracebackType | None,
     ) -> None:
         del _deadline_ms_by_timeout[self._timeout]
-        # It raises what it has to, and swallows nothing.
+        # Raises TimeoutError on expiry and suppresses no exception.
         await self._timeout.__aexit__(kind, error, traceback)
 
 
 async def sleep(delay_ms: float) -> None:
-    """Sleep for *delay_ms* milliseconds, those included for which the machine is suspended."""
+    """Sleep for *delay_ms* milliseconds, suspended time included."""
     try:
         async with TimeLimit(delay_ms):
             await asyncio.get_running_loop().create_future()
     except TimeoutError:
-        # The time is over: nothing else ends this.
+        # The delay has elapsed; the future is never resolved.
         return
 
 
 def catch_up() -> None:
-    """Let each open limit end when its time is over, after the machine was suspended."""
+    """Reschedule the open timeouts after a suspension of the box."""
     now_ms = monotonic_ms()
     loop_s = asyncio.get_running_loop().time()
     for timeout, deadline_ms in _deadline_ms_by_timeout.items():
-        # One that has expired is ending already.
+        # An expired timeout is already ending and can't be rescheduled.
         if not timeout.expired():
             timeout.reschedule(loop_s + (deadline_ms - now_ms) / 1_000)
--- a/src/foldloom/verdicts.py
+++ b/src/foldloom/verdicts.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The verdict on a job or an attempt: what happened, and whether work may have run.
-
-Owns nothing: types that both paths use.
-"""
+"""Outcome types of jobs and attempts, shared by static peers and seed discovery."""
 
 from __future__ import annotations
 
@@ -11,14 +8,14 @@
 
 
 class Run(StrEnum):
-    """Whether any task of a request may have started on an endpoint."""
+    """Whether any task of a job or an attempt may have started on an endpoint."""
 
     NOT_RUN = "not-run"
     MAY_HAVE_RUN = "may-have-run"
 
 
 class Verdict(StrEnum):
-    """The final state of a job as its caller sees it."""
+    """The final state of a job as reported to its caller."""
 
     COMPLETE = "complete"
     FAILED = "failed"
@@ -26,14 +23,14 @@
 
 
 class Problem(NamedTuple):
-    """Why a job or an attempt gave no answer.
+    """Why a job or an attempt has no answer.
 
     Args:
-        run: Whether work may have run.
-        reason: A fixed, dashed word, stable across releases.
-        detail: One short sentence for people.
-        retry_after_ms: When coming back helps, how long to wait; else 0.
-        status: The HTTP status for the caller.
+        run: Whether any task may have run.
+        reason: Identifier in kebab case, stable across releases.
+        detail: Human-readable explanation.
+        retry_after_ms: Milliseconds after which to retry; 0 if a retry does not help.
+        status: HTTP status of the response.
 
     .. versionadded:: 0.1.0
     """
@@ -46,17 +43,17 @@
 
     @property
     def verdict(self) -> Verdict:
-        """``refused`` only when the work certainly did not run."""
+        """``refused`` if no task has run, else ``failed``."""
         return Verdict.REFUSED if self.run is Run.NOT_RUN else Verdict.FAILED
 
 
 def not_run(reason: str, detail: str = "", retry_after_ms: int = 0, status: int = 503) -> Problem:
-    """Return a problem that says the work certainly did not run."""
+    """Return a problem for work that has certainly not run."""
     return Problem(Run.NOT_RUN, reason, detail, retry_after_ms, status)
 
 
 def may_have_run(
     reason: str, detail: str = "", retry_after_ms: int = 0, status: int = 502
 ) -> Problem:
-    """Return a problem that says the work may have run."""
+    """Return a problem for work that may have run."""
     return Problem(Run.MAY_HAVE_RUN, reason, detail, retry_after_ms, status)
