--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The command-line tool: answers on stdout, one clear line on stderr, exit codes."""
+"""Command-line tool: output, error messages and exit codes against a running box."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 @pytest.fixture(scope="module")
 def cluster(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Cluster]:
-    """One zone with one box."""
+    """Return a cluster of one box in one zone."""
     with Cluster(tmp_path_factory.mktemp("cli"), zones="a", controllers=1) as running:
         yield running
 
 
 class TestIntents:
-    """Intent, plan, confirm, status."""
+    """Guards the intent, plan, confirm and status commands."""
 
     def test_whole_way(self, cluster: Cluster, tmp_path: Path) -> None:
-        """Intents are collected, planned in words and JSON, confirmed and in force."""
+        """A confirmed plan takes effect; confirming it again is a conflict."""
         file, url = str(tmp_path / "intents.json"), cluster.url("a1")
-        made = cluster.cli("intent", "member", "m7", "--quota", "3", "--file", file)
-        assert made.returncode == 0, made.stderr
-        words = cluster.cli("plan", file, "--url", url)
-        assert 'members m7: add {"quota":3' in words.stdout
+        created = cluster.cli("intent", "member", "m7", "--quota", "3", "--file", file)
+        assert created.returncode == 0, created.stderr
+        planned = cluster.cli("plan", file, "--url", url)
+        assert 'members m7: add {"quota":3' in planned.stdout
         plan = json.loads(cluster.cli("plan", file, "--url", url, "--json").stdout)
         confirmed = cluster.cli("confirm", file, plan["digest"], "--url", url, "--json")
         version = json.loads(confirmed.stdout)["version"]
@@ -40,7 +40,7 @@
         assert "Traceback" not in stale.stderr
 
     def test_wrong_intent(self, cluster: Cluster, tmp_path: Path) -> None:
-        """An intent with an unknown field is refused and named."""
+        """An intent with an unknown field is refused, and the error names the field."""
         file = tmp_path / "wrong.json"
         file.write_text('[{"kind": "member", "name": "m", "qouta": 1}]')
         answer = cluster.cli("plan", str(file), "--url", cluster.url("a1"))
@@ -49,10 +49,10 @@
 
 
 class TestExitCodes:
-    """What scripts rely on."""
+    """Guards the exit codes, which scripts rely on."""
 
     def test_submit(self, cluster: Cluster, tmp_path: Path) -> None:
-        """Complete is 0, refused 3, failed 4, conflict 5, unreachable 6, usage 2."""
+        """Exit codes: complete 0, usage 2, refused 3, failed 4, conflict 5, unreachable 6."""
         url = cluster.url("a1")
 
         def submit(submission: str, service: str, payload: object, target: str = url) -> int:
@@ -71,7 +71,7 @@
         assert cluster.cli("submit", str(tmp_path / "none.json")).returncode == 2
 
     def test_check_settings(self, cluster: Cluster, tmp_path: Path) -> None:
-        """Good settings exit 0; bad ones 2, with file, key and reason on one line."""
+        """Valid settings exit with 0, invalid ones with 2 and one line on stderr."""
         good = cluster.cli("check-settings", str(cluster.folder / "a1.yaml"))
         assert (good.returncode, good.stderr) == (0, "")
         path = tmp_path / "bad.yaml"
@@ -82,21 +82,21 @@
         assert str(path) in bad.stderr
 
     def test_keys_and_version(self, cluster: Cluster, tmp_path: Path) -> None:
-        """A key pair's secret goes to a private file only; version prints the version."""
+        """The secret key is written to a private file and never printed or overwritten."""
         path = tmp_path / "key"
-        made = cluster.cli("keys", str(path))
-        assert made.returncode == 0
-        assert path.read_text().strip() not in made.stdout
+        created = cluster.cli("keys", str(path))
+        assert created.returncode == 0
+        assert path.read_text().strip() not in created.stdout
         assert path.stat().st_mode & 0o077 == 0
         assert cluster.cli("keys", str(path)).returncode == 2
         assert cluster.cli("version").stdout.strip()
 
 
 class TestOperatorsHttp:
-    """The operators' routes."""
+    """Guards the authentication of the operator routes."""
 
     def test_token_is_required(self, cluster: Cluster) -> None:
-        """Without the right token nothing is told and nothing is planned."""
+        """Requests without a valid token get 401, and no token appears in the log."""
         for token in ("", "wrong"):
             assert http("GET", f"{cluster.url('a1')}/v1/status", token=token).status == 401
             assert http("POST", f"{cluster.url('a1')}/v1/intents", [], token).status == 401
--- a/tests/test_cli_explain.py
+++ b/tests/test_cli_explain.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""``foldloom explain``: from an id to its cause, over the logs of several boxes."""
+"""``foldloom explain``: timeline and cause of a job from the logs of several boxes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def logs(tmp_path: Path) -> list[str]:
-    """Return the logs of an entry box and of two owners, one of which was lost."""
+    """Return the logs of an entry box and of two owners, the first of which is lost."""
     entry = [
         _line(1, "e1", "job.accepted", job=_JOB, tasks=1),
         _line(1, "e1", "job.accepted", job="dead", tasks=1),
@@ -48,10 +48,10 @@
 
 
 class TestExplain:
-    """One request across boxes."""
+    """Guards the timeline of one job across boxes."""
 
     def test_in_order_with_cause(self, logs: list[str]) -> None:
-        """Its events and what its boxes believed meanwhile, in order of time."""
+        """Events of the job and context events of its boxes are ordered by time."""
         life = explain(_JOB, read_lines(logs))
         assert [line.event for line in life.lines] == [
             "job.accepted",
@@ -66,7 +66,7 @@
         assert life_text(life).endswith("outcome: expired\ncause: resumed at owner o2; too late")
 
     def test_words_of_the_release_before(self, tmp_path: Path) -> None:
-        """Logs that say worker for an endpoint are shown in the words of this release."""
+        """Logs of the previous release, which say worker for endpoint, use the current names."""
         run = f"{_JOB}.0.0.0#1"
         lines = [
             _line(1, "e1", "job.accepted", job=_JOB, tasks=1),
@@ -83,11 +83,11 @@
         assert life.cause == f"{run} lost on w1; {run} failed on w2"
 
     def test_first_part_of_an_id(self, logs: list[str]) -> None:
-        """The first digits are enough."""
+        """A prefix of the job id is accepted."""
         assert explain("c0ffee", read_lines(logs)).job == _JOB
 
     def test_command(self, logs: list[str], capsys: pytest.CaptureFixture[str]) -> None:
-        """JSON on demand; an id that no log names is a failure, no log at all is wrong usage."""
+        """``--json`` prints JSON; an unknown id exits with 1, a missing log file with 2."""
         Commands().explain(_JOB, *logs, json=True)
         assert msgspec.json.decode(capsys.readouterr().out)["outcome"] == "expired"
         with pytest.raises(CommandError) as unknown:
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The clock that decisions use, in a process whose machine is suspended."""
+"""Monotonic clocks of a process whose box is suspended."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 """
 
 
-def _read(program: subprocess.Popen[str]) -> tuple[float, float]:
-    """Return what both clocks of the program show."""
+def _read_clocks(program: subprocess.Popen[str]) -> tuple[float, float]:
+    """Return both clocks of the program: suspended time included, then excluded."""
     assert program.stdin is not None
     assert program.stdout is not None
     program.stdin.write("\n")
     program.stdin.flush()
-    steady_ms, running_ms = program.stdout.readline().split()
-    return float(steady_ms), float(running_ms)
+    boot_ms, running_ms = program.stdout.readline().split()
+    return float(boot_ms), float(running_ms)
 
 
 class TestSuspended:
-    """A suspension of the machine, between two looks at the clocks."""
+    """Guards against a clock that misses suspended time, which would keep leases too long."""
 
     def test_it_counts(self, tmp_path: Path) -> None:
-        """The clock of decisions counts it, and the clock of timers does not."""
+        """``monotonic_ms`` includes suspended time; ``running_ms`` does not."""
         clock = SuspendableClock(tmp_path / "suspended")
         with subprocess.Popen(
             [sys.executable, "-c", _PROGRAM],
@@ -44,11 +44,11 @@
             env={**os.environ, **clock.variables},
         ) as program:
             began_s = time.monotonic()
-            before = _read(program)
+            before = _read_clocks(program)
             clock.suspend(program.pid)
             time.sleep(_SUSPENDED_S)
             suspended_ms = clock.resume(program.pid) * 1_000
-            after = _read(program)
+            after = _read_clocks(program)
             passed_ms = (time.monotonic() - began_s) * 1_000
             program.kill()
         assert suspended_ms <= after[0] - before[0] <= passed_ms
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Log lines: events as JSON, a rate for each kind, and a reader that does not read."""
+"""Log lines: formats, rate limits, and a reader that does not drain its pipe."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from foldloom.settings import LogSettings
 
 
-def _written(path: Path) -> list[dict[str, Any]]:
+def _read_records(path: Path) -> list[dict[str, Any]]:
     return [msgspec.json.decode(line) for line in path.read_bytes().splitlines()]
 
 
 class TestEvents:
-    """What a line holds."""
+    """Guards the formats of log lines."""
 
     def test_json_fields_keep_their_types(self, tmp_path: Path) -> None:
-        """Ids, numbers and truth values come out as they went in."""
+        """Strings, numbers and booleans keep their types in JSON lines."""
         path = tmp_path / "log"
         handler = start_logging(LogSettings(format="json", file=str(path)), "b1")
         PLACE_LOG.event("run.placed.test", job="ab", age_ms=3, is_moved=False)
         handler.pop_application()
         handler.close()
-        line = _written(path)[0]
+        line = _read_records(path)[0]
         assert (line["box"], line["part"], line["event"]) == ("b1", "place", "run.placed.test")
         assert (line["job"], line["age_ms"], line["is_moved"]) == ("ab", 3, False)
 
     def test_text_form(self, tmp_path: Path) -> None:
-        """The same event reads as a sentence with its fields behind it."""
+        """A text line holds the event, followed by its fields."""
         path = tmp_path / "log"
         handler = start_logging(LogSettings(file=str(path)), "b1")
         PLACE_LOG.event("run.text.test", job="ab", age_ms=3)
@@ -44,10 +44,10 @@
 
 
 class TestLimits:
-    """A flood of one kind is cut, counted, and leaves other kinds alone."""
+    """Guards against log floods and slow readers that block the caller."""
 
     def test_what_was_left_out_is_told(self) -> None:
-        """The next event that is told says how many were not."""
+        """The next admitted event carries the count of suppressed events of its kind only."""
         limits = EventLimits(per_s=1.0)
         assert [limits.admit("a", 0.0) for _ in range(4)] == [0, 0, None, None]
         assert limits.admit("b", 0.0) == 0
@@ -55,7 +55,7 @@
         assert limits.admit("a", 3.0) == 0
 
     def test_a_reader_that_does_not_read(self) -> None:
-        """Logging goes on at once while a pipe is full; what is dropped is counted."""
+        """Logging does not block while the pipe is full; dropped lines are counted."""
         reading, writing = os.pipe()
         os.set_blocking(reading, False)
         handler = BatchHandler(writing, logbook.INFO, "json", "b1", lines_max=100)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Figures: counted in memory, served as text on the metrics address."""
+"""Metrics: histograms, text exposition format and the metrics server."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from foldloom.metrics_server import METRICS_PATH, MetricsServer
 
 
-def _filled() -> Metrics:
+def _sample_metrics() -> Metrics:
     metrics = Metrics()
     metrics.count("jobs.refused.too_late", 3)
     metrics.gauge("claims.held", 2.5)
@@ -23,11 +23,11 @@
 
 
 class TestHistograms:
-    """Durations by bucket."""
+    """Guards the assignment of durations to buckets."""
 
     def test_bounds_belong_to_their_bucket(self) -> None:
-        """A duration equal to a bound is counted up to it; longer ones beyond the last."""
-        histogram = _filled().histograms["job_ms"]
+        """Upper bounds are inclusive; durations above the last bound have their own bucket."""
+        histogram = _sample_metrics().histograms["job_ms"]
         assert histogram.counts[0] == 2
         assert histogram.counts[BUCKETS_MS.index(10.0)] == 1
         assert histogram.counts[-1] == 1
@@ -35,11 +35,11 @@
 
 
 class TestText:
-    """The text exposition."""
+    """Guards the text exposition format and its HTTP server."""
 
     def test_every_kind_of_figure(self) -> None:
-        """Counters, gauges, and buckets that add up."""
-        lines = metrics_text(_filled()).decode().splitlines()
+        """Counters, gauges and histograms with cumulative buckets are rendered."""
+        lines = metrics_text(_sample_metrics()).decode().splitlines()
         assert "foldloom_jobs_refused_too_late_total 3.0" in lines
         assert "foldloom_claims_held 2.5" in lines
         assert 'foldloom_job_ms_bucket{le="1.0"} 2.0' in lines
@@ -48,11 +48,11 @@
         assert "foldloom_job_ms_count 4.0" in lines
 
     def test_served(self) -> None:
-        """The address answers with it, and with 404 elsewhere."""
+        """The metrics path is served; other paths get 404."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             address = f"127.0.0.1:{free_port()}"
-            server = MetricsServer(_filled(), address)
+            server = MetricsServer(_sample_metrics(), address)
             await server.start()
             async with ClientSession() as session:
                 async with session.get(f"http://{address}{METRICS_PATH}") as response:
@@ -63,14 +63,17 @@
             await server.stop()
             assert "foldloom_claims_held 2.5" in text
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
     def test_address_in_use(self) -> None:
-        """A box goes on without its figures where somebody else listens."""
+        """An address in use does not raise, and the first server keeps serving."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             address = f"127.0.0.1:{free_port()}"
-            first, second = MetricsServer(_filled(), address), MetricsServer(Metrics(), address)
+            first, second = (
+                MetricsServer(_sample_metrics(), address),
+                MetricsServer(Metrics(), address),
+            )
             await first.start()
             await second.start()
             await second.stop()
@@ -79,14 +82,14 @@
                 assert "foldloom_claims_held 2.5" in await response.text()
             await first.stop()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
     def test_no_address(self) -> None:
-        """Nothing is served without one."""
+        """Without an address, the server starts and stops without listening."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             server = MetricsServer(Metrics(), "")
             await server.start()
             await server.stop()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Log lines of a process that stood still."""
+"""Detection and logging of pauses of the process."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 from foldloom.pauses import PAUSE_MIN_MS, Pause, log_pause, watch_pauses
 
-# Seconds: well above what is logged, also where the machine wakes this process late.
+# Well above the reporting threshold, since the process may be scheduled late.
 _PAUSE_S = 6 * PAUSE_MIN_MS / 1_000
 
 
-def _stay_busy() -> None:
+def _compute() -> None:
     until_s = time.process_time() + _PAUSE_S
     while time.process_time() < until_s:
         pass
 
 
-def _pauses(stand_still: Callable[[], None]) -> list[Pause]:
-    """Return the pauses of a process that does this once."""
+def _detected_pauses(pause_process: Callable[[], None]) -> list[Pause]:
+    """Return the pauses reported while *pause_process* blocks the event loop once."""
     pauses: list[Pause] = []
 
     async def run() -> None:
         watch = asyncio.create_task(watch_pauses(pauses.append))
         await asyncio.sleep(0)
-        stand_still()
-        # Two looks: the late one, and one after it.
+        pause_process()
+        # Leaves time for the late sample and the next one.
         await asyncio.sleep(_PAUSE_S)
         watch.cancel()
 
@@ -38,25 +38,25 @@
 
 
 class TestWatchPauses:
-    """A pause is noted with its length and with what it was."""
+    """Guards the distinction between a computing process and one that is not scheduled."""
 
     def test_not_run_by_the_machine(self) -> None:
-        """It waited for something outside: next to no processor time."""
-        first = _pauses(lambda: time.sleep(_PAUSE_S))[0]
-        assert first.paused_ms >= PAUSE_MIN_MS
-        assert first.processor_ms < first.paused_ms / 2
+        """A process that is not running uses little processor time during the pause."""
+        detected = _detected_pauses(lambda: time.sleep(_PAUSE_S))[0]
+        assert detected.paused_ms >= PAUSE_MIN_MS
+        assert detected.processor_ms < detected.paused_ms / 2
 
     def test_at_work_on_one_thing(self) -> None:
-        """It computed: as much processor time as it stood still."""
-        first = _pauses(_stay_busy)[0]
-        assert first.processor_ms >= PAUSE_MIN_MS
+        """A computing process uses processor time for the length of the pause."""
+        detected = _detected_pauses(_compute)[0]
+        assert detected.processor_ms >= PAUSE_MIN_MS
 
 
 class TestLogPause:
-    """The line in the log."""
+    """Guards the fields of the log event."""
 
     def test_its_fields(self) -> None:
-        """All times stand there under their names."""
+        """The event carries all times of the pause."""
         log = logbook.TestHandler()
         with log.applicationbound():
             log_pause(Pause(250, 3, 200))
--- a/tests/test_peers_lives.py
+++ b/tests/test_peers_lives.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Which life of a peer is the present one."""
+"""Current incarnation of a peer, and age of its messages."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from foldloom.peers.lives import FreshLives, Lives, OrderedLives
 
 _DAY_MS = 86_400_000.0
-# A message every minute, by a sender whose clock falls back 50 parts in a million.
-_EVERY_MS = 60_000.0
-_FALLS_BACK_PER_MS = 5e-5
+# Message interval, and drift of the sender's clock: 50 ppm.
+_MESSAGE_INTERVAL_MS = 60_000.0
+_DRIFT_RATIO = 5e-5
 
 
 class TestOrderedLives:
-    """Lives with numbers that rise."""
+    """Guards against messages of an earlier incarnation when numbers are ordered."""
 
     def test_older_life_is_not_heard(self) -> None:
-        """What comes from a lower number is dropped."""
+        """A message of a lower incarnation is rejected."""
         lives = OrderedLives()
         assert lives.note("a", 2, 0.0, 10.0) == 0.0
         assert lives.note("a", 1, 5.0, 15.0) is None
@@ -25,17 +25,17 @@
 
 
 class TestFreshLives:
-    """Lives without an order."""
+    """Guards against messages of an earlier incarnation when numbers are not ordered."""
 
     def test_clock_went_back_over_a_restart(self) -> None:
-        """A new life is heard at once, whatever its number."""
+        """A new incarnation becomes current at once, even with a lower number."""
         lives = FreshLives()
         lives.note("a", 9, 0.0, 10.0)
         assert lives.note("a", 3, 0.0, 500.0) == 0.0
         assert lives.current("a") == 3
 
     def test_held_up_message_of_an_earlier_life(self) -> None:
-        """A message that a cut held up is old, and its life does not come back."""
+        """A message delayed by a partition does not make its incarnation current again."""
         lives = FreshLives()
         lives.note("a", 9, 0.0, 10.0)
         lives.note("a", 3, 0.0, 5_000.0)
@@ -45,7 +45,7 @@
         assert lives.current("a") == 3
 
     def test_age_by_the_least_offset(self) -> None:
-        """A message is as old as it is later than the quickest one."""
+        """The age is relative to the smallest clock offset observed."""
         lives = FreshLives()
         lives.note("a", 1, 0.0, 50.0)
         lives.note("a", 1, 100.0, 110.0)
@@ -56,18 +56,18 @@
 
 @pytest.mark.parametrize("kind", [OrderedLives, FreshLives])
 class TestSendersClock:
-    """A sender's clock that does not keep to the receiver's."""
+    """Guards against messages misjudged because the sender's clock deviates."""
 
     def test_it_drifts(self, kind: type[Lives]) -> None:
-        """After a day of quartz clocks that drift apart, a message is still fresh."""
+        """Messages stay fresh while the clocks drift apart for a day."""
         lives = kind()
-        for minute in range(int(_DAY_MS / _EVERY_MS)):
-            now_ms = minute * _EVERY_MS
-            sent_ms = now_ms * (1 - _FALLS_BACK_PER_MS)
+        for minute in range(int(_DAY_MS / _MESSAGE_INTERVAL_MS)):
+            now_ms = minute * _MESSAGE_INTERVAL_MS
+            sent_ms = now_ms * (1 - _DRIFT_RATIO)
             assert lives.note("a", 1, sent_ms, now_ms) == pytest.approx(0.0, abs=100.0)
 
     def test_it_fell_back(self, kind: type[Lives]) -> None:
-        """All that it sends looks old, until a reply shows how old it can be at most."""
+        """Messages look old until a reply bounds their age and corrects the offset."""
         lives = kind()
         lives.note("a", 1, 1_000.0, 1_000.0)
         assert lives.note("a", 1, 2_000.0, 5_000.0) == pytest.approx(3_000.0, abs=1.0)
@@ -75,7 +75,7 @@
         assert lives.note("a", 1, 2_200.0, 5_200.0) == pytest.approx(4.0, abs=1.0)
 
     def test_a_slow_reply_proves_little(self, kind: type[Lives]) -> None:
-        """A reply that was long on its way makes nothing fresh that was held up."""
+        """A delayed reply does not make delayed messages look fresh."""
         lives = kind()
         lives.note("a", 1, 1_000.0, 1_000.0)
         assert lives.note("a", 1, 2_000.0, 4_000.0, age_max_ms=2_500.0) == pytest.approx(
--- a/tests/test_peers_silence.py
+++ b/tests/test_peers_silence.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Open connections between boxes that go silent for good while new ones work."""
+"""Open connections between boxes that go silent without a reset, while new ones work."""
 
 from __future__ import annotations
 
@@ -20,32 +20,31 @@
 from proxy import FaultProxy
 
 _TIMEOUT_MS = 150
-_PAUSE_S = 0.01
-_GIVE_UP_S = 10.0
-# Seconds until a request is answered again: the bound of the connection's own heartbeats (an
-# interval and a time-out: 1.0 s with seed discovery, 2.0 s without), the pause before it connects
-# again, and some for a busy machine.
-_DISCOVERY_BACK_S = 1.5
-_STATIC_BACK_S = 3.0
+_RETRY_INTERVAL_S = 0.01
+_WAIT_MAX_S = 10.0
+# Bounds until requests are answered again: heartbeat interval and timeout (1.0 s with seed
+# discovery, 2.0 s without), the reconnect interval, and a margin for a busy box.
+_DISCOVERY_RECOVERY_MAX_S = 1.5
+_STATIC_RECOVERY_MAX_S = 3.0
 
 
 class _Pair:
-    """Two boxes that reach each other through a proxy.
+    """Two boxes connected through a proxy.
 
     Args:
-        proxy: The proxy.
-        uses_discovery: Whether they find each other by address, or by their settings.
+        proxy: Proxy for the connections.
+        uses_discovery: Whether to use seed discovery instead of static peers.
     """
 
     def __init__(self, proxy: FaultProxy, uses_discovery: bool) -> None:
         ports = {"a1": free_port(), "b1": free_port()}
-        at = {
+        address_by_box = {
             "a1": f"127.0.0.1:{proxy.address_of('b1', 'a1', ports['a1'])}",
             "b1": f"127.0.0.1:{proxy.address_of('a1', 'b1', ports['b1'])}",
         }
         self.networks: dict[str, PeerNetwork] = {}
-        self.other = {}
-        for name, other in (("a1", "b1"), ("b1", "a1")):
+        self.peer_by_name = {}
+        for name, peer in (("a1", "b1"), ("b1", "a1")):
             raw: dict[str, Any] = {
                 "box": f"127.0.0.1:{ports[name]}" if uses_discovery else name,
                 "zone": "a",
@@ -54,44 +53,45 @@
                 "http": {"host": "127.0.0.1", "port": free_port()},
             }
             if uses_discovery:
-                raw["seeds"] = [at[other]]
+                raw["seeds"] = [address_by_box[peer]]
             else:
                 raw["peers"] = [
-                    {"box": box, "zone": "a", "roles": ["entry"], "address": at[box]} for box in at
+                    {"box": box, "zone": "a", "roles": ["entry"], "address": address_by_box[box]}
+                    for box in address_by_box
                 ]
             settings = settings_from(raw)
             if uses_discovery:
-                # Elsewhere a box is known by where it listens; here, by its end of the proxy.
-                settings = msgspec.structs.replace(settings, box=at[name])
+                # With seed discovery the name is the address, here that of the proxy.
+                settings = msgspec.structs.replace(settings, box=address_by_box[name])
             network = PeerNetwork(settings, 5, Metrics())
             network.on(CancelJob, lambda _sender, _message: Cancelled())
             self.networks[name] = network
-            self.other[name] = at[other] if uses_discovery else other
+            self.peer_by_name[name] = address_by_box[peer] if uses_discovery else peer
 
     async def start(self) -> None:
-        """Start both and wait until each reaches the other."""
+        """Start both boxes and wait until each receives a reply from the peer."""
         for network in self.networks.values():
             await network.start()
-        await self.until_answered()
+        await self.wait_for_replies()
 
-    async def until_answered(self) -> float:
-        """Ask until both were answered; return after how many seconds that was."""
+    async def wait_for_replies(self) -> float:
+        """Send requests until both boxes have received a reply; return the seconds taken."""
         began = time.monotonic()
         for name, network in self.networks.items():
-            while not await self._is_answered(network, self.other[name]):
-                assert time.monotonic() - began < _GIVE_UP_S
-                await asyncio.sleep(_PAUSE_S)
+            while not await self._receives_reply(network, self.peer_by_name[name]):
+                assert time.monotonic() - began < _WAIT_MAX_S
+                await asyncio.sleep(_RETRY_INTERVAL_S)
         return time.monotonic() - began
 
     async def stop(self) -> None:
-        """Stop both."""
+        """Stop both boxes."""
         for network in self.networks.values():
             await network.stop()
 
     @staticmethod
-    async def _is_answered(network: PeerNetwork, other: str) -> bool:
+    async def _receives_reply(network: PeerNetwork, peer: str) -> bool:
         try:
-            await network.request(other, CancelJob("job"), _TIMEOUT_MS)
+            await network.request(peer, CancelJob("job"), _TIMEOUT_MS)
         except PeerUnreachableError:
             return False
         return True
@@ -99,42 +99,44 @@
 
 @pytest.fixture
 def proxy() -> Iterator[FaultProxy]:
-    """Return a proxy, closed after the test."""
+    """Return a proxy that is closed after the test."""
     one = FaultProxy()
     yield one
     one.close()
 
 
 class TestSilentConnections:
-    """Both boxes notice and connect anew."""
+    """Guards against silent connections that keep boxes apart after a partition has healed."""
 
     @pytest.mark.parametrize(
-        ("uses_discovery", "within_s"), [(True, _DISCOVERY_BACK_S), (False, _STATIC_BACK_S)]
+        ("uses_discovery", "within_s"),
+        [(True, _DISCOVERY_RECOVERY_MAX_S), (False, _STATIC_RECOVERY_MAX_S)],
     )
     def test_replaced_in_time(
         self, proxy: FaultProxy, uses_discovery: bool, within_s: float
     ) -> None:
-        """Nothing resets the old connections; only their own heartbeats show it."""
+        """Heartbeats detect silent connections, which are replaced within the bound."""
 
         async def run() -> float:
             pair = _Pair(proxy, uses_discovery)
             await pair.start()
             proxy.silence_open_connections()
-            back_s = await pair.until_answered()
+            recovered_s = await pair.wait_for_replies()
             await pair.stop()
-            return back_s
+            return recovered_s
 
-        back_s = asyncio.run(run())
-        print(f"answered again after {back_s:.2f} s")
-        assert back_s < within_s
+        recovered_s = asyncio.run(run())
+        print(f"answered again after {recovered_s:.2f} s")
+        assert recovered_s < within_s
 
     @pytest.mark.parametrize(
-        ("uses_discovery", "within_s"), [(True, _DISCOVERY_BACK_S), (False, _STATIC_BACK_S)]
+        ("uses_discovery", "within_s"),
+        [(True, _DISCOVERY_RECOVERY_MAX_S), (False, _STATIC_RECOVERY_MAX_S)],
     )
     def test_replaced_in_time_in_the_handshake(
         self, proxy: FaultProxy, uses_discovery: bool, within_s: float
     ) -> None:
-        """They have no heartbeats yet; only the time-out of the handshake shows it."""
+        """The handshake timeout detects connections that go silent before heartbeats begin."""
 
         async def run() -> float:
             pair = _Pair(proxy, uses_discovery)
@@ -144,14 +146,14 @@
             proxy.set_mode("freeze", lambda _sender, _receiver: True)
             began = time.monotonic()
             while any(link.opened == before for link, before in opened.items()):
-                assert time.monotonic() - began < _GIVE_UP_S
-                await asyncio.sleep(_PAUSE_S)
+                assert time.monotonic() - began < _WAIT_MAX_S
+                await asyncio.sleep(_RETRY_INTERVAL_S)
             proxy.silence_open_connections()
             proxy.heal()
-            back_s = await pair.until_answered()
+            recovered_s = await pair.wait_for_replies()
             await pair.stop()
-            return back_s
+            return recovered_s
 
-        back_s = asyncio.run(run())
-        print(f"answered again after {back_s:.2f} s")
-        assert back_s < within_s
+        recovered_s = asyncio.run(run())
+        print(f"answered again after {recovered_s:.2f} s")
+        assert recovered_s < within_s
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Settings: every field checked, the key and the reason told."""
+"""Validation of settings; errors name the key and the reason."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class TestCheck:
-    """Wrong settings."""
+    """Guards against invalid settings that are accepted or reported unclearly."""
 
     @pytest.mark.parametrize(
         ("change", "key", "reason"),
@@ -44,7 +44,7 @@
         ],
     )
     def test_names_key_and_reason(self, change: dict[str, Any], key: str, reason: str) -> None:
-        """A wrong field is refused with its dotted key and why."""
+        """An invalid field is rejected with its dotted key and a reason."""
         raw = {**copy.deepcopy(_GOOD), **change}
         with pytest.raises(SettingsError) as caught:
             settings_from(raw)
@@ -52,28 +52,28 @@
         assert reason in caught.value.reason
 
     def test_missing_field(self) -> None:
-        """A required field that is missing is named."""
+        """A missing required field is named."""
         raw = {key: value for key, value in _GOOD.items() if key != "zone"}
         with pytest.raises(SettingsError) as caught:
             settings_from(raw)
         assert (caught.value.key, caught.value.reason) == ("zone", "is required")
 
     def test_broken_yaml(self, tmp_path: Path) -> None:
-        """A file that is no YAML is refused with its path."""
+        """A file that is not valid YAML is rejected, and the error names the path."""
         path = tmp_path / "broken.yaml"
         path.write_text("a: [")
         with pytest.raises(SettingsError, match=r"broken\.yaml"):
             load_settings(str(path))
 
     def test_examples_are_good(self) -> None:
-        """The documented examples pass the check."""
+        """The examples are valid settings."""
         paths = sorted(_EXAMPLES.glob("*.yaml"))
         assert len(paths) >= 2
         for path in paths:
             load_settings(str(path))
 
     def test_defaults_cover_good(self, tmp_path: Path) -> None:
-        """The smallest settings are complete."""
+        """Settings with only the required fields are valid."""
         path = tmp_path / "good.yaml"
         path.write_text(yaml.safe_dump(_GOOD))
         assert load_settings(str(path)).timings.heartbeat_ms > 0
--- a/tests/test_settings_page.py
+++ b/tests/test_settings_page.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""docs/operate.md lists every key of the settings as settings.py describes it.
+"""docs/operate.md lists every settings key with its comment in settings.py.
 
-``FOLDLOOM_RECORD=1`` writes the table anew.
+``FOLDLOOM_RECORD=1`` regenerates the table.
 """
 
 from __future__ import annotations
@@ -70,10 +70,10 @@
 
 
 class TestPage:
-    """The table of settings."""
+    """Guards against a settings table that differs from the code."""
 
     def test_every_key_as_in_the_code(self) -> None:
-        """Key, default, and what it bounds; milliseconds where the key ends in ``_ms``."""
+        """Every key is listed with its default and its comment."""
         head = ["| key | default | what it is |", "|---|---|---|"]
         table = "\n".join([*head, *_rows(Settings, "", _comments())])
         text = _PAGE.read_text()
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Tasks that a part has started."""
+"""Task sets."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class TestTaskSet:
-    """Start, wait, stop."""
+    """Guards against tasks that outlive wait() or stop()."""
 
     def test_wait_includes_tasks_started_meanwhile(self) -> None:
-        """A task may start another one."""
+        """wait() also waits for tasks that a running task starts."""
         ended = []
 
-        async def play() -> None:
+        async def scenario() -> None:
             tasks = TaskSet()
 
             async def second() -> None:
@@ -29,14 +29,14 @@
             tasks.spawn(first())
             await tasks.wait()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
         assert ended == ["first", "second"]
 
     def test_stop_waits_for_what_is_cancelled(self) -> None:
-        """What a task does on its way out is done when stop() returns."""
+        """stop() returns only after the cleanup of cancelled tasks."""
         ended = []
 
-        async def play() -> None:
+        async def scenario() -> None:
             tasks = TaskSet()
 
             async def run() -> None:
@@ -49,5 +49,5 @@
             await asyncio.sleep(0)
             await tasks.stop()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
         assert ended == ["cleaned up"]
--- a/tests/test_time_limits.py
+++ b/tests/test_time_limits.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Limits of time that go by the clock of decisions."""
+"""Timeouts and sleeps that include suspended time."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 _LONG_MS = 60_000.0
 
 
-def _after_a_suspension(wait: Callable[[], Awaitable[None]]) -> float:
-    """Begin to wait, let the machine be suspended, and return how many seconds the wait took."""
+def _wait_across_suspension(wait: Callable[[], Awaitable[None]]) -> float:
+    """Simulate a suspension during *wait*; return the seconds it takes afterwards."""
     suspended_ms = 0.0
 
     def clock_ms() -> float:
@@ -37,10 +37,10 @@
 
 
 class TestTimeLimit:
-    """What is cancelled when the time is over."""
+    """Guards against timeouts that fire late after a suspension, or not at all."""
 
     def test_it_ends_in_time(self) -> None:
-        """Without a suspension it is a time-out like any other."""
+        """Without a suspension, the timeout fires after its limit."""
 
         async def run() -> float:
             began_s = time.monotonic()
@@ -52,7 +52,7 @@
         assert 0.04 < asyncio.run(run()) < 5.0
 
     def test_none_is_left(self) -> None:
-        """A limit that is over when it begins lets nothing wait."""
+        """A negative limit expires at once."""
 
         async def run() -> None:
             with pytest.raises(TimeoutError):
@@ -62,7 +62,7 @@
         asyncio.run(run())
 
     def test_what_is_in_time(self) -> None:
-        """The result of what ends before comes through, and later suspensions do not reach it."""
+        """A body that ends in time returns its result, and a later suspension has no effect."""
 
         async def run() -> str:
             async with TimeLimit(_LONG_MS):
@@ -74,17 +74,17 @@
         assert asyncio.run(run()) == "done"
 
     def test_over_while_suspended(self) -> None:
-        """A limit that has passed meanwhile ends at once."""
+        """A timeout whose limit passes during a suspension fires at once."""
 
         async def wait() -> None:
             with pytest.raises(TimeoutError):
                 async with TimeLimit(_LONG_MS):
                     await asyncio.sleep(_LONG_MS)
 
-        assert _after_a_suspension(wait) < 5.0
+        assert _wait_across_suspension(wait) < 5.0
 
     def test_cancelled_meanwhile(self) -> None:
-        """A cancellation from outside is no time-out."""
+        """A cancellation from outside is not converted to a timeout."""
 
         async def run() -> None:
             async def wait() -> None:
@@ -101,8 +101,8 @@
 
 
 class TestSleep:
-    """A sleep that counts the time of a suspension."""
+    """Guards against sleeps that are extended by a suspension."""
 
     def test_over_while_suspended(self) -> None:
-        """It ends at once."""
-        assert _after_a_suspension(lambda: sleep(_LONG_MS)) < 5.0
+        """A sleep whose delay passes during a suspension ends at once."""
+        assert _wait_across_suspension(lambda: sleep(_LONG_MS)) < 5.0
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Messages between boxes: strangers, doubles, late ones, other releases."""
+"""Messages between boxes: unknown senders, duplicates, expired messages, other releases."""
 
 from __future__ import annotations
 
@@ -55,14 +55,14 @@
 
 
 class Received(NamedTuple):
-    """What one box received, and its counters."""
+    """Messages received by a box, and its counters."""
 
     messages: list[Any]
     counts: dict[str, int]
 
 
 def _receive(act: Callable[[zmq.Socket[bytes]], None], expected: int) -> Received:
-    """Run box ``a1`` of two, let *act* send to it as a raw peer, return what was received."""
+    """Run box ``a1``, let *act* send to it over a raw socket, and return what it received."""
     ports = {"a1": free_port(), "b1": free_port()}
     received: list[Any] = []
 
@@ -92,15 +92,11 @@
 
 
 class TestStop:
-    """A network that stops while messages are being handled."""
+    """Guards against coroutines left unawaited when a network stops."""
 
     @pytest.mark.parametrize("sender", ["a1", "b1"])
     def test_a_handler_that_has_not_begun(self, sender: str) -> None:
-        """It is ended before its first step, and nothing is left that nobody waits for.
-
-        Seen as a warning, in two whole runs of the tests: the handler's coroutine was never
-        awaited.
-        """
+        """The coroutine of a handler cancelled before its first step is closed."""
         stopping: list[asyncio.Task[None]] = []
 
         async def run() -> None:
@@ -116,7 +112,7 @@
             def handle(_sender: str, _message: Any) -> Awaitable[None] | None:
                 if stopping:
                     return None
-                # Runs before the task of the handler, which does not exist yet.
+                # Scheduled before the handler's task, which is created later.
                 stopping.append(asyncio.create_task(networks["a1"].stop()))
                 return handle_later()
 
@@ -138,17 +134,17 @@
 
 
 class TestStrangers:
-    """Messages that must change nothing."""
+    """Guards against messages of unknown senders and malformed messages."""
 
     def test_unknown_sender_is_counted(self) -> None:
-        """A message of a box that is not in the settings is dropped and counted."""
+        """A message from a box that is not in the settings is dropped and counted."""
         data = encode_envelope(_envelope("z9", 1, _HEARTBEAT))
         received = _receive(lambda socket: socket.send(data), 0)
         assert received.messages == []
         assert received.counts["messages.dropped.stranger"] == 1
 
     def test_malformed_is_counted(self) -> None:
-        """Bytes that are no envelope are dropped; the next message is received."""
+        """A malformed envelope is dropped and counted; the next message is received."""
         good = encode_envelope(_envelope("b1", 1, _HEARTBEAT))
 
         def act(socket: zmq.Socket[bytes]) -> None:
@@ -161,10 +157,10 @@
 
 
 class TestLateMessages:
-    """Messages that ZeroMQ kept too long."""
+    """Guards against stale messages that ZeroMQ delivers late."""
 
     def test_expired_is_dropped(self) -> None:
-        """A message older than its time to live, by the receiver's clock, is dropped."""
+        """A message older than its time-to-live is dropped."""
         first = encode_envelope(_envelope("b1", 1, _HEARTBEAT))
         late = _envelope("b1", 1, _HEARTBEAT, ttl_ms=100)
         late = encode_envelope(late._replace(sent_ms=late.sent_ms - 500))
@@ -178,11 +174,13 @@
         assert received.counts["messages.dropped.expired"] == 1
 
     def test_older_life_is_dropped(self) -> None:
-        """A message of an earlier life of a restarted box is dropped."""
-        datas = [encode_envelope(_envelope("b1", life, _HEARTBEAT)) for life in (7, 6)]
+        """A message of an earlier incarnation of a restarted box is dropped."""
+        envelopes = [
+            encode_envelope(_envelope("b1", incarnation, _HEARTBEAT)) for incarnation in (7, 6)
+        ]
 
         def act(socket: zmq.Socket[bytes]) -> None:
-            for data in datas:
+            for data in envelopes:
                 socket.send(data)
 
         received = _receive(act, 1)
@@ -191,24 +189,24 @@
 
 
 class TestOtherReleases:
-    """Messages of a release with more fields, or fewer."""
+    """Guards the compatibility of messages during rolling upgrades."""
 
     def test_more_fields(self) -> None:
-        """Fields that this release does not know are dropped."""
+        """Unknown trailing fields are ignored."""
         longer = msgspec.Raw(msgspec.msgpack.encode([*_HEARTBEAT, "new", 1]))
         assert decode_body(Frame(kind_of(_HEARTBEAT), 0, 0, 0, longer)) == _HEARTBEAT
 
     def test_fewer_fields(self) -> None:
-        """Fields that an older release does not send take their defaults."""
+        """Missing trailing fields take their defaults."""
         shorter = msgspec.Raw(msgspec.msgpack.encode(list(_HEARTBEAT)[:4]))
         assert decode_body(Frame(kind_of(_HEARTBEAT), 0, 0, 0, shorter)) == _HEARTBEAT
 
 
 class TestCancelledRequests:
-    """Requests whose task is cancelled."""
+    """Guards against lost cancellations of requests."""
 
     def test_cancelled_as_the_reply_arrives(self) -> None:
-        """The task ends: a leader that has stepped down must not go on sending heartbeats."""
+        """A cancellation that arrives with the reply ends the task."""
         ports = {"a1": free_port(), "b1": free_port()}
 
         async def run() -> None:
@@ -226,16 +224,16 @@
 
 
 class TestDoubledClaims:
-    """A claim request that arrives twice, at a real daemon."""
+    """Guards a real daemon against duplicate claim requests."""
 
     @pytest.fixture
     def cluster(self, tmp_path: Path) -> Iterator[Cluster]:
-        """Three boxes."""
+        """Return a cluster of three boxes."""
         with Cluster(tmp_path) as running:
             yield running
 
     def test_counts_once_and_crossed_reply_is_ignored(self, cluster: Cluster) -> None:
-        """Doubled claim requests and unasked replies start nothing and change no claim."""
+        """Duplicate claim requests and unsolicited replies start no task."""
         incarnation = int(time.time() * 1000) + 10_000
         request = ClaimRequest("doubled", "00" * 16, incarnation, 1, 0)
         reply = ClaimReply(Vote.GRANTED, incarnation, {}, [])
@@ -254,10 +252,10 @@
 
 
 class TestKeys:
-    """CURVE keys between boxes."""
+    """Guards the authentication between boxes with CURVE."""
 
     def test_boxes_with_keys_serve_and_strangers_get_nothing(self, tmp_path: Path) -> None:
-        """Boxes that know each other's keys serve; a socket without a key is not received."""
+        """Boxes with listed keys serve jobs; messages from other sockets have no effect."""
         cluster = Cluster(tmp_path)
         keys = {box: zmq.curve_keypair() for box in cluster.boxes}
         write = cluster.write_settings
@@ -277,17 +275,17 @@
             assert cluster.submit("a1", "with-keys", [{"ms": 1}] * 3).status == 200
             before = cluster.status("a1")["metrics"].get("messages.dropped.stranger", 0)
             future = int(time.time() * 1000) + 10**9
-            beat = Heartbeat(10**6, True, True, [])
+            heartbeat = Heartbeat(10**6, True, True, [])
             context = zmq.Context()
-            for stranger in (None, zmq.curve_keypair()):
+            for key_pair in (None, zmq.curve_keypair()):
                 socket: zmq.Socket[bytes] = context.socket(zmq.DEALER)
-                # Dropped with the default linger, it would hold up the end of the context.
+                # With the default linger, unsent messages would block context termination.
                 socket.setsockopt(zmq.LINGER, 0)
-                if stranger is not None:
-                    socket.curve_publickey, socket.curve_secretkey = stranger
+                if key_pair is not None:
+                    socket.curve_publickey, socket.curve_secretkey = key_pair
                     socket.curve_serverkey = keys["a1"][0]
                 socket.connect(f"tcp://127.0.0.1:{cluster._peer_ports['a1']}")
-                socket.send(encode_envelope(_envelope("b1", future, beat)))
+                socket.send(encode_envelope(_envelope("b1", future, heartbeat)))
             time.sleep(0.5)
             context.destroy(linger=0)
             status = cluster.status("a1")
