--- a/src/foldloom/verdicts.py
+++ b/src/foldloom/verdicts.py
@@ -48,12 +48,12 @@
 
 
 def not_run(reason: str, detail: str = "", retry_after_ms: int = 0, status: int = 503) -> Problem:
-    """Return a problem for work that has certainly not run."""
+    """Return a problem for a job or an attempt of which no task has run."""
     return Problem(Run.NOT_RUN, reason, detail, retry_after_ms, status)
 
 
 def may_have_run(
     reason: str, detail: str = "", retry_after_ms: int = 0, status: int = 502
 ) -> Problem:
-    """Return a problem for work that may have run."""
+    """Return a problem for a job or an attempt of which a task may have run."""
     return Problem(Run.MAY_HAVE_RUN, reason, detail, retry_after_ms, status)
--- a/tests/test_cli_explain.py
+++ b/tests/test_cli_explain.py
@@ -66,7 +66,7 @@
         assert life_text(life).endswith("outcome: expired\ncause: resumed at owner o2; too late")
 
     def test_words_of_the_release_before(self, tmp_path: Path) -> None:
-        """Logs of the previous release, which say worker for endpoint, use the current names."""
+        """Events of the previous release, with "worker" for "endpoint", get current names."""
         run = f"{_JOB}.0.0.0#1"
         lines = [
             _line(1, "e1", "job.accepted", job=_JOB, tasks=1),
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -62,7 +62,7 @@
 
 
 def _receive(act: Callable[[zmq.Socket[bytes]], None], expected: int) -> Received:
-    """Run box ``a1``, let *act* send to it over a raw socket, and return what it received."""
+    """Run box ``a1``, let *act* send to it over a raw socket, and return the received messages."""
     ports = {"a1": free_port(), "b1": free_port()}
     received: list[Any] = []
 
