--- a/src/foldloom/exposition.py
+++ b/src/foldloom/exposition.py
@@ -1,8 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A box's figures as text, in the form that Prometheus reads.
-
-Owns nothing. Relies on the metrics and on prometheus_client for the form.
-"""
+"""Renders a box's metrics in the Prometheus text exposition format."""
 
 from __future__ import annotations
 
@@ -21,43 +18,43 @@
 
 from foldloom.metrics import BUCKETS_MS, Metrics
 
-_NOT_A_NAME = re.compile(r"[^a-zA-Z0-9_]")
-_LAST_BUCKET = "+Inf"
+_INVALID_NAME_CHARACTERS = re.compile(r"[^a-zA-Z0-9_]")
+_INFINITE_BOUND = "+Inf"
 
 
 class _BoxCollector(Collector):
-    """The figures of one box, read when they are asked for.
+    """Converts a box's metrics to metric families on each scrape.
 
     Args:
-        metrics: The figures.
+        metrics: Metrics of the box.
     """
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        """Yield every figure."""
+        """Yield a metric family for each counter, gauge and histogram."""
         for name, count in sorted(self._metrics.counts.items()):
-            yield CounterMetricFamily(_name(name), name, value=count)
+            yield CounterMetricFamily(_metric_name(name), name, value=count)
         for name, value in sorted(self._metrics.gauges.items()):
-            yield GaugeMetricFamily(_name(name), name, value=value)
-        bounds = [*map(str, BUCKETS_MS), _LAST_BUCKET]
+            yield GaugeMetricFamily(_metric_name(name), name, value=value)
+        bounds = [*map(str, BUCKETS_MS), _INFINITE_BOUND]
         for name, histogram in sorted(self._metrics.histograms.items()):
-            up_to = itertools.accumulate(histogram.counts)
+            cumulative_counts = itertools.accumulate(histogram.counts)
             yield HistogramMetricFamily(
-                _name(name),
+                _metric_name(name),
                 name,
-                buckets=list(zip(bounds, map(float, up_to), strict=True)),
+                buckets=list(zip(bounds, map(float, cumulative_counts), strict=True)),
                 sum_value=histogram.total_ms,
             )
 
 
 def metrics_text(metrics: Metrics) -> bytes:
-    """Return all figures of *metrics* as text."""
+    """Return *metrics* in the Prometheus text format."""
     registry = CollectorRegistry()
     registry.register(_BoxCollector(metrics))
     return generate_latest(registry)
 
 
-def _name(name: str) -> str:
-    return "foldloom_" + _NOT_A_NAME.sub("_", name)
+def _metric_name(name: str) -> str:
+    return "foldloom_" + _INVALID_NAME_CHARACTERS.sub("_", name)
--- a/src/foldloom/logs.py
+++ b/src/foldloom/logs.py
@@ -1,12 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Log lines by logbook: decisions as events with fields, other news as short sentences.
+"""Logging with logbook: structured events for decisions, plain sentences otherwise.
 
-Owns the loggers of all parts and the batch of lines that wait. Relies on logbook and on one
-thread.
-
-Neither a slow reader nor a flood of events may hold a decision up: a kind of event has a rate,
-and lines wait in a bounded batch that a thread writes. What is left out is counted, and the count
-is logged.
+Logging never blocks the event loop: each kind of event is rate-limited, and lines go through a
+bounded queue that a background thread writes. Suppressed events and dropped lines are counted, and
+the counts are logged.
 """
 
 from __future__ import annotations
@@ -24,102 +21,111 @@
 
 from foldloom.settings import LogSettings
 
-# Events of a kind a second: above the 60 jobs a second of the users' days, so that it cuts only
-# floods.
+# Sustained rate of each kind of event.
 EVENTS_PER_S = 200.0
-# Events of a kind at once: two seconds' worth.
+# Burst size for each kind of event.
 _BURST_EVENTS = 400.0
-# Seconds between two batches, so that a log is never far behind.
-_WRITE_EVERY_S = 0.1
-# Lines that may wait for a slow reader: some 8 MB.
-_LINES_MAX = 20_000
-# Seconds for the last batch when a process ends.
+# Seconds between two writes.
+_WRITE_INTERVAL_S = 0.1
+# Lines queued for writing; about 8 MB.
+_PENDING_LINES_MAX = 20_000
+# Seconds to wait for the last write at process exit.
 _CLOSE_TIMEOUT_S = 0.5
-_PLAIN = (int, float, bool, str)
+_JSON_SCALARS = (int, float, bool, str)
 
 
-class _Allowance(NamedTuple):
-    """How many events of a kind may be logged now, as of a time, and how many were left out."""
+class _TokenBucket(NamedTuple):
+    """Rate limit state of one kind of event: tokens at a point in time, and events suppressed."""
 
-    events: float
-    as_of_s: float
-    left_out: int
+    tokens: float
+    updated_s: float
+    suppressed: int
 
 
 class EventLimits:
-    """A rate for each kind of event.
+    """A token bucket for each kind of event.
 
     Args:
-        per_s: How many a second; twice as many at once.
+        per_s: Events per second; the burst size is twice that.
     """
 
     def __init__(self, per_s: float = EVENTS_PER_S) -> None:
         self._per_s = per_s
         self._burst = per_s * _BURST_EVENTS / EVENTS_PER_S
-        self._allowances: dict[str, _Allowance] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
 
     def admit(self, kind: str, now_s: float) -> int | None:
-        """Count an event of *kind*; return how many were left out before, ``None`` if it is too."""
-        known = self._allowances.get(kind, _Allowance(self._burst, now_s, 0))
-        grown = known.events + (now_s - known.as_of_s) * self._per_s
-        events = min(self._burst, grown)
-        if events < 1:
-            self._allowances[kind] = _Allowance(events, now_s, known.left_out + 1)
+        """Take a token for an event of *kind*.
+
+        Returns:
+            The number of events suppressed since the last admitted one, or ``None`` if this event
+            is suppressed as well.
+        """
+        bucket = self._buckets.get(kind, _TokenBucket(self._burst, now_s, 0))
+        refilled = bucket.tokens + (now_s - bucket.updated_s) * self._per_s
+        tokens = min(self._burst, refilled)
+        if tokens < 1:
+            self._buckets[kind] = _TokenBucket(tokens, now_s, bucket.suppressed + 1)
             return None
-        self._allowances[kind] = _Allowance(events - 1, now_s, 0)
-        return known.left_out
+        self._buckets[kind] = _TokenBucket(tokens - 1, now_s, 0)
+        return bucket.suppressed
 
 
 _LIMITS = EventLimits()
 
 
-class PartLogger(logbook.Logger):  # type: ignore[misc]
-    """The logger of one part of the code."""
+class ComponentLogger(logbook.Logger):  # type: ignore[misc]
+    """The logger of one component."""
 
     def event(self, kind: str, **fields: Any) -> None:
-        """Log a decision or a state change with its inputs, unless the kind is over its rate.
+        """Log a decision or a state change with its inputs, unless *kind* exceeds its rate limit.
 
         Args:
-            kind: ``thing.what-happened``.
-            fields: Ids, inputs, their age or version, and the outcome.
+            kind: Event name, such as ``run.placed``.
+            fields: Ids, inputs with their age or version, and the outcome.
         """
         if self.disabled:
             return
-        left_out = _LIMITS.admit(kind, time.monotonic())
-        if left_out is None:
+        suppressed = _LIMITS.admit(kind, time.monotonic())
+        if suppressed is None:
             return
-        if left_out:
-            fields["left_out"] = left_out
+        if suppressed:
+            fields["left_out"] = suppressed
         self.info(kind, **fields)
 
 
-ENTRY_LOG = PartLogger("entry")
-CLAIM_LOG = PartLogger("claim")
-PLACE_LOG = PartLogger("place")
-CONTROLLER_LOG = PartLogger("controller")
-CONFIG_LOG = PartLogger("config")
-ENDPOINT_LOG = PartLogger("endpoint")
-PEER_LOG = PartLogger("peer")
-PROCESS_LOG = PartLogger("process")
+ENTRY_LOG = ComponentLogger("entry")
+CLAIM_LOG = ComponentLogger("claim")
+PLACE_LOG = ComponentLogger("place")
+CONTROLLER_LOG = ComponentLogger("controller")
+CONFIG_LOG = ComponentLogger("config")
+ENDPOINT_LOG = ComponentLogger("endpoint")
+PEER_LOG = ComponentLogger("peer")
+PROCESS_LOG = ComponentLogger("process")
 
 
 class BatchHandler(logbook.Handler):  # type: ignore[misc]
-    """Keep lines and let a thread write them; lines beyond the bound are dropped and counted.
+    """Queues log lines for a background thread; drops and counts lines while the queue is full.
 
     Args:
-        descriptor: The open file that takes the lines.
-        level: The least level.
-        form: ``text`` or ``json``.
-        box: What this process is called in JSON lines.
-        lines_max: How many lines may wait.
+        descriptor: File descriptor that lines are written to.
+        level: Minimum level.
+        line_format: ``text`` or ``json``.
+        box: Name of this box in JSON lines.
+        lines_max: Capacity of the queue, in lines.
     """
 
     def __init__(
-        self, descriptor: int, level: int, form: str, box: str = "", lines_max: int = _LINES_MAX
+        self,
+        descriptor: int,
+        level: int,
+        line_format: str,
+        box: str = "",
+        lines_max: int = _PENDING_LINES_MAX,
     ) -> None:
         super().__init__(level, bubble=False)
         self._descriptor = descriptor
-        self._is_json = form == "json"
+        self._is_json = line_format == "json"
         self._box = box
         self._lines_max = lines_max
         self._lines: deque[str] = deque()
@@ -129,24 +135,24 @@
         self._thread.start()
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Keep one line."""
+        """Queue one line."""
         if len(self._lines) >= self._lines_max:
             self._dropped += 1
             return
-        self._lines.append(self._json(record) if self._is_json else _text(record))
+        self._lines.append(self._format_json(record) if self._is_json else _format_text(record))
 
     def close(self) -> None:
-        """Write what waits, unless the reader does not take it in time."""
+        """Write the queued lines; give up when the timeout expires."""
         self._is_closed.set()
         self._thread.join(_CLOSE_TIMEOUT_S)
 
     def _write_batches(self) -> None:
-        while not self._is_closed.wait(_WRITE_EVERY_S):
+        while not self._is_closed.wait(_WRITE_INTERVAL_S):
             self._write()
         self._write()
 
     def _write(self) -> None:
-        # One at a time: another thread goes on adding lines meanwhile.
+        # Other threads append lines concurrently, so the deque can't be copied and cleared.
         lines = [self._lines.popleft() for _ in range(len(self._lines))]
         dropped, self._dropped = self._dropped, 0
         if dropped:
@@ -158,10 +164,10 @@
             while data:
                 data = data[os.write(self._descriptor, data) :]
         except OSError:
-            # Nobody reads the lines any more; the work goes on.
+            # The reader has closed its end; a failed log write must not stop the box.
             return
 
-    def _json(self, record: logbook.LogRecord) -> str:
+    def _format_json(self, record: logbook.LogRecord) -> str:
         fields: dict[str, Any] = {
             "time": record.time.isoformat(),
             "level": record.level_name,
@@ -171,7 +177,7 @@
         kwargs = record.kwargs or {}
         fields["event" if kwargs else "message"] = record.message
         for key, value in kwargs.items():
-            fields[str(key)] = value if isinstance(value, _PLAIN) else str(value)
+            fields[str(key)] = value if isinstance(value, _JSON_SCALARS) else str(value)
         return msgspec.json.encode(fields).decode()
 
     def _dropped_line(self, dropped: int) -> str:
@@ -181,19 +187,19 @@
         return msgspec.json.encode(fields).decode()
 
 
-def _text(record: logbook.LogRecord) -> str:
-    """Return *record* as a sentence with its fields behind it."""
+def _format_text(record: logbook.LogRecord) -> str:
+    """Return *record* as a text line: time, level, component, message, fields."""
     fields = "".join(f" {key}={value}" for key, value in (record.kwargs or {}).items())
     moment = f"{record.time:%Y-%m-%dT%H:%M:%S.%f}"
     return f"{moment} {record.level_name} {record.channel}: {record.message}{fields}"
 
 
 def start_logging(settings: LogSettings, box: str = "") -> logbook.Handler:
-    """Send every part's log lines where *settings* says; return the handler.
+    """Install a handler for the log lines of all components and return it.
 
     Args:
-        settings: Level, form, and the file if it is not standard output.
-        box: What this process is called.
+        settings: Minimum level, format, and the file if not standard output.
+        box: Name of this box in JSON lines.
     """
     level = logbook.lookup_level(settings.level)
     descriptor = sys.stdout.fileno()
--- a/src/foldloom/metrics.py
+++ b/src/foldloom/metrics.py
@@ -1,9 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Counters, gauges and latency histograms: kept in memory, sent by statsd, served as text.
-
-Owns the figures of one process. Relies on statsd only to send them: without it they stay in
-memory.
-"""
+"""Counters, gauges and latency histograms of one process, optionally sent to statsd."""
 
 from __future__ import annotations
 
@@ -19,19 +15,19 @@
 
 
 class Histogram(NamedTuple):
-    """Durations by bucket.
+    """A snapshot of a histogram of durations.
 
     Args:
-        counts: How many fell into each bucket of ``BUCKETS_MS``, the last one beyond them all.
-        total_ms: Their sum.
+        counts: Number of durations in each bucket of ``BUCKETS_MS``, then of those above the last.
+        total_ms: Sum of the durations.
     """
 
     counts: tuple[int, ...]
     total_ms: float
 
 
-class _Durations:
-    """Durations while they are being counted."""
+class _DurationBuckets:
+    """A mutable histogram of durations."""
 
     __slots__ = ("counts", "total_ms")
 
@@ -41,36 +37,36 @@
 
 
 class Metrics:
-    """Count what the box does.
+    """The metrics of one process.
 
     Args:
-        settings: Where statsd listens; an empty host keeps the figures in memory only.
+        settings: Address of the statsd server; nothing is sent while its host is empty.
     """
 
     def __init__(self, settings: StatsdSettings | None = None) -> None:
         self._counts: Counter[str] = Counter()
         self._gauges: dict[str, float] = {}
-        self._durations: dict[str, _Durations] = {}
+        self._durations: dict[str, _DurationBuckets] = {}
         self._client = None
         if settings is not None and settings.host:
             self._client = statsd.StatsClient(settings.host, settings.port, prefix=settings.prefix)
 
     @property
     def counts(self) -> dict[str, int]:
-        """All counters so far, by name."""
+        """Value of each counter, by name."""
         return dict(self._counts)
 
     @property
     def gauges(self) -> dict[str, float]:
-        """The latest value of each gauge, by name."""
+        """Latest value of each gauge, by name."""
         return dict(self._gauges)
 
     @property
     def histograms(self) -> dict[str, Histogram]:
-        """The durations so far, by name."""
+        """Snapshot of each histogram, by name."""
         return {
-            name: Histogram(tuple(known.counts), known.total_ms)
-            for name, known in self._durations.items()
+            name: Histogram(tuple(buckets.counts), buckets.total_ms)
+            for name, buckets in self._durations.items()
         }
 
     def count(self, name: str, by: int = 1) -> None:
@@ -87,8 +83,8 @@
 
     def timing(self, name: str, milliseconds: float) -> None:
         """Record a duration in milliseconds, or a ratio times 1,000."""
-        known = self._durations.setdefault(name, _Durations())
-        known.counts[bisect_left(BUCKETS_MS, milliseconds)] += 1
-        known.total_ms += milliseconds
+        buckets = self._durations.setdefault(name, _DurationBuckets())
+        buckets.counts[bisect_left(BUCKETS_MS, milliseconds)] += 1
+        buckets.total_ms += milliseconds
         if self._client is not None:
             self._client.timing(name, milliseconds)
--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -1,12 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""Messages between boxes over ZeroMQ: one outbound task a peer, one inbound socket.
+"""Messaging between boxes over ZeroMQ.
 
-Owns the requests that wait for a reply, and the handlers. Relies on the inbound socket, on a
-connection to each peer, and on lives for the age of messages.
-
-Each box binds one ROUTER and connects one DEALER to every peer, by which its requests and replies
-leave. ZeroMQ queues silently and delivers after a cut heals; small high-water marks, ``IMMEDIATE``
-and a time to live on every message keep old messages from having an effect.
+Owns the pending requests and the message handlers. Each box binds one ROUTER socket and connects
+one DEALER socket to every peer, which carries its requests and its replies. ZeroMQ queues messages
+and delivers them after a partition heals; low high-water marks, ``IMMEDIATE`` and a time-to-live on
+every message keep stale messages from taking effect.
 """
 
 from __future__ import annotations
@@ -26,7 +24,7 @@
 from foldloom.logs import PEER_LOG
 from foldloom.metrics import Metrics
 from foldloom.peers.clock_probes import ClockProbe, ClockProbes
-from foldloom.peers.connection import PeerConnection, Sender
+from foldloom.peers.connection import PeerConnection, SenderIdentity
 from foldloom.peers.curve import Curve
 from foldloom.peers.inbound import InboundSocket
 from foldloom.peers.lives import FreshLives, Lives, OrderedLives
@@ -43,35 +41,35 @@
 from foldloom.tasks import TaskSet
 from foldloom.time_limits import TimeLimit
 
-# Bits of the number of a life's first request; all numbers of a life fit 64 bits.
+# Bits of the random first request id; leaves room to count up within 64 bits.
 _REQUEST_ID_BITS = 62
-# Milliseconds for which a message is of use if its sender says nothing else.
+# Default time-to-live of a message.
 DEFAULT_TTL_MS = 1_000
 
 Handler = Callable[[str, Any], Any]
 
 
-class _Waiting(NamedTuple):
-    """A request that waits for its reply.
+class _PendingRequest(NamedTuple):
+    """A request without a reply so far.
 
     Args:
-        box: Who was asked.
-        reply: What takes the reply.
-        asked_ms: When; own clock.
+        box: Name of the box that the request was sent to.
+        reply: Future of the reply.
+        started_ms: Send time by the monotonic clock.
     """
 
     box: str
     reply: asyncio.Future[Any]
-    asked_ms: float
+    started_ms: float
 
 
 class PeerNetwork:
-    """Send messages to peers and hand theirs to the registered handlers.
+    """Sends messages to peers and dispatches received ones to handlers.
 
     Args:
-        settings: This box's settings.
-        incarnation: This process's incarnation.
-        metrics: Counters for messages by kind.
+        settings: Settings of this box.
+        incarnation: Incarnation of this process.
+        metrics: Metrics of the box.
     """
 
     def __init__(self, settings: Settings, incarnation: int, metrics: Metrics) -> None:
@@ -84,49 +82,49 @@
         self._is_started = False
         self._zone_by_box = {peer.box: peer.zone for peer in settings.peers}
         self._handlers: dict[type, Handler] = {}
-        self._waiting: dict[int, _Waiting] = {}
+        self._pending_requests: dict[int, _PendingRequest] = {}
         self._lives: Lives = FreshLives() if self._uses_discovery else OrderedLives()
-        self._senders: dict[str, asyncio.Task[None]] = {}
-        # Drawn, since a reply names no life: one that an earlier life of this box was sent must not
-        # be taken for the reply to a request of this one.
+        self._send_tasks: dict[str, asyncio.Task[None]] = {}
+        # Random, so that a reply to an earlier incarnation of this box matches no current request:
+        # replies carry no incarnation of the requester.
         self._next_id = secrets.randbits(_REQUEST_ID_BITS)
         self._tasks = TaskSet()
         self._probes = ClockProbes(self, metrics, self._tasks)
         self._curve = Curve(settings, metrics)
         self._inbound = InboundSocket(settings.listen, self._curve, self._accept, metrics)
-        self._own = Sender(settings.box, incarnation, self._uses_discovery)
+        self._identity = SenderIdentity(settings.box, incarnation, self._uses_discovery)
         self._connections = {box: self._connection_to(peer) for box, peer in self._peers.items()}
         self.on(ClockProbe, lambda _sender, probe: probe)
 
     @property
     def incarnation(self) -> int:
-        """This process's incarnation."""
+        """Incarnation of this process."""
         return self._incarnation
 
     @property
     def peer_names(self) -> list[str]:
-        """All other boxes of the settings."""
+        """Names of all peers."""
         return list(self._peers)
 
     def known_incarnation(self, box: str) -> int:
-        """Return the newest incarnation seen of *box*, or 0."""
+        """Return the current incarnation of *box*, or 0 if unknown."""
         if box == self._settings.box:
             return self._incarnation
         return self._lives.current(box)
 
     def zone_of(self, box: str) -> str:
-        """Return the availability zone of *box*, or an empty string."""
+        """Return the availability zone of *box*, or an empty string if unknown."""
         return self._zone_by_box.get(box, "")
 
     def on(self, message_type: type, handler: Handler) -> None:
         """Call ``handler(sender, message)`` for each message of *message_type*.
 
-        A handler returns the reply, ``None`` for no reply, or a coroutine of either.
+        A handler returns a reply, ``None`` for no reply, or a coroutine that returns either.
         """
         self._handlers[message_type] = handler
 
     async def start(self) -> None:
-        """Bind, connect to every peer and start the tasks."""
+        """Bind the inbound socket and connect to every peer."""
         self._curve.start(self._context)
         router = self._inbound.bind(self._context)
         self._tasks.spawn(self._inbound.receive(router))
@@ -135,7 +133,7 @@
             self._connect(box)
 
     def add_peer(self, box: str) -> None:
-        """Connect to a box found by seed discovery, whose name is its address (``IP:port``)."""
+        """Connect to a box found by seed discovery; its name is its address (``IP:port``)."""
         if box in self._peers or box == self._settings.box:
             return
         peer = PeerSettings(box=box, zone="", roles=[], address=box)
@@ -145,24 +143,24 @@
             self._connect(box)
 
     def drop_peer(self, box: str) -> None:
-        """Close the connection to a box found by seed discovery that is gone."""
+        """Close the connection to a box that has left; no effect without seed discovery."""
         if not self._uses_discovery or box not in self._peers:
             return
         del self._peers[box], self._connections[box]
-        task = self._senders.pop(box, None)
+        task = self._send_tasks.pop(box, None)
         if task is not None:
             task.cancel()
 
     async def stop(self) -> None:
-        """End the tasks and close the sockets."""
+        """Cancel the tasks and close the sockets."""
         await self._tasks.stop()
         self._curve.stop()
         self._context.destroy(linger=0)
 
     def send(self, box: str, message: object, ttl_ms: int = DEFAULT_TTL_MS) -> None:
-        """Send *message* to *box* without waiting for anything; it may be lost."""
+        """Send *message* to *box* without blocking; it may be lost."""
         if box == self._settings.box:
-            asyncio.get_running_loop().call_soon(self._dispatch_own, message)
+            asyncio.get_running_loop().call_soon(self._dispatch_local, message)
             return
         self._enqueue(box, message, 0, 0, ttl_ms)
 
@@ -173,26 +171,26 @@
             PeerUnreachableError: No reply within *timeout_ms*.
         """
         if box == self._settings.box:
-            return await self._answer_own(message)
+            return await self._request_local(message)
         self._next_id += 1
         request_id = self._next_id
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._waiting[request_id] = _Waiting(box, future, monotonic_ms())
+        self._pending_requests[request_id] = _PendingRequest(box, future, monotonic_ms())
         try:
             self._enqueue(box, message, request_id, 0, int(timeout_ms) + 1)
-            # Not wait_for: up to Python 3.11 it loses a cancellation that comes with the reply.
+            # asyncio.wait_for may lose a cancellation that arrives with the reply (Python 3.11).
             async with TimeLimit(timeout_ms):
                 return await future
         except TimeoutError:
             raise PeerUnreachableError(f"{box} did not answer in {timeout_ms:.0f} ms") from None
         finally:
-            self._waiting.pop(request_id, None)
+            self._pending_requests.pop(request_id, None)
 
-    async def _answer_own(self, message: object) -> Any:
+    async def _request_local(self, message: object) -> Any:
         reply = self._handlers[type(message)](self._settings.box, message)
         return await reply if inspect.iscoroutine(reply) else reply
 
-    def _dispatch_own(self, message: object) -> None:
+    def _dispatch_local(self, message: object) -> None:
         reply = self._handlers[type(message)](self._settings.box, message)
         if inspect.iscoroutine(reply):
             self._tasks.spawn(reply)
@@ -210,18 +208,21 @@
             self._metrics.count(f"messages.sent.{counted_as(message)}")
 
     def _connection_to(self, peer: PeerSettings) -> PeerConnection:
-        return PeerConnection(peer, self._own, self._curve, self._metrics)
+        return PeerConnection(peer, self._identity, self._curve, self._metrics)
 
     def _connect(self, box: str) -> None:
-        self._senders[box] = self._tasks.spawn(self._connections[box].run(self._context))
+        self._send_tasks[box] = self._tasks.spawn(self._connections[box].run(self._context))
 
     def _accept(self, parts: list[zmq.Frame]) -> None:
         data = parts[-1].bytes
         envelope = decode_envelope(data)
         self._metrics.count("bytes.received", len(data))
-        if not self._is_genuine(envelope.sender, parts[-1]):
+        if not self._is_authenticated(envelope.sender, parts[-1]):
             self._metrics.count("messages.dropped.stranger")
-            PEER_LOG.warning("Dropped a message that claims to be from {}.", envelope.sender)
+            PEER_LOG.warning(
+                "Dropped an envelope that failed sender authentication: claimed sender {}.",
+                envelope.sender,
+            )
             return
         now_ms = monotonic_ms()
         age_ms = self._lives.note(
@@ -236,34 +237,34 @@
             return
         for frame in envelope.frames:
             if age_ms > frame.ttl_ms:
-                self._probes.note_expired(envelope.sender, frame, age_ms)
+                self._probes.record_expired(envelope.sender, frame, age_ms)
                 continue
             self._dispatch(envelope.sender, frame)
 
     def _age_max_ms(self, envelope: Envelope, now_ms: float) -> float:
-        """Return how old an envelope can be at most: a reply is younger than its request."""
+        """Return an upper bound on the age of *envelope*: a reply is younger than its request."""
         age_max_ms = math.inf
         for frame in envelope.frames:
-            waiting = self._waiting.get(frame.reply_to) if frame.reply_to else None
-            if waiting is not None and waiting.box == envelope.sender:
-                age_max_ms = min(age_max_ms, now_ms - waiting.asked_ms)
+            pending = self._pending_requests.get(frame.reply_to) if frame.reply_to else None
+            if pending is not None and pending.box == envelope.sender:
+                age_max_ms = min(age_max_ms, now_ms - pending.started_ms)
         return age_max_ms
 
-    def _is_genuine(self, sender: str, part: zmq.Frame) -> bool:
+    def _is_authenticated(self, sender: str, part: zmq.Frame) -> bool:
         if sender not in self._peers:
             if not self._uses_discovery or not is_address(sender):
                 return False
             self.add_peer(sender)
-        return self._curve.is_genuine(sender, part)
+        return self._curve.is_authenticated(sender, part)
 
     def _dispatch(self, sender: str, frame: Frame) -> None:
         message = decode_body(frame)
         if frame.reply_to:
-            waiting = self._waiting.get(frame.reply_to)
-            if waiting is None or waiting.box != sender or waiting.reply.done():
+            pending = self._pending_requests.get(frame.reply_to)
+            if pending is None or pending.box != sender or pending.reply.done():
                 self._metrics.count("messages.wasted.late-reply")
                 return
-            waiting.reply.set_result(message)
+            pending.reply.set_result(message)
             return
         handler = self._handlers.get(type(message))
         if handler is None:
@@ -271,17 +272,17 @@
             return
         reply = handler(sender, message)
         if inspect.iscoroutine(reply):
-            task = self._tasks.spawn(self._reply_later(sender, frame, reply))
-            # A task that is cancelled before its first step does not await what it was given.
+            task = self._tasks.spawn(self._reply_when_done(sender, frame, reply))
+            # A task cancelled before its first step never awaits the coroutine.
             task.add_done_callback(lambda _task: reply.close())
             return
         self._reply(sender, frame, reply)
 
-    async def _reply_later(self, sender: str, frame: Frame, reply: Any) -> None:
+    async def _reply_when_done(self, sender: str, frame: Frame, reply: Any) -> None:
         try:
             self._reply(sender, frame, await reply)
         except Exception:
-            PEER_LOG.exception("A handler failed.")
+            PEER_LOG.exception("Message handler failed.")
 
     def _reply(self, sender: str, frame: Frame, reply: object) -> None:
         if reply is None or not frame.id:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Messages between boxes: strangers, doubles, late ones, other releases."""
+"""Messages between boxes: unknown senders, duplicates, expired messages, other releases."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from foldloom.static_peers.claims.messages import ClaimReply, ClaimRequest, Vote
 from foldloom.static_peers.membership import Heartbeat
 
-_BEAT = Heartbeat(1, False, True, [])
+_HEARTBEAT = Heartbeat(1, False, True, [])
 
 
 def _raw_settings(ports: dict[str, int], box: str) -> dict[str, Any]:
@@ -54,32 +54,32 @@
     return Envelope(sender, incarnation, int(monotonic_ms()), [frame])
 
 
-class Heard(NamedTuple):
-    """What one box heard, and its counters."""
+class Received(NamedTuple):
+    """Messages received by a box, and its counters."""
 
     messages: list[Any]
     counts: dict[str, int]
 
 
-def _hear(act: Callable[[zmq.Socket[bytes]], None], expected: int) -> Heard:
-    """Run box ``a1`` of two, let *act* send to it as a raw peer, return what was heard."""
+def _receive(act: Callable[[zmq.Socket[bytes]], None], expected: int) -> Received:
+    """Run box ``a1``, let *act* send to it over a raw socket, and return the received messages."""
     ports = {"a1": free_port(), "b1": free_port()}
-    heard: list[Any] = []
+    received: list[Any] = []
 
     async def run() -> dict[str, int]:
         metrics = Metrics()
         network = PeerNetwork(settings_from(_raw_settings(ports, "a1")), 5, metrics)
-        network.on(Heartbeat, lambda sender, message: heard.append((sender, message)))
+        network.on(Heartbeat, lambda sender, message: received.append((sender, message)))
         await network.start()
         context = zmq.Context()
         socket: zmq.Socket[bytes] = context.socket(zmq.DEALER)
         socket.connect(f"tcp://127.0.0.1:{ports['a1']}")
         await asyncio.to_thread(act, socket)
         deadline = time.monotonic() + 5
-        received = "bytes.received"
-        while len(heard) < expected and time.monotonic() < deadline:
+        counter = "bytes.received"
+        while len(received) < expected and time.monotonic() < deadline:
             await asyncio.sleep(0.01)
-        while received not in metrics.counts and time.monotonic() < deadline:
+        while counter not in metrics.counts and time.monotonic() < deadline:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.1)
         counts = metrics.counts
@@ -88,19 +88,15 @@
         return counts
 
     counts = asyncio.run(run())
-    return Heard(heard, counts)
+    return Received(received, counts)
 
 
 class TestStop:
-    """A network that stops while messages are being handled."""
+    """Guards against coroutines left unawaited when a network stops."""
 
     @pytest.mark.parametrize("sender", ["a1", "b1"])
     def test_a_handler_that_has_not_begun(self, sender: str) -> None:
-        """It is ended before its first step, and nothing is left that nobody waits for.
-
-        Seen as a warning, in two whole runs of the tests: the handler's coroutine was never
-        awaited.
-        """
+        """The coroutine of a handler cancelled before its first step is closed."""
         stopping: list[asyncio.Task[None]] = []
 
         async def run() -> None:
@@ -116,7 +112,7 @@
             def handle(_sender: str, _message: Any) -> Awaitable[None] | None:
                 if stopping:
                     return None
-                # Runs before the task of the handler, which does not exist yet.
+                # Scheduled before the handler's task, which is created later.
                 stopping.append(asyncio.create_task(networks["a1"].stop()))
                 return handle_later()
 
@@ -125,7 +121,7 @@
                 await network.start()
             async with asyncio.timeout(5):
                 while not stopping:
-                    networks[sender].send("a1", _BEAT)
+                    networks[sender].send("a1", _HEARTBEAT)
                     await asyncio.sleep(0.01)
             await asyncio.gather(*stopping)
             await networks["b1"].stop()
@@ -138,85 +134,87 @@
 
 
 class TestStrangers:
-    """Messages that must change nothing."""
+    """Guards against messages of unknown senders and malformed messages."""
 
     def test_unknown_sender_is_counted(self) -> None:
-        """A message of a box that is not in the settings is dropped and counted."""
-        data = encode_envelope(_envelope("z9", 1, _BEAT))
-        heard = _hear(lambda socket: socket.send(data), 0)
-        assert heard.messages == []
-        assert heard.counts["messages.dropped.stranger"] == 1
+        """A message from a box that is not in the settings is dropped and counted."""
+        data = encode_envelope(_envelope("z9", 1, _HEARTBEAT))
+        received = _receive(lambda socket: socket.send(data), 0)
+        assert received.messages == []
+        assert received.counts["messages.dropped.stranger"] == 1
 
     def test_malformed_is_counted(self) -> None:
-        """Bytes that are no envelope are dropped; the next message is heard."""
-        good = encode_envelope(_envelope("b1", 1, _BEAT))
+        """A malformed envelope is dropped and counted; the next message is received."""
+        good = encode_envelope(_envelope("b1", 1, _HEARTBEAT))
 
         def act(socket: zmq.Socket[bytes]) -> None:
             socket.send(b"\xc1 nonsense")
             socket.send(good)
 
-        heard = _hear(act, 1)
-        assert len(heard.messages) == 1
-        assert heard.counts["messages.dropped.malformed"] == 1
+        received = _receive(act, 1)
+        assert len(received.messages) == 1
+        assert received.counts["messages.dropped.malformed"] == 1
 
 
 class TestLateMessages:
-    """Messages that ZeroMQ kept too long."""
+    """Guards against stale messages that ZeroMQ delivers late."""
 
     def test_expired_is_dropped(self) -> None:
-        """A message older than its time to live, by the receiver's clock, is dropped."""
-        first = encode_envelope(_envelope("b1", 1, _BEAT))
-        late = _envelope("b1", 1, _BEAT, ttl_ms=100)
+        """A message older than its time-to-live is dropped."""
+        first = encode_envelope(_envelope("b1", 1, _HEARTBEAT))
+        late = _envelope("b1", 1, _HEARTBEAT, ttl_ms=100)
         late = encode_envelope(late._replace(sent_ms=late.sent_ms - 500))
 
         def act(socket: zmq.Socket[bytes]) -> None:
             socket.send(first)
             socket.send(late)
 
-        heard = _hear(act, 1)
-        assert len(heard.messages) == 1
-        assert heard.counts["messages.dropped.expired"] == 1
+        received = _receive(act, 1)
+        assert len(received.messages) == 1
+        assert received.counts["messages.dropped.expired"] == 1
 
     def test_older_life_is_dropped(self) -> None:
-        """A message of an earlier life of a restarted box is dropped."""
-        datas = [encode_envelope(_envelope("b1", life, _BEAT)) for life in (7, 6)]
+        """A message of an earlier incarnation of a restarted box is dropped."""
+        envelopes = [
+            encode_envelope(_envelope("b1", incarnation, _HEARTBEAT)) for incarnation in (7, 6)
+        ]
 
         def act(socket: zmq.Socket[bytes]) -> None:
-            for data in datas:
+            for data in envelopes:
                 socket.send(data)
 
-        heard = _hear(act, 1)
-        assert len(heard.messages) == 1
-        assert heard.counts["messages.dropped.old-incarnation"] == 1
+        received = _receive(act, 1)
+        assert len(received.messages) == 1
+        assert received.counts["messages.dropped.old-incarnation"] == 1
 
 
 class TestOtherReleases:
-    """Messages of a release with more fields, or fewer."""
+    """Guards the compatibility of messages during rolling upgrades."""
 
     def test_more_fields(self) -> None:
-        """Fields that this release does not know are dropped."""
-        longer = msgspec.Raw(msgspec.msgpack.encode([*_BEAT, "new", 1]))
-        assert decode_body(Frame(kind_of(_BEAT), 0, 0, 0, longer)) == _BEAT
+        """Unknown trailing fields are ignored."""
+        longer = msgspec.Raw(msgspec.msgpack.encode([*_HEARTBEAT, "new", 1]))
+        assert decode_body(Frame(kind_of(_HEARTBEAT), 0, 0, 0, longer)) == _HEARTBEAT
 
     def test_fewer_fields(self) -> None:
-        """Fields that an older release does not send take their defaults."""
-        shorter = msgspec.Raw(msgspec.msgpack.encode(list(_BEAT)[:4]))
-        assert decode_body(Frame(kind_of(_BEAT), 0, 0, 0, shorter)) == _BEAT
+        """Missing trailing fields take their defaults."""
+        shorter = msgspec.Raw(msgspec.msgpack.encode(list(_HEARTBEAT)[:4]))
+        assert decode_body(Frame(kind_of(_HEARTBEAT), 0, 0, 0, shorter)) == _HEARTBEAT
 
 
 class TestCancelledRequests:
-    """Requests whose task is cancelled."""
+    """Guards against lost cancellations of requests."""
 
     def test_cancelled_as_the_reply_arrives(self) -> None:
-        """The task ends: a leader that has stepped down must not go on sending heartbeats."""
+        """A cancellation that arrives with the reply ends the task."""
         ports = {"a1": free_port(), "b1": free_port()}
 
         async def run() -> None:
             network = PeerNetwork(settings_from(_raw_settings(ports, "a1")), 5, Metrics())
-            request = asyncio.create_task(network.request("b1", _BEAT, 1_000.0))
+            request = asyncio.create_task(network.request("b1", _HEARTBEAT, 1_000.0))
             await asyncio.sleep(0)
-            (waiting,) = network._waiting.values()
-            waiting.reply.set_result("reply")
+            (pending,) = network._pending_requests.values()
+            pending.reply.set_result("reply")
             request.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await request
@@ -226,16 +224,16 @@
 
 
 class TestDoubledClaims:
-    """A claim request that arrives twice, at a real daemon."""
+    """Guards a real daemon against duplicate claim requests."""
 
     @pytest.fixture
     def cluster(self, tmp_path: Path) -> Iterator[Cluster]:
-        """Three boxes."""
+        """Return a cluster of three boxes."""
         with Cluster(tmp_path) as running:
             yield running
 
     def test_counts_once_and_crossed_reply_is_ignored(self, cluster: Cluster) -> None:
-        """Doubled claim requests and unasked replies start nothing and change no claim."""
+        """Duplicate claim requests and unsolicited replies start no task."""
         incarnation = int(time.time() * 1000) + 10_000
         request = ClaimRequest("doubled", "00" * 16, incarnation, 1, 0)
         reply = ClaimReply(Vote.GRANTED, incarnation, {}, [])
@@ -254,10 +252,10 @@
 
 
 class TestKeys:
-    """CURVE keys between boxes."""
+    """Guards the authentication between boxes with CURVE."""
 
     def test_boxes_with_keys_serve_and_strangers_get_nothing(self, tmp_path: Path) -> None:
-        """Boxes that know each other's keys serve; a socket without a key is not heard."""
+        """Boxes with listed keys serve jobs; messages from other sockets have no effect."""
         cluster = Cluster(tmp_path)
         keys = {box: zmq.curve_keypair() for box in cluster.boxes}
         write = cluster.write_settings
@@ -277,17 +275,17 @@
             assert cluster.submit("a1", "with-keys", [{"ms": 1}] * 3).status == 200
             before = cluster.status("a1")["metrics"].get("messages.dropped.stranger", 0)
             future = int(time.time() * 1000) + 10**9
-            beat = Heartbeat(10**6, True, True, [])
+            heartbeat = Heartbeat(10**6, True, True, [])
             context = zmq.Context()
-            for stranger in (None, zmq.curve_keypair()):
+            for key_pair in (None, zmq.curve_keypair()):
                 socket: zmq.Socket[bytes] = context.socket(zmq.DEALER)
-                # Dropped with the default linger, it would hold up the end of the context.
+                # With the default linger, unsent messages would block context termination.
                 socket.setsockopt(zmq.LINGER, 0)
-                if stranger is not None:
-                    socket.curve_publickey, socket.curve_secretkey = stranger
+                if key_pair is not None:
+                    socket.curve_publickey, socket.curve_secretkey = key_pair
                     socket.curve_serverkey = keys["a1"][0]
                 socket.connect(f"tcp://127.0.0.1:{cluster._peer_ports['a1']}")
-                socket.send(encode_envelope(_envelope("b1", future, beat)))
+                socket.send(encode_envelope(_envelope("b1", future, heartbeat)))
             time.sleep(0.5)
             context.destroy(linger=0)
             status = cluster.status("a1")
