--- a/tests/models/boxlist_model.py
+++ b/tests/models/boxlist_model.py
@@ -17,7 +17,7 @@
 OLD_SET = frozenset({0, 1, 2})
 NEW_SET = frozenset({0, 3, 4})
 BOXES = range(5)
-NOBODY = -1
+UNSET = -1
 
 
 class Rules(NamedTuple):
@@ -29,11 +29,11 @@
     replicas_refuse_other_epochs: bool = True
 
 
-class Asker(NamedTuple):
+class Coordinator(NamedTuple):
     """A coordinator: the epoch it knows, the one it asked under, its votes."""
 
     epoch: int = OLD
-    asked: int = NOBODY
+    claim_epoch: int = UNSET
     votes: frozenset[int] = frozenset()
     is_started: bool = False
 
@@ -44,20 +44,22 @@
     epoch: int
     box_epochs: tuple[int, ...]
     claims: tuple[int, ...]
-    askers: tuple[Asker, Asker]
+    askers: tuple[Coordinator, Coordinator]
 
 
 def boxlist_protocol(rules: Rules) -> Protocol:
     """Return the protocol under *rules* as minicheck takes it."""
-    start = State(OLD, (OLD,) * 5, (NOBODY,) * 5, (Asker(), Asker()))
+    initial_state = State(OLD, (OLD,) * 5, (UNSET,) * 5, (Coordinator(), Coordinator()))
     return Protocol(
         name="box list",
         candidate=False,
         fields=State._fields,
-        initial=start,
+        initial=initial_state,
         transitions=lambda state: list(_steps(State(*state), rules)),
         invariants={
-            "one_starter": lambda fields: sum(one.is_started for one in fields["askers"]) <= 1
+            "one_starter": lambda fields: (
+                sum(coordinator.is_started for coordinator in fields["askers"]) <= 1
+            )
         },
     )
 
@@ -67,10 +69,10 @@
         yield f"epoch {state.epoch + 1} is confirmed", state._replace(epoch=state.epoch + 1)
     for box in BOXES:
         if state.box_epochs[box] < state.epoch:
-            epochs = _with(state.box_epochs, box, state.box_epochs[box] + 1)
+            epochs = _with_item(state.box_epochs, box, state.box_epochs[box] + 1)
             yield f"box {box} learns", state._replace(box_epochs=epochs)
-    for who in (0, 1):
-        yield from _asker_steps(state, who, rules)
+    for coordinator_id in (0, 1):
+        yield from _coordinator_steps(state, coordinator_id, rules)
 
 
 def _may_advance(state: State, rules: Rules) -> bool:
@@ -82,55 +84,77 @@
     return acked or not rules.new_waits_for_acks
 
 
-def _asker_steps(state: State, who: int, rules: Rules) -> Iterator[tuple[str, State]]:
-    me = state.askers[who]
-    if me.epoch < state.epoch:
-        yield f"c{who} learns", _with_asker(state, who, me._replace(epoch=me.epoch + 1))
-    if me.asked == NOBODY and not _is_past_window(state, me.epoch, rules):
-        yield f"c{who} asks", _with_asker(state, who, me._replace(asked=me.epoch))
-    if me.asked == NOBODY or me.is_started:
+def _coordinator_steps(
+    state: State, coordinator_id: int, rules: Rules
+) -> Iterator[tuple[str, State]]:
+    coordinator = state.askers[coordinator_id]
+    if coordinator.epoch < state.epoch:
+        yield (
+            f"c{coordinator_id} learns",
+            _with_coordinator(
+                state, coordinator_id, coordinator._replace(epoch=coordinator.epoch + 1)
+            ),
+        )
+    if coordinator.claim_epoch == UNSET and not _is_window_over(state, coordinator.epoch, rules):
+        yield (
+            f"c{coordinator_id} asks",
+            _with_coordinator(
+                state, coordinator_id, coordinator._replace(claim_epoch=coordinator.epoch)
+            ),
+        )
+    if coordinator.claim_epoch == UNSET or coordinator.is_started:
         return
-    for box in _replicas(me.asked) - me.votes:
-        is_other = state.box_epochs[box] != me.asked
-        if state.claims[box] not in (NOBODY, who):
+    for box in _replicas(coordinator.claim_epoch) - coordinator.votes:
+        is_other_epoch = state.box_epochs[box] != coordinator.claim_epoch
+        if state.claims[box] not in (UNSET, coordinator_id):
             continue
-        if is_other and rules.replicas_refuse_other_epochs:
+        if is_other_epoch and rules.replicas_refuse_other_epochs:
             continue
-        after = state._replace(claims=_with(state.claims, box, who))
-        voted = me._replace(votes=me.votes | {box})
-        yield f"box {box} votes for c{who}", _with_asker(after, who, voted)
-    if _is_won(me, rules) and not _is_past_deadline(state, me, rules):
-        yield f"c{who} starts", _with_asker(state, who, me._replace(is_started=True))
-
-
-def _is_past_window(state: State, epoch: int, rules: Rules) -> bool:
+        claimed = state._replace(claims=_with_item(state.claims, box, coordinator_id))
+        voted = coordinator._replace(votes=coordinator.votes | {box})
+        yield (
+            f"box {box} votes for c{coordinator_id}",
+            _with_coordinator(claimed, coordinator_id, voted),
+        )
+    if _is_won(coordinator, rules) and not _is_past_deadline(state, coordinator, rules):
+        yield (
+            f"c{coordinator_id} starts",
+            _with_coordinator(state, coordinator_id, coordinator._replace(is_started=True)),
+        )
+
+
+def _is_window_over(state: State, epoch: int, rules: Rules) -> bool:
     """A window lies between joint and new: under new nobody resubmits what old started."""
     if not rules.new_waits_for_window or epoch != NEW:
         return False
-    return any(one.is_started and one.asked == OLD for one in state.askers)
+    return any(
+        coordinator.is_started and coordinator.claim_epoch == OLD for coordinator in state.askers
+    )
 
 
-def _is_past_deadline(state: State, me: Asker, rules: Rules) -> bool:
+def _is_past_deadline(state: State, coordinator: Coordinator, rules: Rules) -> bool:
     """By the same window, a job asked for under old is past its deadline under new."""
-    return rules.new_waits_for_window and me.asked == OLD and state.epoch == NEW
+    return rules.new_waits_for_window and coordinator.claim_epoch == OLD and state.epoch == NEW
 
 
 def _replicas(epoch: int) -> frozenset[int]:
     return (OLD_SET, OLD_SET | NEW_SET, NEW_SET)[epoch]
 
 
-def _is_won(me: Asker, rules: Rules) -> bool:
-    old = len(me.votes & OLD_SET) >= 2
-    new = len(me.votes & NEW_SET) >= 2
-    if me.asked == JOINT:
-        return (old and new) if rules.joint_needs_both else new
-    return old if me.asked == OLD else new
+def _is_won(coordinator: Coordinator, rules: Rules) -> bool:
+    has_old_quorum = len(coordinator.votes & OLD_SET) >= 2
+    has_new_quorum = len(coordinator.votes & NEW_SET) >= 2
+    if coordinator.claim_epoch == JOINT:
+        return (has_old_quorum and has_new_quorum) if rules.joint_needs_both else has_new_quorum
+    return has_old_quorum if coordinator.claim_epoch == OLD else has_new_quorum
 
 
-def _with(values: tuple[int, ...], place: int, value: int) -> tuple[int, ...]:
-    return (*values[:place], value, *values[place + 1 :])
+def _with_item(values: tuple[int, ...], index: int, value: int) -> tuple[int, ...]:
+    return (*values[:index], value, *values[index + 1 :])
 
 
-def _with_asker(state: State, who: int, asker: Asker) -> State:
-    askers = (asker, state.askers[1]) if who == 0 else (state.askers[0], asker)
+def _with_coordinator(state: State, coordinator_id: int, coordinator: Coordinator) -> State:
+    askers = (
+        (coordinator, state.askers[1]) if coordinator_id == 0 else (state.askers[0], coordinator)
+    )
     return state._replace(askers=askers)
--- a/tests/models/claims_model.py
+++ b/tests/models/claims_model.py
@@ -20,7 +20,7 @@
 from minicheck import Protocol
 
 REPLICAS = (0, 1, 2)
-ASKING, STARTED, WITHDRAWN = range(3)
+CLAIMING, STARTED, WITHDRAWN = range(3)
 
 ClaimId = tuple[int, int]
 Step = tuple[str, "State"]
@@ -45,26 +45,26 @@
     ``known`` holds the newest life known of each replica.
     """
 
-    life: int = 0
-    copied: frozenset[int] = frozenset(REPLICAS)
+    incarnation: int = 0
+    copied_from: frozenset[int] = frozenset(REPLICAS)
     claims: frozenset[ClaimId] = frozenset()
-    known: tuple[int, int, int] = (0, 0, 0)
+    known_incarnations: tuple[int, int, int] = (0, 0, 0)
 
 
-class VoteSeen(NamedTuple):
+class Vote(NamedTuple):
     """A vote as its coordinator sees it."""
 
     replica: int
-    life: int
-    known: tuple[int, int, int]
+    incarnation: int
+    known_incarnations: tuple[int, int, int]
 
 
 class Coordinator(NamedTuple):
     """A coordinator; ``attempt`` counts from 1."""
 
-    phase: int = ASKING
+    phase: int = CLAIMING
     attempt: int = 1
-    votes: frozenset[VoteSeen] = frozenset()
+    votes: frozenset[Vote] = frozenset()
 
 
 class State(NamedTuple):
@@ -75,7 +75,7 @@
 
     replicas: tuple[Replica, Replica, Replica]
     coordinators: tuple[Coordinator, Coordinator]
-    replies: frozenset[tuple[ClaimId, VoteSeen]]
+    replies: frozenset[tuple[ClaimId, Vote]]
     copies: frozenset[tuple[int, int, int, frozenset[ClaimId], int]]
     crashes: int
     is_false_refusal: bool
@@ -90,12 +90,14 @@
 
 def claims_protocol(rules: Rules, bounds: Bounds) -> Protocol:
     """Return the protocol under *rules* as minicheck takes it."""
-    start = State((Replica(),) * 3, (Coordinator(),) * 2, frozenset(), frozenset(), 0, False)
+    initial_state = State(
+        (Replica(),) * 3, (Coordinator(),) * 2, frozenset(), frozenset(), 0, False
+    )
     return Protocol(
         name="claims",
         candidate=False,
         fields=State._fields,
-        initial=start,
+        initial=initial_state,
         transitions=lambda state: list(_steps(State(*state), rules, bounds)),
         invariants={
             "one_starter": _one_starter,
@@ -106,175 +108,207 @@
 
 def _one_starter(fields: dict[str, object]) -> bool:
     coordinators: tuple[Coordinator, ...] = fields["coordinators"]  # type: ignore[assignment]
-    return sum(1 for one in coordinators if one.phase == STARTED) <= 1
+    return sum(1 for coordinator in coordinators if coordinator.phase == STARTED) <= 1
 
 
 def _steps(state: State, rules: Rules, bounds: Bounds) -> Iterator[Step]:
     """Yield every step that may come next."""
-    for who in (0, 1):
-        yield from _coordinator_steps(state, who, rules, bounds)
-        yield from _deliveries(state, who, rules)
+    for coordinator_id in (0, 1):
+        yield from _coordinator_steps(state, coordinator_id, rules, bounds)
+        yield from _deliveries(state, coordinator_id, rules)
     for claim, vote in state.replies:
-        yield _take_reply(state, claim, vote)
-    for number in REPLICAS:
+        yield _receive_vote(state, claim, vote)
+    for replica_id in REPLICAS:
         if state.crashes < bounds.crashes:
-            yield _crash(state, number, rules)
-        yield from _copy_requests(state, number)
+            yield _crash(state, replica_id, rules)
+        yield from _copy_requests(state, replica_id)
     for copy in state.copies:
-        yield _take_copy(state, copy, rules)
+        yield _receive_copy(state, copy, rules)
 
 
-def _coordinator_steps(state: State, who: int, rules: Rules, bounds: Bounds) -> Iterator[Step]:
-    me = state.coordinators[who]
-    if me.phase == WITHDRAWN and me.attempt < bounds.attempts[who]:
-        fresh = Coordinator(ASKING, me.attempt + 1, frozenset())
-        yield f"c{who} asks", _with_coordinator(state, who, fresh)
-    if me.phase != ASKING:
+def _coordinator_steps(
+    state: State, coordinator_id: int, rules: Rules, bounds: Bounds
+) -> Iterator[Step]:
+    coordinator = state.coordinators[coordinator_id]
+    if coordinator.phase == WITHDRAWN and coordinator.attempt < bounds.attempts[coordinator_id]:
+        fresh = Coordinator(CLAIMING, coordinator.attempt + 1, frozenset())
+        yield f"c{coordinator_id} asks", _with_coordinator(state, coordinator_id, fresh)
+    if coordinator.phase != CLAIMING:
         return
-    if _is_won(me, rules):
-        started = me._replace(phase=STARTED, votes=frozenset())
-        yield f"c{who} starts", _with_coordinator(state, who, started)
-    left = me._replace(phase=WITHDRAWN, votes=frozenset())
-    yield f"c{who} withdraws", _with_coordinator(state, who, left)
-    if _is_won(me, rules) or not rules.refuses_only_with_majority:
-        is_false = state.coordinators[1 - who].phase == STARTED
-        refused = _with_coordinator(state, who, left)
-        lied = refused.is_false_refusal or is_false
-        yield f"c{who} refuses, not run", refused._replace(is_false_refusal=lied)
-
-
-def _is_won(me: Coordinator, rules: Rules) -> bool:
-    votes = me.votes
+    if _is_won(coordinator, rules):
+        started = coordinator._replace(phase=STARTED, votes=frozenset())
+        yield f"c{coordinator_id} starts", _with_coordinator(state, coordinator_id, started)
+    withdrawn = coordinator._replace(phase=WITHDRAWN, votes=frozenset())
+    yield f"c{coordinator_id} withdraws", _with_coordinator(state, coordinator_id, withdrawn)
+    if _is_won(coordinator, rules) or not rules.refuses_only_with_majority:
+        other_started = state.coordinators[1 - coordinator_id].phase == STARTED
+        refused = _with_coordinator(state, coordinator_id, withdrawn)
+        has_false_refusal = refused.is_false_refusal or other_started
+        yield (
+            f"c{coordinator_id} refuses, not run",
+            refused._replace(is_false_refusal=has_false_refusal),
+        )
+
+
+def _is_won(coordinator: Coordinator, rules: Rules) -> bool:
+    votes = coordinator.votes
     if rules.fences_votes:
         votes = frozenset(
-            vote for vote in votes if all(o.known[vote.replica] <= vote.life for o in votes)
+            vote
+            for vote in votes
+            if all(other.known_incarnations[vote.replica] <= vote.incarnation for other in votes)
         )
     voters = {vote.replica for vote in votes}
     return len(voters) >= (2 if rules.needs_second_vote else 1)
 
 
-def _deliveries(state: State, who: int, rules: Rules) -> Iterator[Step]:
+def _deliveries(state: State, coordinator_id: int, rules: Rules) -> Iterator[Step]:
     """Claim requests and withdrawals of every attempt so far may arrive, again and again."""
-    me = state.coordinators[who]
-    for attempt in range(1, me.attempt + 1):
-        claim = (who, attempt)
-        is_withdrawn = attempt < me.attempt or me.phase == WITHDRAWN
-        for number in REPLICAS:
-            yield from _deliver_claim(state, number, claim)
+    coordinator = state.coordinators[coordinator_id]
+    for attempt in range(1, coordinator.attempt + 1):
+        claim = (coordinator_id, attempt)
+        is_withdrawn = attempt < coordinator.attempt or coordinator.phase == WITHDRAWN
+        for replica_id in REPLICAS:
+            yield from _deliver_claim(state, replica_id, claim)
             if is_withdrawn:
-                yield from _deliver_withdraw(state, number, claim, rules)
-            if not rules.only_coordinator_withdraws and claim in state.replicas[number].claims:
-                rest = state.replicas[number].claims - {claim}
-                changed = state.replicas[number]._replace(claims=rest)
-                yield f"r{number} drops {claim}", _with_replica(state, number, changed)
+                yield from _deliver_withdraw(state, replica_id, claim, rules)
+            if not rules.only_coordinator_withdraws and claim in state.replicas[replica_id].claims:
+                remaining = state.replicas[replica_id].claims - {claim}
+                updated = state.replicas[replica_id]._replace(claims=remaining)
+                yield f"r{replica_id} drops {claim}", _with_replica(state, replica_id, updated)
 
 
-def _deliver_claim(state: State, number: int, claim: ClaimId) -> Iterator[Step]:
-    replica = state.replicas[number]
-    if len(replica.copied) < len(REPLICAS):
+def _deliver_claim(state: State, replica_id: int, claim: ClaimId) -> Iterator[Step]:
+    replica = state.replicas[replica_id]
+    if len(replica.copied_from) < len(REPLICAS):
         return
-    if any(one != claim and not _is_older(one, claim) for one in replica.claims):
+    if any(held != claim and not _is_older(held, claim) for held in replica.claims):
         return
-    changed = replica._replace(claims=frozenset({claim}))
-    after = _with_replica(state, number, changed)
-    me = state.coordinators[claim[0]]
-    if claim[1] == me.attempt and me.phase == ASKING:
-        vote = VoteSeen(number, replica.life, replica.known)
-        if not _has_vote(state, claim, number, replica.life):
-            after = after._replace(replies=state.replies | {(claim, vote)})
-    if after != state:
-        yield f"r{number} votes for {claim}", after
-
-
-def _has_vote(state: State, claim: ClaimId, number: int, life: int) -> bool:
+    updated = replica._replace(claims=frozenset({claim}))
+    next_state = _with_replica(state, replica_id, updated)
+    coordinator = state.coordinators[claim[0]]
+    if claim[1] == coordinator.attempt and coordinator.phase == CLAIMING:
+        vote = Vote(replica_id, replica.incarnation, replica.known_incarnations)
+        if not _has_vote(state, claim, replica_id, replica.incarnation):
+            next_state = next_state._replace(replies=state.replies | {(claim, vote)})
+    if next_state != state:
+        yield f"r{replica_id} votes for {claim}", next_state
+
+
+def _has_vote(state: State, claim: ClaimId, replica_id: int, incarnation: int) -> bool:
     """Return whether a vote of this life for *claim* is under way or has arrived."""
-    seen = [vote for one, vote in state.replies if one == claim]
-    seen += state.coordinators[claim[0]].votes
-    return any(vote.replica == number and vote.life == life for vote in seen)
+    known_votes = [vote for claim_id, vote in state.replies if claim_id == claim]
+    known_votes += state.coordinators[claim[0]].votes
+    return any(
+        vote.replica == replica_id and vote.incarnation == incarnation for vote in known_votes
+    )
 
 
-def _is_older(one: ClaimId, claim: ClaimId) -> bool:
-    return one[0] == claim[0] and one[1] < claim[1]
+def _is_older(earlier: ClaimId, later: ClaimId) -> bool:
+    return earlier[0] == later[0] and earlier[1] < later[1]
 
 
-def _deliver_withdraw(state: State, number: int, claim: ClaimId, rules: Rules) -> Iterator[Step]:
-    replica = state.replicas[number]
+def _deliver_withdraw(
+    state: State, replica_id: int, claim: ClaimId, rules: Rules
+) -> Iterator[Step]:
+    replica = state.replicas[replica_id]
     if rules.numbers_attempts:
-        leaving = frozenset(one for one in replica.claims if one == claim or _is_older(one, claim))
+        removed = frozenset(
+            held for held in replica.claims if held == claim or _is_older(held, claim)
+        )
     else:
-        leaving = frozenset(one for one in replica.claims if one[0] == claim[0])
-    if leaving:
-        changed = replica._replace(claims=replica.claims - leaving)
-        yield f"r{number} hears {claim} withdrawn", _with_replica(state, number, changed)
-
-
-def _take_reply(state: State, claim: ClaimId, vote: VoteSeen) -> Step:
-    rest = state._replace(replies=state.replies - {(claim, vote)})
-    me = state.coordinators[claim[0]]
-    votes = frozenset(one for one in me.votes if one.replica != vote.replica) | {vote}
+        removed = frozenset(held for held in replica.claims if held[0] == claim[0])
+    if removed:
+        updated = replica._replace(claims=replica.claims - removed)
+        yield f"r{replica_id} hears {claim} withdrawn", _with_replica(state, replica_id, updated)
+
+
+def _receive_vote(state: State, claim: ClaimId, vote: Vote) -> Step:
+    remaining = state._replace(replies=state.replies - {(claim, vote)})
+    coordinator = state.coordinators[claim[0]]
+    votes = frozenset(
+        received for received in coordinator.votes if received.replica != vote.replica
+    ) | {vote}
     return f"c{claim[0]} gets vote of r{vote.replica}", _with_coordinator(
-        rest, claim[0], me._replace(votes=votes)
+        remaining, claim[0], coordinator._replace(votes=votes)
     )
 
 
-def _crash(state: State, number: int, rules: Rules) -> Step:
-    life = state.replicas[number].life + 1
-    known = tuple(life if n == number else 0 for n in REPLICAS)
-    copied = frozenset({number}) if rules.copies_before_voting else frozenset(REPLICAS)
-    fresh = Replica(life, copied, frozenset(), known)  # type: ignore[arg-type]
-    copies = frozenset(copy for copy in state.copies if copy[0] != number)
-    after = _with_replica(state, number, fresh)
-    return f"r{number} restarts empty", after._replace(crashes=state.crashes + 1, copies=copies)
+def _crash(state: State, replica_id: int, rules: Rules) -> Step:
+    incarnation = state.replicas[replica_id].incarnation + 1
+    known_incarnations = tuple(
+        incarnation if other_id == replica_id else 0 for other_id in REPLICAS
+    )
+    copied_from = frozenset({replica_id}) if rules.copies_before_voting else frozenset(REPLICAS)
+    fresh = Replica(incarnation, copied_from, frozenset(), known_incarnations)  # type: ignore[arg-type]
+    copies = frozenset(copy for copy in state.copies if copy[0] != replica_id)
+    next_state = _with_replica(state, replica_id, fresh)
+    return f"r{replica_id} restarts empty", next_state._replace(
+        crashes=state.crashes + 1, copies=copies
+    )
 
 
-def _copy_requests(state: State, asker: int) -> Iterator[Step]:
-    replica = state.replicas[asker]
-    for server in set(REPLICAS) - replica.copied:
-        serving = state.replicas[server]
-        if len(serving.copied) < len(REPLICAS):
+def _copy_requests(state: State, requester_id: int) -> Iterator[Step]:
+    replica = state.replicas[requester_id]
+    for server_id in set(REPLICAS) - replica.copied_from:
+        server = state.replicas[server_id]
+        if len(server.copied_from) < len(REPLICAS):
             continue
-        known = _raised(serving.known, asker, replica.life)
-        after = _with_replica(state, server, serving._replace(known=known))
-        copy = (asker, replica.life, server, serving.claims, serving.life)
-        if not any(one[0] == asker and one[2] == server for one in state.copies):
+        known_incarnations = _with_latest(
+            server.known_incarnations, requester_id, replica.incarnation
+        )
+        next_state = _with_replica(
+            state, server_id, server._replace(known_incarnations=known_incarnations)
+        )
+        copy = (requester_id, replica.incarnation, server_id, server.claims, server.incarnation)
+        if not any(
+            pending[0] == requester_id and pending[2] == server_id for pending in state.copies
+        ):
             copies = state.copies | {copy}
-            yield f"r{server} serves a copy to r{asker}", after._replace(copies=copies)
+            yield (
+                f"r{server_id} serves a copy to r{requester_id}",
+                next_state._replace(copies=copies),
+            )
 
 
-def _take_copy(
+def _receive_copy(
     state: State, copy: tuple[int, int, int, frozenset[ClaimId], int], rules: Rules
 ) -> Step:
-    asker, _life, server, claims, server_life = copy
-    rest = state._replace(copies=state.copies - {copy})
-    replica = state.replicas[asker]
+    requester_id, _incarnation, server_id, claims, server_incarnation = copy
+    remaining = state._replace(copies=state.copies - {copy})
+    replica = state.replicas[requester_id]
     merged = replica.claims | claims
     if not rules.keeps_differing_copies:
         merged = frozenset(sorted(merged)[:1])
-    changed = replica._replace(
+    updated = replica._replace(
         claims=merged,
-        copied=replica.copied | {server},
-        known=_raised(replica.known, server, server_life),
+        copied_from=replica.copied_from | {server_id},
+        known_incarnations=_with_latest(replica.known_incarnations, server_id, server_incarnation),
+    )
+    return f"r{requester_id} takes the copy of r{server_id}", _with_replica(
+        remaining, requester_id, updated
     )
-    return f"r{asker} takes the copy of r{server}", _with_replica(rest, asker, changed)
 
 
-def _raised(known: tuple[int, int, int], number: int, life: int) -> tuple[int, int, int]:
-    raised = list(known)
-    raised[number] = max(raised[number], life)
-    return raised[0], raised[1], raised[2]
+def _with_latest(
+    known_incarnations: tuple[int, int, int], replica_id: int, incarnation: int
+) -> tuple[int, int, int]:
+    latest = list(known_incarnations)
+    latest[replica_id] = max(latest[replica_id], incarnation)
+    return latest[0], latest[1], latest[2]
 
 
-def _with_replica(state: State, number: int, replica: Replica) -> State:
+def _with_replica(state: State, replica_id: int, replica: Replica) -> State:
     replicas = list(state.replicas)
-    replicas[number] = replica
+    replicas[replica_id] = replica
     return state._replace(replicas=tuple(replicas))  # type: ignore[arg-type]
 
 
-def _with_coordinator(state: State, who: int, coordinator: Coordinator) -> State:
+def _with_coordinator(state: State, coordinator_id: int, coordinator: Coordinator) -> State:
     """Return *state* with the coordinator changed; votes that count no more are dropped."""
     coordinators = list(state.coordinators)
-    coordinators[who] = coordinator
+    coordinators[coordinator_id] = coordinator
     replies = state.replies
-    if coordinator.phase != ASKING:
-        replies = frozenset(one for one in replies if one[0][0] != who)
+    if coordinator.phase != CLAIMING:
+        replies = frozenset(reply for reply in replies if reply[0][0] != coordinator_id)
     return state._replace(coordinators=tuple(coordinators), replies=replies)  # type: ignore[arg-type]
--- a/tests/models/controllers_model.py
+++ b/tests/models/controllers_model.py
@@ -14,7 +14,7 @@
 from minicheck import Protocol
 
 CONTROLLERS = (0, 1, 2)
-NOBODY = -1
+NO_VOTE = -1
 FOLLOWER, CANDIDATE, LEADER = range(3)
 
 Log = tuple[int, ...]
@@ -43,10 +43,10 @@
 
     role: int = FOLLOWER
     term: int = 0
-    vote: int = NOBODY
+    vote: int = NO_VOTE
     log: Log = ()
     votes: frozenset[int] = frozenset()
-    is_counted: bool = True
+    is_voter: bool = True
 
 
 class State(NamedTuple):
@@ -67,12 +67,12 @@
 
 def controllers_protocol(rules: Rules, bounds: Bounds) -> Protocol:
     """Return the protocol under *rules* as minicheck takes it."""
-    start = State((Controller(),) * 3, frozenset(), (), 0, False, 0, 0)
+    initial_state = State((Controller(),) * 3, frozenset(), (), 0, False, 0, 0)
     return Protocol(
         name="controllers",
         candidate=False,
         fields=State._fields,
-        initial=start,
+        initial=initial_state,
         transitions=lambda state: list(_steps(State(*state), rules, bounds)),
         invariants={
             "one_leader_a_term": _one_leader_a_term,
@@ -87,133 +87,160 @@
 
 
 def _steps(state: State, rules: Rules, bounds: Bounds) -> Iterator[tuple[str, State]]:
-    for me in CONTROLLERS:
-        yield from _own_steps(state, me, rules, bounds)
-        for peer in CONTROLLERS:
-            if peer != me:
-                yield from _pair_steps(state, me, peer, rules)
-
-
-def _own_steps(state: State, me: int, rules: Rules, bounds: Bounds) -> Iterator[tuple[str, State]]:
-    controller = state.controllers[me]
-    if controller.role != LEADER and controller.term < bounds.terms and controller.is_counted:
-        standing = controller._replace(
-            role=CANDIDATE, term=controller.term + 1, vote=me, votes=frozenset({me})
+    for controller_id in CONTROLLERS:
+        yield from _local_steps(state, controller_id, rules, bounds)
+        for peer_id in CONTROLLERS:
+            if peer_id != controller_id:
+                yield from _message_steps(state, controller_id, peer_id, rules)
+
+
+def _local_steps(
+    state: State, controller_id: int, rules: Rules, bounds: Bounds
+) -> Iterator[tuple[str, State]]:
+    controller = state.controllers[controller_id]
+    if controller.role != LEADER and controller.term < bounds.terms and controller.is_voter:
+        candidate = controller._replace(
+            role=CANDIDATE,
+            term=controller.term + 1,
+            vote=controller_id,
+            votes=frozenset({controller_id}),
         )
-        yield f"{me} stands", _with(state, me, standing)
+        yield f"{controller_id} stands", _with_controller(state, controller_id, candidate)
     if controller.role == CANDIDATE and len(controller.votes) >= 2:
-        leading = _with(state, me, controller._replace(role=LEADER, votes=frozenset()))
+        with_leader = _with_controller(
+            state, controller_id, controller._replace(role=LEADER, votes=frozenset())
+        )
         is_later = controller.term > state.committed_term
-        holds_all = controller.log[: len(state.committed)] == state.committed
-        is_lost = state.is_lost or (is_later and not holds_all)
-        elected = state.elected | {(controller.term, me)}
-        yield f"{me} leads", leading._replace(elected=elected, is_lost=is_lost)
+        has_committed = controller.log[: len(state.committed)] == state.committed
+        is_lost = state.is_lost or (is_later and not has_committed)
+        elected = state.elected | {(controller.term, controller_id)}
+        yield f"{controller_id} leads", with_leader._replace(elected=elected, is_lost=is_lost)
     if controller.role == LEADER and len(controller.log) < bounds.entries:
         yield (
-            f"{me} appends",
-            _with(state, me, controller._replace(log=(*controller.log, controller.term))),
+            f"{controller_id} appends",
+            _with_controller(
+                state, controller_id, controller._replace(log=(*controller.log, controller.term))
+            ),
         )
     if controller.role == LEADER:
-        yield from _commit(state, me, rules)
+        yield from _commit(state, controller_id, rules)
     if state.crashes < bounds.crashes:
-        vote = controller.vote if rules.syncs_votes else NOBODY
-        back = controller._replace(role=FOLLOWER, votes=frozenset(), vote=vote)
-        yield f"{me} restarts", _with(state, me, back)._replace(crashes=state.crashes + 1)
+        vote = controller.vote if rules.syncs_votes else NO_VOTE
+        restarted = controller._replace(role=FOLLOWER, votes=frozenset(), vote=vote)
+        yield (
+            f"{controller_id} restarts",
+            _with_controller(state, controller_id, restarted)._replace(crashes=state.crashes + 1),
+        )
     if state.wipes < bounds.wipes:
-        wiped = Controller(is_counted=not rules.readmits_wiped)
-        yield f"{me} is wiped", _with(state, me, wiped)._replace(wipes=state.wipes + 1)
+        wiped = Controller(is_voter=not rules.readmits_wiped)
+        yield (
+            f"{controller_id} is wiped",
+            _with_controller(state, controller_id, wiped)._replace(wipes=state.wipes + 1),
+        )
 
 
-def _commit(state: State, me: int, rules: Rules) -> Iterator[tuple[str, State]]:
+def _commit(state: State, controller_id: int, rules: Rules) -> Iterator[tuple[str, State]]:
     """Confirm the leader's longest prefix that a counted majority holds."""
-    controller = state.controllers[me]
+    controller = state.controllers[controller_id]
     for length in range(len(controller.log), len(state.committed), -1):
         prefix = controller.log[:length]
-        holders = [n for n in state.controllers if n.is_counted and n.log[:length] == prefix]
-        is_of_term = prefix[-1] == controller.term or not rules.commits_current_term
-        followers = [n for n in holders if n.term == controller.term]
-        if len(followers) >= 2 and is_of_term:
-            after = state._replace(committed=prefix, committed_term=controller.term)
-            yield f"{me} confirms {length}", after
+        holders = [
+            holder
+            for holder in state.controllers
+            if holder.is_voter and holder.log[:length] == prefix
+        ]
+        is_current_term = prefix[-1] == controller.term or not rules.commits_current_term
+        in_term = [holder for holder in holders if holder.term == controller.term]
+        if len(in_term) >= 2 and is_current_term:
+            next_state = state._replace(committed=prefix, committed_term=controller.term)
+            yield f"{controller_id} confirms {length}", next_state
             return
 
 
-def _pair_steps(state: State, me: int, peer: int, rules: Rules) -> Iterator[tuple[str, State]]:
-    controller, other = state.controllers[me], state.controllers[peer]
-    if other.term < controller.term and other.role != FOLLOWER:
-        left = other._replace(role=FOLLOWER, term=controller.term, vote=NOBODY, votes=frozenset())
-        yield f"{peer} hears of term {controller.term}", _with(state, peer, left)
-    if controller.role == CANDIDATE and peer not in controller.votes:
-        yield from _vote(state, me, peer)
-    if controller.role == LEADER and other.term <= controller.term and other.log != controller.log:
+def _message_steps(
+    state: State, controller_id: int, peer_id: int, rules: Rules
+) -> Iterator[tuple[str, State]]:
+    controller, peer = state.controllers[controller_id], state.controllers[peer_id]
+    if peer.term < controller.term and peer.role != FOLLOWER:
+        stepped_down = peer._replace(
+            role=FOLLOWER, term=controller.term, vote=NO_VOTE, votes=frozenset()
+        )
+        yield (
+            f"{peer_id} hears of term {controller.term}",
+            _with_controller(state, peer_id, stepped_down),
+        )
+    if controller.role == CANDIDATE and peer_id not in controller.votes:
+        yield from _vote(state, controller_id, peer_id)
+    if controller.role == LEADER and peer.term <= controller.term and peer.log != controller.log:
         # The prefix that both share and one entry more: one append.
-        length = _shared(controller.log, other.log) + 1
-        taken = controller.log[:length]
-        following = other._replace(
+        length = _common_prefix_length(controller.log, peer.log) + 1
+        appended = controller.log[:length]
+        follower = peer._replace(
             role=FOLLOWER,
             term=controller.term,
-            vote=other.vote if other.term == controller.term else NOBODY,
-            log=taken,
+            vote=peer.vote if peer.term == controller.term else NO_VOTE,
+            log=appended,
             votes=frozenset(),
         )
-        yield f"{peer} follows {me}", _with(state, peer, following)
-    is_news = other.term < controller.term or (
-        other.term == controller.term and other.role == CANDIDATE
+        yield f"{peer_id} follows {controller_id}", _with_controller(state, peer_id, follower)
+    is_outdated = peer.term < controller.term or (
+        peer.term == controller.term and peer.role == CANDIDATE
     )
-    if controller.role == LEADER and is_news and other.log == controller.log:
-        vote = other.vote if other.term == controller.term else NOBODY
-        following = other._replace(
-            role=FOLLOWER, term=controller.term, vote=vote, votes=frozenset()
-        )
-        yield f"{peer} follows {me}", _with(state, peer, following)
-    if controller.role == LEADER and not other.is_counted:
-        yield from _readmit(state, me, peer, rules)
+    if controller.role == LEADER and is_outdated and peer.log == controller.log:
+        vote = peer.vote if peer.term == controller.term else NO_VOTE
+        follower = peer._replace(role=FOLLOWER, term=controller.term, vote=vote, votes=frozenset())
+        yield f"{peer_id} follows {controller_id}", _with_controller(state, peer_id, follower)
+    if controller.role == LEADER and not peer.is_voter:
+        yield from _readmit(state, controller_id, peer_id, rules)
 
 
-def _vote(state: State, me: int, peer: int) -> Iterator[tuple[str, State]]:
-    controller, other = state.controllers[me], state.controllers[peer]
-    if not other.is_counted or other.term > controller.term:
+def _vote(state: State, controller_id: int, peer_id: int) -> Iterator[tuple[str, State]]:
+    controller, peer = state.controllers[controller_id], state.controllers[peer_id]
+    if not peer.is_voter or peer.term > controller.term:
         return
-    vote = other.vote if other.term == controller.term else NOBODY
-    is_recent = (controller.log[-1:], len(controller.log)) >= (other.log[-1:], len(other.log))
-    if vote not in (NOBODY, me) or not is_recent:
+    vote = peer.vote if peer.term == controller.term else NO_VOTE
+    is_up_to_date = (controller.log[-1:], len(controller.log)) >= (peer.log[-1:], len(peer.log))
+    if vote not in (NO_VOTE, controller_id) or not is_up_to_date:
         return
-    role = FOLLOWER if other.term < controller.term else other.role
+    role = FOLLOWER if peer.term < controller.term else peer.role
     if role != FOLLOWER:
         return
-    voted = other._replace(role=role, term=controller.term, vote=me, votes=frozenset())
-    after = _with(state, peer, voted)
+    voted = peer._replace(role=role, term=controller.term, vote=controller_id, votes=frozenset())
+    next_state = _with_controller(state, peer_id, voted)
     yield (
-        f"{peer} votes for {me}",
-        _with(after, me, controller._replace(votes=controller.votes | {peer})),
+        f"{peer_id} votes for {controller_id}",
+        _with_controller(
+            next_state, controller_id, controller._replace(votes=controller.votes | {peer_id})
+        ),
     )
 
 
-def _readmit(state: State, me: int, peer: int, rules: Rules) -> Iterator[tuple[str, State]]:
+def _readmit(
+    state: State, controller_id: int, peer_id: int, rules: Rules
+) -> Iterator[tuple[str, State]]:
     """Count a wiped controller again: the third one follows this term, and it holds all."""
-    controller, other = state.controllers[me], state.controllers[peer]
-    third = state.controllers[3 - me - peer]
-    if (
-        third.term != controller.term
-        or other.term != controller.term
-        or other.log != controller.log
-    ):
+    controller, peer = state.controllers[controller_id], state.controllers[peer_id]
+    third = state.controllers[3 - controller_id - peer_id]
+    if third.term != controller.term or peer.term != controller.term or peer.log != controller.log:
         return
-    if not controller.is_counted or not third.is_counted:
+    if not controller.is_voter or not third.is_voter:
         return
     if third.role != FOLLOWER and rules.others_follow_first:
         return
-    yield f"{peer} is taken in by {me}", _with(state, peer, other._replace(is_counted=True))
+    yield (
+        f"{peer_id} is taken in by {controller_id}",
+        _with_controller(state, peer_id, peer._replace(is_voter=True)),
+    )
 
 
-def _shared(one: Log, other: Log) -> int:
+def _common_prefix_length(first: Log, second: Log) -> int:
     length = 0
-    while length < min(len(one), len(other)) and one[length] == other[length]:
+    while length < min(len(first), len(second)) and first[length] == second[length]:
         length += 1
     return length
 
 
-def _with(state: State, number: int, controller: Controller) -> State:
+def _with_controller(state: State, controller_id: int, controller: Controller) -> State:
     controllers = list(state.controllers)
-    controllers[number] = controller
+    controllers[controller_id] = controller
     return state._replace(controllers=(controllers[0], controllers[1], controllers[2]))
--- a/tests/models/endpoint_world.py
+++ b/tests/models/endpoint_world.py
@@ -12,7 +12,7 @@
 LEASE_MAX_MS = 1_000.0
 
 
-class Look(NamedTuple):
+class PollResult(NamedTuple):
     """The answer to a look."""
 
     outcome: CallOutcome
@@ -30,42 +30,42 @@
         began_ms: When this life began, by the test's clock: the endpoint's own starts then.
     """
 
-    def __init__(self, name: str, rate: float, began_ms: float = 0.0) -> None:
+    def __init__(self, name: str, clock_rate: float, started_ms: float = 0.0) -> None:
         self.name = name
         self.is_reachable = True
         self.active: dict[TaskId, int] = {}
         self.token = 0
-        self._rate = rate
-        self._began_ms = began_ms
-        self._until = 0.0
-        self._ended: list[EndedRun] = []
-        self._number = 0
-        self._closed: dict[TaskId, int] = {}
+        self._clock_rate = clock_rate
+        self._started_ms = started_ms
+        self._lease_end = 0.0
+        self._unacknowledged: list[EndedRun] = []
+        self._last_sequence = 0
+        self._last_attempts: dict[TaskId, int] = {}
 
     def clock(self, now_ms: float) -> float:
         """Return what its clock reads."""
-        return 10_000.0 + (now_ms - self._began_ms) * self._rate
+        return 10_000.0 + (now_ms - self._started_ms) * self._clock_rate
 
     def lapse(self, now_ms: float) -> None:
         """Kill everything if the lease is over."""
-        if self.clock(now_ms) < self._until:
+        if self.clock(now_ms) < self._lease_end:
             return
         for task in list(self.active):
             self._end(task, EndKind.LAPSED)
 
-    def start(self, run_id: RunId, token: int, until: float, now_ms: float) -> CallOutcome:
+    def start(self, run_id: RunId, token: int, lease_until: float, now_ms: float) -> CallOutcome:
         """Carry out an order to start."""
         self.lapse(now_ms)
         if token < self.token:
             return CallOutcome.FENCED
         self.token = token
-        if until <= self.clock(now_ms):
+        if lease_until <= self.clock(now_ms):
             return CallOutcome.LATE
         if self.active.get(run_id.task) == run_id.attempt:
             return CallOutcome.DONE
-        if run_id.attempt <= self._closed.get(run_id.task, 0) or run_id.task in self.active:
+        if run_id.attempt <= self._last_attempts.get(run_id.task, 0) or run_id.task in self.active:
             return CallOutcome.OLD_RUN
-        self._renew(until, now_ms)
+        self._renew(lease_until, now_ms)
         self.active[run_id.task] = run_id.attempt
         return CallOutcome.DONE
 
@@ -80,17 +80,17 @@
         self._close(run_id.task, run_id.attempt)
         return CallOutcome.DONE
 
-    def look(self, token: int, seen: int, until: float, now_ms: float) -> Look:
+    def look(self, token: int, last_sequence: int, lease_until: float, now_ms: float) -> PollResult:
         """Carry out a look."""
         self.lapse(now_ms)
         clock_ms = self.clock(now_ms)
         if token < self.token:
-            return Look(CallOutcome.FENCED, clock_ms, (), ())
+            return PollResult(CallOutcome.FENCED, clock_ms, (), ())
         self.token = token
-        self._renew(until, now_ms)
-        self._ended = [end for end in self._ended if end.sequence > seen]
-        active = tuple(ActiveRun(RunId(task, run)) for task, run in self.active.items())
-        return Look(CallOutcome.DONE, clock_ms, active, tuple(self._ended))
+        self._renew(lease_until, now_ms)
+        self._unacknowledged = [end for end in self._unacknowledged if end.sequence > last_sequence]
+        active = tuple(ActiveRun(RunId(task, attempt)) for task, attempt in self.active.items())
+        return PollResult(CallOutcome.DONE, clock_ms, active, tuple(self._unacknowledged))
 
     def finish(self, task: TaskId, how: EndKind, now_ms: float) -> None:
         """End a run by itself."""
@@ -98,14 +98,14 @@
         if task in self.active:
             self._end(task, how)
 
-    def _renew(self, until: float, now_ms: float) -> None:
-        self._until = max(self._until, min(until, self.clock(now_ms) + LEASE_MAX_MS))
+    def _renew(self, lease_until: float, now_ms: float) -> None:
+        self._lease_end = max(self._lease_end, min(lease_until, self.clock(now_ms) + LEASE_MAX_MS))
 
-    def _end(self, task: TaskId, how: EndKind) -> None:
-        run = self.active.pop(task)
-        self._number += 1
-        self._ended.append(EndedRun(self._number, RunId(task, run), how))
-        self._close(task, run)
+    def _end(self, task: TaskId, kind: EndKind) -> None:
+        attempt = self.active.pop(task)
+        self._last_sequence += 1
+        self._unacknowledged.append(EndedRun(self._last_sequence, RunId(task, attempt), kind))
+        self._close(task, attempt)
 
-    def _close(self, task: TaskId, run: int) -> None:
-        self._closed[task] = max(run, self._closed.get(task, 0))
+    def _close(self, task: TaskId, attempt: int) -> None:
+        self._last_attempts[task] = max(attempt, self._last_attempts.get(task, 0))
--- a/tests/models/owners_model.py
+++ b/tests/models/owners_model.py
@@ -44,11 +44,11 @@
     resend: int = SESSION + LEASE_SLOW - 1
 
 
-class Belief(IntEnum):
+class TaskView(IntEnum):
     """What an owner thinks of the task."""
 
     UNKNOWN = 0
-    TRACED = 1
+    SEARCHING = 1
     QUEUED = 2
     PLACED = 3
 
@@ -65,11 +65,11 @@
     """An owner: its grants' ends, its belief, where the run is and by when it is gone there."""
 
     is_active: bool = False
-    right_until: int = 0
-    belief: Belief = Belief.UNKNOWN
+    grant_until: int = 0
+    task_view: TaskView = TaskView.UNKNOWN
     endpoint: int = NEVER
-    gone_at: int = 0
-    looked: frozenset[int] = frozenset()
+    lease_end_max: int = 0
+    polled: frozenset[int] = frozenset()
 
 
 class Order(NamedTuple):
@@ -87,20 +87,20 @@
     endpoints: tuple[Endpoint, Endpoint]
     owners: tuple[Owner, Owner]
     order: Order | None
-    box_lost: int
-    box_lives: bool
+    box_lost_at: int
+    is_box_alive: bool
     is_resent: bool
 
 
 def owners_protocol(rules: Rules, bounds: Bounds) -> Protocol:
     """Return the protocol under *rules* as minicheck takes it."""
-    first = Owner(is_active=True, right_until=SESSION, belief=Belief.QUEUED)
-    start = State(0, (Endpoint(), Endpoint()), (first, Owner()), None, NEVER, True, False)
+    first = Owner(is_active=True, grant_until=SESSION, task_view=TaskView.QUEUED)
+    initial_state = State(0, (Endpoint(), Endpoint()), (first, Owner()), None, NEVER, True, False)
     return Protocol(
         name="owners",
         candidate=False,
         fields=State._fields,
-        initial=start,
+        initial=initial_state,
         transitions=lambda state: list(_steps(State(*state), rules, bounds)),
         invariants={"runs_once": _runs_once},
     )
@@ -113,15 +113,15 @@
 def _steps(state: State, rules: Rules, bounds: Bounds) -> Iterator[tuple[str, State]]:
     if state.now < bounds.ticks:
         yield "time passes", _tick(state)
-    if state.box_lost == NEVER:
-        yield "box 0 dies", state._replace(box_lost=state.now, box_lives=False)
-        yield "box 0's caller is lost to it", state._replace(box_lost=state.now)
-    yield from _boxes(state, rules, bounds)
+    if state.box_lost_at == NEVER:
+        yield "box 0 dies", state._replace(box_lost_at=state.now, is_box_alive=False)
+        yield "box 0's caller is lost to it", state._replace(box_lost_at=state.now)
+    yield from _box_steps(state, rules, bounds)
     if state.order is not None:
-        yield from _late_order(state, state.order, rules)
-    for number, owner in enumerate(state.owners):
+        yield from _late_order_steps(state, state.order, rules)
+    for owner_id, owner in enumerate(state.owners):
         if owner.is_active:
-            yield from _owner(state, number, rules)
+            yield from _owner_steps(state, owner_id, rules)
 
 
 def _tick(state: State) -> State:
@@ -133,154 +133,179 @@
     return state._replace(now=now, endpoints=(ended[0], ended[1]))
 
 
-def _boxes(state: State, rules: Rules, bounds: Bounds) -> Iterator[tuple[str, State]]:
+def _box_steps(state: State, rules: Rules, bounds: Bounds) -> Iterator[tuple[str, State]]:
     """What the entry boxes do: they grant, follow a new owner, hand the job in again."""
-    present = SECOND if state.owners[SECOND].is_active else FIRST
-    is_granting = state.box_lives or state.is_resent
+    current = SECOND if state.owners[SECOND].is_active else FIRST
+    is_granting = state.is_box_alive or state.is_resent
     until = state.now + SESSION
-    if is_granting and state.owners[present].right_until < until:
-        granted = state.owners[present]._replace(right_until=until)
-        yield f"owner {present} is granted its right", _own(state, present, granted)
+    if is_granting and state.owners[current].grant_until < until:
+        granted = state.owners[current]._replace(grant_until=until)
+        yield f"owner {current} is granted its right", _with_owner(state, current, granted)
     # A box that lives says for how long it has not heard the owner before.
-    is_silent = not state.box_lives or state.now >= state.owners[FIRST].right_until
+    is_silent = not state.is_box_alive or state.now >= state.owners[FIRST].grant_until
     may_claim = is_silent or not rules.claims_after_silence
     if not state.owners[SECOND].is_active and may_claim:
         yield "owner 1 takes over", _take_over(state, rules)
-    is_due = state.box_lost != NEVER and state.now >= state.box_lost + bounds.resend
+    is_due = state.box_lost_at != NEVER and state.now >= state.box_lost_at + bounds.resend
     if is_due and not state.is_resent:
-        yield "box 1 hands the job in", _resend(state, present, rules)
+        yield "box 1 hands the job in", _resend(state, current, rules)
 
 
 def _take_over(state: State, rules: Rules) -> State:
     """Let the second owner begin; a living box hands its task over as one to look for."""
     owner = Owner(is_active=True)
-    if state.box_lives:
+    if state.is_box_alive:
         # The box knows when its last grant to the first owner has ended.
-        gone_at = state.owners[FIRST].right_until + LEASE_SLOW
-        belief = Belief.TRACED if rules.new_owner_looks_first else Belief.QUEUED
-        owner = owner._replace(belief=belief, gone_at=gone_at, right_until=state.now + SESSION)
-    return _own(state, SECOND, owner)
+        lease_end_max = state.owners[FIRST].grant_until + LEASE_SLOW
+        task_view = TaskView.SEARCHING if rules.new_owner_looks_first else TaskView.QUEUED
+        owner = owner._replace(
+            task_view=task_view, lease_end_max=lease_end_max, grant_until=state.now + SESSION
+        )
+    return _with_owner(state, SECOND, owner)
 
 
-def _resend(state: State, present: int, rules: Rules) -> State:
+def _resend(state: State, current: int, rules: Rules) -> State:
     """Hand the job in once more: it attaches to what the owner knows of."""
-    owner = state.owners[present]._replace(right_until=state.now + SESSION)
-    if owner.belief is Belief.UNKNOWN or not rules.same_job_attaches:
-        owner = owner._replace(belief=Belief.QUEUED)
-    return _own(state._replace(is_resent=True), present, owner)
+    owner = state.owners[current]._replace(grant_until=state.now + SESSION)
+    if owner.task_view is TaskView.UNKNOWN or not rules.same_job_attaches:
+        owner = owner._replace(task_view=TaskView.QUEUED)
+    return _with_owner(state._replace(is_resent=True), current, owner)
 
 
-def _late_order(state: State, order: Order, rules: Rules) -> Iterator[tuple[str, State]]:
+def _late_order_steps(state: State, order: Order, rules: Rules) -> Iterator[tuple[str, State]]:
     """Carry out an order that is late."""
-    after = state._replace(order=None)
+    next_state = state._replace(order=None)
     endpoint = state.endpoints[order.endpoint]
     is_fenced = rules.endpoints_fence and order.token < endpoint.token
     has_expired = rules.orders_expire and state.now >= order.until
     if is_fenced or has_expired or endpoint.is_running:
-        yield "a late order is refused", after
+        yield "a late order is refused", next_state
         return
     until = order.until if rules.orders_expire else state.now + LEASE
     started = Endpoint(True, until, max(order.token, endpoint.token))
-    yield f"a late order starts on worker {order.endpoint}", _work(after, order.endpoint, started)
+    yield (
+        f"a late order starts on worker {order.endpoint}",
+        _with_endpoint(next_state, order.endpoint, started),
+    )
 
 
-def _owner(state: State, number: int, rules: Rules) -> Iterator[tuple[str, State]]:
-    owner = state.owners[number]
-    has_right = state.now < owner.right_until or not rules.rights_end
-    if owner.belief is Belief.PLACED:
-        yield from _placed(state, number, has_right, rules)
-    if owner.belief is Belief.TRACED:
-        yield from _traced(state, number)
-    if owner.belief is Belief.QUEUED and has_right:
-        yield from _start(state, number, rules)
+def _owner_steps(state: State, owner_id: int, rules: Rules) -> Iterator[tuple[str, State]]:
+    owner = state.owners[owner_id]
+    has_grant = state.now < owner.grant_until or not rules.rights_end
+    if owner.task_view is TaskView.PLACED:
+        yield from _placed_steps(state, owner_id, has_grant, rules)
+    if owner.task_view is TaskView.SEARCHING:
+        yield from _searching_steps(state, owner_id)
+    if owner.task_view is TaskView.QUEUED and has_grant:
+        yield from _start_steps(state, owner_id, rules)
 
 
-def _is_fenced(state: State, number: int, endpoint: int, rules: Rules) -> bool:
-    return rules.endpoints_fence and number < state.endpoints[endpoint].token
+def _is_fenced(state: State, owner_id: int, endpoint: int, rules: Rules) -> bool:
+    return rules.endpoints_fence and owner_id < state.endpoints[endpoint].token
 
 
 def _lease_end(state: State, endpoint: int) -> int:
     return state.now + (LEASE_SLOW if endpoint == SLOW_ENDPOINT else LEASE)
 
 
-def _gone_at(state: State, endpoint: int, rules: Rules) -> int:
+def _lease_end_max(state: State, endpoint: int, rules: Rules) -> int:
     return _lease_end(state, endpoint) if rules.lapse_counts_slow_clocks else state.now + LEASE
 
 
-def _placed(
-    state: State, number: int, has_right: bool, rules: Rules
+def _placed_steps(
+    state: State, owner_id: int, has_grant: bool, rules: Rules
 ) -> Iterator[tuple[str, State]]:
     """Renew, stop, or think a run gone whose lease is over for certain."""
-    owner = state.owners[number]
+    owner = state.owners[owner_id]
     endpoint = state.endpoints[owner.endpoint]
-    can_call = not _is_fenced(state, number, owner.endpoint, rules)
-    may_renew = has_right or not rules.right_is_looked_at_first
+    can_call = not _is_fenced(state, owner_id, owner.endpoint, rules)
+    may_renew = has_grant or not rules.right_is_looked_at_first
     if can_call and may_renew and endpoint.is_running:
         until = max(endpoint.until, _lease_end(state, owner.endpoint))
-        renewed = _work(state, owner.endpoint, endpoint._replace(until=until, token=number))
-        gone_at = max(owner.gone_at, _gone_at(state, owner.endpoint, rules))
-        yield f"owner {number} renews", _own(renewed, number, owner._replace(gone_at=gone_at))
-    if can_call and not has_right:
-        stopped = _work(state, owner.endpoint, Endpoint(False, 0, number))
+        renewed = _with_endpoint(
+            state, owner.endpoint, endpoint._replace(until=until, token=owner_id)
+        )
+        lease_end_max = max(owner.lease_end_max, _lease_end_max(state, owner.endpoint, rules))
+        yield (
+            f"owner {owner_id} renews",
+            _with_owner(renewed, owner_id, owner._replace(lease_end_max=lease_end_max)),
+        )
+    if can_call and not has_grant:
+        stopped = _with_endpoint(state, owner.endpoint, Endpoint(False, 0, owner_id))
         if state.order is not None and state.order.endpoint == owner.endpoint:
             # An endpoint never starts a run that it was told to stop.
             stopped = stopped._replace(order=None)
         yield (
-            f"owner {number} stops it",
-            _own(stopped, number, owner._replace(belief=Belief.UNKNOWN)),
+            f"owner {owner_id} stops it",
+            _with_owner(stopped, owner_id, owner._replace(task_view=TaskView.UNKNOWN)),
+        )
+    if state.now >= owner.lease_end_max:
+        task_view = TaskView.QUEUED if has_grant else TaskView.UNKNOWN
+        yield (
+            f"owner {owner_id} thinks it gone",
+            _with_owner(state, owner_id, owner._replace(task_view=task_view)),
         )
-    if state.now >= owner.gone_at:
-        belief = Belief.QUEUED if has_right else Belief.UNKNOWN
-        yield f"owner {number} thinks it gone", _own(state, number, owner._replace(belief=belief))
 
 
-def _traced(state: State, number: int) -> Iterator[tuple[str, State]]:
+def _searching_steps(state: State, owner_id: int) -> Iterator[tuple[str, State]]:
     """Look for a run that the owner before may have started, or wait until it is gone."""
-    owner = state.owners[number]
+    owner = state.owners[owner_id]
     for endpoint in ENDPOINTS:
-        seen = _work(state, endpoint, state.endpoints[endpoint]._replace(token=number))
+        contacted = _with_endpoint(
+            state, endpoint, state.endpoints[endpoint]._replace(token=owner_id)
+        )
         if state.endpoints[endpoint].is_running:
             found = owner._replace(
-                belief=Belief.PLACED, endpoint=endpoint, gone_at=_lease_end(state, endpoint)
+                task_view=TaskView.PLACED,
+                endpoint=endpoint,
+                lease_end_max=_lease_end(state, endpoint),
+            )
+            yield (
+                f"owner {owner_id} finds it on worker {endpoint}",
+                _with_owner(contacted, owner_id, found),
             )
-            yield f"owner {number} finds it on worker {endpoint}", _own(seen, number, found)
             continue
-        looked = owner._replace(looked=owner.looked | {endpoint})
-        if state.now >= owner.gone_at - LEASE_SLOW:
-            is_nowhere = len(looked.looked) == len(ENDPOINTS)
-            looked = looked._replace(belief=Belief.QUEUED) if is_nowhere else looked
-            yield f"owner {number} looks at worker {endpoint}", _own(seen, number, looked)
-    if state.now >= owner.gone_at:
-        queued = owner._replace(belief=Belief.QUEUED)
-        yield f"owner {number} knows it gone", _own(state, number, queued)
+        polled = owner._replace(polled=owner.polled | {endpoint})
+        if state.now >= owner.lease_end_max - LEASE_SLOW:
+            is_search_complete = len(polled.polled) == len(ENDPOINTS)
+            polled = polled._replace(task_view=TaskView.QUEUED) if is_search_complete else polled
+            yield (
+                f"owner {owner_id} looks at worker {endpoint}",
+                _with_owner(contacted, owner_id, polled),
+            )
+    if state.now >= owner.lease_end_max:
+        queued = owner._replace(task_view=TaskView.QUEUED)
+        yield f"owner {owner_id} knows it gone", _with_owner(state, owner_id, queued)
 
 
-def _start(state: State, number: int, rules: Rules) -> Iterator[tuple[str, State]]:
+def _start_steps(state: State, owner_id: int, rules: Rules) -> Iterator[tuple[str, State]]:
     """Order a start, which is carried out at once or late."""
-    owner = state.owners[number]
+    owner = state.owners[owner_id]
     for endpoint in ENDPOINTS:
-        if _is_fenced(state, number, endpoint, rules):
+        if _is_fenced(state, owner_id, endpoint, rules):
             continue
         until = _lease_end(state, endpoint)
         placed = owner._replace(
-            belief=Belief.PLACED, endpoint=endpoint, gone_at=_gone_at(state, endpoint, rules)
+            task_view=TaskView.PLACED,
+            endpoint=endpoint,
+            lease_end_max=_lease_end_max(state, endpoint, rules),
         )
-        after = _own(state, number, placed)
+        next_state = _with_owner(state, owner_id, placed)
         if not state.endpoints[endpoint].is_running:
-            started = _work(after, endpoint, Endpoint(True, until, number))
-            yield f"owner {number} starts it on worker {endpoint}", started
+            started = _with_endpoint(next_state, endpoint, Endpoint(True, until, owner_id))
+            yield f"owner {owner_id} starts it on worker {endpoint}", started
         if state.order is None:
-            late = after._replace(order=Order(endpoint, number, until))
-            yield f"owner {number}'s order to worker {endpoint} is late", late
+            late = next_state._replace(order=Order(endpoint, owner_id, until))
+            yield f"owner {owner_id}'s order to worker {endpoint} is late", late
 
 
-def _own(state: State, number: int, owner: Owner) -> State:
+def _with_owner(state: State, owner_id: int, owner: Owner) -> State:
     owners = list(state.owners)
-    owners[number] = owner
+    owners[owner_id] = owner
     return state._replace(owners=(owners[0], owners[1]))
 
 
-def _work(state: State, number: int, endpoint: Endpoint) -> State:
+def _with_endpoint(state: State, endpoint_id: int, endpoint: Endpoint) -> State:
     endpoints = list(state.endpoints)
-    endpoints[number] = endpoint
+    endpoints[endpoint_id] = endpoint
     return state._replace(endpoints=(endpoints[0], endpoints[1]))
--- a/tests/models/standing_boxes.py
+++ b/tests/models/standing_boxes.py
@@ -33,7 +33,7 @@
 from models.zones_world import CATALOG_AGE_MS, Answer, SimulatedBox, ZonesWorld
 
 # Seconds between two looks of an endpoint at whether a run has ended that a poll waits for.
-_LOOK_S = 0.01
+_POLL_INTERVAL_S = 0.01
 
 
 class Frame(NamedTuple):
@@ -49,12 +49,12 @@
     """Frames that leave a box together."""
 
     sender: str
-    life: int
+    incarnation: int
     sent_ms: float
     frames: list[Frame]
 
 
-class EndpointTrouble:
+class EndpointFaults:
     """Which endpoints refuse starts, don't hear orders, or don't answer them."""
 
     def __init__(self) -> None:
@@ -63,20 +63,20 @@
         self.mute: set[str] = set()
 
 
-class AgedNetwork(SimulatedNetwork):
+class ExpiringNetwork(SimulatedNetwork):
     """One life of a box's peers: outboxes, numbered requests, and messages that grow old."""
 
     def __init__(self, world: StandingZonesWorld, box: str, incarnation: int) -> None:
         super().__init__(world, box, incarnation)
-        self._standing = world
-        self._heard = FreshLives()
+        self._standing_world = world
+        self._fresh_lives = FreshLives()
         self._outboxes: dict[str, list[Frame]] = {}
-        self._waiting: dict[int, asyncio.Future[Any]] = {}
+        self._pending_requests: dict[int, asyncio.Future[Any]] = {}
         self._next_id = 0
 
     def known_incarnation(self, box: str) -> int:
         """Return the life of *box* that was heard last."""
-        return self.incarnation if box == self._box else self._heard.current(box)
+        return self.incarnation if box == self._box else self._fresh_lives.current(box)
 
     def send(self, box: str, message: Any, ttl_ms: float = 1_000) -> None:
         """Send a message that needs no reply."""
@@ -92,7 +92,7 @@
         self._next_id += 1
         request_id = self._next_id
         reply: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._waiting[request_id] = reply
+        self._pending_requests[request_id] = reply
         try:
             self._enqueue(box, Frame(message, request_id, 0, int(timeout_ms) + 1))
             async with asyncio.timeout(timeout_ms / 1_000):
@@ -100,24 +100,26 @@
         except TimeoutError:
             raise PeerUnreachableError(box) from None
         finally:
-            self._waiting.pop(request_id, None)
+            self._pending_requests.pop(request_id, None)
 
     def accept(self, envelope: Envelope) -> None:
         """Handle what has arrived, unless it is too old."""
         if not self.is_alive:
             return
-        age_ms = self._heard.note(envelope.sender, envelope.life, envelope.sent_ms, monotonic_ms())
+        age_ms = self._fresh_lives.note(
+            envelope.sender, envelope.incarnation, envelope.sent_ms, monotonic_ms()
+        )
         for frame in envelope.frames:
             if age_ms is not None and age_ms <= frame.ttl_ms:
-                self._take(envelope, frame)
+                self._handle_frame(envelope, frame)
 
-    def _take(self, envelope: Envelope, frame: Frame) -> None:
+    def _handle_frame(self, envelope: Envelope, frame: Frame) -> None:
         if frame.reply_to:
-            waiting = self._waiting.get(frame.reply_to)
-            if waiting is not None and not waiting.done():
-                waiting.set_result(frame.message)
+            pending = self._pending_requests.get(frame.reply_to)
+            if pending is not None and not pending.done():
+                pending.set_result(frame.message)
             return
-        reply = self._handle(envelope.sender, envelope.life, frame.message)
+        reply = self._handle(envelope.sender, envelope.incarnation, frame.message)
         if reply is not None and frame.request_id:
             self._enqueue(envelope.sender, Frame(reply, 0, frame.request_id, frame.ttl_ms))
 
@@ -132,48 +134,48 @@
         frames = self._outboxes.pop(box)
         if self.is_alive:
             envelope = Envelope(self._box, self.incarnation, int(monotonic_ms()), frames)
-            self._standing.carry_envelope(envelope, box)
+            self._standing_world.carry_envelope(envelope, box)
 
 
-class LeavingCalls(SimulatedCalls):
+class DetachedCalls(SimulatedCalls):
     """One box's calls to endpoints: what has left the box is out of its hands."""
 
     def __init__(self, world: StandingZonesWorld, box: str) -> None:
         super().__init__(world, box)
-        self._standing = world
+        self._standing_world = world
         self._context = world.context_of(box)
 
     async def start_run(self, endpoint: EndpointRecord, order: StartOrder) -> CallReply:
         """Start a run; the endpoint may refuse it."""
         name = endpoint.endpoint
-        self._standing.note_order(self._box, name, order.run_id)
+        self._standing_world.record_start_order(self._box, name, order.run_id)
 
         def carry_out() -> CallReply:
-            refusal = self._standing.trouble.refusing.get(name)
+            refusal = self._standing_world.trouble.refusing.get(name)
             if refusal is not None:
-                return CallReply(refusal, self._standing.clock_of(name))
-            return self._standing.start(name, order)
+                return CallReply(refusal, self._standing_world.clock_of(name))
+            return self._standing_world.start(name, order)
 
         return await self._call(endpoint, carry_out)
 
     async def poll(self, endpoint: EndpointRecord, order: PollOrder) -> PollReply:
         """Poll; wait for an end."""
-        reply = self._standing.poll(self._context, self._box, endpoint.endpoint, order)
+        reply = self._standing_world.poll(self._context, self._box, endpoint.endpoint, order)
         timeout_s = CALL_TIMEOUT_S + order.wait_ms / 1_000
-        found = await _answer_within(reply, timeout_s)
-        return PollReply(CallOutcome.UNKNOWN) if found is None else found
+        result = await _reply_within(reply, timeout_s)
+        return PollReply(CallOutcome.UNKNOWN) if result is None else result
 
     async def _call(
         self, endpoint: EndpointRecord, carry_out: Callable[[], CallReply]
     ) -> CallReply:
         # The request leaves a turn after it was decided on.
         await asyncio.sleep(0)
-        reply = self._standing.order(self._context, self._box, endpoint.endpoint, carry_out)
-        found = await _answer_within(reply, CALL_TIMEOUT_S)
-        return CallReply(CallOutcome.UNKNOWN) if found is None else found
+        reply = self._standing_world.order(self._context, self._box, endpoint.endpoint, carry_out)
+        result = await _reply_within(reply, CALL_TIMEOUT_S)
+        return CallReply(CallOutcome.UNKNOWN) if result is None else result
 
 
-async def _answer_within(reply: asyncio.Future[Any], timeout_s: float) -> Any:
+async def _reply_within(reply: asyncio.Future[Any], timeout_s: float) -> Any:
     try:
         async with asyncio.timeout(timeout_s):
             return await reply
@@ -191,36 +193,36 @@
 
     def __init__(self, seed: int, loop: TurnsLoop) -> None:
         self.turns = loop
-        self.trouble = EndpointTrouble()
+        self.trouble = EndpointFaults()
         self.errors: list[str] = []
         self._contexts: dict[str, contextvars.Context] = {}
         self._open_calls: dict[str, list[asyncio.Future[JobResult | None]]] = {}
-        self._nobody = contextvars.Context()
+        self._outer_context = contextvars.Context()
         self._polls = TaskSet()
         loop.set_exception_handler(self._note_error)
-        self._began_ms = monotonic_ms()
+        self._world_started_ms = monotonic_ms()
         super().__init__(seed, loop)
 
     # Boxes.
 
     def make_network(self, box: str, incarnation: int) -> SimulatedNetwork:
         """Return the peers of a life of *box*."""
-        return AgedNetwork(self, box, incarnation)
+        return ExpiringNetwork(self, box, incarnation)
 
     def make_calls(self, box: str) -> SimulatedCalls:
         """Return the calls to endpoints of the present life of *box*."""
-        return LeavingCalls(self, box)
+        return DetachedCalls(self, box)
 
     def start_box(self, box: str) -> None:
         """Begin a new life of *box*; the one before it ends."""
         self.kill_box(box)
-        self._lives += 1
+        self._life_count += 1
         context = contextvars.Context()
-        context.run(LIFE.set, f"{box}/{self._lives}")
+        context.run(LIFE.set, f"{box}/{self._life_count}")
         self._contexts[box] = context
         self._open_calls[box] = []
         self.boxes[box] = context.run(
-            SimulatedBox, self, box, self._zone_of[box], 100 + self._lives
+            SimulatedBox, self, box, self._zone_of[box], 100 + self._life_count
         )
 
     def context_of(self, box: str) -> contextvars.Context:
@@ -229,23 +231,23 @@
 
     def kill_box(self, box: str) -> None:
         """End the present life of *box*; its connections break."""
-        present = self.boxes.get(box)
-        if present is None or not present.network.is_alive:
+        current = self.boxes.get(box)
+        if current is None or not current.network.is_alive:
             return
-        present.kill()
+        current.kill()
         self.turns.end_life(self._contexts[box][LIFE])
         for answer in self._open_calls[box]:
-            _settle(answer, None)
+            _resolve(answer, None)
 
-    def stop_box(self, box: str, after_turns: int, for_s: float, waking: Waking) -> None:
+    def stop_box(self, box: str, after_callbacks: int, for_s: float, waking: Waking) -> None:
         """Let *box* stand still for *for_s*, after some more turns of it."""
-        self.turns.stop_life(self._contexts[box][LIFE], after_turns, for_s, waking)
+        self.turns.stop_life(self._contexts[box][LIFE], after_callbacks, for_s, waking)
 
     def catalog_age_ms(self, started_ms: float) -> float:
         """Return for how long a box that began at *started_ms* has known the endpoints."""
         age_ms = monotonic_ms() - started_ms
-        is_first_life = started_ms <= self._began_ms
-        return age_ms + CATALOG_AGE_MS if is_first_life else age_ms
+        is_first_incarnation = started_ms <= self._world_started_ms
+        return age_ms + CATALOG_AGE_MS if is_first_incarnation else age_ms
 
     def fence(self, box: str) -> None:
         """Have the owner on *box* find that an endpoint has seen a higher token."""
@@ -274,22 +276,22 @@
             else:
                 self.turns.deliver(context, network.accept, envelope)
 
-        self._later(delay_ms / 1_000, arrive)
+        self._call_later(delay_ms / 1_000, arrive)
 
-    def _network(self, box: str) -> AgedNetwork:
+    def _network(self, box: str) -> ExpiringNetwork:
         network = super()._network(box)
-        assert isinstance(network, AgedNetwork)
+        assert isinstance(network, ExpiringNetwork)
         return network
 
     # Endpoints.
 
-    def note_order(self, box: str, endpoint: str, run_id: RunId) -> None:
+    def record_start_order(self, box: str, endpoint: str, run_id: RunId) -> None:
         """Note for which boxes the owner on *box* orders a start now."""
         owner = self.boxes[box].elector.owner
         run = None if owner is None else owner.state.run_of(run_id.task)
         if run is not None:
-            wanted = self.wanted_by.setdefault((run_id, endpoint), set())
-            wanted.update(holder.box for holder in run.holders)
+            waiting_boxes = self.wanted_by.setdefault((run_id, endpoint), set())
+            waiting_boxes.update(holder.box for holder in run.holders)
 
     def clock_of(self, endpoint: str) -> int:
         """Return what the clock of *endpoint* reads."""
@@ -304,18 +306,18 @@
     ) -> asyncio.Future[CallReply]:
         """Carry an order that leaves a life of *box* now; its answer may never come."""
         reply: asyncio.Future[CallReply] = self.loop.create_future()
-        if not self._hears(context, box, endpoint):
+        if not self._can_receive(context, box, endpoint):
             return reply
         if self.rng.random() < self.conditions.late_orders:
-            self._later(self.rng.uniform(0.0, LATE_ORDER_MAX_S), carry_out)
+            self._call_later(self.rng.uniform(0.0, LATE_ORDER_MAX_S), carry_out)
             return reply
 
         def arrive() -> None:
             answer = carry_out()
             if endpoint not in self.trouble.mute:
-                self._answer(context, box, endpoint, reply, answer)
+                self._deliver_reply(context, box, endpoint, reply, answer)
 
-        self._later(self._hop_s(), arrive)
+        self._call_later(self._network_delay_s(), arrive)
         return reply
 
     def poll(
@@ -323,9 +325,9 @@
     ) -> asyncio.Future[PollReply]:
         """Carry a poll that leaves a life of *box* now; its answer may never come."""
         reply: asyncio.Future[PollReply] = self.loop.create_future()
-        if self._hears(context, box, endpoint):
+        if self._can_receive(context, box, endpoint):
             serve = self._serve_poll(context, box, endpoint, order, reply)
-            self._nobody.run(self._polls.spawn, serve)
+            self._outer_context.run(self._polls.spawn, serve)
         return reply
 
     async def _serve_poll(
@@ -336,19 +338,21 @@
         order: PollOrder,
         reply: asyncio.Future[PollReply],
     ) -> None:
-        await asyncio.sleep(self._hop_s())
+        await asyncio.sleep(self._network_delay_s())
         simulated = self.endpoints[endpoint]
         end_ms = monotonic_ms() + order.wait_ms
         while True:
-            look = simulated.look(order.token, order.last_sequence, order.until_ms, monotonic_ms())
-            if look.outcome is not CallOutcome.DONE or look.ended or monotonic_ms() >= end_ms:
+            result = simulated.look(
+                order.token, order.last_sequence, order.until_ms, monotonic_ms()
+            )
+            if result.outcome is not CallOutcome.DONE or result.ended or monotonic_ms() >= end_ms:
                 break
-            await asyncio.sleep(_LOOK_S)
-        answer = PollReply(look.outcome, int(look.clock_ms), look.active, look.ended)
+            await asyncio.sleep(_POLL_INTERVAL_S)
+        answer = PollReply(result.outcome, int(result.clock_ms), result.active, result.ended)
         if endpoint not in self.trouble.mute:
-            self._answer(context, box, endpoint, reply, answer)
+            self._deliver_reply(context, box, endpoint, reply, answer)
 
-    def _answer(
+    def _deliver_reply(
         self,
         context: contextvars.Context,
         box: str,
@@ -358,24 +362,24 @@
     ) -> None:
         def arrive() -> None:
             if not self._is_cut(box, endpoint):
-                self.turns.deliver(context, _settle, reply, answer)
+                self.turns.deliver(context, _resolve, reply, answer)
 
-        self._later(self._hop_s(), arrive)
+        self._call_later(self._network_delay_s(), arrive)
 
-    def _hears(self, context: contextvars.Context, box: str, endpoint: str) -> bool:
+    def _can_receive(self, context: contextvars.Context, box: str, endpoint: str) -> bool:
         """Return whether *endpoint* hears what a life of *box* sends now."""
-        is_over = self._contexts[box] is not context or not self.boxes[box].network.is_alive
-        return not (is_over or self._is_cut(box, endpoint) or endpoint in self.trouble.deaf)
+        has_ended = self._contexts[box] is not context or not self.boxes[box].network.is_alive
+        return not (has_ended or self._is_cut(box, endpoint) or endpoint in self.trouble.deaf)
 
-    def _hop_s(self) -> float:
+    def _network_delay_s(self) -> float:
         return self.rng.uniform(0.0003, 0.001)
 
     def _is_cut(self, box: str, endpoint: str) -> bool:
         return (box, endpoint) in self.conditions.cuts
 
-    def _later(self, delay_s: float, callback: Callable[..., Any]) -> None:
+    def _call_later(self, delay_s: float, callback: Callable[..., Any]) -> None:
         """Call *callback* later, whichever box stands still then."""
-        self.loop.call_later(delay_s, callback, context=self._nobody)
+        self.loop.call_later(delay_s, callback, context=self._outer_context)
 
     # Callers.
 
@@ -384,39 +388,39 @@
     ) -> None:
         """Hand a job in and keep the answer; leave after *leave_ms* without one."""
         sent_ms = monotonic_ms()
-        job, patience_ms = self.plan_job(job_id, tasks, task_ms)
-        result = await self._ask(box, job, patience_ms, leave_ms)
+        job, wait_max_ms = self.plan_job(job_id, tasks, task_ms)
+        result = await self._submit(box, job, wait_max_ms, leave_ms)
         self.answers.append(Answer(job_id, result, sent_ms, monotonic_ms(), box))
 
-    async def _ask(
-        self, box: str, job: Job, patience_ms: float, leave_ms: float
+    async def _submit(
+        self, box: str, job: Job, wait_max_ms: float, leave_ms: float
     ) -> JobResult | None:
-        present, context = self.boxes[box], self._contexts[box]
-        if not present.network.is_alive:
+        current, context = self.boxes[box], self._contexts[box]
+        if not current.network.is_alive:
             return None
         answer: asyncio.Future[JobResult | None] = self.loop.create_future()
         self._open_calls[box].append(answer)
-        begun: list[asyncio.Task[JobResult]] = []
+        started_tasks: list[asyncio.Task[JobResult]] = []
 
-        def take() -> None:
-            run = present.jobs.run(job, self.queue, monotonic_ms() + patience_ms)
-            task = present.callers.spawn(run)
-            task.add_done_callback(lambda ended: _settle(answer, _result_of(ended)))
-            begun.append(task)
+        def submit() -> None:
+            run = current.jobs.run(job, self.queue, monotonic_ms() + wait_max_ms)
+            task = current.callers.spawn(run)
+            task.add_done_callback(lambda ended: _resolve(answer, _result_of(ended)))
+            started_tasks.append(task)
 
-        def leave() -> None:
-            for task in begun:
+        def cancel() -> None:
+            for task in started_tasks:
                 task.cancel()
 
-        self.turns.deliver(context, take)
+        self.turns.deliver(context, submit)
         done, _ = await asyncio.wait([answer], timeout=leave_ms / 1_000)
         if done:
             return answer.result()
-        self.turns.deliver(context, leave)
+        self.turns.deliver(context, cancel)
         return None
 
 
-def _settle(future: asyncio.Future[Any], value: object) -> None:
+def _resolve(future: asyncio.Future[Any], value: object) -> None:
     if not future.done():
         future.set_result(value)
 
--- a/tests/models/virtual_time.py
+++ b/tests/models/virtual_time.py
@@ -16,7 +16,7 @@
 from foldloom.seed_discovery.owners.elector import Elector
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     """A selector that moves its clock forward where another one would wait."""
 
     def __init__(self) -> None:
@@ -39,16 +39,16 @@
     CLOCK_BOOTTIME = time.CLOCK_BOOTTIME
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the simulated time."""
-        return self._jumping.now_s
+        return self._virtual_selector.now_s
 
     def monotonic(self) -> float:
         """Return the same, under the name that :mod:`time` has for it."""
-        return self._jumping.now_s
+        return self._virtual_selector.now_s
 
     def clock_gettime(self, _clock: int) -> float:
         """Return what any steady clock of :mod:`time` shows: nothing is suspended here."""
@@ -56,7 +56,7 @@
 
     def stand_still(self, for_s: float) -> None:
         """Let time pass in which nothing on this loop gets its turn."""
-        self._jumping.now_s += for_s
+        self._virtual_selector.now_s += for_s
 
 
 LIFE: contextvars.ContextVar[str] = contextvars.ContextVar("LIFE", default="")
@@ -75,7 +75,7 @@
     MIXED = "mixed"
 
 
-class _Turn:
+class _LifeCallback:
     """A callback of a box's life, which has its turn only while that does not stand still."""
 
     __slots__ = ("_args", "_callback", "_loop", "context", "handle", "life")
@@ -98,11 +98,11 @@
         """Have the turn, or wait for it."""
         if self.handle is not None and self.handle.cancelled():
             return
-        if not self._loop.holds_back(self):
+        if not self._loop.hold_if_paused(self):
             self._callback(*self._args)
 
 
-class _Stop:
+class _PendingPause:
     """How a life is to stand still: after some more turns, and for how long."""
 
     __slots__ = ("for_s", "turns_left", "waking")
@@ -125,11 +125,11 @@
     def __init__(self, rng: random.Random) -> None:
         super().__init__()
         self._rng = rng
-        self._stops: dict[str, _Stop] = {}
-        self._held: dict[str, list[_Turn]] = {}
-        self._arrived: dict[str, list[_Turn]] = {}
+        self._pending_pauses: dict[str, _PendingPause] = {}
+        self._held_callbacks: dict[str, list[_LifeCallback]] = {}
+        self._arrived_callbacks: dict[str, list[_LifeCallback]] = {}
         self._reads_left = 0
-        self._jump_s = 0.0
+        self._read_pause_s = 0.0
 
     def call_soon(
         self,
@@ -141,9 +141,9 @@
         context = contextvars.copy_context() if context is None else context
         if not context.get(LIFE, ""):
             return super().call_soon(callback, *args, context=context)
-        turn = _Turn(self, context, callback, args)
-        turn.handle = super().call_soon(turn, context=context)
-        return turn.handle
+        wrapped = _LifeCallback(self, context, callback, args)
+        wrapped.handle = super().call_soon(wrapped, context=context)
+        return wrapped.handle
 
     def call_at(
         self,
@@ -156,9 +156,9 @@
         context = contextvars.copy_context() if context is None else context
         if not context.get(LIFE, ""):
             return super().call_at(when, callback, *args, context=context)
-        turn = _Turn(self, context, callback, args)
-        timer = super().call_at(when, turn, context=context)
-        turn.handle = timer
+        wrapped = _LifeCallback(self, context, callback, args)
+        timer = super().call_at(when, wrapped, context=context)
+        wrapped.handle = timer
         return timer
 
     def monotonic(self) -> float:
@@ -166,7 +166,7 @@
         if self._reads_left and LIFE.get():
             self._reads_left -= 1
             if not self._reads_left:
-                self.stand_still(self._jump_s)
+                self.stand_still(self._read_pause_s)
         return super().monotonic()
 
     def stand_still_at_read(self, reads: int, for_s: float) -> None:
@@ -177,78 +177,80 @@
             for_s: How long.
         """
         self._reads_left = reads
-        self._jump_s = for_s
+        self._read_pause_s = for_s
 
     def deliver(
         self, context: contextvars.Context, callback: Callable[..., Any], *args: Any
     ) -> None:
         """Have a life handle what has arrived for it from outside."""
-        arrived = self._arrived.get(context[LIFE])
-        if arrived is None:
+        arrived_callbacks = self._arrived_callbacks.get(context[LIFE])
+        if arrived_callbacks is None:
             self.call_soon(callback, *args, context=context)
         else:
-            arrived.append(_Turn(self, context, callback, args))
+            arrived_callbacks.append(_LifeCallback(self, context, callback, args))
 
-    def stop_life(self, life: str, after_turns: int, for_s: float, waking: Waking) -> None:
+    def stop_life(self, life: str, after_callbacks: int, for_s: float, waking: Waking) -> None:
         """Let *life* stand still for *for_s* once it has had some more turns."""
-        if life not in self._held:
-            self._stops[life] = _Stop(after_turns, for_s, waking)
+        if life not in self._held_callbacks:
+            self._pending_pauses[life] = _PendingPause(after_callbacks, for_s, waking)
 
     def end_life(self, life: str) -> None:
         """Drop what has arrived for *life*, and let its tasks end: they reach nobody any more."""
-        self._stops.pop(life, None)
-        self._arrived.pop(life, None)
-        self._release(self._held.pop(life, []))
+        self._pending_pauses.pop(life, None)
+        self._arrived_callbacks.pop(life, None)
+        self._release(self._held_callbacks.pop(life, []))
 
-    def stands_still(self, life: str) -> bool:
+    def is_paused(self, life: str) -> bool:
         """Return whether *life* stands still now."""
-        return life in self._held
+        return life in self._held_callbacks
 
-    def holds_back(self, turn: _Turn) -> bool:
+    def hold_if_paused(self, callback: _LifeCallback) -> bool:
         """Return whether *turn* has to wait, and keep it then."""
-        stop = self._stops.get(turn.life)
-        if stop is not None:
-            stop.turns_left -= 1
-            if stop.turns_left < 0:
-                self._begin_stop(turn.life, stop)
-        held = self._held.get(turn.life)
-        if held is None:
+        pause = self._pending_pauses.get(callback.life)
+        if pause is not None:
+            pause.turns_left -= 1
+            if pause.turns_left < 0:
+                self._begin_pause(callback.life, pause)
+        held_callbacks = self._held_callbacks.get(callback.life)
+        if held_callbacks is None:
             return False
-        held.append(turn)
+        held_callbacks.append(callback)
         return True
 
-    def _begin_stop(self, life: str, stop: _Stop) -> None:
-        del self._stops[life]
-        self._held[life] = []
-        self._arrived[life] = []
-        nobody = contextvars.Context()
-        self.call_later(stop.for_s, self._go_on, life, stop.waking, context=nobody)
+    def _begin_pause(self, life: str, pause: _PendingPause) -> None:
+        del self._pending_pauses[life]
+        self._held_callbacks[life] = []
+        self._arrived_callbacks[life] = []
+        outer_context = contextvars.Context()
+        self.call_later(pause.for_s, self._go_on, life, pause.waking, context=outer_context)
 
     def _go_on(self, life: str, waking: Waking) -> None:
-        held = self._held.pop(life, None)
-        if held is None:
+        held_callbacks = self._held_callbacks.pop(life, None)
+        if held_callbacks is None:
             # It has ended meanwhile.
             return
-        arrived = self._arrived.pop(life)
+        arrived_callbacks = self._arrived_callbacks.pop(life)
         if waking is Waking.TIMERS_FIRST:
-            self._release([*held, *arrived])
+            self._release([*held_callbacks, *arrived_callbacks])
         elif waking is Waking.MIXED:
-            self._release(self._merged(held, arrived))
+            self._release(self._merged(held_callbacks, arrived_callbacks))
         else:
-            self._release(arrived)
+            self._release(arrived_callbacks)
             # After what follows from the messages at once, as the loop asks its timers only then.
-            super().call_soon(self._release, held, context=contextvars.Context())
+            super().call_soon(self._release, held_callbacks, context=contextvars.Context())
 
-    def _release(self, turns: list[_Turn]) -> None:
-        for turn in turns:
-            super().call_soon(turn, context=turn.context)
+    def _release(self, callbacks: list[_LifeCallback]) -> None:
+        for callback in callbacks:
+            super().call_soon(callback, context=callback.context)
 
-    def _merged(self, first: list[_Turn], second: list[_Turn]) -> list[_Turn]:
+    def _merged(
+        self, first: list[_LifeCallback], second: list[_LifeCallback]
+    ) -> list[_LifeCallback]:
         """Return both in an order that is drawn and keeps that of each."""
-        is_of_first = [True] * len(first) + [False] * len(second)
-        self._rng.shuffle(is_of_first)
-        ones, others = iter(first), iter(second)
-        return [next(ones) if is_first else next(others) for is_first in is_of_first]
+        is_from_first = [True] * len(first) + [False] * len(second)
+        self._rng.shuffle(is_from_first)
+        first_items, second_items = iter(first), iter(second)
+        return [next(first_items) if is_first else next(second_items) for is_first in is_from_first]
 
 
 def run_in_virtual_time(play: Coroutine[Any, Any, Any], loop: VirtualTimeLoop) -> Any:
--- a/tests/models/zones_calls.py
+++ b/tests/models/zones_calls.py
@@ -34,7 +34,7 @@
         self.cuts: set[tuple[str, str]] = set()
 
 
-class CalledWorld(Protocol):
+class EndpointWorld(Protocol):
     """The endpoints, and how orders fare."""
 
     rng: random.Random
@@ -52,7 +52,7 @@
 class SimulatedCalls:
     """One box's calls to endpoints."""
 
-    def __init__(self, world: CalledWorld, box: str) -> None:
+    def __init__(self, world: EndpointWorld, box: str) -> None:
         self._world = world
         self._box = box
 
@@ -76,45 +76,49 @@
 
     async def poll(self, endpoint: EndpointRecord, order: PollOrder) -> PollReply:
         """Poll; wait for an end."""
-        if not self._reaches(endpoint.endpoint):
+        if not self._can_reach(endpoint.endpoint):
             await asyncio.sleep(CALL_TIMEOUT_S + order.wait_ms / 1_000)
             return PollReply(CallOutcome.UNKNOWN)
-        await self._hop()
+        await self._network_delay()
         simulated = self._world.endpoints[endpoint.endpoint]
         until_ms = monotonic_ms() + order.wait_ms
         while True:
-            look = simulated.look(order.token, order.last_sequence, order.until_ms, monotonic_ms())
-            if look.outcome is not CallOutcome.DONE or look.ended or monotonic_ms() >= until_ms:
+            result = simulated.look(
+                order.token, order.last_sequence, order.until_ms, monotonic_ms()
+            )
+            if result.outcome is not CallOutcome.DONE or result.ended or monotonic_ms() >= until_ms:
                 break
             await asyncio.sleep(0.01)
-        await self._hop()
-        is_broken = self._world.endpoints[endpoint.endpoint] is not simulated
-        if is_broken or not self._reaches(endpoint.endpoint):
+        await self._network_delay()
+        has_restarted = self._world.endpoints[endpoint.endpoint] is not simulated
+        if has_restarted or not self._can_reach(endpoint.endpoint):
             return PollReply(CallOutcome.UNKNOWN)
         born_ms = self._world.births.get(endpoint.endpoint, 0)
-        return PollReply(look.outcome, int(look.clock_ms), look.active, look.ended, born_ms=born_ms)
+        return PollReply(
+            result.outcome, int(result.clock_ms), result.active, result.ended, born_ms=born_ms
+        )
 
     async def _call(
         self, endpoint: EndpointRecord, carry_out: Callable[[], CallReply]
     ) -> CallReply:
         world = self._world
-        if not self._reaches(endpoint.endpoint):
+        if not self._can_reach(endpoint.endpoint):
             await asyncio.sleep(CALL_TIMEOUT_S)
             return CallReply(CallOutcome.UNKNOWN)
         if world.rng.random() < world.conditions.late_orders:
-            late_s = world.rng.uniform(0.0, LATE_ORDER_MAX_S)
+            delay_s = world.rng.uniform(0.0, LATE_ORDER_MAX_S)
             asyncio.get_running_loop().call_later(
-                late_s, world.carry_out_late, endpoint.endpoint, carry_out
+                delay_s, world.carry_out_late, endpoint.endpoint, carry_out
             )
             await asyncio.sleep(CALL_TIMEOUT_S)
             return CallReply(CallOutcome.UNKNOWN)
-        await self._hop()
+        await self._network_delay()
         reply = carry_out()
-        await self._hop()
+        await self._network_delay()
         return reply
 
-    async def _hop(self) -> None:
+    async def _network_delay(self) -> None:
         await asyncio.sleep(self._world.rng.uniform(0.0003, 0.001))
 
-    def _reaches(self, endpoint: str) -> bool:
+    def _can_reach(self, endpoint: str) -> bool:
         return (self._box, endpoint) not in self._world.conditions.cuts
--- a/tests/models/zones_faults.py
+++ b/tests/models/zones_faults.py
@@ -10,16 +10,16 @@
 from models.zones_world import ZONES, ZonesWorld
 
 TROUBLE_S = 4.0
-_CALLS_PER_S = 45.0
-FAULTS = 8
-_LEAVING_SHARE = 0.05
+_JOBS_PER_S = 45.0
+FAULT_COUNT = 8
+_DISCONNECT_SHARE = 0.05
 # How long callers wait before they send a job to another box.
-RESEND_ELSEWHERE_S = 1.3
+RESUBMIT_ELSEWHERE_S = 1.3
 # What the fault lasts, in seconds.
-FAULT_S = (0.05, 1.5)
+FAULT_DURATION_S = (0.05, 1.5)
 # Until zones have owners, and until all has ended after the last fault.
 _SETTLE_S = 1.0
-_QUIET_S = 4.0
+_COOLDOWN_S = 4.0
 
 World = TypeVar("World", bound=ZonesWorld)
 
@@ -37,8 +37,8 @@
             self._cut_box_one_way,
             self._cut_zones,
             self._restart,
-            self._stand_still,
-            self._lose,
+            self._pause_all,
+            self._drop_messages,
             self._delay,
             self._late_orders,
             self._cut_endpoint,
@@ -48,13 +48,13 @@
     async def run(self) -> None:
         """Bring faults about, overlapping, until the time for them is over."""
         rng = self.world.rng
-        for _ in range(FAULTS):
-            await asyncio.sleep(rng.uniform(0.0, 2 * TROUBLE_S / FAULTS))
+        for _ in range(FAULT_COUNT):
+            await asyncio.sleep(rng.uniform(0.0, 2 * TROUBLE_S / FAULT_COUNT))
             rng.choice(self.kinds)()
 
     def later(self, undo: Callable[[], None]) -> None:
         """Undo a fault after as long as faults last."""
-        self.world.loop.call_later(self.world.rng.uniform(*FAULT_S), undo)
+        self.world.loop.call_later(self.world.rng.uniform(*FAULT_DURATION_S), undo)
 
     def _cut(self, pairs: set[tuple[str, str]]) -> None:
         cuts = self.world.conditions.cuts
@@ -66,13 +66,13 @@
 
     def _cut_box(self) -> None:
         box = self._any_box()
-        others = [one for one in [*self.world.boxes, "c1"] if one != box]
-        self._cut({(box, one) for one in others} | {(one, box) for one in others})
+        others = [other for other in [*self.world.boxes, "c1"] if other != box]
+        self._cut({(box, other) for other in others} | {(other, box) for other in others})
 
     def _cut_box_one_way(self) -> None:
         box = self._any_box()
-        others = [one for one in [*self.world.boxes, "c1"] if one != box]
-        self._cut({(one, box) for one in others})
+        others = [other for other in [*self.world.boxes, "c1"] if other != box]
+        self._cut({(other, box) for other in others})
 
     def _cut_zones(self) -> None:
         first, second = (
@@ -91,10 +91,10 @@
         pause_s = self.world.rng.uniform(0.02, 0.6)
         self.world.loop.call_later(pause_s, self.world.start_box, box)
 
-    def _stand_still(self) -> None:
+    def _pause_all(self) -> None:
         self.world.loop.stand_still(self.world.rng.uniform(0.2, 1.2))
 
-    def _lose(self) -> None:
+    def _drop_messages(self) -> None:
         self.world.conditions.loss = self.world.rng.uniform(0.05, 0.5)
         self.later(lambda: setattr(self.world.conditions, "loss", 0.0))
 
@@ -118,18 +118,18 @@
     """Let *world* settle, hand jobs in beside its faults, and wait until all has ended."""
     await asyncio.sleep(_SETTLE_S)
     trouble = asyncio.create_task(trouble_of(world).run())
-    await hand_in(world, caller)
+    await submit_jobs(world, caller)
     await trouble
-    await asyncio.sleep(_QUIET_S)
+    await asyncio.sleep(_COOLDOWN_S)
 
 
-async def hand_in(world: ZonesWorld, caller: Caller) -> None:
+async def submit_jobs(world: ZonesWorld, caller: Caller) -> None:
     """Hand jobs in at random boxes, until the time for troubles is over."""
     calls = []
     end_s = world.loop.time() + TROUBLE_S
     number = 0
     while world.loop.time() < end_s:
-        await asyncio.sleep(world.rng.expovariate(_CALLS_PER_S))
+        await asyncio.sleep(world.rng.expovariate(_JOBS_PER_S))
         number += 1
         calls.append(asyncio.create_task(caller(world, f"{number:016x}")))
     await asyncio.gather(*calls)
@@ -141,14 +141,14 @@
     box = rng.choice(sorted(world.boxes))
     tasks = rng.choice([1, 2, 2, 4, 8])
     task_ms = rng.choice([60.0, 100.0, 200.0, 400.0])
-    leaves = rng.random() < _LEAVING_SHARE
-    await world.call(box, job_id, tasks, task_ms, rng.uniform(20.0, 600.0) if leaves else 1e5)
-    if not leaves:
+    disconnects = rng.random() < _DISCONNECT_SHARE
+    await world.call(box, job_id, tasks, task_ms, rng.uniform(20.0, 600.0) if disconnects else 1e5)
+    if not disconnects:
         return
     if rng.random() < 0.5:
         await asyncio.sleep(rng.choice([0.0, 0.05, 0.3]))
     else:
         # At another box it may run beside the first one's until that one's rights are over.
-        await asyncio.sleep(RESEND_ELSEWHERE_S)
+        await asyncio.sleep(RESUBMIT_ELSEWHERE_S)
         box = rng.choice(sorted(world.boxes))
     await world.call(box, job_id, tasks, task_ms, 1e5)
--- a/tests/models/zones_network.py
+++ b/tests/models/zones_network.py
@@ -11,7 +11,7 @@
 from foldloom.exceptions import PeerUnreachableError
 
 
-class Wire(Protocol):
+class Transport(Protocol):
     """What carries messages between boxes."""
 
     def carry(
@@ -34,12 +34,12 @@
 class SimulatedNetwork:
     """One life of a box's peers."""
 
-    def __init__(self, wire: Wire, box: str, incarnation: int) -> None:
+    def __init__(self, transport: Transport, box: str, incarnation: int) -> None:
         self.incarnation = incarnation
         self.is_alive = True
-        self._wire = wire
+        self._transport = transport
         self._box = box
-        self._lives: dict[str, int] = {}
+        self._known_incarnations: dict[str, int] = {}
         self._handlers: dict[type, Callable[[str, Any], Any]] = {}
 
     def on(self, kind: type, handler: Callable[[str, Any], Any]) -> None:
@@ -48,37 +48,39 @@
 
     def known_incarnation(self, box: str) -> int:
         """Return the life of *box* that was heard last."""
-        return self.incarnation if box == self._box else self._lives.get(box, 0)
+        return self.incarnation if box == self._box else self._known_incarnations.get(box, 0)
 
     def send(self, box: str, message: Any, ttl_ms: float = 1_000) -> None:
         """Send a message that needs no reply."""
         if box == self._box:
             asyncio.get_running_loop().call_soon(self._handle, box, self.incarnation, message)
             return
-        self._wire.carry(self, self._box, box, message, ttl_ms, None)
+        self._transport.carry(self, self._box, box, message, ttl_ms, None)
 
     async def request(self, box: str, message: Any, timeout_ms: float) -> Any:
         """Send a message and return its reply."""
         if box == self._box and self.is_alive:
             return self._handle(box, self.incarnation, message)
         reply: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._wire.carry(self, self._box, box, message, timeout_ms + 1, reply)
+        self._transport.carry(self, self._box, box, message, timeout_ms + 1, reply)
         try:
             async with asyncio.timeout(timeout_ms / 1_000):
                 return await reply
         except TimeoutError:
             raise PeerUnreachableError(box) from None
 
-    def receive(self, sender: str, life: int, message: Any, ttl_ms: float, future: Any) -> None:
+    def receive(
+        self, sender: str, incarnation: int, message: Any, ttl_ms: float, future: Any
+    ) -> None:
         """Handle a message that arrives, and send the reply."""
         if not self.is_alive:
             return
-        self._lives[sender] = life
-        reply = self._handle(sender, life, message)
+        self._known_incarnations[sender] = incarnation
+        reply = self._handle(sender, incarnation, message)
         if future is not None and reply is not None:
-            self._wire.carry_reply(self._box, sender, reply, ttl_ms, future)
+            self._transport.carry_reply(self._box, sender, reply, ttl_ms, future)
 
-    def _handle(self, sender: str, _life: int, message: Any) -> Any:
+    def _handle(self, sender: str, _incarnation: int, message: Any) -> Any:
         handler = self._handlers.get(type(message))
         if handler is None or not self.is_alive:
             return None
--- a/tests/models/zones_world.py
+++ b/tests/models/zones_world.py
@@ -106,11 +106,11 @@
         self.network = world.make_network(box, incarnation)
         network: Any = self.network
         self._world = world
-        self._own = BoxRecord(box, incarnation, zone, ENTRY, box)
+        self._record = BoxRecord(box, incarnation, zone, ENTRY, box)
         self._started_ms = monotonic_ms()
         self._timings = TimingSettings()
         self._metrics = Metrics()
-        self.view = FleetView(self._own, [CONTROLLER])
+        self.view = FleetView(self._record, [CONTROLLER])
         self._catalog = EndpointCatalog()
         for record in world.records:
             self._catalog.merge(record, monotonic_ms())
@@ -127,7 +127,7 @@
         self._tasks.spawn(self.elector.run())
         self._tasks.spawn(self.client.run())
 
-    def learn(self, record: EndpointRecord) -> None:
+    def merge_record(self, record: EndpointRecord) -> None:
         """Take what a controller says of an endpoint."""
         if self.network.is_alive:
             self._catalog.merge(record, monotonic_ms())
@@ -147,7 +147,7 @@
         context = OwnerContext(
             view=self.view,
             network=network,
-            calls=self._world.make_calls(self._own.box),
+            calls=self._world.make_calls(self._record.box),
             catalog=self._catalog,
             timings=self._timings,
             metrics=self._metrics,
@@ -190,20 +190,20 @@
         # reaches a life that they have not heard of.
         self.unheard_ms = 0.0
         # What a controller knows of endpoints: it judges whose farewell one is.
-        self._told = EndpointCatalog()
+        self._controller_catalog = EndpointCatalog()
         # From when on a life that has said that it leaves may be given nothing.
         self.left_alone_from_ms: dict[str, float] = {}
         self.late_starts: list[Start] = []
-        self._is_carrying_late = False
+        self._is_late_order = False
         self._durations_ms: dict[str, float] = {}
         self.queue = Queue("q", "host", "/", _SERVICE, 0, 3, 1_500, 1.6, 60)
-        self._lives = 0
+        self._life_count = 0
         self._zone_of = {f"{zone}{n}": zone for zone in ZONES for n in range(BOXES_PER_ZONE)}
         self.box_records = [
             BoxRecord(box, 0, zone, ENTRY, box) for box, zone in self._zone_of.items()
         ]
         self._controller = self.make_network(CONTROLLER, 1)
-        self._witness()
+        self._register_controller_handlers()
         self.boxes: dict[str, SimulatedBox] = {}
         for box in self._zone_of:
             self.start_box(box)
@@ -224,8 +224,8 @@
 
     def start_box(self, box: str) -> None:
         """Begin a new life of *box*."""
-        self._lives += 1
-        self.boxes[box] = SimulatedBox(self, box, self._zone_of[box], 100 + self._lives)
+        self._life_count += 1
+        self.boxes[box] = SimulatedBox(self, box, self._zone_of[box], 100 + self._life_count)
 
     def owners(self) -> list[SimulatedBox]:
         """Return the boxes that own a zone now."""
@@ -281,17 +281,17 @@
             return self._controller
         return self.boxes[box].network
 
-    def _witness(self) -> None:
+    def _register_controller_handlers(self) -> None:
         """Have the controller answer who owns a zone, as the registry of boxes does."""
-        heard: dict[str, tuple[OwnerRecord, float]] = {}
+        last_heartbeats: dict[str, tuple[OwnerRecord, float]] = {}
 
         def on_heartbeat(_sender: str, heartbeat: OwnerHeartbeat) -> None:
-            known = heard.get(heartbeat.owner.zone)
+            known = last_heartbeats.get(heartbeat.owner.zone)
             if known is None or heartbeat.owner.token >= known[0].token:
-                heard[heartbeat.owner.zone] = (heartbeat.owner, monotonic_ms())
+                last_heartbeats[heartbeat.owner.zone] = (heartbeat.owner, monotonic_ms())
 
         def on_query(_sender: str, query: OwnerQuery) -> OwnerAnswer:
-            known = heard.get(query.zone)
+            known = last_heartbeats.get(query.zone)
             if known is None:
                 return OwnerAnswer(OwnerRecord(query.zone), -1)
             return OwnerAnswer(known[0], int(monotonic_ms() - known[1]))
@@ -306,42 +306,42 @@
         self.births[name] = int(monotonic_ms())
         self.endpoints[name] = SimulatedEndpoint(name, 0.98, monotonic_ms())
         self.left_alone_from_ms.pop(name, None)
-        before = next(record for record in self.records if record.endpoint == name)
-        return before._replace(sequence=1, born_ms=self.births[name], state=EndpointState.READY)
+        previous = next(record for record in self.records if record.endpoint == name)
+        return previous._replace(sequence=1, born_ms=self.births[name], state=EndpointState.READY)
 
     def tell(self, record: EndpointRecord) -> None:
         """Have a controller pass on to all boxes what an endpoint says of itself."""
-        for place, known in enumerate(self.records):
-            is_present = record.born_ms == self.births.get(record.endpoint, 0)
+        for index, known in enumerate(self.records):
+            is_current_life = record.born_ms == self.births.get(record.endpoint, 0)
             is_leaving = known.born_ms == record.born_ms and known.state is not EndpointState.READY
-            if known.endpoint == record.endpoint and is_present and not is_leaving:
-                self.records[place] = record
-        self._told.merge(record, monotonic_ms())
-        self._pass_on(record)
+            if known.endpoint == record.endpoint and is_current_life and not is_leaving:
+                self.records[index] = record
+        self._controller_catalog.merge(record, monotonic_ms())
+        self._broadcast(record)
 
     def bid_farewell(self, name: str) -> None:
         """Have a farewell of any life of an endpoint reach a controller."""
-        if not self._told.note_farewell(name, monotonic_ms()):
+        if not self._controller_catalog.note_farewell(name, monotonic_ms()):
             return
-        gone = self._told.get(name)
-        assert gone is not None
-        self.records = [gone if known.endpoint == name else known for known in self.records]
-        self._pass_on(gone)
+        removed = self._controller_catalog.get(name)
+        assert removed is not None
+        self.records = [removed if known.endpoint == name else known for known in self.records]
+        self._broadcast(removed)
 
-    def _pass_on(self, record: EndpointRecord) -> None:
+    def _broadcast(self, record: EndpointRecord) -> None:
         for box in self.boxes.values():
-            box.learn(record)
+            box.merge_record(record)
 
     def carry_out_late(self, name: str, carry_out: Callable[[], CallReply]) -> None:
         """Have an endpoint carry out an order whose answer nobody waits for any more."""
         age_ms = monotonic_ms() - self.births.get(name, float("-inf"))
         if age_ms < self.unheard_ms:
-            heard_in_s = (self.unheard_ms - age_ms) / 1_000
-            self.loop.call_later(heard_in_s, self.carry_out_late, name, carry_out)
+            delay_s = (self.unheard_ms - age_ms) / 1_000
+            self.loop.call_later(delay_s, self.carry_out_late, name, carry_out)
             return
-        self._is_carrying_late = True
+        self._is_late_order = True
         carry_out()
-        self._is_carrying_late = False
+        self._is_late_order = False
 
     def start(self, name: str, order: StartOrder) -> CallReply:
         """Carry out an order to start."""
@@ -353,9 +353,9 @@
         if outcome is CallOutcome.DONE and not was_active:
             started = Start(order.run_id, name, now_ms)
             self.starts.setdefault(task.job_id, []).append(started)
-            self._check_once(started)
-            is_left_alone = now_ms > self.left_alone_from_ms.get(name, now_ms)
-            if is_left_alone and not self._is_carrying_late:
+            self._check_single_run(started)
+            is_excluded = now_ms > self.left_alone_from_ms.get(name, now_ms)
+            if is_excluded and not self._is_late_order:
                 self.late_starts.append(started)
             duration_s = self._durations_ms[task.job_id] / 1_000
             self.loop.call_later(duration_s, self._finish, simulated, order.run_id)
@@ -365,7 +365,7 @@
         if simulated.active.get(run_id.task) == run_id.attempt:
             simulated.finish(run_id.task, EndKind.DONE, monotonic_ms())
 
-    def _check_once(self, started: Start) -> None:
+    def _check_single_run(self, started: Start) -> None:
         for other in self.endpoints.values():
             other.lapse(monotonic_ms())
             if other.name != started.endpoint and started.run_id.task in other.active:
@@ -383,17 +383,17 @@
         self, box: str, job_id: str, tasks: int, task_ms: float, leave_ms: float
     ) -> None:
         """Hand a job in and keep the answer; leave after *leave_ms* without one."""
-        job, patience_ms = self.plan_job(job_id, tasks, task_ms)
+        job, wait_max_ms = self.plan_job(job_id, tasks, task_ms)
         sent_ms = monotonic_ms()
-        present = self.boxes[box]
-        task = present.callers.spawn(present.jobs.run(job, self.queue, sent_ms + patience_ms))
+        current = self.boxes[box]
+        task = current.callers.spawn(current.jobs.run(job, self.queue, sent_ms + wait_max_ms))
         result: JobResult | None = None
         done, _ = await asyncio.wait([task], timeout=leave_ms / 1_000)
         if done and not task.cancelled():
             result = task.result()
         elif not done:
             task.cancel()
-        if not present.network.is_alive:
+        if not current.network.is_alive:
             # The connection breaks with the process, whatever it would have answered.
             result = None
         self.answers.append(Answer(job_id, result, sent_ms, monotonic_ms(), box))
