--- a/tests/models/boxlist_model.py
+++ b/tests/models/boxlist_model.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""A small specification of a change of the box list, for exhaustive checking.
+"""Model of a box list change, for exhaustive checking.
 
-One submission, two coordinators, five boxes: the old list's replicas are 0, 1, 2, the new
-list's 0, 3, 4. Epoch 0 is the old list, 1 is joint, 2 is the new list. Every box and every
-coordinator learns of an epoch at a moment of its own.
+One submission, two coordinators, five boxes. Claim replicas are boxes 0, 1, 2 in the old list and
+0, 3, 4 in the new one. Epoch 0 is the old list, 1 the joint list, 2 the new list. Boxes and
+coordinators advance to the next epoch independently.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Rules(NamedTuple):
-    """Which rules hold; each may be left out to see what breaks."""
+    """Protocol rules; each can be disabled to check that it is needed."""
 
     joint_needs_both: bool = True
     new_waits_for_acks: bool = True
@@ -30,7 +30,7 @@
 
 
 class Coordinator(NamedTuple):
-    """A coordinator: the epoch it knows, the one it asked under, its votes."""
+    """A coordinator: its current epoch, the epoch of its claim, and the votes received."""
 
     epoch: int = OLD
     claim_epoch: int = UNSET
@@ -39,7 +39,7 @@
 
 
 class State(NamedTuple):
-    """Everything: the confirmed epoch, each box's epoch and claim, the coordinators."""
+    """Confirmed epoch, epoch and claim of each box, and the coordinators."""
 
     epoch: int
     box_epochs: tuple[int, ...]
@@ -48,7 +48,7 @@
 
 
 def boxlist_protocol(rules: Rules) -> Protocol:
-    """Return the protocol under *rules* as minicheck takes it."""
+    """Return the minicheck protocol for *rules*."""
     initial_state = State(OLD, (OLD,) * 5, (UNSET,) * 5, (Coordinator(), Coordinator()))
     return Protocol(
         name="box list",
@@ -70,7 +70,7 @@
     for box in BOXES:
         if state.box_epochs[box] < state.epoch:
             epochs = _with_item(state.box_epochs, box, state.box_epochs[box] + 1)
-            yield f"box {box} learns", state._replace(box_epochs=epochs)
+            yield f"box {box} advances", state._replace(box_epochs=epochs)
     for coordinator_id in (0, 1):
         yield from _coordinator_steps(state, coordinator_id, rules)
 
@@ -90,14 +90,14 @@
     coordinator = state.askers[coordinator_id]
     if coordinator.epoch < state.epoch:
         yield (
-            f"c{coordinator_id} learns",
+            f"c{coordinator_id} advances",
             _with_coordinator(
                 state, coordinator_id, coordinator._replace(epoch=coordinator.epoch + 1)
             ),
         )
     if coordinator.claim_epoch == UNSET and not _is_window_over(state, coordinator.epoch, rules):
         yield (
-            f"c{coordinator_id} asks",
+            f"c{coordinator_id} claims",
             _with_coordinator(
                 state, coordinator_id, coordinator._replace(claim_epoch=coordinator.epoch)
             ),
@@ -124,7 +124,7 @@
 
 
 def _is_window_over(state: State, epoch: int, rules: Rules) -> bool:
-    """A window lies between joint and new: under new nobody resubmits what old started."""
+    """Return whether a job started in the old epoch can no longer be resubmitted in *epoch*."""
     if not rules.new_waits_for_window or epoch != NEW:
         return False
     return any(
@@ -133,7 +133,7 @@
 
 
 def _is_past_deadline(state: State, coordinator: Coordinator, rules: Rules) -> bool:
-    """By the same window, a job asked for under old is past its deadline under new."""
+    """Return whether a job claimed in the old epoch has reached its deadline by the new one."""
     return rules.new_waits_for_window and coordinator.claim_epoch == OLD and state.epoch == NEW
 
 
--- a/tests/models/claims_model.py
+++ b/tests/models/claims_model.py
@@ -1,15 +1,14 @@
 # SPDX-License-Identifier: MIT
-"""A small specification of the claim protocol, for exhaustive checking.
+"""Model of the claim protocol, for exhaustive checking.
 
-One submission, three claim replicas, two coordinators (0 and 1). Replicas lose their memory
-in a crash and copy claims back, in two steps, before they vote. Claim requests and
-withdrawals stay deliverable for ever once sent (lost, late, doubled); vote replies and
-copies arrive once, at any later time, or never.
+One submission, three claim replicas, two coordinators (0 and 1). A replica loses its claims in a
+crash and copies them from the other two, in two steps, before it votes. Claim requests and
+withdrawals can be lost, delayed or duplicated; vote replies and copies arrive at most once.
 
-Kept small without losing a way to break it: both coordinators ask at the start, since their
-requests may arrive at any later time; of two votes of one life the earlier one is kept, as
-it knows least and so hides most; votes that can count no more are dropped; replicas remember
-no withdrawals, so a late request leaves a stale claim.
+Reductions of the state space: both coordinators send their claims at the start, since requests
+can arrive at any later time; of two votes of one incarnation the earlier one is kept, since it
+carries the oldest known incarnations; votes that can no longer count are dropped; replicas keep
+no record of withdrawals, so that a late request leaves a stale claim.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 
 
 class Rules(NamedTuple):
-    """Which rules of the protocol hold; each may be left out to see what breaks."""
+    """Protocol rules; each can be disabled to check that it is needed."""
 
     copies_before_voting: bool = True
     needs_second_vote: bool = True
@@ -41,8 +40,8 @@
 class Replica(NamedTuple):
     """A claim replica.
 
-    ``copied`` names the replicas copied from in this life; both others make it vote.
-    ``known`` holds the newest life known of each replica.
+    ``copied_from`` holds the replicas copied from in this incarnation; it votes once both others
+    are among them. ``known_incarnations`` holds the latest known incarnation of each replica.
     """
 
     incarnation: int = 0
@@ -52,7 +51,7 @@
 
 
 class Vote(NamedTuple):
-    """A vote as its coordinator sees it."""
+    """A vote as its coordinator receives it."""
 
     replica: int
     incarnation: int
@@ -68,9 +67,10 @@
 
 
 class State(NamedTuple):
-    """Everything. ``copies`` holds copies under way: (asker, life, server, claims, server life).
+    """Replicas, coordinators, and messages in flight.
 
-    ``is_false_refusal`` remembers whether a not-run answer was ever untrue.
+    ``copies`` holds (requester, its incarnation, server, claims, server's incarnation).
+    ``is_false_refusal`` is set once a not-run answer was false.
     """
 
     replicas: tuple[Replica, Replica, Replica]
@@ -82,14 +82,14 @@
 
 
 class Bounds(NamedTuple):
-    """How far the search goes."""
+    """Limits of the search: crashes in total, attempts of each coordinator."""
 
     crashes: int
     attempts: tuple[int, int]
 
 
 def claims_protocol(rules: Rules, bounds: Bounds) -> Protocol:
-    """Return the protocol under *rules* as minicheck takes it."""
+    """Return the minicheck protocol for *rules*."""
     initial_state = State(
         (Replica(),) * 3, (Coordinator(),) * 2, frozenset(), frozenset(), 0, False
     )
@@ -112,7 +112,7 @@
 
 
 def _steps(state: State, rules: Rules, bounds: Bounds) -> Iterator[Step]:
-    """Yield every step that may come next."""
+    """Yield every enabled transition."""
     for coordinator_id in (0, 1):
         yield from _coordinator_steps(state, coordinator_id, rules, bounds)
         yield from _deliveries(state, coordinator_id, rules)
@@ -132,7 +132,7 @@
     coordinator = state.coordinators[coordinator_id]
     if coordinator.phase == WITHDRAWN and coordinator.attempt < bounds.attempts[coordinator_id]:
         fresh = Coordinator(CLAIMING, coordinator.attempt + 1, frozenset())
-        yield f"c{coordinator_id} asks", _with_coordinator(state, coordinator_id, fresh)
+        yield f"c{coordinator_id} claims", _with_coordinator(state, coordinator_id, fresh)
     if coordinator.phase != CLAIMING:
         return
     if _is_won(coordinator, rules):
@@ -163,7 +163,7 @@
 
 
 def _deliveries(state: State, coordinator_id: int, rules: Rules) -> Iterator[Step]:
-    """Claim requests and withdrawals of every attempt so far may arrive, again and again."""
+    """Yield deliveries of the claim requests and withdrawals of all attempts so far."""
     coordinator = state.coordinators[coordinator_id]
     for attempt in range(1, coordinator.attempt + 1):
         claim = (coordinator_id, attempt)
@@ -196,7 +196,7 @@
 
 
 def _has_vote(state: State, claim: ClaimId, replica_id: int, incarnation: int) -> bool:
-    """Return whether a vote of this life for *claim* is under way or has arrived."""
+    """Return whether a vote of this incarnation for *claim* is in flight or has arrived."""
     known_votes = [vote for claim_id, vote in state.replies if claim_id == claim]
     known_votes += state.coordinators[claim[0]].votes
     return any(
@@ -220,7 +220,10 @@
         removed = frozenset(held for held in replica.claims if held[0] == claim[0])
     if removed:
         updated = replica._replace(claims=replica.claims - removed)
-        yield f"r{replica_id} hears {claim} withdrawn", _with_replica(state, replica_id, updated)
+        yield (
+            f"r{replica_id} receives withdrawal of {claim}",
+            _with_replica(state, replica_id, updated),
+        )
 
 
 def _receive_vote(state: State, claim: ClaimId, vote: Vote) -> Step:
@@ -305,7 +308,7 @@
 
 
 def _with_coordinator(state: State, coordinator_id: int, coordinator: Coordinator) -> State:
-    """Return *state* with the coordinator changed; votes that count no more are dropped."""
+    """Return *state* with the coordinator replaced; drop votes that can no longer count."""
     coordinators = list(state.coordinators)
     coordinators[coordinator_id] = coordinator
     replies = state.replies
--- a/tests/models/controllers_model.py
+++ b/tests/models/controllers_model.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""A small specification of the controllers' log, for exhaustive checking.
+"""Model of the controllers' replicated log, for exhaustive checking.
 
-Three controllers, terms up to a bound, at most two entries a log, one wiped disk, crashes
-that lose unsynced votes. Messages are steps between two controllers that may happen late or
-never, which covers cuts; a vote that was told stays told.
+Three controllers with bounded terms, log entries, crashes and wiped disks. A crash loses unsynced
+votes. A message is a transition of two controllers that can happen late or never, which covers
+partitions; a vote that the candidate has received stays counted.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Rules(NamedTuple):
-    """Which rules hold; each may be left out to see what breaks."""
+    """Protocol rules; each can be disabled to check that it is needed."""
 
     syncs_votes: bool = True
     readmits_wiped: bool = True
@@ -30,7 +30,7 @@
 
 
 class Bounds(NamedTuple):
-    """How far the search goes."""
+    """Limits of the search."""
 
     terms: int
     entries: int
@@ -39,7 +39,7 @@
 
 
 class Controller(NamedTuple):
-    """A controller; a log entry is the term that made it; ``is_counted`` after a wipe is false."""
+    """A controller. A log entry is the term that created it; ``is_voter`` is false after a wipe."""
 
     role: int = FOLLOWER
     term: int = 0
@@ -50,10 +50,11 @@
 
 
 class State(NamedTuple):
-    """Everything.
+    """Controllers and the history of elections and commits.
 
-    ``elected`` holds (term, leader) ever elected, ``committed`` the longest confirmed log and
-    ``committed_term`` the term of the leader that confirmed it.
+    ``elected`` holds every (term, leader), ``committed`` the longest committed log and
+    ``committed_term`` the term of the leader that committed it. ``is_lost`` is set once a later
+    leader lacks a committed entry.
     """
 
     controllers: tuple[Controller, Controller, Controller]
@@ -66,7 +67,7 @@
 
 
 def controllers_protocol(rules: Rules, bounds: Bounds) -> Protocol:
-    """Return the protocol under *rules* as minicheck takes it."""
+    """Return the minicheck protocol for *rules*."""
     initial_state = State((Controller(),) * 3, frozenset(), (), 0, False, 0, 0)
     return Protocol(
         name="controllers",
@@ -105,7 +106,10 @@
             vote=controller_id,
             votes=frozenset({controller_id}),
         )
-        yield f"{controller_id} stands", _with_controller(state, controller_id, candidate)
+        yield (
+            f"{controller_id} becomes candidate",
+            _with_controller(state, controller_id, candidate),
+        )
     if controller.role == CANDIDATE and len(controller.votes) >= 2:
         with_leader = _with_controller(
             state, controller_id, controller._replace(role=LEADER, votes=frozenset())
@@ -114,7 +118,10 @@
         has_committed = controller.log[: len(state.committed)] == state.committed
         is_lost = state.is_lost or (is_later and not has_committed)
         elected = state.elected | {(controller.term, controller_id)}
-        yield f"{controller_id} leads", with_leader._replace(elected=elected, is_lost=is_lost)
+        yield (
+            f"{controller_id} becomes leader",
+            with_leader._replace(elected=elected, is_lost=is_lost),
+        )
     if controller.role == LEADER and len(controller.log) < bounds.entries:
         yield (
             f"{controller_id} appends",
@@ -140,7 +147,7 @@
 
 
 def _commit(state: State, controller_id: int, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Confirm the leader's longest prefix that a counted majority holds."""
+    """Commit the leader's longest log prefix that is replicated on a quorum of voters."""
     controller = state.controllers[controller_id]
     for length in range(len(controller.log), len(state.committed), -1):
         prefix = controller.log[:length]
@@ -153,7 +160,7 @@
         in_term = [holder for holder in holders if holder.term == controller.term]
         if len(in_term) >= 2 and is_current_term:
             next_state = state._replace(committed=prefix, committed_term=controller.term)
-            yield f"{controller_id} confirms {length}", next_state
+            yield f"{controller_id} commits {length} entries", next_state
             return
 
 
@@ -166,13 +173,13 @@
             role=FOLLOWER, term=controller.term, vote=NO_VOTE, votes=frozenset()
         )
         yield (
-            f"{peer_id} hears of term {controller.term}",
+            f"{peer_id} observes term {controller.term}",
             _with_controller(state, peer_id, stepped_down),
         )
     if controller.role == CANDIDATE and peer_id not in controller.votes:
         yield from _vote(state, controller_id, peer_id)
     if controller.role == LEADER and peer.term <= controller.term and peer.log != controller.log:
-        # The prefix that both share and one entry more: one append.
+        # An append carries the common prefix and the next entry.
         length = _common_prefix_length(controller.log, peer.log) + 1
         appended = controller.log[:length]
         follower = peer._replace(
@@ -218,7 +225,7 @@
 def _readmit(
     state: State, controller_id: int, peer_id: int, rules: Rules
 ) -> Iterator[tuple[str, State]]:
-    """Count a wiped controller again: the third one follows this term, and it holds all."""
+    """Readmit a wiped controller as a voter once it and the third controller follow this term."""
     controller, peer = state.controllers[controller_id], state.controllers[peer_id]
     third = state.controllers[3 - controller_id - peer_id]
     if third.term != controller.term or peer.term != controller.term or peer.log != controller.log:
@@ -228,7 +235,7 @@
     if third.role != FOLLOWER and rules.others_follow_first:
         return
     yield (
-        f"{peer_id} is taken in by {controller_id}",
+        f"{peer_id} is readmitted by {controller_id}",
         _with_controller(state, peer_id, peer._replace(is_voter=True)),
     )
 
--- a/tests/models/endpoint_world.py
+++ b/tests/models/endpoint_world.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Endpoints as they behave: leases, fences, ends, and orders that are carried out late."""
+"""Simulated endpoint: leases, fencing, run ends, and late orders."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from foldloom.seed_discovery.endpoints.calls import ActiveRun, CallOutcome, EndedRun, EndKind
 from foldloom.seed_discovery.jobs.spec import RunId, TaskId
 
-# The longest lease that an endpoint gives, in milliseconds of its own clock: the users' platform's.
+# Longest lease an endpoint accepts, in milliseconds of its own clock.
 LEASE_MAX_MS = 1_000.0
 
 
 class PollResult(NamedTuple):
-    """The answer to a look."""
+    """The reply to a poll."""
 
     outcome: CallOutcome
     clock_ms: float
@@ -22,12 +22,12 @@
 
 
 class SimulatedEndpoint:
-    """One endpoint.
+    """One life of an endpoint.
 
     Args:
-        name: Its id.
-        rate: How fast its clock runs.
-        began_ms: When this life began, by the test's clock: the endpoint's own starts then.
+        name: Id of the endpoint.
+        clock_rate: Rate of its clock relative to the test's clock.
+        started_ms: Time on the test's clock at which this life and the endpoint's clock start.
     """
 
     def __init__(self, name: str, clock_rate: float, started_ms: float = 0.0) -> None:
@@ -43,18 +43,18 @@
         self._last_attempts: dict[TaskId, int] = {}
 
     def clock(self, now_ms: float) -> float:
-        """Return what its clock reads."""
+        """Return the time on the endpoint's clock."""
         return 10_000.0 + (now_ms - self._started_ms) * self._clock_rate
 
     def lapse(self, now_ms: float) -> None:
-        """Kill everything if the lease is over."""
+        """End all runs if the lease has expired."""
         if self.clock(now_ms) < self._lease_end:
             return
         for task in list(self.active):
             self._end(task, EndKind.LAPSED)
 
     def start(self, run_id: RunId, token: int, lease_until: float, now_ms: float) -> CallOutcome:
-        """Carry out an order to start."""
+        """Carry out a start order."""
         self.lapse(now_ms)
         if token < self.token:
             return CallOutcome.FENCED
@@ -70,7 +70,7 @@
         return CallOutcome.DONE
 
     def stop(self, run_id: RunId, token: int, now_ms: float) -> CallOutcome:
-        """Carry out an order to stop."""
+        """Carry out a stop order."""
         self.lapse(now_ms)
         if token < self.token:
             return CallOutcome.FENCED
@@ -81,7 +81,7 @@
         return CallOutcome.DONE
 
     def look(self, token: int, last_sequence: int, lease_until: float, now_ms: float) -> PollResult:
-        """Carry out a look."""
+        """Serve a poll: renew the lease; return active runs and ends after *last_sequence*."""
         self.lapse(now_ms)
         clock_ms = self.clock(now_ms)
         if token < self.token:
@@ -93,7 +93,7 @@
         return PollResult(CallOutcome.DONE, clock_ms, active, tuple(self._unacknowledged))
 
     def finish(self, task: TaskId, how: EndKind, now_ms: float) -> None:
-        """End a run by itself."""
+        """End the active run of *task*, if any."""
         self.lapse(now_ms)
         if task in self.active:
             self._end(task, how)
--- a/tests/models/owners_model.py
+++ b/tests/models/owners_model.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: MIT
-"""A small specification of owners and one task, for exhaustive checking.
+"""Model of zone owners and one task, for exhaustive checking.
 
-Two endpoints, of which the first has a slow clock; two owners, of which the first may live on;
-two entry boxes, of which the first dies or loses its caller, and the second is handed the same
-job again. Time passes
-in ticks; whatever may happen in a tick happens in any order or not at all, which covers cuts,
-frozen owners and messages that are lost; an order to start may also be carried out late.
+Two endpoints, the first with a slow clock; two owners, the first of which can stay active after
+the second takes over; two entry boxes, the first of which crashes or loses its caller, after which
+the job is resubmitted at the second. Time advances in ticks; within a tick the enabled transitions
+happen in any order or not at all, which covers partitions, paused owners and lost messages. A start
+order can also be carried out late.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 SLOW_ENDPOINT, ENDPOINTS = 0, (0, 1)
 NEVER = -1
 
-# In ticks: how long a grant and a lease last, and a lease by the slow endpoint's clock.
+# Ticks: duration of a grant, of a lease, and of a lease on the endpoint with the slow clock.
 SESSION, LEASE, LEASE_SLOW = 2, 1, 2
 
 
 class Rules(NamedTuple):
-    """Which rules hold; each may be left out to see what breaks."""
+    """Protocol rules; each can be disabled to check that it is needed."""
 
     rights_end: bool = True
     right_is_looked_at_first: bool = True
@@ -38,14 +38,14 @@
 
 
 class Bounds(NamedTuple):
-    """How far the search goes, and after how long a caller sends its job again."""
+    """Limit of the search in ticks, and the delay before a caller resubmits its job."""
 
     ticks: int
     resend: int = SESSION + LEASE_SLOW - 1
 
 
 class TaskView(IntEnum):
-    """What an owner thinks of the task."""
+    """State of the task as an owner sees it."""
 
     UNKNOWN = 0
     SEARCHING = 1
@@ -54,7 +54,7 @@
 
 
 class Endpoint(NamedTuple):
-    """An endpoint; its lease ends at ``until``, which is real time."""
+    """An endpoint; ``until`` is the real time at which its lease ends."""
 
     is_running: bool = False
     until: int = 0
@@ -62,7 +62,7 @@
 
 
 class Owner(NamedTuple):
-    """An owner: its grants' ends, its belief, where the run is and by when it is gone there."""
+    """An owner; ``lease_end_max`` is the latest real time at which the run's lease ends."""
 
     is_active: bool = False
     grant_until: int = 0
@@ -73,7 +73,7 @@
 
 
 class Order(NamedTuple):
-    """An order to start that is still on its way; it expires at ``until``, real time."""
+    """A start order in flight; ``until`` is the real time at which it expires."""
 
     endpoint: int
     token: int
@@ -81,7 +81,7 @@
 
 
 class State(NamedTuple):
-    """Everything."""
+    """Endpoints, owners, the order in flight and the entry boxes."""
 
     now: int
     endpoints: tuple[Endpoint, Endpoint]
@@ -93,7 +93,7 @@
 
 
 def owners_protocol(rules: Rules, bounds: Bounds) -> Protocol:
-    """Return the protocol under *rules* as minicheck takes it."""
+    """Return the minicheck protocol for *rules*."""
     first = Owner(is_active=True, grant_until=SESSION, task_view=TaskView.QUEUED)
     initial_state = State(0, (Endpoint(), Endpoint()), (first, Owner()), None, NEVER, True, False)
     return Protocol(
@@ -114,8 +114,8 @@
     if state.now < bounds.ticks:
         yield "time passes", _tick(state)
     if state.box_lost_at == NEVER:
-        yield "box 0 dies", state._replace(box_lost_at=state.now, is_box_alive=False)
-        yield "box 0's caller is lost to it", state._replace(box_lost_at=state.now)
+        yield "box 0 crashes", state._replace(box_lost_at=state.now, is_box_alive=False)
+        yield "box 0 loses its caller", state._replace(box_lost_at=state.now)
     yield from _box_steps(state, rules, bounds)
     if state.order is not None:
         yield from _late_order_steps(state, state.order, rules)
@@ -134,28 +134,28 @@
 
 
 def _box_steps(state: State, rules: Rules, bounds: Bounds) -> Iterator[tuple[str, State]]:
-    """What the entry boxes do: they grant, follow a new owner, hand the job in again."""
+    """Yield the entry boxes' steps: renew a grant, follow a new owner, resubmit the job."""
     current = SECOND if state.owners[SECOND].is_active else FIRST
     is_granting = state.is_box_alive or state.is_resent
     until = state.now + SESSION
     if is_granting and state.owners[current].grant_until < until:
         granted = state.owners[current]._replace(grant_until=until)
-        yield f"owner {current} is granted its right", _with_owner(state, current, granted)
-    # A box that lives says for how long it has not heard the owner before.
+        yield f"owner {current} receives a grant", _with_owner(state, current, granted)
+    # A live box reports how long the previous owner has been silent.
     is_silent = not state.is_box_alive or state.now >= state.owners[FIRST].grant_until
     may_claim = is_silent or not rules.claims_after_silence
     if not state.owners[SECOND].is_active and may_claim:
         yield "owner 1 takes over", _take_over(state, rules)
     is_due = state.box_lost_at != NEVER and state.now >= state.box_lost_at + bounds.resend
     if is_due and not state.is_resent:
-        yield "box 1 hands the job in", _resend(state, current, rules)
+        yield "box 1 resubmits the job", _resend(state, current, rules)
 
 
 def _take_over(state: State, rules: Rules) -> State:
-    """Let the second owner begin; a living box hands its task over as one to look for."""
+    """Start the second owner; a live box hands over its task, which may still be running."""
     owner = Owner(is_active=True)
     if state.is_box_alive:
-        # The box knows when its last grant to the first owner has ended.
+        # The end of the box's last grant to the first owner bounds the run's lease.
         lease_end_max = state.owners[FIRST].grant_until + LEASE_SLOW
         task_view = TaskView.SEARCHING if rules.new_owner_looks_first else TaskView.QUEUED
         owner = owner._replace(
@@ -165,7 +165,7 @@
 
 
 def _resend(state: State, current: int, rules: Rules) -> State:
-    """Hand the job in once more: it attaches to what the owner knows of."""
+    """Resubmit the job; it attaches to the task if the owner has it."""
     owner = state.owners[current]._replace(grant_until=state.now + SESSION)
     if owner.task_view is TaskView.UNKNOWN or not rules.same_job_attaches:
         owner = owner._replace(task_view=TaskView.QUEUED)
@@ -173,7 +173,7 @@
 
 
 def _late_order_steps(state: State, order: Order, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Carry out an order that is late."""
+    """Carry out a late start order, or refuse it."""
     next_state = state._replace(order=None)
     endpoint = state.endpoints[order.endpoint]
     is_fenced = rules.endpoints_fence and order.token < endpoint.token
@@ -184,7 +184,7 @@
     until = order.until if rules.orders_expire else state.now + LEASE
     started = Endpoint(True, until, max(order.token, endpoint.token))
     yield (
-        f"a late order starts on worker {order.endpoint}",
+        f"a late order starts on endpoint {order.endpoint}",
         _with_endpoint(next_state, order.endpoint, started),
     )
 
@@ -215,7 +215,7 @@
 def _placed_steps(
     state: State, owner_id: int, has_grant: bool, rules: Rules
 ) -> Iterator[tuple[str, State]]:
-    """Renew, stop, or think a run gone whose lease is over for certain."""
+    """Renew or stop a run, or drop it once its lease has certainly expired."""
     owner = state.owners[owner_id]
     endpoint = state.endpoints[owner.endpoint]
     can_call = not _is_fenced(state, owner_id, owner.endpoint, rules)
@@ -233,22 +233,22 @@
     if can_call and not has_grant:
         stopped = _with_endpoint(state, owner.endpoint, Endpoint(False, 0, owner_id))
         if state.order is not None and state.order.endpoint == owner.endpoint:
-            # An endpoint never starts a run that it was told to stop.
+            # An endpoint refuses a start order for a run that it has been ordered to stop.
             stopped = stopped._replace(order=None)
         yield (
-            f"owner {owner_id} stops it",
+            f"owner {owner_id} stops the run",
             _with_owner(stopped, owner_id, owner._replace(task_view=TaskView.UNKNOWN)),
         )
     if state.now >= owner.lease_end_max:
         task_view = TaskView.QUEUED if has_grant else TaskView.UNKNOWN
         yield (
-            f"owner {owner_id} thinks it gone",
+            f"owner {owner_id} drops the expired run",
             _with_owner(state, owner_id, owner._replace(task_view=task_view)),
         )
 
 
 def _searching_steps(state: State, owner_id: int) -> Iterator[tuple[str, State]]:
-    """Look for a run that the owner before may have started, or wait until it is gone."""
+    """Poll for a run that the previous owner may have started, or wait out its lease."""
     owner = state.owners[owner_id]
     for endpoint in ENDPOINTS:
         contacted = _with_endpoint(
@@ -261,7 +261,7 @@
                 lease_end_max=_lease_end(state, endpoint),
             )
             yield (
-                f"owner {owner_id} finds it on worker {endpoint}",
+                f"owner {owner_id} finds the run on endpoint {endpoint}",
                 _with_owner(contacted, owner_id, found),
             )
             continue
@@ -270,16 +270,16 @@
             is_search_complete = len(polled.polled) == len(ENDPOINTS)
             polled = polled._replace(task_view=TaskView.QUEUED) if is_search_complete else polled
             yield (
-                f"owner {owner_id} looks at worker {endpoint}",
+                f"owner {owner_id} polls endpoint {endpoint}",
                 _with_owner(contacted, owner_id, polled),
             )
     if state.now >= owner.lease_end_max:
         queued = owner._replace(task_view=TaskView.QUEUED)
-        yield f"owner {owner_id} knows it gone", _with_owner(state, owner_id, queued)
+        yield f"owner {owner_id} waited out the lease", _with_owner(state, owner_id, queued)
 
 
 def _start_steps(state: State, owner_id: int, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Order a start, which is carried out at once or late."""
+    """Send a start order, which is carried out at once or late."""
     owner = state.owners[owner_id]
     for endpoint in ENDPOINTS:
         if _is_fenced(state, owner_id, endpoint, rules):
@@ -293,10 +293,10 @@
         next_state = _with_owner(state, owner_id, placed)
         if not state.endpoints[endpoint].is_running:
             started = _with_endpoint(next_state, endpoint, Endpoint(True, until, owner_id))
-            yield f"owner {owner_id} starts it on worker {endpoint}", started
+            yield f"owner {owner_id} starts the run on endpoint {endpoint}", started
         if state.order is None:
             late = next_state._replace(order=Order(endpoint, owner_id, until))
-            yield f"owner {owner_id}'s order to worker {endpoint} is late", late
+            yield f"owner {owner_id}'s order to endpoint {endpoint} is late", late
 
 
 def _with_owner(state: State, owner_id: int, owner: Owner) -> State:
--- a/tests/models/standing_boxes.py
+++ b/tests/models/standing_boxes.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""The zones of :mod:`models.zones_world` with boxes that stand still by themselves.
+"""The zones of :mod:`models.zones_world` with boxes that can be paused one by one.
 
-Each box has turns of its own: while it stands still, what is sent to it waits in its socket, and
-its timers fall due. Messages are aged as the real network does it, by when their sender sent them,
-and an order that has left a box reaches its endpoint whatever becomes of the box.
+While a box is paused, messages queue up in its sockets and its timers expire. Messages expire as in
+the real network, by the time at which they were sent. An order that has left a box reaches its
+endpoint even if the box is paused or killed.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 from models.zones_network import SimulatedNetwork
 from models.zones_world import CATALOG_AGE_MS, Answer, SimulatedBox, ZonesWorld
 
-# Seconds between two looks of an endpoint at whether a run has ended that a poll waits for.
+# Interval at which a waiting poll checks for ended runs, in seconds.
 _POLL_INTERVAL_S = 0.01
 
 
 class Frame(NamedTuple):
-    """A message on its way, with the numbers of the request that it is or answers."""
+    """A message with the id of its request, or of the request that it replies to."""
 
     message: Any
     request_id: int
@@ -46,7 +46,7 @@
 
 
 class Envelope(NamedTuple):
-    """Frames that leave a box together."""
+    """Frames that a box sends together."""
 
     sender: str
     incarnation: int
@@ -55,7 +55,7 @@
 
 
 class EndpointFaults:
-    """Which endpoints refuse starts, don't hear orders, or don't answer them."""
+    """Endpoints that refuse starts, receive no orders, or send no replies."""
 
     def __init__(self) -> None:
         self.refusing: dict[str, CallOutcome] = {}
@@ -64,7 +64,7 @@
 
 
 class ExpiringNetwork(SimulatedNetwork):
-    """One life of a box's peers: outboxes, numbered requests, and messages that grow old."""
+    """The network of one life of a box: outboxes, request ids, and message expiry."""
 
     def __init__(self, world: StandingZonesWorld, box: str, incarnation: int) -> None:
         super().__init__(world, box, incarnation)
@@ -75,7 +75,7 @@
         self._next_id = 0
 
     def known_incarnation(self, box: str) -> int:
-        """Return the life of *box* that was heard last."""
+        """Return the incarnation of *box* that was last received from."""
         return self.incarnation if box == self._box else self._fresh_lives.current(box)
 
     def send(self, box: str, message: Any, ttl_ms: float = 1_000) -> None:
@@ -103,7 +103,7 @@
             self._pending_requests.pop(request_id, None)
 
     def accept(self, envelope: Envelope) -> None:
-        """Handle what has arrived, unless it is too old."""
+        """Handle the frames of a received envelope that have not expired."""
         if not self.is_alive:
             return
         age_ms = self._fresh_lives.note(
@@ -124,7 +124,7 @@
             self._enqueue(envelope.sender, Frame(reply, 0, frame.request_id, frame.ttl_ms))
 
     def _enqueue(self, box: str, frame: Frame) -> None:
-        """Queue a message; what has collected leaves at the next turn, and is dated then."""
+        """Queue a frame; the outbox is sent and timestamped at the next callback."""
         outbox = self._outboxes.setdefault(box, [])
         if not outbox:
             asyncio.get_running_loop().call_soon(self._flush, box)
@@ -138,7 +138,7 @@
 
 
 class DetachedCalls(SimulatedCalls):
-    """One box's calls to endpoints: what has left the box is out of its hands."""
+    """Calls of one box to endpoints; a sent order is carried out even if the box ends."""
 
     def __init__(self, world: StandingZonesWorld, box: str) -> None:
         super().__init__(world, box)
@@ -159,7 +159,7 @@
         return await self._call(endpoint, carry_out)
 
     async def poll(self, endpoint: EndpointRecord, order: PollOrder) -> PollReply:
-        """Poll; wait for an end."""
+        """Poll; wait up to the order's ``wait_ms`` for a run to end."""
         reply = self._standing_world.poll(self._context, self._box, endpoint.endpoint, order)
         timeout_s = CALL_TIMEOUT_S + order.wait_ms / 1_000
         result = await _reply_within(reply, timeout_s)
@@ -168,7 +168,7 @@
     async def _call(
         self, endpoint: EndpointRecord, carry_out: Callable[[], CallReply]
     ) -> CallReply:
-        # The request leaves a turn after it was decided on.
+        # The request leaves one callback after the decision to send it.
         await asyncio.sleep(0)
         reply = self._standing_world.order(self._context, self._box, endpoint.endpoint, carry_out)
         result = await _reply_within(reply, CALL_TIMEOUT_S)
@@ -184,11 +184,11 @@
 
 
 class StandingZonesWorld(ZonesWorld):
-    """Zones of boxes that stand still, each by itself.
+    """Zones of boxes that can be paused one by one.
 
     Args:
-        seed: Of every choice that is made here.
-        loop: The loop on which all of it runs.
+        seed: Seed of the random generator for all choices.
+        loop: Event loop of the simulation.
     """
 
     def __init__(self, seed: int, loop: TurnsLoop) -> None:
@@ -206,15 +206,15 @@
     # Boxes.
 
     def make_network(self, box: str, incarnation: int) -> SimulatedNetwork:
-        """Return the peers of a life of *box*."""
+        """Return the network of a life of *box*."""
         return ExpiringNetwork(self, box, incarnation)
 
     def make_calls(self, box: str) -> SimulatedCalls:
-        """Return the calls to endpoints of the present life of *box*."""
+        """Return the calls to endpoints of the current life of *box*."""
         return DetachedCalls(self, box)
 
     def start_box(self, box: str) -> None:
-        """Begin a new life of *box*; the one before it ends."""
+        """End the current life of *box* and start a new one."""
         self.kill_box(box)
         self._life_count += 1
         context = contextvars.Context()
@@ -226,11 +226,11 @@
         )
 
     def context_of(self, box: str) -> contextvars.Context:
-        """Return the context of the present life of *box*."""
+        """Return the context of the current life of *box*."""
         return self._contexts[box]
 
     def kill_box(self, box: str) -> None:
-        """End the present life of *box*; its connections break."""
+        """Kill *box*; its connections to callers break."""
         current = self.boxes.get(box)
         if current is None or not current.network.is_alive:
             return
@@ -240,27 +240,27 @@
             _resolve(answer, None)
 
     def stop_box(self, box: str, after_callbacks: int, for_s: float, waking: Waking) -> None:
-        """Let *box* stand still for *for_s*, after some more turns of it."""
+        """Pause *box* for *for_s* seconds after *after_callbacks* more of its callbacks."""
         self.turns.stop_life(self._contexts[box][LIFE], after_callbacks, for_s, waking)
 
     def catalog_age_ms(self, started_ms: float) -> float:
-        """Return for how long a box that began at *started_ms* has known the endpoints."""
+        """Return the age of the endpoint catalog of a box started at *started_ms*."""
         age_ms = monotonic_ms() - started_ms
         is_first_incarnation = started_ms <= self._world_started_ms
         return age_ms + CATALOG_AGE_MS if is_first_incarnation else age_ms
 
     def fence(self, box: str) -> None:
-        """Have the owner on *box* find that an endpoint has seen a higher token."""
+        """Notify the owner on *box* that an endpoint has seen a higher fencing token."""
         elector = self.boxes[box].elector
         self.turns.deliver(self._contexts[box], elector.note_fenced, "some-endpoint")
 
     def _note_error(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         self.errors.append(repr(context.get("exception", context["message"])))
 
-    # The wire.
+    # Messages between boxes.
 
     def carry_envelope(self, envelope: Envelope, box: str) -> None:
-        """Carry an envelope; it may be late or lost."""
+        """Deliver an envelope; it may be delayed or lost."""
         sender = envelope.sender
         delay_ms = self._delay_ms(sender, box, float("inf"))
         if delay_ms is None:
@@ -286,7 +286,7 @@
     # Endpoints.
 
     def record_start_order(self, box: str, endpoint: str, run_id: RunId) -> None:
-        """Note for which boxes the owner on *box* orders a start now."""
+        """Record the boxes for which the owner on *box* orders this start."""
         owner = self.boxes[box].elector.owner
         run = None if owner is None else owner.state.run_of(run_id.task)
         if run is not None:
@@ -294,7 +294,7 @@
             waiting_boxes.update(holder.box for holder in run.holders)
 
     def clock_of(self, endpoint: str) -> int:
-        """Return what the clock of *endpoint* reads."""
+        """Return the time on the clock of *endpoint*."""
         return int(self.endpoints[endpoint].clock(monotonic_ms()))
 
     def order(
@@ -304,7 +304,7 @@
         endpoint: str,
         carry_out: Callable[[], CallReply],
     ) -> asyncio.Future[CallReply]:
-        """Carry an order that leaves a life of *box* now; its answer may never come."""
+        """Deliver an order from a life of *box*; the reply may never arrive."""
         reply: asyncio.Future[CallReply] = self.loop.create_future()
         if not self._can_receive(context, box, endpoint):
             return reply
@@ -323,7 +323,7 @@
     def poll(
         self, context: contextvars.Context, box: str, endpoint: str, order: PollOrder
     ) -> asyncio.Future[PollReply]:
-        """Carry a poll that leaves a life of *box* now; its answer may never come."""
+        """Deliver a poll from a life of *box*; the reply may never arrive."""
         reply: asyncio.Future[PollReply] = self.loop.create_future()
         if self._can_receive(context, box, endpoint):
             serve = self._serve_poll(context, box, endpoint, order, reply)
@@ -367,7 +367,7 @@
         self._call_later(self._network_delay_s(), arrive)
 
     def _can_receive(self, context: contextvars.Context, box: str, endpoint: str) -> bool:
-        """Return whether *endpoint* hears what a life of *box* sends now."""
+        """Return whether *endpoint* receives what a life of *box* sends now."""
         has_ended = self._contexts[box] is not context or not self.boxes[box].network.is_alive
         return not (has_ended or self._is_cut(box, endpoint) or endpoint in self.trouble.deaf)
 
@@ -378,7 +378,7 @@
         return (box, endpoint) in self.conditions.cuts
 
     def _call_later(self, delay_s: float, callback: Callable[..., Any]) -> None:
-        """Call *callback* later, whichever box stands still then."""
+        """Call *callback* after *delay_s*, unaffected by pauses of boxes."""
         self.loop.call_later(delay_s, callback, context=self._outer_context)
 
     # Callers.
@@ -386,7 +386,7 @@
     async def call(
         self, box: str, job_id: str, tasks: int, task_ms: float, leave_ms: float
     ) -> None:
-        """Hand a job in and keep the answer; leave after *leave_ms* without one."""
+        """Submit a job and record the answer; disconnect after *leave_ms* without one."""
         sent_ms = monotonic_ms()
         job, wait_max_ms = self.plan_job(job_id, tasks, task_ms)
         result = await self._submit(box, job, wait_max_ms, leave_ms)
--- a/tests/models/virtual_time.py
+++ b/tests/models/virtual_time.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""An event loop whose time passes only while nothing is left to do."""
+"""Event loops on a simulated clock, which advances only while no callback is ready."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class _VirtualTimeSelector(selectors.SelectSelector):
-    """A selector that moves its clock forward where another one would wait."""
+    """A selector that advances its clock instead of blocking."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_s = 1_000.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return what is ready; let *timeout* seconds pass if nothing is."""
+        """Return the ready keys; if there are none, advance the clock by *timeout* seconds."""
         ready = super().select(0)
         if not ready and timeout is None:
-            raise RuntimeError("every task waits, and no timer is set")
+            raise RuntimeError("deadlock: every task is waiting and no timer is set")
         if not ready and timeout is not None:
             self.now_s += max(0.0, timeout)
         return ready
@@ -47,27 +47,27 @@
         return self._virtual_selector.now_s
 
     def monotonic(self) -> float:
-        """Return the same, under the name that :mod:`time` has for it."""
+        """Return the simulated time; stands in for :func:`time.monotonic`."""
         return self._virtual_selector.now_s
 
     def clock_gettime(self, _clock: int) -> float:
-        """Return what any steady clock of :mod:`time` shows: nothing is suspended here."""
+        """Return the simulated time for every clock; stands in for :func:`time.clock_gettime`."""
         return self.monotonic()
 
     def stand_still(self, for_s: float) -> None:
-        """Let time pass in which nothing on this loop gets its turn."""
+        """Advance the clock by *for_s* without running callbacks."""
         self._virtual_selector.now_s += for_s
 
 
 LIFE: contextvars.ContextVar[str] = contextvars.ContextVar("LIFE", default="")
-"""The life of a box that a callback belongs to; empty for what stands still with no box."""
+"""Life of the box that a callback belongs to; empty for callbacks that no pause affects."""
 
 
 class Waking(Enum):
-    """What a process handles first that goes on: what has arrived, or the timers that are due.
+    """Order in which a resumed process handles received messages and expired timers.
 
-    An event loop asks its sockets and its timers in one step, so both are due together; which is
-    first follows from where it stood still.
+    An event loop checks sockets and timers in one step; which comes first depends on where in the
+    step it was paused.
     """
 
     MESSAGES_FIRST = "messages first"
@@ -76,7 +76,7 @@
 
 
 class _LifeCallback:
-    """A callback of a box's life, which has its turn only while that does not stand still."""
+    """A callback of a box's life, held back while that life is paused."""
 
     __slots__ = ("_args", "_callback", "_loop", "context", "handle", "life")
 
@@ -95,7 +95,7 @@
         self.handle: asyncio.Handle | None = None
 
     def __call__(self) -> None:
-        """Have the turn, or wait for it."""
+        """Run the callback, or hold it back if its life is paused."""
         if self.handle is not None and self.handle.cancelled():
             return
         if not self._loop.hold_if_paused(self):
@@ -103,7 +103,7 @@
 
 
 class _PendingPause:
-    """How a life is to stand still: after some more turns, and for how long."""
+    """A pause of a life that begins after ``turns_left`` more callbacks and lasts ``for_s``."""
 
     __slots__ = ("for_s", "turns_left", "waking")
 
@@ -114,12 +114,12 @@
 
 
 class TurnsLoop(VirtualTimeLoop):
-    """An event loop on which one box's life can stand still while the others go on.
+    """An event loop on which one box's life can be paused while the others continue.
 
-    What belongs to a life is known by the context of its callbacks, which tasks hand on.
+    A callback belongs to the life in its context variables, which tasks inherit.
 
     Args:
-        rng: Draws the order in which a life that goes on handles what was held back.
+        rng: Draws the order of held-back callbacks for :attr:`Waking.MIXED`.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -137,7 +137,7 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.Handle:
-        """Have *callback* called in the next turn of its life."""
+        """Schedule *callback*; it is held back while its life is paused."""
         context = contextvars.copy_context() if context is None else context
         if not context.get(LIFE, ""):
             return super().call_soon(callback, *args, context=context)
@@ -152,7 +152,7 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Have *callback* called at *when*, or when its life goes on after that."""
+        """Schedule *callback* at *when*, or when its life resumes after that."""
         context = contextvars.copy_context() if context is None else context
         if not context.get(LIFE, ""):
             return super().call_at(when, callback, *args, context=context)
@@ -162,7 +162,7 @@
         return timer
 
     def monotonic(self) -> float:
-        """Return the time; let some pass at the read that :meth:`stand_still_at_read` names."""
+        """Return the time, after the jump that :meth:`stand_still_at_read` has requested."""
         if self._reads_left and LIFE.get():
             self._reads_left -= 1
             if not self._reads_left:
@@ -170,11 +170,11 @@
         return super().monotonic()
 
     def stand_still_at_read(self, reads: int, for_s: float) -> None:
-        """Let everything stand still for *for_s* within a turn: when a box next reads its clock.
+        """Advance the clock by *for_s* within a callback, at a coming clock read of a box.
 
         Args:
-            reads: At which of its coming reads.
-            for_s: How long.
+            reads: Number of the read at which the clock jumps, counted from 1 over all boxes.
+            for_s: Length of the jump in seconds.
         """
         self._reads_left = reads
         self._read_pause_s = for_s
@@ -182,7 +182,7 @@
     def deliver(
         self, context: contextvars.Context, callback: Callable[..., Any], *args: Any
     ) -> None:
-        """Have a life handle what has arrived for it from outside."""
+        """Run *callback* in a life for a received message, or queue it while the life is paused."""
         arrived_callbacks = self._arrived_callbacks.get(context[LIFE])
         if arrived_callbacks is None:
             self.call_soon(callback, *args, context=context)
@@ -190,22 +190,22 @@
             arrived_callbacks.append(_LifeCallback(self, context, callback, args))
 
     def stop_life(self, life: str, after_callbacks: int, for_s: float, waking: Waking) -> None:
-        """Let *life* stand still for *for_s* once it has had some more turns."""
+        """Pause *life* for *for_s* seconds after *after_callbacks* more callbacks."""
         if life not in self._held_callbacks:
             self._pending_pauses[life] = _PendingPause(after_callbacks, for_s, waking)
 
     def end_life(self, life: str) -> None:
-        """Drop what has arrived for *life*, and let its tasks end: they reach nobody any more."""
+        """Drop messages queued for *life*; run its held-back callbacks, so that its tasks end."""
         self._pending_pauses.pop(life, None)
         self._arrived_callbacks.pop(life, None)
         self._release(self._held_callbacks.pop(life, []))
 
     def is_paused(self, life: str) -> bool:
-        """Return whether *life* stands still now."""
+        """Return whether *life* is paused."""
         return life in self._held_callbacks
 
     def hold_if_paused(self, callback: _LifeCallback) -> bool:
-        """Return whether *turn* has to wait, and keep it then."""
+        """Hold *callback* back if its life is paused; return whether it was."""
         pause = self._pending_pauses.get(callback.life)
         if pause is not None:
             pause.turns_left -= 1
@@ -227,7 +227,7 @@
     def _go_on(self, life: str, waking: Waking) -> None:
         held_callbacks = self._held_callbacks.pop(life, None)
         if held_callbacks is None:
-            # It has ended meanwhile.
+            # The life has ended during the pause.
             return
         arrived_callbacks = self._arrived_callbacks.pop(life)
         if waking is Waking.TIMERS_FIRST:
@@ -236,7 +236,7 @@
             self._release(self._merged(held_callbacks, arrived_callbacks))
         else:
             self._release(arrived_callbacks)
-            # After what follows from the messages at once, as the loop asks its timers only then.
+            # Timers run after the callbacks that the messages schedule at once.
             super().call_soon(self._release, held_callbacks, context=contextvars.Context())
 
     def _release(self, callbacks: list[_LifeCallback]) -> None:
@@ -246,7 +246,7 @@
     def _merged(
         self, first: list[_LifeCallback], second: list[_LifeCallback]
     ) -> list[_LifeCallback]:
-        """Return both in an order that is drawn and keeps that of each."""
+        """Return a random merge of both lists that keeps the order within each."""
         is_from_first = [True] * len(first) + [False] * len(second)
         self._rng.shuffle(is_from_first)
         first_items, second_items = iter(first), iter(second)
@@ -254,7 +254,7 @@
 
 
 def run_in_virtual_time(play: Coroutine[Any, Any, Any], loop: VirtualTimeLoop) -> Any:
-    """Run *play* on *loop*; the product's monotonic clock and time of day are the loop's."""
+    """Run *play* on *loop*, with the product's clocks patched to the loop's time."""
     with patch("foldloom.clock.time", loop), patch(f"{Elector.__module__}.time", loop):
         try:
             return loop.run_until_complete(play)
--- a/tests/models/zones_calls.py
+++ b/tests/models/zones_calls.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Calls to simulated endpoints, which may be cut off or carry orders out late."""
+"""Calls to simulated endpoints, which may be unreachable or carry out orders late."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Conditions:
-    """How messages and orders fare now."""
+    """Current network faults: message loss and delay, late orders, and cut links."""
 
     def __init__(self) -> None:
         self.loss = 0.0
@@ -35,7 +35,7 @@
 
 
 class EndpointWorld(Protocol):
-    """The endpoints, and how orders fare."""
+    """The part of the simulated world that calls use."""
 
     rng: random.Random
     conditions: Conditions
@@ -43,14 +43,14 @@
     births: dict[str, int]
 
     def start(self, name: str, order: StartOrder) -> CallReply:
-        """Carry out an order to start."""
+        """Carry out a start order."""
 
     def carry_out_late(self, name: str, carry_out: Callable[[], CallReply]) -> None:
-        """Have an endpoint carry out an order whose answer nobody waits for any more."""
+        """Have an endpoint carry out an order whose call has timed out."""
 
 
 class SimulatedCalls:
-    """One box's calls to endpoints."""
+    """Calls of one box to endpoints."""
 
     def __init__(self, world: EndpointWorld, box: str) -> None:
         self._world = world
@@ -75,7 +75,7 @@
         return await self._call(endpoint, carry_out)
 
     async def poll(self, endpoint: EndpointRecord, order: PollOrder) -> PollReply:
-        """Poll; wait for an end."""
+        """Poll; wait up to the order's ``wait_ms`` for a run to end."""
         if not self._can_reach(endpoint.endpoint):
             await asyncio.sleep(CALL_TIMEOUT_S + order.wait_ms / 1_000)
             return PollReply(CallOutcome.UNKNOWN)
--- a/tests/models/zones_faults.py
+++ b/tests/models/zones_faults.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Faults and callers of simulated zones, drawn by a world's seed."""
+"""Random faults and callers of simulated zones, drawn from the world's generator."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 _JOBS_PER_S = 45.0
 FAULT_COUNT = 8
 _DISCONNECT_SHARE = 0.05
-# How long callers wait before they send a job to another box.
+# Seconds before a caller resubmits a job at another box.
 RESUBMIT_ELSEWHERE_S = 1.3
-# What the fault lasts, in seconds.
+# Range of a fault's duration, in seconds.
 FAULT_DURATION_S = (0.05, 1.5)
-# Until zones have owners, and until all has ended after the last fault.
+# Seconds until zones have owners, and until all jobs have ended after the last fault.
 _SETTLE_S = 1.0
 _COOLDOWN_S = 4.0
 
 World = TypeVar("World", bound=ZonesWorld)
 
 Caller = Callable[[ZonesWorld, str], Coroutine[Any, Any, None]]
-"""Hands a job in under an id."""
+"""Submits a job under an id."""
 
 
 class Trouble:
-    """Faults drawn by a world's seed."""
+    """Random faults, drawn from the world's generator."""
 
     def __init__(self, world: ZonesWorld) -> None:
         self.world = world
@@ -46,14 +46,14 @@
         ]
 
     async def run(self) -> None:
-        """Bring faults about, overlapping, until the time for them is over."""
+        """Inject overlapping faults at random intervals."""
         rng = self.world.rng
         for _ in range(FAULT_COUNT):
             await asyncio.sleep(rng.uniform(0.0, 2 * TROUBLE_S / FAULT_COUNT))
             rng.choice(self.kinds)()
 
     def later(self, undo: Callable[[], None]) -> None:
-        """Undo a fault after as long as faults last."""
+        """Call *undo* after a random fault duration."""
         self.world.loop.call_later(self.world.rng.uniform(*FAULT_DURATION_S), undo)
 
     def _cut(self, pairs: set[tuple[str, str]]) -> None:
@@ -115,7 +115,7 @@
 async def play_through(
     world: World, trouble_of: Callable[[World], Trouble], caller: Caller
 ) -> None:
-    """Let *world* settle, hand jobs in beside its faults, and wait until all has ended."""
+    """Let *world* settle, submit jobs while faults are injected, and wait until all have ended."""
     await asyncio.sleep(_SETTLE_S)
     trouble = asyncio.create_task(trouble_of(world).run())
     await submit_jobs(world, caller)
@@ -124,7 +124,7 @@
 
 
 async def submit_jobs(world: ZonesWorld, caller: Caller) -> None:
-    """Hand jobs in at random boxes, until the time for troubles is over."""
+    """Submit jobs at random intervals for ``TROUBLE_S`` seconds and wait for the callers."""
     calls = []
     end_s = world.loop.time() + TROUBLE_S
     number = 0
@@ -136,7 +136,7 @@
 
 
 async def usual_caller(world: ZonesWorld, job_id: str) -> None:
-    """Hand one job in; some callers leave early and send it again."""
+    """Submit one job; some callers disconnect early and resubmit it."""
     rng = world.rng
     box = rng.choice(sorted(world.boxes))
     tasks = rng.choice([1, 2, 2, 4, 8])
@@ -148,7 +148,7 @@
     if rng.random() < 0.5:
         await asyncio.sleep(rng.choice([0.0, 0.05, 0.3]))
     else:
-        # At another box it may run beside the first one's until that one's rights are over.
+        # At another box the job could run twice until the first box's grants have expired.
         await asyncio.sleep(RESUBMIT_ELSEWHERE_S)
         box = rng.choice(sorted(world.boxes))
     await world.call(box, job_id, tasks, task_ms, 1e5)
--- a/tests/models/zones_network.py
+++ b/tests/models/zones_network.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The peers of simulated boxes: messages that are late, lost or cut off."""
+"""Network of simulated boxes: messages may be delayed, lost or cut off."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Transport(Protocol):
-    """What carries messages between boxes."""
+    """Transport of messages between boxes."""
 
     def carry(
         self,
@@ -23,16 +23,16 @@
         ttl_ms: float,
         future: Any,
     ) -> None:
-        """Carry a message; it may be late or lost."""
+        """Deliver a message; it may be delayed or lost."""
 
     def carry_reply(
         self, sender: str, box: str, reply: Any, ttl_ms: float, future: asyncio.Future[Any]
     ) -> None:
-        """Carry a reply."""
+        """Deliver a reply; it may be delayed or lost."""
 
 
 class SimulatedNetwork:
-    """One life of a box's peers."""
+    """The network of one life of a box."""
 
     def __init__(self, transport: Transport, box: str, incarnation: int) -> None:
         self.incarnation = incarnation
@@ -43,11 +43,11 @@
         self._handlers: dict[type, Callable[[str, Any], Any]] = {}
 
     def on(self, kind: type, handler: Callable[[str, Any], Any]) -> None:
-        """Register the handler of a kind of messages."""
+        """Register the handler of a message class."""
         self._handlers[kind] = handler
 
     def known_incarnation(self, box: str) -> int:
-        """Return the life of *box* that was heard last."""
+        """Return the incarnation of *box* that was last received from."""
         return self.incarnation if box == self._box else self._known_incarnations.get(box, 0)
 
     def send(self, box: str, message: Any, ttl_ms: float = 1_000) -> None:
@@ -72,7 +72,7 @@
     def receive(
         self, sender: str, incarnation: int, message: Any, ttl_ms: float, future: Any
     ) -> None:
-        """Handle a message that arrives, and send the reply."""
+        """Handle a received message and send the reply."""
         if not self.is_alive:
             return
         self._known_incarnations[sender] = incarnation
--- a/tests/models/zones_world.py
+++ b/tests/models/zones_world.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
 """Two zones of entry boxes with the real client, elector and owners, on a simulated clock.
 
-Simulated are only the messages between boxes and the endpoints; both may be late or lost, and
-boxes stand still, restart and are cut off.
+Only the network between boxes and the endpoints are simulated. Messages and orders can be delayed
+or lost; boxes are paused, restarted and partitioned.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 
 class Start(NamedTuple):
-    """A task that an endpoint has started."""
+    """A run that an endpoint has started."""
 
     run_id: RunId
     endpoint: str
@@ -66,7 +66,7 @@
 
 
 class Answer(NamedTuple):
-    """What a caller was answered; ``result`` is ``None`` if it got no answer."""
+    """The answer to a caller; ``result`` is ``None`` if it got none."""
 
     job_id: str
     result: JobResult | None
@@ -76,7 +76,7 @@
 
     @property
     def is_refused(self) -> bool:
-        """Whether the caller was promised that nothing ran."""
+        """Whether the answer guarantees that nothing ran."""
         return (
             self.result is not None
             and self.result.is_error()
@@ -94,12 +94,12 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the caller was told that something may have run."""
+        """Whether the answer is an error after which something may have run."""
         return self.result is not None and self.result.is_error() and not self.is_refused
 
 
 class SimulatedBox:
-    """One life of an entry box: what :class:`EntryBox` is made of, without sockets."""
+    """One life of an entry box: its real components without sockets."""
 
     def __init__(self, world: ZonesWorld, box: str, zone: str, incarnation: int) -> None:
         self.zone = zone
@@ -128,12 +128,12 @@
         self._tasks.spawn(self.client.run())
 
     def merge_record(self, record: EndpointRecord) -> None:
-        """Take what a controller says of an endpoint."""
+        """Merge an endpoint record from a controller into the catalog."""
         if self.network.is_alive:
             self._catalog.merge(record, monotonic_ms())
 
     def kill(self) -> None:
-        """End this life at once; nothing more leaves it."""
+        """End this life at once; it sends nothing more."""
         self.network.is_alive = False
         self.elector.close()
         self._tasks.cancel()
@@ -158,11 +158,11 @@
 
 
 class ZonesWorld:
-    """Boxes, endpoints, and the wire between them.
+    """Boxes, endpoints, and the network between them.
 
     Args:
-        seed: Of every choice that is made here.
-        loop: The loop on which all of it runs.
+        seed: Seed of the random generator for all choices.
+        loop: Event loop of the simulation.
     """
 
     def __init__(self, seed: int, loop: VirtualTimeLoop) -> None:
@@ -170,7 +170,7 @@
         self.loop = loop
         self.conditions = Conditions()
         self.starts: dict[str, list[Start]] = {}
-        # For which boxes a start on an endpoint was ordered, where that is known.
+        # Boxes for which a start on an endpoint was ordered, where recorded.
         self.wanted_by: dict[tuple[RunId, str], set[str]] = {}
         self.doubled: list[Start] = []
         self.answers: list[Answer] = []
@@ -184,14 +184,14 @@
         self.endpoints = {
             record.endpoint: SimulatedEndpoint(record.endpoint, 0.98) for record in self.records
         }
-        # When the present life of an endpoint began, of those that have begun again.
+        # Start of the current life of each restarted endpoint.
         self.births: dict[str, int] = {}
-        # For how long after its beginning a life carries out no late order; owners can't stop what
-        # reaches a life that they have not heard of.
+        # Time after its start for which a life carries out no late order: owners cannot stop runs
+        # on a life that has not been reported to them.
         self.unheard_ms = 0.0
-        # What a controller knows of endpoints: it judges whose farewell one is.
+        # The catalog of a controller, which attributes a farewell to a life of the endpoint.
         self._controller_catalog = EndpointCatalog()
-        # From when on a life that has said that it leaves may be given nothing.
+        # Time from which a leaving life may receive no start.
         self.left_alone_from_ms: dict[str, float] = {}
         self.late_starts: list[Start] = []
         self._is_late_order = False
@@ -211,19 +211,19 @@
     # Boxes.
 
     def make_network(self, box: str, incarnation: int) -> SimulatedNetwork:
-        """Return the peers of a life of *box*."""
+        """Return the network of a life of *box*."""
         return SimulatedNetwork(self, box, incarnation)
 
     def make_calls(self, box: str) -> SimulatedCalls:
-        """Return the calls to endpoints of the present life of *box*."""
+        """Return the calls to endpoints of the current life of *box*."""
         return SimulatedCalls(self, box)
 
     def catalog_age_ms(self, _started_ms: float) -> float:
-        """Return for how long a box that began at *_started_ms* has known the endpoints."""
+        """Return the age of the endpoint catalog of a box started at *_started_ms*."""
         return CATALOG_AGE_MS
 
     def start_box(self, box: str) -> None:
-        """Begin a new life of *box*."""
+        """Start a new life of *box*."""
         self._life_count += 1
         self.boxes[box] = SimulatedBox(self, box, self._zone_of[box], 100 + self._life_count)
 
@@ -231,7 +231,7 @@
         """Return the boxes that own a zone now."""
         return [box for box in self.boxes.values() if box.elector.owner is not None]
 
-    # The wire.
+    # Messages between boxes.
 
     def carry(
         self,
@@ -242,7 +242,7 @@
         ttl_ms: float,
         future: Any,
     ) -> None:
-        """Carry a message; it may be late or lost."""
+        """Deliver a message; it may be delayed or lost."""
         if not source.is_alive:
             return
         delay_ms = self._delay_ms(sender, box, ttl_ms)
@@ -259,7 +259,7 @@
     def carry_reply(
         self, sender: str, box: str, reply: Any, ttl_ms: float, future: asyncio.Future[Any]
     ) -> None:
-        """Carry a reply."""
+        """Deliver a reply; it may be delayed or lost."""
         delay_ms = self._delay_ms(sender, box, ttl_ms)
         if delay_ms is None:
             return
@@ -282,7 +282,7 @@
         return self.boxes[box].network
 
     def _register_controller_handlers(self) -> None:
-        """Have the controller answer who owns a zone, as the registry of boxes does."""
+        """Have the controller answer owner queries from the heartbeats that it receives."""
         last_heartbeats: dict[str, tuple[OwnerRecord, float]] = {}
 
         def on_heartbeat(_sender: str, heartbeat: OwnerHeartbeat) -> None:
@@ -302,7 +302,7 @@
     # Endpoints.
 
     def restart_endpoint(self, name: str) -> EndpointRecord:
-        """Have an endpoint begin again under its id; return what it says of itself then."""
+        """Restart an endpoint under the same id; return the record that it then reports."""
         self.births[name] = int(monotonic_ms())
         self.endpoints[name] = SimulatedEndpoint(name, 0.98, monotonic_ms())
         self.left_alone_from_ms.pop(name, None)
@@ -310,7 +310,7 @@
         return previous._replace(sequence=1, born_ms=self.births[name], state=EndpointState.READY)
 
     def tell(self, record: EndpointRecord) -> None:
-        """Have a controller pass on to all boxes what an endpoint says of itself."""
+        """Have a controller forward an endpoint's record to all boxes."""
         for index, known in enumerate(self.records):
             is_current_life = record.born_ms == self.births.get(record.endpoint, 0)
             is_leaving = known.born_ms == record.born_ms and known.state is not EndpointState.READY
@@ -320,7 +320,7 @@
         self._broadcast(record)
 
     def bid_farewell(self, name: str) -> None:
-        """Have a farewell of any life of an endpoint reach a controller."""
+        """Deliver a farewell of any life of an endpoint to a controller."""
         if not self._controller_catalog.note_farewell(name, monotonic_ms()):
             return
         removed = self._controller_catalog.get(name)
@@ -333,7 +333,7 @@
             box.merge_record(record)
 
     def carry_out_late(self, name: str, carry_out: Callable[[], CallReply]) -> None:
-        """Have an endpoint carry out an order whose answer nobody waits for any more."""
+        """Have an endpoint carry out an order whose call has timed out."""
         age_ms = monotonic_ms() - self.births.get(name, float("-inf"))
         if age_ms < self.unheard_ms:
             delay_s = (self.unheard_ms - age_ms) / 1_000
@@ -344,7 +344,7 @@
         self._is_late_order = False
 
     def start(self, name: str, order: StartOrder) -> CallReply:
-        """Carry out an order to start."""
+        """Carry out a start order and record the start."""
         now_ms = monotonic_ms()
         simulated = self.endpoints[name]
         task = order.run_id.task
@@ -374,7 +374,7 @@
     # Callers.
 
     def plan_job(self, job_id: str, tasks: int, task_ms: float) -> tuple[Job, float]:
-        """Return a job of *tasks* that take *task_ms*, and how long its caller waits at most."""
+        """Return a job of *tasks* that take *task_ms* each, and its timeout in milliseconds."""
         self._durations_ms[job_id] = task_ms
         step = Step(tasks, _TASK, int(task_ms * self.rng.uniform(0.7, 1.4)))
         return Job(job_id, "text", (step,)), min(2_800.0, 1_200.0 + 4 * task_ms)
@@ -382,7 +382,7 @@
     async def call(
         self, box: str, job_id: str, tasks: int, task_ms: float, leave_ms: float
     ) -> None:
-        """Hand a job in and keep the answer; leave after *leave_ms* without one."""
+        """Submit a job and record the answer; disconnect after *leave_ms* without one."""
         job, wait_max_ms = self.plan_job(job_id, tasks, task_ms)
         sent_ms = monotonic_ms()
         current = self.boxes[box]
@@ -394,6 +394,6 @@
         elif not done:
             task.cancel()
         if not current.network.is_alive:
-            # The connection breaks with the process, whatever it would have answered.
+            # The connection breaks with the process.
             result = None
         self.answers.append(Answer(job_id, result, sent_ms, monotonic_ms(), box))
