--- a/benchmarks/bare.py
+++ b/benchmarks/bare.py
@@ -21,23 +21,23 @@
 _TASKS = 64
 
 
-async def _bare(urls: list[str]) -> dict[str, float]:
+async def _post_directly(urls: list[str]) -> dict[str, float]:
     """Post to the endpoints as fast as the client can, 256 at a time."""
     body = {"attempt": "x", "lease": 1, "service": "sleep", "member": "m1", "deadline_ms": 1000}
     data = json.dumps({**body, "payload": {"ms": 1, "pad": "x" * 100}}).encode()
-    left = iter(range(_POSTS))
+    numbers = iter(range(_POSTS))
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
 
         async def post() -> None:
-            for number in left:
+            for number in numbers:
                 url = f"{urls[number % len(urls)]}/v1/tasks/bare/{number}"
                 async with session.post(url, data=data) as response:
                     await response.read()
 
-        cpu, began = time.process_time(), time.monotonic()
+        cpu_s, start_s = time.process_time(), time.monotonic()
         await asyncio.gather(*(post() for _ in range(_IN_FLIGHT)))
-        cpu, taken = time.process_time() - cpu, time.monotonic() - began
-    return {"cpu_us_a_post": cpu / _POSTS * 1e6, "posts_per_s": _POSTS / taken}
+        cpu_s, elapsed_s = time.process_time() - cpu_s, time.monotonic() - start_s
+    return {"cpu_us_a_post": cpu_s / _POSTS * 1e6, "posts_per_s": _POSTS / elapsed_s}
 
 
 def main() -> None:
@@ -47,7 +47,7 @@
         urls = [f"http://127.0.0.1:{spec.port}" for spec in cluster.endpoints]
         pid = cluster.processes["a1"].pid
         for round_number in range(2):
-            bare = uvloop.run(_bare(urls))
+            bare = uvloop.run(_post_directly(urls))
             for rate in (300, 600):
                 load = start_load(
                     cluster,
@@ -59,20 +59,20 @@
                     prefix=f"bare{round_number}-{rate}",
                 )
                 time.sleep(2)
-                cpu = cpu_seconds(pid)
+                cpu_s = cpu_seconds(pid)
                 before = cluster.status("a1")["metrics"]["tasks.started"]
                 time.sleep(_SECONDS - 1)
-                used = cpu_seconds(pid) - cpu
+                cpu_used_s = cpu_seconds(pid) - cpu_s
                 started = cluster.status("a1")["metrics"]["tasks.started"] - before
                 load.communicate(timeout=60)
-                ours = used / max(1, started) * 1e6
+                cpu_us_per_task = cpu_used_s / max(1, started) * 1e6
                 rows.append(
                     {
                         **bare,
                         "round": round_number,
                         "rate": rate,
-                        "cpu_us_a_task": ours,
-                        "starts_a_core_over_bare": bare["cpu_us_a_post"] / ours,
+                        "cpu_us_a_task": cpu_us_per_task,
+                        "starts_a_core_over_bare": bare["cpu_us_a_post"] / cpu_us_per_task,
                     }
                 )
                 print(json.dumps(rows[-1]), flush=True)
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -93,10 +93,10 @@
     rows = []
     for count in (10_000, 20_000, 40_000, 80_000):
         table = ClaimTable(10**9, 10**7)
-        began = time.process_time()
+        start_s = time.process_time()
         for number in range(count):
             table.judge(f"s-{number}", Claim("ab" * 16, "box1", 1, 1), number)
-        rows.append([count, time.process_time() - began])
+        rows.append([count, time.process_time() - start_s])
     return rows
 
 
@@ -108,15 +108,17 @@
         shard = Shard(_settings(), SlotLeases(), itertools.count(1))
         shard.set_endpoints(config, list(config.endpoints), set(config.endpoints))
         shard.tick(0)
-        began = time.process_time()
+        start_s = time.process_time()
         for number in range(_DECISIONS):
             request = SlotRequest(number, "fleet", "sleep", "team-000", 1, 10**6, 1)
             shard.add("a1", request)
             for grant in shard.match(number):
                 message = grant.message
-                back = SlotReturn(message.lease_id, message.endpoint, "sleep", 100.0, SlotUse.DONE)
-                shard.give_back(back, number)
-        rows.append([endpoints, (time.process_time() - began) / _DECISIONS * 1e6])
+                slot_return = SlotReturn(
+                    message.lease_id, message.endpoint, "sleep", 100.0, SlotUse.DONE
+                )
+                shard.give_back(slot_return, number)
+        rows.append([endpoints, (time.process_time() - start_s) / _DECISIONS * 1e6])
     return rows
 
 
@@ -131,17 +133,17 @@
         numbers = itertools.count(1)
         for name in config.customers:
             shard.add("a1", SlotRequest(next(numbers), "fleet", "sleep", name, 2, 10**7, 2))
-        held = [grant.message for grant in shard.match(0)]
-        began = time.process_time()
+        grants = [grant.message for grant in shard.match(0)]
+        start_s = time.process_time()
         for number in range(_DECISIONS):
-            message = held.pop(0)
+            message = grants.pop(0)
             shard.give_back(
                 SlotReturn(message.lease_id, message.endpoint, "sleep", 100.0, SlotUse.DONE), 0
             )
             name = f"team-{number % customers:03d}"
             shard.add("a1", SlotRequest(next(numbers), "fleet", "sleep", name, 1, 10**7, 1))
-            held += [grant.message for grant in shard.match(0)]
-        rows.append([customers, (time.process_time() - began) / _DECISIONS * 1e6])
+            grants += [grant.message for grant in shard.match(0)]
+        rows.append([customers, (time.process_time() - start_s) / _DECISIONS * 1e6])
     return rows
 
 
@@ -154,21 +156,21 @@
     }
 
 
-def changes() -> dict[str, list[list[float]]]:
+def change_costs() -> dict[str, list[list[float]]]:
     """Return log bytes, snapshot bytes and processor seconds by configuration changes."""
     log_bytes, snapshot_bytes, seconds = [], [], []
     for count in (100, 200, 400, 800):
         state = ReplicatedState(make_config(1_700, 480))
-        written = 0
-        began = time.process_time()
+        log_size = 0
+        start_s = time.process_time()
         for number in range(count):
-            raw = [{"kind": "member", "name": "team-001", "quota": 1000 + number}]
-            plan = make_plan(state.config, parse_intents(raw).ok).ok
-            command = encode_command(ConfirmCommand(f"command-{number:032d}", plan.digest, raw))
-            written += len(command)
+            intents = [{"kind": "member", "name": "team-001", "quota": 1000 + number}]
+            plan = make_plan(state.config, parse_intents(intents).ok).ok
+            command = encode_command(ConfirmCommand(f"command-{number:032d}", plan.digest, intents))
+            log_size += len(command)
             assert state.apply(command).status == 200
-        seconds.append([count, time.process_time() - began])
-        log_bytes.append([count, written])
+        seconds.append([count, time.process_time() - start_s])
+        log_bytes.append([count, log_size])
         snapshot_bytes.append([count, len(state.dump())])
     return {
         "change_log_bytes": log_bytes,
@@ -177,7 +179,7 @@
     }
 
 
-def boxes_idle() -> dict[str, list[list[float]]]:
+def idle_costs() -> dict[str, list[list[float]]]:
     """Return processor share, bytes a second and memory of a box by the number of boxes."""
     rows: dict[str, list[list[float]]] = {
         "idle_cpu_share_by_boxes": [],
@@ -189,18 +191,18 @@
             time.sleep(1.5)
             box = cluster.boxes[-1]
             pid = cluster.processes[box].pid
-            cpu, sent = cpu_seconds(pid), _bytes_of(cluster, box)
+            cpu, traffic_before = cpu_seconds(pid), _traffic_bytes(cluster, box)
             time.sleep(_SECONDS)
             count = 3 * per_zone
             share = (cpu_seconds(pid) - cpu) / _SECONDS
             rows["idle_cpu_share_by_boxes"].append([count, share])
-            moved = (_bytes_of(cluster, box) - sent) / _SECONDS
-            rows["idle_bytes_per_s_by_boxes"].append([count, moved])
+            traffic = (_traffic_bytes(cluster, box) - traffic_before) / _SECONDS
+            rows["idle_bytes_per_s_by_boxes"].append([count, traffic])
             rows["idle_rss_mb_by_boxes"].append([count, resident_bytes(pid) / 1e6])
     return rows
 
 
-def _bytes_of(cluster: Cluster, box: str) -> int:
+def _traffic_bytes(cluster: Cluster, box: str) -> int:
     metrics = cluster.status(box)["metrics"]
     return int(metrics["bytes.sent"] + metrics["bytes.received"])
 
@@ -228,9 +230,9 @@
     return (after - before) / _SECONDS
 
 
-def jobs_in_flight() -> dict[str, list[list[float]]]:
+def job_costs() -> dict[str, list[list[float]]]:
     """Return memory of a coordinator by tasks in flight, and the time of one large job."""
-    memory, large = [], []
+    memory, job_cpu = [], []
     with running_cluster(zones="a", controllers=1, endpoints_per_zone=8) as cluster:
         pid = cluster.processes["a1"].pid
         for tasks in (64, 256, 1_024, 1_700):
@@ -238,21 +240,21 @@
             payloads = [{"ms": 20, "pad": "x" * 100}] * tasks
             answer = cluster.submit("a1", f"large-{tasks}", payloads)
             assert answer.status == 200, answer
-            large.append([tasks, cpu_seconds(pid) - cpu])
-        kept = 0
+            job_cpu.append([tasks, cpu_seconds(pid) - cpu])
+        total_jobs = 0
         for jobs in (500, 1_000, 2_000, 4_000):
             load = start_load(
                 cluster,
                 jobs_per_second=300,
-                seconds=(jobs - kept) / 300,
+                seconds=(jobs - total_jobs) / 300,
                 task_ms_min=1,
                 task_ms_max=20,
                 prefix=f"kept{jobs}",
             )
             load.communicate(timeout=120)
-            kept = jobs
+            total_jobs = jobs
             memory.append([jobs, resident_bytes(pid) / 1e6])
-    return {"rss_mb_by_kept_jobs": memory, "cpu_s_by_tasks_of_one_job": large}
+    return {"rss_mb_by_kept_jobs": memory, "cpu_s_by_tasks_of_one_job": job_cpu}
 
 
 def measure() -> dict[str, Any]:
@@ -263,9 +265,9 @@
         "decision_us_by_workers": placement_decisions(),
         "decision_us_by_members": customer_decisions(),
     }
-    for part in (config_bytes, changes, boxes_idle, task_costs, jobs_in_flight):
-        figures.update(part())
-        print(part.__name__, "done", flush=True)
+    for measurement in (config_bytes, change_costs, idle_costs, task_costs, job_costs):
+        figures.update(measurement())
+        print(measurement.__name__, "done", flush=True)
     return figures
 
 
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -29,21 +29,21 @@
 class Slope(NamedTuple):
     """A least-squares line: ``value = base + slope * size``; ``error`` is the slope's own."""
 
-    base: float
+    intercept: float
     slope: float
-    error: float
-    fit: float
+    slope_error: float
+    r_squared: float
 
-    def at(self, size: float) -> float:
+    def value_at(self, size: float) -> float:
         """Return the line's value at *size*."""
-        return self.base + self.slope * size
+        return self.intercept + self.slope * size
 
 
 class Row(NamedTuple):
     """One line of the table at the letter's size."""
 
     role: str
-    what: str
+    metric: str
     value: float
     unit: str
     bound: float
@@ -56,16 +56,18 @@
     count = len(pairs)
     mean_x = sum(x for x, _ in pairs) / count
     mean_y = sum(y for _, y in pairs) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in pairs)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in pairs) / spread
-    base = mean_y - slope * mean_x
-    residual = sum((y - base - slope * x) ** 2 for x, y in pairs)
-    total = sum((y - mean_y) ** 2 for _, y in pairs)
-    error = math.sqrt(residual / max(1, count - 2) / spread)
-    return Slope(base, slope, error, 1.0 if total == 0 else 1 - residual / total)
+    sum_xx = sum((x - mean_x) ** 2 for x, _ in pairs)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in pairs) / sum_xx
+    intercept = mean_y - slope * mean_x
+    residual_sum = sum((y - intercept - slope * x) ** 2 for x, y in pairs)
+    total_sum = sum((y - mean_y) ** 2 for _, y in pairs)
+    slope_error = math.sqrt(residual_sum / max(1, count - 2) / sum_xx)
+    return Slope(
+        intercept, slope, slope_error, 1.0 if total_sum == 0 else 1 - residual_sum / total_sum
+    )
 
 
-def letter_rows(slopes: dict[str, Slope]) -> list[Row]:
+def capacity_rows(slopes: dict[str, Slope]) -> list[Row]:
     """Return what each role costs at the letter's size."""
     boxes = ENTRY_BOXES
     tasks = TASKS_PER_S / boxes
@@ -73,12 +75,12 @@
     claims = jobs * RETENTION_S * REPLICAS
     shards = math.ceil(ENDPOINTS / SHARD_ENDPOINTS)
     shard_tasks = TASKS_PER_S / shards
-    decision_us = slopes["decision_us_by_workers"].at(SHARD_ENDPOINTS)
+    decision_us = slopes["decision_us_by_workers"].value_at(SHARD_ENDPOINTS)
     vote_s = slopes["claim_vote_cpu_s"].slope
     claim_bytes = slopes["claim_bytes"].slope
     change_rate = CHANGES_PER_DAY / DAY_S
     config_bytes = (
-        slopes["config_bytes_by_workers"].at(ENDPOINTS)
+        slopes["config_bytes_by_workers"].value_at(ENDPOINTS)
         + slopes["config_bytes_by_members"].slope * CUSTOMERS
     )
     extrapolated = "slope, extrapolated"
@@ -86,7 +88,7 @@
         Row(
             "every box",
             "heartbeats: processor",
-            slopes["idle_cpu_share_by_boxes"].at(boxes) * 100,
+            slopes["idle_cpu_share_by_boxes"].value_at(boxes) * 100,
             "% of a core",
             CPU_BOUND * 100,
             extrapolated,
@@ -95,7 +97,7 @@
         Row(
             "every box",
             "heartbeats: traffic",
-            slopes["idle_bytes_per_s_by_boxes"].at(boxes),
+            slopes["idle_bytes_per_s_by_boxes"].value_at(boxes),
             "bytes/s",
             TRAFFIC_BOUND_BYTES,
             extrapolated,
@@ -104,7 +106,7 @@
         Row(
             "every box",
             "memory at rest",
-            slopes["idle_rss_mb_by_boxes"].at(boxes),
+            slopes["idle_rss_mb_by_boxes"].value_at(boxes),
             "MB",
             MEMORY_BOUND_MB,
             extrapolated,
@@ -203,7 +205,7 @@
         Row(
             "entry: coordinator",
             "one job of 1,700 tasks: processor",
-            slopes["cpu_s_by_tasks_of_one_job"].at(1_700),
+            slopes["cpu_s_by_tasks_of_one_job"].value_at(1_700),
             "core seconds",
             math.inf,
             "measured",
@@ -239,7 +241,7 @@
         Row(
             "controller: leader",
             "snapshot",
-            slopes["change_snapshot_bytes"].at(800) / 1e6,
+            slopes["change_snapshot_bytes"].value_at(800) / 1e6,
             "MB",
             MEMORY_BOUND_MB,
             "measured at 1,700 endpoints and 480 teams",
@@ -272,7 +274,7 @@
     page = PAGE.read_text(encoding="utf-8")
     before, _, rest = page.partition(_BEGIN)
     after = rest.partition(_END)[2]
-    tables = f"{_slope_table(figures, slopes)}\n\n{_letter_table(letter_rows(slopes))}"
+    tables = f"{_slope_table(figures, slopes)}\n\n{_capacity_table(capacity_rows(slopes))}"
     PAGE.write_text(f"{before}{_BEGIN}\n\n{tables}\n\n{_END}{after}", encoding="utf-8")
 
 
@@ -281,32 +283,32 @@
         "| figure | sizes | at the smallest | at the largest | slope a unit | its error | R² |",
         "|---|---|---|---|---|---|---|",
     ]
-    for name, line in slopes.items():
+    for name, slope in slopes.items():
         pairs = figures[name]
         sizes = ", ".join(f"{size:,.0f}" for size, _ in pairs)
         lines.append(
-            f"| `{name}` | {sizes} | {_short(pairs[0][1])} | {_short(pairs[-1][1])} "
-            f"| {_short(line.slope)} | {_short(line.error)} | {line.fit:.3f} |"
+            f"| `{name}` | {sizes} | {_rounded(pairs[0][1])} | {_rounded(pairs[-1][1])} "
+            f"| {_rounded(slope.slope)} | {_rounded(slope.slope_error)} | {slope.r_squared:.3f} |"
         )
     return "\n".join(lines)
 
 
-def _letter_table(rows: list[Row]) -> str:
+def _capacity_table(rows: list[Row]) -> str:
     lines = [
         "| role | what | value | bound | carried? | basis | mechanism |",
         "|---|---|---|---|---|---|---|",
     ]
     for row in rows:
-        bound = "none" if math.isinf(row.bound) else f"{_short(row.bound)} {row.unit}"
-        carried = "" if math.isinf(row.bound) else ("yes" if row.value <= row.bound else "**no**")
+        bound = "none" if math.isinf(row.bound) else f"{_rounded(row.bound)} {row.unit}"
+        verdict = "" if math.isinf(row.bound) else ("yes" if row.value <= row.bound else "**no**")
         lines.append(
-            f"| {row.role} | {row.what} | {_short(row.value)} {row.unit} | {bound} | {carried} "
+            f"| {row.role} | {row.metric} | {_rounded(row.value)} {row.unit} | {bound} | {verdict} "
             f"| {row.basis} | {row.mechanism} |"
         )
     return "\n".join(lines)
 
 
-def _short(value: float) -> str:
+def _rounded(value: float) -> str:
     """Return *value* with three significant digits."""
     if value == 0:
         return "0"
--- a/benchmarks/claim_delay.py
+++ b/benchmarks/claim_delay.py
@@ -17,7 +17,7 @@
 _SECONDS = 8
 
 
-def _collect(listener: socket.socket, into: list[float]) -> None:
+def _collect(listener: socket.socket, times_ms: list[float]) -> None:
     """Take claim timers until the socket is closed."""
     while True:
         try:
@@ -26,7 +26,7 @@
             return
         for line in text.splitlines():
             if line.startswith(_TIMER):
-                into.append(float(line.removeprefix(_TIMER).partition("|")[0]))
+                times_ms.append(float(line.removeprefix(_TIMER).partition("|")[0]))
 
 
 def main() -> None:
@@ -34,21 +34,21 @@
     listener = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     listener.bind(("127.0.0.1", 0))
     overrides = {"statsd": {"host": "127.0.0.1", "port": listener.getsockname()[1]}}
-    times: list[float] = []
-    threading.Thread(target=_collect, args=(listener, times), daemon=True).start()
+    times_ms: list[float] = []
+    threading.Thread(target=_collect, args=(listener, times_ms), daemon=True).start()
     rows = []
     with running_scenario(SCENARIOS["sahulat"], overrides=overrides) as cluster:
         for rate in (10, 100, 350):
-            times.clear()
+            times_ms.clear()
             load = start_load(cluster, jobs_per_second=rate, seconds=_SECONDS)
             load.communicate(timeout=60)
-            ordered = sorted(times)
+            sorted_ms = sorted(times_ms)
             rows.append(
                 {
                     "jobs_per_second": rate,
-                    "claims": len(ordered),
-                    "claim_ms_p50": round(ordered[len(ordered) // 2], 3),
-                    "claim_ms_p99": round(ordered[int(len(ordered) * 0.99)], 3),
+                    "claims": len(sorted_ms),
+                    "claim_ms_p50": round(sorted_ms[len(sorted_ms) // 2], 3),
+                    "claim_ms_p99": round(sorted_ms[int(len(sorted_ms) * 0.99)], 3),
                 }
             )
             print(json.dumps(rows[-1]), flush=True)
--- a/benchmarks/confirm.py
+++ b/benchmarks/confirm.py
@@ -27,16 +27,16 @@
     """Return a confirm's milliseconds (the plan not counted) and its version."""
     intents = [{"kind": "member", "name": "m1", "quota": 1000 + number}]
     digest = cluster.plan(box, intents).fields["digest"]
-    began = time.monotonic()
+    start_s = time.monotonic()
     answer = cluster.confirm_plan(box, digest, f"bench-{number}", intents)
     assert answer.status == 200, answer
-    return (time.monotonic() - began) * 1_000, answer.fields["version"]
+    return (time.monotonic() - start_s) * 1_000, answer.fields["version"]
 
 
 def _seconds_until(cluster: Cluster, version: int, boxes: list[str]) -> float:
-    began = time.monotonic()
+    start_s = time.monotonic()
     cluster.wait_version(version, boxes)
-    return time.monotonic() - began
+    return time.monotonic() - start_s
 
 
 def main() -> None:
@@ -48,22 +48,24 @@
         boxes_per_zone=3, overrides=overrides, address_of=proxy.address_of
     ) as cluster:
         leader = next(
-            b for b in cluster.controllers if cluster.status(b)["controller"]["leader"] == b
+            name
+            for name in cluster.controllers
+            if cluster.status(name)["controller"]["leader"] == name
         )
         pid = cluster.processes[leader].pid
         cpu = cpu_seconds(pid)
-        began = time.monotonic()
-        times, spreads, version = [], [], 0
+        start_s = time.monotonic()
+        confirm_ms, propagation_s, version = [], [], 0
         for number in range(_CHANGES):
-            taken, version = _confirm(cluster, cluster.boxes[number % 9], number)
-            times.append(taken)
+            elapsed_ms, version = _confirm(cluster, cluster.boxes[number % 9], number)
+            confirm_ms.append(elapsed_ms)
             if number % 25 == 0:
-                spreads.append(_seconds_until(cluster, version, cluster.boxes))
-        figures["confirm_ms_p50"] = statistics.median(times)
-        figures["confirm_ms_p99"] = statistics.quantiles(times, n=100)[98]
-        figures["in_force_on_9_boxes_s_max"] = max(spreads)
+                propagation_s.append(_seconds_until(cluster, version, cluster.boxes))
+        figures["confirm_ms_p50"] = statistics.median(confirm_ms)
+        figures["confirm_ms_p99"] = statistics.quantiles(confirm_ms, n=100)[98]
+        figures["in_force_on_9_boxes_s_max"] = max(propagation_s)
         figures["leader_cpu_s_a_change"] = (cpu_seconds(pid) - cpu) / _CHANGES
-        figures["changes_a_second"] = _CHANGES / (time.monotonic() - began)
+        figures["changes_a_second"] = _CHANGES / (time.monotonic() - start_s)
         controller = cluster.status(leader)["controller"]
         figures["bytes_written_a_change"] = controller["bytes_written"] / _CHANGES
         proxy.cut_zone("c")
@@ -74,11 +76,11 @@
         figures["catch_up_after_heal_s"] = _seconds_until(cluster, version, ["c1", "c2", "c3"])
         for box in cluster.boxes:
             cluster.kill(box)
-        began = time.monotonic()
+        start_s = time.monotonic()
         for box in cluster.boxes:
             cluster.start_box(box)
         cluster.wait_version(version)
-        figures["restart_of_all_s"] = time.monotonic() - began
+        figures["restart_of_all_s"] = time.monotonic() - start_s
     proxy.close()
     save_figures(__file__, figures)
 
--- a/benchmarks/drain.py
+++ b/benchmarks/drain.py
@@ -20,24 +20,28 @@
 def main() -> None:
     """Measure."""
     scenario = SCENARIOS["sahulat"]
-    sent = {}
+    confirm_times = {}
     rows = []
     with running_scenario(scenario) as cluster:
         rate = scenario.tasks_per_second * 0.6
         load = start_load(cluster, jobs_per_second=rate, seconds=_SECONDS)
         time.sleep(6)
         for name in ("aw1", "bw2", "cw1"):
-            sent[name] = time.time()
+            confirm_times[name] = time.time()
             cluster.confirm([{"kind": "worker-leaving", "name": name}])
             time.sleep(1)
         load.communicate(timeout=60)
         for spec in cluster.endpoints:
-            if spec.name in sent:
+            if spec.name in confirm_times:
                 fields = http("GET", f"http://127.0.0.1:{spec.port}/starts").fields
-                last = max(fields["first_start_s"].values()) - sent[spec.name]
-                starts = len(fields["first_start_s"])
+                last_start_s = max(fields["first_start_s"].values()) - confirm_times[spec.name]
+                start_count = len(fields["first_start_s"])
                 rows.append(
-                    {"worker": spec.name, "last_start_after_s": round(last, 3), "starts": starts}
+                    {
+                        "worker": spec.name,
+                        "last_start_after_s": round(last_start_s, 3),
+                        "starts": start_count,
+                    }
                 )
     save_figures(__file__, rows)
 
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -26,10 +26,10 @@
 _HEAL_S = 8.0
 _SECONDS = 13
 
-Act = Callable[[Cluster, FaultProxy], None]
+FaultAction = Callable[[Cluster, FaultProxy], None]
 
 
-def _manager(cluster: Cluster) -> str:
+def _lease_manager(cluster: Cluster) -> str:
     return next(box for box in cluster.boxes if "leases.fleet" in cluster.status(box)["gauges"])
 
 
@@ -37,13 +37,13 @@
     cluster.confirm([{"kind": "worker-leaving", "name": "aw1"}])
 
 
-def _nothing(_cluster: Cluster, _proxy: FaultProxy) -> None:
+def _no_action(_cluster: Cluster, _proxy: FaultProxy) -> None:
     return
 
 
-FAULTS: dict[str, tuple[Act, Act]] = {
-    "none": (_nothing, _nothing),
-    "workers of a zone killed": (lambda c, _p: c.kill("workers-a"), _nothing),
+FAULTS: dict[str, tuple[FaultAction, FaultAction]] = {
+    "none": (_no_action, _no_action),
+    "workers of a zone killed": (lambda c, _p: c.kill("workers-a"), _no_action),
     "workers of a zone frozen": (
         lambda c, _p: c.signal("workers-a", signal.SIGSTOP),
         lambda c, _p: c.signal("workers-a", signal.SIGCONT),
@@ -52,15 +52,15 @@
         lambda c, _p: c.control_endpoint("aw1", speed=0.1),
         lambda c, _p: c.control_endpoint("aw1", speed=1.0),
     ),
-    "a worker drained": (_drain, _nothing),
-    "lease manager killed": (lambda c, _p: c.kill(_manager(c)), _nothing),
+    "a worker drained": (_drain, _no_action),
+    "lease manager killed": (lambda c, _p: c.kill(_lease_manager(c)), _no_action),
     "zone cut and healed": (lambda _c, p: p.cut_zone("a"), lambda _c, p: p.heal()),
 }
 
 
 def run(name: str) -> dict[str, Any]:
     """Run one fault and return its figures."""
-    act, heal = FAULTS[name]
+    inject, heal = FAULTS[name]
     proxy = FaultProxy()
     scenario = SCENARIOS["sahulat"]
     try:
@@ -81,7 +81,7 @@
                 samples=file,
             )
             time.sleep(_FAULT_S + 1)
-            act(cluster, proxy)
+            inject(cluster, proxy)
             time.sleep(_HEAL_S - _FAULT_S)
             heal(cluster, proxy)
             load.communicate(timeout=120)
@@ -90,29 +90,32 @@
                 zone for zone in "abc" if cluster.processes[f"workers-{zone}"].poll() is None
             }
             cluster.endpoints = [spec for spec in cluster.endpoints if spec.zone in running]
-            most = max(cluster.starts().values())
+            max_starts = max(cluster.starts().values())
     finally:
         proxy.close()
-    return {"fault": name, **_figures(samples), "starts_of_a_task_max": most}
+    return {"fault": name, **_figures(samples), "starts_of_a_task_max": max_starts}
 
 
 def _figures(samples: list[Any]) -> dict[str, Any]:
-    by_second: dict[int, list[float]] = {}
-    for due, taken, ideal, outcome, _customer, _whole in samples:
+    delays_by_second: dict[int, list[float]] = {}
+    for due_s, response_ms, ideal, outcome, _customer, _whole in samples:
         if outcome == "complete":
-            by_second.setdefault(int(due), []).append(taken - ideal)
+            delays_by_second.setdefault(int(due_s), []).append(response_ms - ideal)
     p99 = {
-        second: sorted(extra)[int(len(extra) * 0.99)] for second, extra in sorted(by_second.items())
+        second: sorted(delays)[int(len(delays) * 0.99)]
+        for second, delays in sorted(delays_by_second.items())
     }
-    usual = max((p99[second] for second in p99 if 1 <= second < _FAULT_S), default=0.0)
-    late = [second for second in p99 if second >= _FAULT_S and p99[second] > 2 * usual + 50]
-    bad = [one[0] for one in samples if one[3] != "complete"]
-    last_bad = max([*late, *bad], default=_FAULT_S)
+    baseline_p99 = max((p99[second] for second in p99 if 1 <= second < _FAULT_S), default=0.0)
+    slow_seconds = [
+        second for second in p99 if second >= _FAULT_S and p99[second] > 2 * baseline_p99 + 50
+    ]
+    failed_seconds = [sample[0] for sample in samples if sample[3] != "complete"]
+    last_affected = max([*slow_seconds, *failed_seconds], default=_FAULT_S)
     return {
-        "outcomes": dict(Counter(one[3] for one in samples)),
-        "extra_ms_p99_before": round(usual, 1),
+        "outcomes": dict(Counter(sample[3] for sample in samples)),
+        "extra_ms_p99_before": round(baseline_p99, 1),
         "extra_ms_p99_worst_second": round(max(p99.values()), 1),
-        "steady_after_s": round(max(0.0, last_bad + 1 - _FAULT_S), 1),
+        "steady_after_s": round(max(0.0, last_affected + 1 - _FAULT_S), 1),
     }
 
 
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -14,7 +14,7 @@
 from rig import SCENARIOS, running_scenario, save_figures, start_load
 
 _SECONDS = 12
-_OFFERS = {"calm": 0.4, "flood": 1.6}
+_LOAD_SHARES = {"calm": 0.4, "flood": 1.6}
 
 
 def main() -> None:
@@ -22,10 +22,10 @@
     scenario = SCENARIOS["kestrelwood"]
     figures = {}
     with running_scenario(scenario) as cluster:
-        members = [{"kind": "member", "name": name, "quota": 1} for name in _OFFERS]
+        members = [{"kind": "member", "name": name, "quota": 1} for name in _LOAD_SHARES]
         cluster.wait_version(cluster.confirm(members))
         loads = {}
-        for seed, (name, share) in enumerate(_OFFERS.items()):
+        for seed, (name, share) in enumerate(_LOAD_SHARES.items()):
             loads[name] = start_load(
                 cluster,
                 jobs_per_second=scenario.tasks_per_second * share,
@@ -43,10 +43,10 @@
             samples = [
                 json.loads(line) for line in (cluster.folder / name).read_text().splitlines()
             ]
-            ratios = sorted(one[1] / one[2] for one in samples if one[3] == "complete")
+            ratios = sorted(sample[1] / sample[2] for sample in samples if sample[3] == "complete")
             figures[name] = {
-                "offered_share_of_slots": _OFFERS[name],
-                "outcomes": dict(Counter(one[3] for one in samples)),
+                "offered_share_of_slots": _LOAD_SHARES[name],
+                "outcomes": dict(Counter(sample[3] for sample in samples)),
                 "complete_of_offered": round(len(ratios) / len(samples), 3),
                 "response_over_ideal_p50": round(ratios[len(ratios) // 2], 2),
                 "response_over_ideal_p99": round(ratios[int(len(ratios) * 0.99)], 2),
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -13,13 +13,13 @@
 from pathlib import Path
 from typing import Any
 
-from rig import SCENARIOS, BoxCost, Scenario, box_cost, running_scenario, start_load
+from rig import SCENARIOS, ResourceUsage, Scenario, resource_usage, running_scenario, start_load
 
 from foldloom.cli.load import LoadOptions, LoadReport, Sample
 
 POLICIES = ("slot-leases", "least-local-count", "power-of-two", "random")
-_WASTED = "messages.wasted."
-_GENERATORS = 2
+_WASTED_PREFIX = "messages.wasted."
+_GENERATOR_COUNT = 2
 
 
 def measure(
@@ -37,9 +37,9 @@
         ) as cluster:
             _run(cluster, scenario, 1, 0.5, seed, 6)
             for tasks, share in points:
-                before = box_cost(cluster)
+                before = resource_usage(cluster)
                 report = _run(cluster, scenario, tasks, share, seed, seconds)
-                row = _row(report, before, box_cost(cluster), seconds)
+                row = _point_figures(report, before, resource_usage(cluster), seconds)
                 rows.append({"policy": policy, "tasks": tasks, "share": share, "seed": seed, **row})
                 print(json.dumps(rows[-1]), flush=True)
     return rows
@@ -49,8 +49,8 @@
     cluster: Any, scenario: Scenario, tasks: int, share: float, seed: int, seconds: int
 ) -> LoadReport:
     """Send the load from several processes, so that it is not they who are measured."""
-    rate = scenario.tasks_per_second * share / tasks / _GENERATORS
-    files = [cluster.folder / f"samples-{number}" for number in range(_GENERATORS)]
+    rate = scenario.tasks_per_second * share / tasks / _GENERATOR_COUNT
+    files = [cluster.folder / f"samples-{number}" for number in range(_GENERATOR_COUNT)]
     loads = [
         start_load(
             cluster,
@@ -73,32 +73,36 @@
     return LoadReport(LoadOptions(tasks=tasks), samples)
 
 
-def _row(measured: LoadReport, before: BoxCost, after: BoxCost, seconds: int) -> dict[str, Any]:
+def _point_figures(
+    load_report: LoadReport, before: ResourceUsage, after: ResourceUsage, seconds: int
+) -> dict[str, Any]:
     """Return the figures of one point."""
-    report = measured.fields()
-    counts = {key: after.counts[key] - before.counts.get(key, 0) for key in after.counts}
-    started = max(1, counts.get("tasks.started", 0))
-    wasted = {key: count for key, count in counts.items() if key.startswith(_WASTED) and count}
+    report_fields = load_report.fields()
+    counters = {key: after.counters[key] - before.counters.get(key, 0) for key in after.counters}
+    started = max(1, counters.get("tasks.started", 0))
+    wasted = {
+        key: count for key, count in counters.items() if key.startswith(_WASTED_PREFIX) and count
+    }
     sent = {
         key.removeprefix("messages.sent."): round(count / started, 3)
-        for key, count in sorted(counts.items())
+        for key, count in sorted(counters.items())
         if key.startswith("messages.sent.") and count
     }
-    ratios = report["response_over_ideal"]
-    complete = report["outcomes"].get("complete", 0)
+    ratios = report_fields["response_over_ideal"]
+    complete = report_fields["outcomes"].get("complete", 0)
     return {
-        "jobs": report["jobs"],
+        "jobs": report_fields["jobs"],
         "complete": complete,
-        "not_whole": report["not_whole"],
+        "not_whole": report_fields["not_whole"],
         "p50": ratios["p50"],
         "p99": ratios["p99"],
         "p99.9": ratios["p99.9"],
-        "refusal_ms_p50": report["refusal_ms"]["p50"],
-        "outcomes": report["outcomes"],
+        "refusal_ms_p50": report_fields["refusal_ms"]["p50"],
+        "outcomes": report_fields["outcomes"],
         "messages_a_task": round(sum(sent.values()) - sent.get("Heartbeat", 0), 3),
-        "envelopes_a_task": round(counts.get("envelopes.sent", 0) / started, 3),
+        "envelopes_a_task": round(counters.get("envelopes.sent", 0) / started, 3),
         "wasted_a_task": round(
-            (sum(wasted.values()) + counts.get("tasks.retried", 0)) / started, 4
+            (sum(wasted.values()) + counters.get("tasks.retried", 0)) / started, 4
         ),
         "sent_a_task": sent,
         "wasted": wasted,
--- a/benchmarks/placement_table.py
+++ b/benchmarks/placement_table.py
@@ -12,7 +12,7 @@
 _POLICIES = ("slot-leases", "least-local-count", "power-of-two", "random")
 
 
-def _replace(page: str, name: str, table: list[str], writer: str) -> str:
+def _replace_section(page: str, name: str, table: list[str], writer: str) -> str:
     begin, end = f"<!-- {name}: begin; written by {writer} -->", f"<!-- {name}: end -->"
     before, after = page.partition(begin)[0], page.partition(end)[2]
     return f"{before}{begin}\n\n" + "\n".join(table) + f"\n\n{end}{after}"
@@ -28,10 +28,19 @@
     for tasks, share in points:
         cells = []
         for policy in _POLICIES:
-            found = [
-                r for r in rows if (r["policy"], r["tasks"], r["share"]) == (policy, tasks, share)
+            matching_rows = [
+                candidate
+                for candidate in rows
+                if (candidate["policy"], candidate["tasks"], candidate["share"])
+                == (policy, tasks, share)
             ]
-            cells.append(", ".join(f"{r['p50']:.2f} / {r['p99']:.2f}" for r in found) or "not run")
+            cells.append(
+                ", ".join(
+                    f"{candidate['p50']:.2f} / {candidate['p99']:.2f}"
+                    for candidate in matching_rows
+                )
+                or "not run"
+            )
         lines.append(f"| {tasks}, {share:.0%} | " + " | ".join(cells) + " |")
     lines += [
         "",
@@ -74,9 +83,9 @@
     page = _PAGE.read_text(encoding="utf-8")
     writer = "benchmarks/placement_table.py"
     rows = [json.loads(line) for line in (_HERE / "placement.jsonl").read_text().splitlines()]
-    page = _replace(page, "placement", placement_table(rows), writer)
+    page = _replace_section(page, "placement", placement_table(rows), writer)
     faults = json.loads((_HERE / "faults.json").read_text())
-    page = _replace(page, "faults", fault_table(faults), writer)
+    page = _replace_section(page, "faults", fault_table(faults), writer)
     _PAGE.write_text(page, encoding="utf-8")
 
 
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -17,7 +17,7 @@
 
 from cluster import Cluster  # noqa: E402
 
-_TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
+_CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 MEAN_TASK_MS = 275.0
 
@@ -48,7 +48,7 @@
 SCENARIOS = {"sahulat": Scenario("sahulat"), "kestrelwood": Scenario("kestrelwood")}
 
 
-class BoxCost(NamedTuple):
+class ResourceUsage(NamedTuple):
     """What the boxes have used so far, added up.
 
     Args:
@@ -59,7 +59,7 @@
 
     cpu_s: float
     rss_bytes: int
-    counts: dict[str, int]
+    counters: dict[str, int]
 
 
 @contextmanager
@@ -91,9 +91,9 @@
     print(text)
 
 
-def box_cost(cluster: Cluster, boxes: list[str] | None = None) -> BoxCost:
+def resource_usage(cluster: Cluster, boxes: list[str] | None = None) -> ResourceUsage:
     """Return what the boxes have used so far."""
-    counts: dict[str, int] = {}
+    counters: dict[str, int] = {}
     cpu_s = 0.0
     rss_bytes = 0
     for box in boxes or cluster.boxes:
@@ -101,14 +101,14 @@
         cpu_s += cpu_seconds(pid)
         rss_bytes = max(rss_bytes, resident_bytes(pid))
         for name, count in cluster.status(box)["metrics"].items():
-            counts[name] = counts.get(name, 0) + count
-    return BoxCost(cpu_s, rss_bytes, counts)
+            counters[name] = counters.get(name, 0) + count
+    return ResourceUsage(cpu_s, rss_bytes, counters)
 
 
 def cpu_seconds(pid: int) -> float:
     """Return the processor seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / _TICKS_A_SECOND
+    return (int(fields[11]) + int(fields[12])) / _CLOCK_TICKS_PER_S
 
 
 def resident_bytes(pid: int) -> int:
--- a/benchmarks/score_table.py
+++ b/benchmarks/score_table.py
@@ -14,10 +14,10 @@
 _PAGE = _ROOT / "docs" / "design" / "scheduling.md"
 _BEGIN = "<!-- scores: begin; written by benchmarks/score_table.py -->"
 _END = "<!-- scores: end -->"
-_PRICES_TOLD = 3
+_PRICES_SHOWN = 3
 
 
-class Entry(NamedTuple):
+class ScoreRun(NamedTuple):
     """A run of the users' bench.
 
     Args:
@@ -33,19 +33,19 @@
     days: list[dict[str, Any]]
 
 
-def read_scores(folder: Path) -> list[Entry]:
+def read_scores(folder: Path) -> list[ScoreRun]:
     """Return the whole scores in *folder*, the newest of each site."""
-    newest: dict[str, Entry] = {}
+    latest_by_site: dict[str, ScoreRun] = {}
     for path in sorted(folder.glob("*.json")):
         fields = json.loads(path.read_text(encoding="utf-8"))
-        is_whole = fields["cmd"] == "score" and "--quick" not in fields["argv"]
-        if is_whole and fields.get("score") is not None:
-            entry = Entry(fields["id"], fields["site"], fields["score"], fields["days"])
-            newest[entry.site] = entry
-    return list(newest.values())
+        is_full_score = fields["cmd"] == "score" and "--quick" not in fields["argv"]
+        if is_full_score and fields.get("score") is not None:
+            entry = ScoreRun(fields["id"], fields["site"], fields["score"], fields["days"])
+            latest_by_site[entry.site] = entry
+    return list(latest_by_site.values())
 
 
-def score_table(entries: list[Entry]) -> list[str]:
+def score_table(entries: list[ScoreRun]) -> list[str]:
     """Return the table: each day's score, worth, floor, weakest part and dearest prices."""
     lines = [
         "| site, run | day | score | worth | marks 0 and 1 | whole, worst windows, kind, zone "
@@ -53,23 +53,23 @@
         "|---" * 9 + "|",
     ]
     for entry in entries:
-        lines.extend(_row(entry, day) for day in entry.days)
+        lines.extend(_day_row(entry, day) for day in entry.days)
         lines.append(f"| {entry.site}, {entry.run} | **site** | **{entry.score}** | | | | | | |")
     return lines
 
 
-def _row(entry: Entry, day: dict[str, Any]) -> str:
+def _day_row(entry: ScoreRun, day: dict[str, Any]) -> str:
     parts = {name.split()[-1]: value for name, _, value in day["parts"]}
-    told = ", ".join(
+    components = ", ".join(
         f"{parts[name]:.2f}" for name in ("day", "windows", "class", "zone") if name in parts
     )
-    dearest = sorted(day["prices"], key=lambda price: -price[2])[:_PRICES_TOLD]
-    prices = ", ".join(f"{name} {price:.3f}" for name, _, price in dearest if price > 0)
-    broken = ", ".join(f"{rule} {count}" for rule, count in day["rules"].items()) or "none"
+    highest_prices = sorted(day["prices"], key=lambda price: -price[2])[:_PRICES_SHOWN]
+    prices = ", ".join(f"{name} {price:.3f}" for name, _, price in highest_prices if price > 0)
+    broken_rules = ", ".join(f"{rule} {count}" for rule, count in day["rules"].items()) or "none"
     return (
         f"| {entry.site}, {entry.run} | {day['name']} | {day['score']:.2f} | {day['G']:.3f} "
-        f"| {day['naive']:.2f}, {day['top']:.2f} | {told} "
-        f"| {day['refused']:.3f}, {day['failed']:.3f} | {prices} | {broken} |"
+        f"| {day['naive']:.2f}, {day['top']:.2f} | {components} "
+        f"| {day['refused']:.3f}, {day['failed']:.3f} | {prices} | {broken_rules} |"
     )
 
 
--- a/examples/run_local.py
+++ b/examples/run_local.py
@@ -32,15 +32,15 @@
         url = cluster.url("a1")
         print(f"Boxes are up; settings, logs and data are in {folder}.")
         print(cluster.cli("status", "--url", url).stdout)
-        began = time.monotonic()
-        answered = cluster.cli("submit", str(job), "--url", url)
-        print(answered.stdout or answered.stderr)
-        print(f"One job of {len(_JOB['tasks'])} tasks in {time.monotonic() - began:.2f} s.")
+        start_s = time.monotonic()
+        submission = cluster.cli("submit", str(job), "--url", url)
+        print(submission.stdout or submission.stderr)
+        print(f"One job of {len(_JOB['tasks'])} tasks in {time.monotonic() - start_s:.2f} s.")
         if "--keep" in sys.argv:
             print(f"FOLDLOOM_URL={url} FOLDLOOM_TOKEN={TOKEN}; Ctrl-C ends it.")
             time.sleep(3600)
-        if answered.returncode:
-            raise SystemExit(answered.returncode)
+        if submission.returncode:
+            raise SystemExit(submission.returncode)
 
 
 if __name__ == "__main__":
--- a/tests/test_broken.py
+++ b/tests/test_broken.py
@@ -11,29 +11,29 @@
 _ROOT = Path(__file__).parent.parent
 
 
-def _breaks() -> list[Any]:
+def _mutations() -> list[Any]:
     path = _ROOT / "benchmarks" / "broken.py"
     spec = importlib.util.spec_from_file_location("broken", path)
     assert spec is not None
     assert spec.loader is not None
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
-    return list(module.BREAKS)
+    return list(module.MUTATIONS)
 
 
 def _has_test(name: str) -> bool:
     file, *names = name.split("::")
     body: list[ast.stmt] = ast.parse((_ROOT / file).read_text()).body
-    for wanted in names:
+    for part in names:
         found = [
             node
             for node in body
-            if isinstance(node, ast.ClassDef | ast.FunctionDef) and node.name == wanted
+            if isinstance(node, ast.ClassDef | ast.FunctionDef) and node.name == part
         ]
         # A state machine's test case is an assignment.
         if not found:
             return any(
-                isinstance(node, ast.Assign) and ast.unparse(node.targets[0]) == wanted
+                isinstance(node, ast.Assign) and ast.unparse(node.targets[0]) == part
                 for node in body
             )
         body = found[0].body
@@ -46,12 +46,12 @@
     def test_mechanisms_stand_in_the_code(self) -> None:
         """The text that a row takes out is in its file."""
         missing = [
-            one.name
-            for one in _breaks()
-            if one.old not in (_ROOT / "src" / "foldloom" / one.file).read_text()
+            mutation.name
+            for mutation in _mutations()
+            if mutation.old not in (_ROOT / "src" / "foldloom" / mutation.file).read_text()
         ]
         assert missing == []
 
     def test_tests_exist(self) -> None:
         """The test that a row names is there."""
-        assert [one.name for one in _breaks() if not _has_test(one.test)] == []
+        assert [mutation.name for mutation in _mutations() if not _has_test(mutation.test)] == []
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -16,7 +16,7 @@
 from foldloom.static_peers.placement.messages import SlotGrant, SlotRequest, SlotReturn, SlotUse
 
 _ID = "0f8fad5b-d9cb-469f-a165-70867728950e"
-_LIFE = 1_790_000_000_000
+_INCARNATION = 1_790_000_000_000
 _LEASE = 2**62
 
 
@@ -27,9 +27,14 @@
         ("message", "most"),
         [
             (Heartbeat(4, False, True, [ShardLoad("fleet", 99, 9, 0.0)], "", True, 3), 36),
-            (ClaimRequest(_ID, "ab" * 16, _LIFE, 1, 0), 90),
-            (ClaimReply(Vote.GRANTED, _LIFE, {"a1": _LIFE, "b1": _LIFE}, []), 40),
-            (Withdraw(_ID, _LIFE, 1), 50),
+            (ClaimRequest(_ID, "ab" * 16, _INCARNATION, 1, 0), 90),
+            (
+                ClaimReply(
+                    Vote.GRANTED, _INCARNATION, {"a1": _INCARNATION, "b1": _INCARNATION}, []
+                ),
+                40,
+            ),
+            (Withdraw(_ID, _INCARNATION, 1), 50),
             (SlotRequest(9_999, "fleet", "sleep", "team-001", 1, 30_000, 1), 40),
             (SlotGrant(9_999, "worker-0001", _LEASE, 2_000), 30),
             (SlotReturn(_LEASE, "worker-0001", "sleep", 275.5, SlotUse.DONE), 45),
@@ -41,9 +46,9 @@
 
     def test_envelope(self) -> None:
         """An envelope of one message adds at most 48 bytes to its body."""
-        body = encode_body(Withdraw(_ID, _LIFE, 1))
-        frame = Frame(kind_of(Withdraw(_ID, _LIFE, 1)), 2**30, 0, 1_000, body)
-        envelope = Envelope("box-in-zone-a", _LIFE, 2**31, [frame])
+        body = encode_body(Withdraw(_ID, _INCARNATION, 1))
+        frame = Frame(kind_of(Withdraw(_ID, _INCARNATION, 1)), 2**30, 0, 1_000, body)
+        envelope = Envelope("box-in-zone-a", _INCARNATION, 2**31, [frame])
         assert len(encode_envelope(envelope)) - len(body) <= 48
 
     def test_claim_in_memory(self) -> None:
@@ -53,10 +58,10 @@
         table = ClaimTable(10**9, 10**7)
         for number in range(count):
             submission = f"0f8fad5b-d9cb-469f-a165-{number:012d}"
-            table.judge(submission, Claim("ab" * 16, f"box{number % 9}", _LIFE, 1), number)
-        taken = tracemalloc.get_traced_memory()[0]
+            table.judge(submission, Claim("ab" * 16, f"box{number % 9}", _INCARNATION, 1), number)
+        traced_bytes = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
-        assert taken / count < 500
+        assert traced_bytes / count < 500
 
 
 class TestMessagesPerJob:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -28,7 +28,7 @@
 _TESTS = "\n".join(path.read_text() for path in (_ROOT / "tests").rglob("*.py"))
 
 
-def _named(page: str) -> set[str]:
+def _backticked_names(page: str) -> set[str]:
     """Return what stands in backticks on a page, its blocks of code left out."""
     text = re.sub(r"```.*?```", "", (_ROOT / page).read_text(), flags=re.DOTALL)
     return set(re.findall(r"`([^`\n]+)`", text))
@@ -37,8 +37,8 @@
 def _exists(path: str) -> bool:
     code = _ROOT / "src" / "foldloom"
     paths = (code / "static_peers", code / "seed_discovery")
-    places = (_ROOT, code, *paths, _ROOT / "tests", _ROOT / "docs")
-    return any((place / path).exists() or any(place.glob(path)) for place in places)
+    folders = (_ROOT, code, *paths, _ROOT / "tests", _ROOT / "docs")
+    return any((folder / path).exists() or any(folder.glob(path)) for folder in folders)
 
 
 class TestMetrics:
@@ -48,8 +48,8 @@
         """A name that the code completes, as ``thing.{reason}``, stands there as ``thing.*``."""
         used = set(re.findall(r'\.(?:count|gauge|timing)\(\s*f?"([^"{]+)', _CODE))
         assert "messages.sent." in used
-        listed = {f"{name}*" if name.endswith(".") else name for name in used}
-        assert listed - _named("docs/OPERATIONS.md") == set()
+        documented = {f"{name}*" if name.endswith(".") else name for name in used}
+        assert documented - _backticked_names("docs/OPERATIONS.md") == set()
 
 
 @pytest.mark.parametrize("page", _PAGES)
@@ -58,7 +58,7 @@
 
     def test_files(self, page: str) -> None:
         """A Python file, by its place in the repository, in foldloom or among the tests."""
-        files = {name.partition("::")[0] for name in _named(page)}
+        files = {name.partition("::")[0] for name in _backticked_names(page)}
         missing = {
             name for name in files if re.fullmatch(r"[\w/*.-]+\.py", name) and not _exists(name)
         }
@@ -67,19 +67,25 @@
     def test_modules(self, page: str) -> None:
         """A module without its ending, as ``room/module``."""
         paths = "static_peers|seed_discovery"
-        rooms = "owners|scheduling|entry|claims|controllers|fleet|placement|endpoints|peers|jobs"
-        form = rf"(({paths})/)?({rooms})/\w+"
-        modules = {name for name in _named(page) if re.fullmatch(form, name)}
+        packages = "owners|scheduling|entry|claims|controllers|fleet|placement|endpoints|peers|jobs"
+        pattern = rf"(({paths})/)?({packages})/\w+"
+        modules = {name for name in _backticked_names(page) if re.fullmatch(pattern, name)}
         assert {name for name in modules if not _exists(f"{name}.py")} == set()
 
     def test_tests(self, page: str) -> None:
         """A test class or function, whatever file it is said to be in."""
-        named = {part for name in _named(page) for part in name.split("::")[1:]}
-        named |= {name for name in _named(page) if re.fullmatch(r"test_\w+", name)}
-        named |= {name for name in _named(page) if re.fullmatch(r"Test[A-Z]\w+", name)}
+        referenced_tests = {
+            part for name in _backticked_names(page) for part in name.split("::")[1:]
+        }
+        referenced_tests |= {
+            name for name in _backticked_names(page) if re.fullmatch(r"test_\w+", name)
+        }
+        referenced_tests |= {
+            name for name in _backticked_names(page) if re.fullmatch(r"Test[A-Z]\w+", name)
+        }
         missing = {
             name
-            for name in named
+            for name in referenced_tests
             if not re.search(
                 rf"(class|def) {re.escape(name)}\b|^{re.escape(name)} = ", _TESTS, re.M
             )
@@ -89,7 +95,13 @@
 
     def test_events(self, page: str) -> None:
         """An event of the logs, as ``thing.what_happened``."""
-        things = "job|run|runs|owner|endpoint|session|config|controller|box|process|seeds|settings"
-        events = {name for name in _named(page) if re.fullmatch(rf"({things})\.[a-z_]+", name)}
+        subjects = (
+            "job|run|runs|owner|endpoint|session|config|controller|box|process|seeds|settings"
+        )
+        events = {
+            name
+            for name in _backticked_names(page)
+            if re.fullmatch(rf"({subjects})\.[a-z_]+", name)
+        }
         events -= {name for name in events if name.endswith(".py")} | _NOT_EVENTS
         assert {name for name in events if f'"{name}"' not in _CODE} == set()
