--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,2 +1,2 @@
 # SPDX-License-Identifier: MIT
-"""Benchmarks: run by hand, never by CI."""
+"""Benchmarks, run by hand and not in CI."""
--- a/benchmarks/bare.py
+++ b/benchmarks/bare.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Task starts a second a core: an entry box beside a bare aiohttp client, in the same run.
+"""Compare task starts per CPU second of an entry box with those of a plain aiohttp client.
 
 Run: ``.venv/bin/python benchmarks/bare.py``. Writes ``benchmarks/bare.json``.
 """
@@ -22,7 +22,7 @@
 
 
 async def _post_directly(urls: list[str]) -> dict[str, float]:
-    """Post to the endpoints as fast as the client can, 256 at a time."""
+    """Post to the endpoints as fast as the client can, with 256 requests in flight."""
     body = {"attempt": "x", "lease": 1, "service": "sleep", "member": "m1", "deadline_ms": 1000}
     data = json.dumps({**body, "payload": {"ms": 1, "pad": "x" * 100}}).encode()
     numbers = iter(range(_POSTS))
@@ -41,7 +41,7 @@
 
 
 def main() -> None:
-    """Measure both, twice, interleaved."""
+    """Measure client and box in turn, two rounds."""
     rows: list[dict[str, Any]] = []
     with running_cluster(zones="a", controllers=1, endpoints_per_zone=8) as cluster:
         urls = [f"http://127.0.0.1:{spec.port}" for spec in cluster.endpoints]
--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Break one mechanism at a time on a scratch copy and see its test fail.
+"""Mutation tests: disable one mechanism at a time and check that its test fails.
 
 Run: ``.venv/bin/python benchmarks/broken.py [NAME ...]``. Writes ``benchmarks/broken.json``
-and the table of docs/proofs.md. The tree itself is never changed.
+and the table of docs/proofs.md. Each mutation is applied to a scratch copy of the tree.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 
 
 class Mutation(NamedTuple):
-    """One mechanism taken out.
+    """A mutation that disables one mechanism.
 
     Args:
-        name: What is taken out.
-        file: Below ``src/foldloom``.
-        old: The text that stands there.
-        new: What replaces it.
+        name: The mechanism.
+        file: Path below ``src/foldloom``.
+        old: Text to replace.
+        new: Its replacement.
         test: The test that must fail.
     """
 
@@ -692,7 +692,7 @@
 
 
 def run_one(mutation: Mutation) -> dict[str, object]:
-    """Break a scratch copy, run the test there, and return what came of it."""
+    """Apply *mutation* to a scratch copy, run its test there, and return the result."""
     copy_dir = Path(tempfile.mkdtemp(prefix="foldloom-broken-"))
     try:
         for name in ("src", "tests", "examples"):
@@ -706,7 +706,7 @@
             return {**mutation._asdict(), "result": "text not found"}
         path.write_text(text.replace(mutation.old, mutation.new), encoding="utf-8")
         environment = {**os.environ, "PYTHONPATH": str(copy_dir / "src")}
-        # In one process: with several, a run that -x cuts short exits with 2, like a usage error.
+        # One process: with several, a run stopped by -x exits with 2, like a usage error.
         options = ["-x", "-n", "0", "-p", "no:cacheprovider"]
         command = [sys.executable, "-m", "pytest", *options, mutation.test]
         completed = subprocess.run(
@@ -730,7 +730,7 @@
 
 
 def main() -> None:
-    """Run the breaks named, or all, and write the results."""
+    """Run the mutations named on the command line, or all, and write the results."""
     selected = [
         mutation for mutation in MUTATIONS if not sys.argv[1:] or mutation.name in sys.argv[1:]
     ]
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Measure the slopes of docs/CAPACITY.md and write its tables anew.
+"""Measure the slopes of docs/CAPACITY.md and write its tables.
 
-Run: ``.venv/bin/python benchmarks/capacity.py`` (measure, then write) or with ``--tables``
-(write from the committed figures). Raw figures go to ``benchmarks/capacity.json``.
+Run: ``.venv/bin/python benchmarks/capacity.py``; with ``--tables`` it only writes the tables, from
+the committed figures. Writes the raw figures to ``benchmarks/capacity.json``.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 
 def make_config(endpoints: int, customers: int) -> Config:
-    """Return a configuration of that size."""
+    """Return a configuration with the given numbers of endpoints and customers."""
     config = empty_config({"a1": "a"}, {"a1": "?"})
     return config._replace(
         services={"sleep": Service(workers=["*"], concurrency_max=0, restart="never")},
@@ -89,7 +89,7 @@
 
 
 def claim_votes() -> list[list[float]]:
-    """Return (votes, processor seconds) pairs."""
+    """Return (votes, CPU seconds) pairs."""
     rows = []
     for count in (10_000, 20_000, 40_000, 80_000):
         table = ClaimTable(10**9, 10**7)
@@ -101,7 +101,7 @@
 
 
 def placement_decisions() -> list[list[float]]:
-    """Return (endpoints of a shard, microseconds a task: request, grant, return) pairs."""
+    """Return (endpoints of a shard, CPU microseconds of request, grant and return) pairs."""
     rows = []
     for endpoints in (16, 32, 64, 128, 256):
         config = make_config(endpoints, 1)
@@ -123,7 +123,7 @@
 
 
 def customer_decisions() -> list[list[float]]:
-    """Return (customers queued, microseconds a task) pairs: every customer has work queued."""
+    """Return (customers, CPU microseconds per task) pairs; every customer has tasks queued."""
     rows = []
     for customers in (60, 120, 240, 480):
         config = make_config(64, customers)
@@ -148,7 +148,7 @@
 
 
 def config_bytes() -> dict[str, list[list[float]]]:
-    """Return bytes of an encoded configuration by endpoints and by customers."""
+    """Return the encoded size of a configuration by endpoints and by customers."""
     sizes = (200, 400, 800, 1_600)
     return {
         "config_bytes_by_workers": [[n, len(encode_config(make_config(n, 0)))] for n in sizes],
@@ -157,7 +157,7 @@
 
 
 def change_costs() -> dict[str, list[list[float]]]:
-    """Return log bytes, snapshot bytes and processor seconds by configuration changes."""
+    """Return log size, snapshot size and CPU seconds by number of configuration changes."""
     log_bytes, snapshot_bytes, seconds = [], [], []
     for count in (100, 200, 400, 800):
         state = ReplicatedState(make_config(1_700, 480))
@@ -180,7 +180,7 @@
 
 
 def idle_costs() -> dict[str, list[list[float]]]:
-    """Return processor share, bytes a second and memory of a box by the number of boxes."""
+    """Return CPU share, traffic and memory of an idle box by number of boxes."""
     rows: dict[str, list[list[float]]] = {
         "idle_cpu_share_by_boxes": [],
         "idle_bytes_per_s_by_boxes": [],
@@ -208,7 +208,7 @@
 
 
 def task_costs() -> dict[str, list[list[float]]]:
-    """Return processor seconds a second of all boxes by task rate, for single-task jobs."""
+    """Return the CPU share of all boxes by task rate, for single-task jobs and jobs of 64."""
     rows: dict[str, list[list[float]]] = {"cpu_by_single_task_jobs": [], "cpu_by_batched_tasks": []}
     for key, tasks in (("cpu_by_single_task_jobs", 1), ("cpu_by_batched_tasks", 64)):
         with running_cluster(boxes_per_zone=1, endpoints_per_zone=8) as cluster:
@@ -231,7 +231,7 @@
 
 
 def job_costs() -> dict[str, list[list[float]]]:
-    """Return memory of a coordinator by tasks in flight, and the time of one large job."""
+    """Return a coordinator's memory by retained jobs, and its CPU seconds by size of one job."""
     memory, job_cpu = [], []
     with running_cluster(zones="a", controllers=1, endpoints_per_zone=8) as cluster:
         pid = cluster.processes["a1"].pid
@@ -272,7 +272,7 @@
 
 
 def main() -> None:
-    """Measure unless told not to, then write the tables."""
+    """Measure unless ``--tables`` is given, then write the tables."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--tables", action="store_true")
     options = parser.parse_args()
--- a/benchmarks/capacity_tables.py
+++ b/benchmarks/capacity_tables.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Slopes from raw figures, and the tables of docs/CAPACITY.md made from them."""
+"""Fit slopes to the raw figures and write the tables of docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Slope(NamedTuple):
-    """A least-squares line: ``value = base + slope * size``; ``error`` is the slope's own."""
+    """A least-squares line; ``slope_error`` is the standard error of the slope."""
 
     intercept: float
     slope: float
@@ -35,12 +35,12 @@
     r_squared: float
 
     def value_at(self, size: float) -> float:
-        """Return the line's value at *size*."""
+        """Return the value of the line at *size*."""
         return self.intercept + self.slope * size
 
 
 class Row(NamedTuple):
-    """One line of the table at the letter's size."""
+    """One row of the capacity table at the target size."""
 
     role: str
     metric: str
@@ -52,7 +52,7 @@
 
 
 def slope_of(pairs: list[list[float]]) -> Slope:
-    """Return the least-squares line through *pairs*, with the slope's standard error."""
+    """Return the least-squares line through *pairs*."""
     count = len(pairs)
     mean_x = sum(x for x, _ in pairs) / count
     mean_y = sum(y for _, y in pairs) / count
@@ -68,7 +68,7 @@
 
 
 def capacity_rows(slopes: dict[str, Slope]) -> list[Row]:
-    """Return what each role costs at the letter's size."""
+    """Return the cost of each role at the target size."""
     boxes = ENTRY_BOXES
     tasks = TASKS_PER_S / boxes
     jobs = tasks / MEAN_JOB_TASKS
@@ -269,7 +269,7 @@
 
 
 def write_tables(figures: dict[str, Any]) -> None:
-    """Write the page's tables from *figures*."""
+    """Replace the tables of the page by those of *figures*."""
     slopes = {name: slope_of(pairs) for name, pairs in figures.items()}
     page = PAGE.read_text(encoding="utf-8")
     before, _, rest = page.partition(_BEGIN)
@@ -309,7 +309,7 @@
 
 
 def _rounded(value: float) -> str:
-    """Return *value* with three significant digits."""
+    """Format *value* with three significant digits."""
     if value == 0:
         return "0"
     digits = max(0, 2 - math.floor(math.log10(abs(value))))
--- a/benchmarks/claim_delay.py
+++ b/benchmarks/claim_delay.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The delay that a claim adds to a job, from the boxes' own timers, without load and with some.
+"""Measure the delay that a claim adds to a job, at three job rates.
 
-Run: ``.venv/bin/python benchmarks/claim_delay.py``. Nine boxes on loopback; the timers arrive by
-statsd. Writes ``benchmarks/claim_delay.json``.
+Run: ``.venv/bin/python benchmarks/claim_delay.py``. Nine boxes on loopback send their claim timers
+by statsd. Writes ``benchmarks/claim_delay.json``.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def _collect(listener: socket.socket, times_ms: list[float]) -> None:
-    """Take claim timers until the socket is closed."""
+    """Append claim timers to *times_ms* until the socket is closed."""
     while True:
         try:
             text = listener.recv(65_536).decode()
--- a/benchmarks/confirm.py
+++ b/benchmarks/confirm.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Time confirms, their spread over nine boxes, restarts and catch-up after a cut.
+"""Measure confirms, their propagation to nine boxes, restarts and catch-up after a partition.
 
-Run: ``.venv/bin/python benchmarks/confirm.py``. Real fsync, and 5 ms added to each sync.
+Run: ``.venv/bin/python benchmarks/confirm.py``. Uses real fsync, with 5 ms added to each.
 Writes ``benchmarks/confirm.json``.
 """
 
@@ -24,7 +24,7 @@
 
 
 def _confirm(cluster: Cluster, box: str, number: int) -> tuple[float, int]:
-    """Return a confirm's milliseconds (the plan not counted) and its version."""
+    """Confirm a change; return its latency in milliseconds, without the plan, and its version."""
     intents = [{"kind": "member", "name": "m1", "quota": 1000 + number}]
     digest = cluster.plan(box, intents).fields["digest"]
     start_s = time.monotonic()
@@ -40,7 +40,7 @@
 
 
 def main() -> None:
-    """Measure."""
+    """Run the measurements."""
     proxy = FaultProxy()
     overrides = {"timings": {"sync_delay_ms": 5}}
     figures: dict[str, Any] = {}
--- a/benchmarks/drain.py
+++ b/benchmarks/drain.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""When the last task starts on an endpoint that is drained under load.
+"""Measure the time of the last task start on an endpoint that is drained under load.
 
-Run: ``.venv/bin/python benchmarks/drain.py``. Nine boxes, 60% of the slots, three fast endpoints
-drained one after the other; times count from the moment that the confirm was sent. Writes
-``benchmarks/drain.json``.
+Run: ``.venv/bin/python benchmarks/drain.py``. Nine boxes at 60% of the slots; three fast endpoints
+are drained in turn. Times count from sending the confirm. Writes ``benchmarks/drain.json``.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 
 
 def main() -> None:
-    """Measure."""
+    """Run the measurements."""
     scenario = SCENARIOS["sahulat"]
     confirm_times = {}
     rows = []
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What a fault costs under load: jobs failed, delay, time until it is steady again.
+"""Measure failed jobs, delay and recovery time of faults under load.
 
-Run: ``.venv/bin/python benchmarks/faults.py [NAME ...]``. 60% of the slots, lone tasks, nine
-boxes; the fault comes at 4 s and goes at 8 s. Writes ``benchmarks/faults.json``.
+Run: ``.venv/bin/python benchmarks/faults.py [NAME ...]``. Nine boxes, single-task jobs, 60% of the
+slots; the fault is injected at 4 s and undone at 8 s. Writes ``benchmarks/faults.json``.
 """
 
 from __future__ import annotations
@@ -120,7 +120,7 @@
 
 
 def main() -> None:
-    """Run the faults named, or all."""
+    """Run the faults named on the command line, or all."""
     rows = []
     for name in sys.argv[1:] or FAULTS:
         rows.append(run(name))
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What a member gets while another one floods, at twice the load.
+"""Measure the service of a customer while another one overloads the system.
 
-Run: ``.venv/bin/python benchmarks/flood.py``. Two members of equal quota; one offers 40% of all
-slots, under its half, the other 160%. Writes ``benchmarks/flood.json``.
+Run: ``.venv/bin/python benchmarks/flood.py``. Two customers of equal quota; one offers 40% of all
+slots, below its share, the other 160%. Writes ``benchmarks/flood.json``.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def main() -> None:
-    """Measure."""
+    """Run the measurement."""
     scenario = SCENARIOS["kestrelwood"]
     figures = {}
     with running_scenario(scenario) as cluster:
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Response over ideal, messages and cost, for each policy, load and job size.
+"""Compare placement policies by response time, messages and CPU, for each load and job size.
 
-Run: ``.venv/bin/python benchmarks/placement.py [--quick] [--out FILE]``. Policies are
-interleaved: for each seed, every policy runs every point before the next seed begins.
-Ideal is the longest of a job's tasks' own times on a full-speed endpoint.
+Run: ``.venv/bin/python benchmarks/placement.py [--out FILE]``. Policies are interleaved: for each
+seed, every policy runs every point. The ideal response time of a job is that of its longest task on
+a full-speed endpoint.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     seed: int,
     seconds: int,
 ) -> list[dict[str, Any]]:
-    """Return one row for each policy and point (tasks a job, share of all slots)."""
+    """Return one row for each policy and point (tasks per job, share of all slots)."""
     rows = []
     for policy in policies:
         with running_scenario(
@@ -48,7 +48,7 @@
 def _run(
     cluster: Any, scenario: Scenario, tasks: int, share: float, seed: int, seconds: int
 ) -> LoadReport:
-    """Send the load from several processes, so that it is not they who are measured."""
+    """Send load from several processes, so that the load generator is not the bottleneck."""
     rate = scenario.tasks_per_second * share / tasks / _GENERATOR_COUNT
     files = [cluster.folder / f"samples-{number}" for number in range(_GENERATOR_COUNT)]
     loads = [
@@ -113,7 +113,7 @@
 
 
 def main() -> None:
-    """Measure and write the rows."""
+    """Run the measurements; write the rows if ``--out`` is given."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--scenario", default="sahulat", choices=SCENARIOS)
     parser.add_argument("--policies", default=",".join(POLICIES))
--- a/benchmarks/placement_table.py
+++ b/benchmarks/placement_table.py
@@ -19,7 +19,7 @@
 
 
 def placement_table(rows: list[dict[str, Any]]) -> list[str]:
-    """Return the table of policies, and what slot leases cost."""
+    """Return the tables of policies and of the cost of slot leases."""
     points = sorted({(row["tasks"], row["share"]) for row in rows})
     lines = [
         "| tasks a job, load | " + " | ".join(_POLICIES) + " |",
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What the benchmarks share: scenarios, clusters, processor time and messages of boxes."""
+"""Helpers of the benchmarks: scenarios, clusters, load, and resource usage of boxes."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 class Scenario(NamedTuple):
-    """A size of today.
+    """The size of a deployment with three zones.
 
     Args:
-        name: Whose.
-        boxes_per_zone: Entry boxes in each of three zones.
-        endpoints_per_zone: Endpoints in each; each third one runs at half speed.
-        slots: Slots of an endpoint.
+        name: Name of the deployment.
+        boxes_per_zone: Entry boxes per zone.
+        endpoints_per_zone: Endpoints per zone; every third one runs at half speed.
+        slots: Slots per endpoint.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
     @property
     def tasks_per_second(self) -> float:
-        """The rate that keeps every slot busy, with tasks of 50 to 500 ms."""
+        """The task rate at which all slots are busy, with tasks of 50 to 500 ms."""
         endpoints = 3 * self.endpoints_per_zone
         slow = endpoints // 3
         return (endpoints - slow + slow * 0.5) * self.slots / (MEAN_TASK_MS / 1_000)
@@ -49,12 +49,12 @@
 
 
 class ResourceUsage(NamedTuple):
-    """What the boxes have used so far, added up.
+    """Resources that boxes have used since their start.
 
     Args:
-        cpu_s: Processor seconds, user and system.
+        cpu_s: User and system CPU seconds of all boxes.
         rss_bytes: Resident memory of the largest box.
-        counts: Every counter, added up over the boxes.
+        counters: Sum of each counter over the boxes.
     """
 
     cpu_s: float
@@ -64,7 +64,7 @@
 
 @contextmanager
 def running_cluster(**options: Any) -> Iterator[Cluster]:
-    """Run a cluster in a folder that is removed afterwards; *options* are those of Cluster."""
+    """Run a cluster in a temporary folder; *options* are passed to :class:`Cluster`."""
     with (
         tempfile.TemporaryDirectory(prefix="foldloom-bench-") as folder,
         Cluster(Path(folder), **options) as cluster,
@@ -74,7 +74,7 @@
 
 @contextmanager
 def running_scenario(scenario: Scenario, **options: Any) -> Iterator[Cluster]:
-    """Run the scenario's cluster; *options* are further ones of Cluster."""
+    """Run a cluster of the scenario's size; *options* are passed to :class:`Cluster`."""
     with running_cluster(
         boxes_per_zone=scenario.boxes_per_zone,
         endpoints_per_zone=scenario.endpoints_per_zone,
@@ -85,14 +85,14 @@
 
 
 def save_figures(script: str, figures: Any) -> None:
-    """Write *figures* beside *script*, with the ending ``.json``, and print them."""
+    """Print *figures* and write them to a ``.json`` file named after *script*."""
     text = json.dumps(figures, indent=1)
     Path(script).with_suffix(".json").write_text(text + "\n", encoding="utf-8")
     print(text)
 
 
 def resource_usage(cluster: Cluster, boxes: list[str] | None = None) -> ResourceUsage:
-    """Return what the boxes have used so far."""
+    """Return the resources used by *boxes*, or by all boxes."""
     counters: dict[str, int] = {}
     cpu_s = 0.0
     rss_bytes = 0
@@ -106,18 +106,18 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor seconds that a process has used."""
+    """Return the CPU seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / _CLOCK_TICKS_PER_S
 
 
 def resident_bytes(pid: int) -> int:
-    """Return a process's resident memory."""
+    """Return the resident memory of a process."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * _PAGE_BYTES
 
 
 def start_load(cluster: Cluster, **options: Any) -> subprocess.Popen[bytes]:
-    """Start ``foldloom load`` against every box; its JSON comes on standard output."""
+    """Start ``foldloom load`` against all boxes; it prints JSON on standard output."""
     options.setdefault("urls", ",".join(cluster.url(box) for box in cluster.boxes))
     command = [sys.executable, "-m", "foldloom.cli.main", "load", "--json"]
     command += [f"--{key}={value}" for key, value in options.items()]
--- a/benchmarks/score_table.py
+++ b/benchmarks/score_table.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Write the table of docs/design/scheduling.md from the newest whole scores in journal/.
+"""Write the table of docs/design/scheduling.md from the latest full scores in journal/.
 
-.venv/bin/python benchmarks/score_table.py
+Run: ``.venv/bin/python benchmarks/score_table.py``.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 
 class ScoreRun(NamedTuple):
-    """A run of the users' bench.
+    """A scoring run of the users' bench.
 
     Args:
-        run: Its short id.
-        site: Which deployment.
-        score: Of the standard days; ``None`` if they were not all played.
-        days: What each day gave.
+        run: Short id of the run.
+        site: Name of the deployment.
+        score: Score over the standard days; ``None`` if some were not run.
+        days: Results of each day.
     """
 
     run: str
@@ -34,7 +34,7 @@
 
 
 def read_scores(folder: Path) -> list[ScoreRun]:
-    """Return the whole scores in *folder*, the newest of each site."""
+    """Return the latest full score of each site in *folder*."""
     latest_by_site: dict[str, ScoreRun] = {}
     for path in sorted(folder.glob("*.json")):
         fields = json.loads(path.read_text(encoding="utf-8"))
@@ -46,7 +46,7 @@
 
 
 def score_table(entries: list[ScoreRun]) -> list[str]:
-    """Return the table: each day's score, worth, floor, weakest part and dearest prices."""
+    """Return the table: score, components, highest prices and broken rules of each day."""
     lines = [
         "| site, run | day | score | worth | marks 0 and 1 | whole, worst windows, kind, zone "
         "| refused, failed | dearest prices | rules broken |",
@@ -74,7 +74,7 @@
 
 
 def main() -> None:
-    """Rewrite the table in its page."""
+    """Replace the table in the page."""
     page = _PAGE.read_text(encoding="utf-8")
     before, after = page.partition(_BEGIN)[0], page.partition(_END)[2]
     table = "\n".join(score_table(read_scores(_ROOT / "journal")))
--- a/examples/run_local.py
+++ b/examples/run_local.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Start three boxes in three zones and three endpoints on loopback, and answer one job.
+"""Start three boxes in three zones and three endpoints on loopback, and run one job.
 
-The processes are ended when the job is answered, unless ``--keep`` is given.
+The processes stop after the job, or after an hour with ``--keep``.
 """
 
 from __future__ import annotations
--- a/tests/test_broken.py
+++ b/tests/test_broken.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Each row of ``benchmarks/broken.py`` still finds its mechanism and its test."""
+"""Guards against mutations in ``benchmarks/broken.py`` that no longer match code or tests."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
             for node in body
             if isinstance(node, ast.ClassDef | ast.FunctionDef) and node.name == part
         ]
-        # A state machine's test case is an assignment.
+        # The test case of a hypothesis state machine is an assignment.
         if not found:
             return any(
                 isinstance(node, ast.Assign) and ast.unparse(node.targets[0]) == part
@@ -41,10 +41,10 @@
 
 
 class TestRows:
-    """What is taken out, and which test must fail then."""
+    """The mutations and their tests."""
 
     def test_mechanisms_stand_in_the_code(self) -> None:
-        """The text that a row takes out is in its file."""
+        """The text that a mutation replaces exists in its file."""
         missing = [
             mutation.name
             for mutation in _mutations()
@@ -53,5 +53,5 @@
         assert missing == []
 
     def test_tests_exist(self) -> None:
-        """The test that a row names is there."""
+        """The test of a mutation exists."""
         assert [mutation.name for mutation in _mutations() if not _has_test(mutation.test)] == []
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What a unit costs, as far as that is the same in every run: bytes and messages."""
+"""Guards against growth of messages, claims and envelopes beyond the capacity figures."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         ],
     )
     def test_message(self, message: object, most: int) -> None:
-        """An encoded message is no larger than the capacity page reckons with."""
+        """An encoded message is no larger than the capacity page assumes."""
         assert len(encode_body(message)) <= most
 
     def test_envelope(self) -> None:
@@ -52,7 +52,7 @@
         assert len(encode_envelope(envelope)) - len(body) <= 48
 
     def test_claim_in_memory(self) -> None:
-        """A held claim takes under 500 bytes."""
+        """A held claim takes less than 500 bytes."""
         count = 5_000
         tracemalloc.start()
         table = ClaimTable(10**9, 10**7)
@@ -65,10 +65,10 @@
 
 
 class TestMessagesPerJob:
-    """Messages between boxes for one job without load."""
+    """Messages between boxes per job on an idle cluster."""
 
     def test_claim_messages(self, tmp_path: Path) -> None:
-        """A job costs at most four claim messages, two where its box is a claim replica."""
+        """A job costs at most four claim messages, two if its box is a claim replica."""
         with Cluster(tmp_path, boxes_per_zone=2) as cluster:
             jobs = 20
             for number in range(jobs):
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What the pages name exists: modules, tests, events of logs."""
+"""Guards against documentation of modules, tests, metrics and log events that do not exist."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 _ROOT = Path(__file__).parent.parent
-# Findings, incidents and design notes keep the names of their day.
+# Findings, incidents and other design notes are historical and not checked.
 _PAGES = [
     "README.md",
     "docs/architecture.md",
@@ -20,7 +20,7 @@
     "docs/design/scheduling.md",
     "docs/design/controllers.md",
 ]
-# A counter, and a field of the status.
+# A counter and a status field, which look like log events.
 _NOT_EVENTS = {"runs.hopeless", "controller.may_vote"}
 _CODE = "\n".join(
     path.read_text() for folder in ("src", "platform") for path in (_ROOT / folder).rglob("*.py")
@@ -29,7 +29,7 @@
 
 
 def _backticked_names(page: str) -> set[str]:
-    """Return what stands in backticks on a page, its blocks of code left out."""
+    """Return the texts in backticks on a page, without code blocks."""
     text = re.sub(r"```.*?```", "", (_ROOT / page).read_text(), flags=re.DOTALL)
     return set(re.findall(r"`([^`\n]+)`", text))
 
@@ -42,10 +42,10 @@
 
 
 class TestMetrics:
-    """The reference of metrics."""
+    """The metrics reference."""
 
     def test_every_name_stands_there(self) -> None:
-        """A name that the code completes, as ``thing.{reason}``, stands there as ``thing.*``."""
+        """Every metric is documented; ``name.{suffix}`` is documented as ``name.*``."""
         used = set(re.findall(r'\.(?:count|gauge|timing)\(\s*f?"([^"{]+)', _CODE))
         assert "messages.sent." in used
         documented = {f"{name}*" if name.endswith(".") else name for name in used}
@@ -57,7 +57,7 @@
     """Names in backticks."""
 
     def test_files(self, page: str) -> None:
-        """A Python file, by its place in the repository, in foldloom or among the tests."""
+        """Python files exist in the repository, the foldloom package, the tests or the docs."""
         files = {name.partition("::")[0] for name in _backticked_names(page)}
         missing = {
             name for name in files if re.fullmatch(r"[\w/*.-]+\.py", name) and not _exists(name)
@@ -65,7 +65,7 @@
         assert missing == set()
 
     def test_modules(self, page: str) -> None:
-        """A module without its ending, as ``room/module``."""
+        """Modules named as ``package/module`` exist."""
         paths = "static_peers|seed_discovery"
         packages = "owners|scheduling|entry|claims|controllers|fleet|placement|endpoints|peers|jobs"
         pattern = rf"(({paths})/)?({packages})/\w+"
@@ -73,7 +73,7 @@
         assert {name for name in modules if not _exists(f"{name}.py")} == set()
 
     def test_tests(self, page: str) -> None:
-        """A test class or function, whatever file it is said to be in."""
+        """Test classes and functions exist in some test file."""
         referenced_tests = {
             part for name in _backticked_names(page) for part in name.split("::")[1:]
         }
@@ -94,7 +94,7 @@
         assert missing == set()
 
     def test_events(self, page: str) -> None:
-        """An event of the logs, as ``thing.what_happened``."""
+        """Log events named as ``subject.event`` exist in the code."""
         subjects = (
             "job|run|runs|owner|endpoint|session|config|controller|box|process|seeds|settings"
         )
