--- a/tests/models/owners_model.py
+++ b/tests/models/owners_model.py
@@ -69,7 +69,7 @@
     task_view: TaskView = TaskView.UNKNOWN
     endpoint: int = NEVER
     lease_end_max: int = 0
-    polled: frozenset[int] = frozenset()
+    polled_endpoints: frozenset[int] = frozenset()
 
 
 class Order(NamedTuple):
@@ -265,9 +265,9 @@
                 _with_owner(contacted, owner_id, found),
             )
             continue
-        polled = owner._replace(polled=owner.polled | {endpoint})
+        polled = owner._replace(polled_endpoints=owner.polled_endpoints | {endpoint})
         if state.now >= owner.lease_end_max - LEASE_SLOW:
-            is_search_complete = len(polled.polled) == len(ENDPOINTS)
+            is_search_complete = len(polled.polled_endpoints) == len(ENDPOINTS)
             polled = polled._replace(task_view=TaskView.QUEUED) if is_search_complete else polled
             yield (
                 f"owner {owner_id} polls endpoint {endpoint}",
