--- a/tests/models/virtual_time.py
+++ b/tests/models/virtual_time.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""An event loop whose time passes only while nothing is left to do."""
+"""Event loops on a simulated clock, which advances only while no callback is ready."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from foldloom.seed_discovery.owners.elector import Elector
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """A selector that moves its clock forward where another one would wait."""
+class _VirtualTimeSelector(selectors.SelectSelector):
+    """A selector that advances its clock instead of blocking."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_s = 1_000.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return what is ready; let *timeout* seconds pass if nothing is."""
+        """Return the ready keys; if there are none, advance the clock by *timeout* seconds."""
         ready = super().select(0)
         if not ready and timeout is None:
-            raise RuntimeError("every task waits, and no timer is set")
+            raise RuntimeError("deadlock: every task is waiting and no timer is set")
         if not ready and timeout is not None:
             self.now_s += max(0.0, timeout)
         return ready
@@ -39,35 +39,35 @@
     CLOCK_BOOTTIME = time.CLOCK_BOOTTIME
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the simulated time."""
-        return self._jumping.now_s
+        return self._virtual_selector.now_s
 
     def monotonic(self) -> float:
-        """Return the same, under the name that :mod:`time` has for it."""
-        return self._jumping.now_s
+        """Return the simulated time; stands in for :func:`time.monotonic`."""
+        return self._virtual_selector.now_s
 
     def clock_gettime(self, _clock: int) -> float:
-        """Return what any steady clock of :mod:`time` shows: nothing is suspended here."""
+        """Return the simulated time for every clock; stands in for :func:`time.clock_gettime`."""
         return self.monotonic()
 
     def stand_still(self, for_s: float) -> None:
-        """Let time pass in which nothing on this loop gets its turn."""
-        self._jumping.now_s += for_s
+        """Advance the clock by *for_s* without running callbacks."""
+        self._virtual_selector.now_s += for_s
 
 
 LIFE: contextvars.ContextVar[str] = contextvars.ContextVar("LIFE", default="")
-"""The life of a box that a callback belongs to; empty for what stands still with no box."""
+"""Life of the box that a callback belongs to; empty for callbacks that no pause affects."""
 
 
 class Waking(Enum):
-    """What a process handles first that goes on: what has arrived, or the timers that are due.
+    """Order in which a resumed process handles received messages and expired timers.
 
-    An event loop asks its sockets and its timers in one step, so both are due together; which is
-    first follows from where it stood still.
+    An event loop checks sockets and timers in one step; which comes first depends on where in the
+    step it was paused.
     """
 
     MESSAGES_FIRST = "messages first"
@@ -75,8 +75,8 @@
     MIXED = "mixed"
 
 
-class _Turn:
-    """A callback of a box's life, which has its turn only while that does not stand still."""
+class _LifeCallback:
+    """A callback of a box's life, held back while that life is paused."""
 
     __slots__ = ("_args", "_callback", "_loop", "context", "handle", "life")
 
@@ -95,15 +95,15 @@
         self.handle: asyncio.Handle | None = None
 
     def __call__(self) -> None:
-        """Have the turn, or wait for it."""
+        """Run the callback, or hold it back if its life is paused."""
         if self.handle is not None and self.handle.cancelled():
             return
-        if not self._loop.holds_back(self):
+        if not self._loop.hold_if_paused(self):
             self._callback(*self._args)
 
 
-class _Stop:
-    """How a life is to stand still: after some more turns, and for how long."""
+class _PendingPause:
+    """A pause of a life that begins after ``turns_left`` more callbacks and lasts ``for_s``."""
 
     __slots__ = ("for_s", "turns_left", "waking")
 
@@ -114,22 +114,22 @@
 
 
 class TurnsLoop(VirtualTimeLoop):
-    """An event loop on which one box's life can stand still while the others go on.
+    """An event loop on which one box's life can be paused while the others continue.
 
-    What belongs to a life is known by the context of its callbacks, which tasks hand on.
+    A callback belongs to the life in its context variables, which tasks inherit.
 
     Args:
-        rng: Draws the order in which a life that goes on handles what was held back.
+        rng: Draws the order of held-back callbacks for :attr:`Waking.MIXED`.
     """
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__()
         self._rng = rng
-        self._stops: dict[str, _Stop] = {}
-        self._held: dict[str, list[_Turn]] = {}
-        self._arrived: dict[str, list[_Turn]] = {}
+        self._pending_pauses: dict[str, _PendingPause] = {}
+        self._held_callbacks: dict[str, list[_LifeCallback]] = {}
+        self._arrived_callbacks: dict[str, list[_LifeCallback]] = {}
         self._reads_left = 0
-        self._jump_s = 0.0
+        self._read_pause_s = 0.0
 
     def call_soon(
         self,
@@ -137,13 +137,13 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.Handle:
-        """Have *callback* called in the next turn of its life."""
+        """Schedule *callback*; it is held back while its life is paused."""
         context = contextvars.copy_context() if context is None else context
         if not context.get(LIFE, ""):
             return super().call_soon(callback, *args, context=context)
-        turn = _Turn(self, context, callback, args)
-        turn.handle = super().call_soon(turn, context=context)
-        return turn.handle
+        wrapped = _LifeCallback(self, context, callback, args)
+        wrapped.handle = super().call_soon(wrapped, context=context)
+        return wrapped.handle
 
     def call_at(
         self,
@@ -152,107 +152,109 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Have *callback* called at *when*, or when its life goes on after that."""
+        """Schedule *callback* at *when*, or when its life resumes after that."""
         context = contextvars.copy_context() if context is None else context
         if not context.get(LIFE, ""):
             return super().call_at(when, callback, *args, context=context)
-        turn = _Turn(self, context, callback, args)
-        timer = super().call_at(when, turn, context=context)
-        turn.handle = timer
+        wrapped = _LifeCallback(self, context, callback, args)
+        timer = super().call_at(when, wrapped, context=context)
+        wrapped.handle = timer
         return timer
 
     def monotonic(self) -> float:
-        """Return the time; let some pass at the read that :meth:`stand_still_at_read` names."""
+        """Return the time, after the jump that :meth:`stand_still_at_read` has requested."""
         if self._reads_left and LIFE.get():
             self._reads_left -= 1
             if not self._reads_left:
-                self.stand_still(self._jump_s)
+                self.stand_still(self._read_pause_s)
         return super().monotonic()
 
     def stand_still_at_read(self, reads: int, for_s: float) -> None:
-        """Let everything stand still for *for_s* within a turn: when a box next reads its clock.
+        """Advance the clock by *for_s* within a callback, at a coming clock read of a box.
 
         Args:
-            reads: At which of its coming reads.
-            for_s: How long.
+            reads: Number of the read at which the clock jumps, counted from 1 over all boxes.
+            for_s: Length of the jump in seconds.
         """
         self._reads_left = reads
-        self._jump_s = for_s
+        self._read_pause_s = for_s
 
     def deliver(
         self, context: contextvars.Context, callback: Callable[..., Any], *args: Any
     ) -> None:
-        """Have a life handle what has arrived for it from outside."""
-        arrived = self._arrived.get(context[LIFE])
-        if arrived is None:
+        """Run *callback* in a life for a received message, or queue it while the life is paused."""
+        arrived_callbacks = self._arrived_callbacks.get(context[LIFE])
+        if arrived_callbacks is None:
             self.call_soon(callback, *args, context=context)
         else:
-            arrived.append(_Turn(self, context, callback, args))
+            arrived_callbacks.append(_LifeCallback(self, context, callback, args))
 
-    def stop_life(self, life: str, after_turns: int, for_s: float, waking: Waking) -> None:
-        """Let *life* stand still for *for_s* once it has had some more turns."""
-        if life not in self._held:
-            self._stops[life] = _Stop(after_turns, for_s, waking)
+    def stop_life(self, life: str, after_callbacks: int, for_s: float, waking: Waking) -> None:
+        """Pause *life* for *for_s* seconds after *after_callbacks* more callbacks."""
+        if life not in self._held_callbacks:
+            self._pending_pauses[life] = _PendingPause(after_callbacks, for_s, waking)
 
     def end_life(self, life: str) -> None:
-        """Drop what has arrived for *life*, and let its tasks end: they reach nobody any more."""
-        self._stops.pop(life, None)
-        self._arrived.pop(life, None)
-        self._release(self._held.pop(life, []))
-
-    def stands_still(self, life: str) -> bool:
-        """Return whether *life* stands still now."""
-        return life in self._held
-
-    def holds_back(self, turn: _Turn) -> bool:
-        """Return whether *turn* has to wait, and keep it then."""
-        stop = self._stops.get(turn.life)
-        if stop is not None:
-            stop.turns_left -= 1
-            if stop.turns_left < 0:
-                self._begin_stop(turn.life, stop)
-        held = self._held.get(turn.life)
-        if held is None:
+        """Drop messages queued for *life*; run its held-back callbacks, so that its tasks end."""
+        self._pending_pauses.pop(life, None)
+        self._arrived_callbacks.pop(life, None)
+        self._release(self._held_callbacks.pop(life, []))
+
+    def is_paused(self, life: str) -> bool:
+        """Return whether *life* is paused."""
+        return life in self._held_callbacks
+
+    def hold_if_paused(self, callback: _LifeCallback) -> bool:
+        """Hold *callback* back if its life is paused; return whether it was."""
+        pause = self._pending_pauses.get(callback.life)
+        if pause is not None:
+            pause.turns_left -= 1
+            if pause.turns_left < 0:
+                self._begin_pause(callback.life, pause)
+        held_callbacks = self._held_callbacks.get(callback.life)
+        if held_callbacks is None:
             return False
-        held.append(turn)
+        held_callbacks.append(callback)
         return True
 
-    def _begin_stop(self, life: str, stop: _Stop) -> None:
-        del self._stops[life]
-        self._held[life] = []
-        self._arrived[life] = []
-        nobody = contextvars.Context()
-        self.call_later(stop.for_s, self._go_on, life, stop.waking, context=nobody)
+    def _begin_pause(self, life: str, pause: _PendingPause) -> None:
+        del self._pending_pauses[life]
+        self._held_callbacks[life] = []
+        self._arrived_callbacks[life] = []
+        outer_context = contextvars.Context()
+        self.call_later(pause.for_s, self._go_on, life, pause.waking, context=outer_context)
 
     def _go_on(self, life: str, waking: Waking) -> None:
-        held = self._held.pop(life, None)
-        if held is None:
-            # It has ended meanwhile.
+        held_callbacks = self._held_callbacks.pop(life, None)
+        if held_callbacks is None:
+            # The life has ended during the pause.
             return
-        arrived = self._arrived.pop(life)
+        arrived_callbacks = self._arrived_callbacks.pop(life)
         if waking is Waking.TIMERS_FIRST:
-            self._release([*held, *arrived])
+            self._release([*held_callbacks, *arrived_callbacks])
         elif waking is Waking.MIXED:
-            self._release(self._merged(held, arrived))
+            self._release(self._merged(held_callbacks, arrived_callbacks))
         else:
-            self._release(arrived)
-            # After what follows from the messages at once, as the loop asks its timers only then.
-            super().call_soon(self._release, held, context=contextvars.Context())
+            self._release(arrived_callbacks)
+            # Timers run after the callbacks that the messages schedule at once.
+            super().call_soon(self._release, held_callbacks, context=contextvars.Context())
 
-    def _release(self, turns: list[_Turn]) -> None:
-        for turn in turns:
-            super().call_soon(turn, context=turn.context)
+    def _release(self, callbacks: list[_LifeCallback]) -> None:
+        for callback in callbacks:
+            super().call_soon(callback, context=callback.context)
 
-    def _merged(self, first: list[_Turn], second: list[_Turn]) -> list[_Turn]:
-        """Return both in an order that is drawn and keeps that of each."""
-        is_of_first = [True] * len(first) + [False] * len(second)
-        self._rng.shuffle(is_of_first)
-        ones, others = iter(first), iter(second)
-        return [next(ones) if is_first else next(others) for is_first in is_of_first]
+    def _merged(
+        self, first: list[_LifeCallback], second: list[_LifeCallback]
+    ) -> list[_LifeCallback]:
+        """Return a random merge of both lists that keeps the order within each."""
+        is_from_first = [True] * len(first) + [False] * len(second)
+        self._rng.shuffle(is_from_first)
+        first_items, second_items = iter(first), iter(second)
+        return [next(first_items) if is_first else next(second_items) for is_first in is_from_first]
 
 
 def run_in_virtual_time(play: Coroutine[Any, Any, Any], loop: VirtualTimeLoop) -> Any:
-    """Run *play* on *loop*; the product's monotonic clock and time of day are the loop's."""
+    """Run *play* on *loop*, with the product's clocks patched to the loop's time."""
     with patch("foldloom.clock.time", loop), patch(f"{Elector.__module__}.time", loop):
         try:
             return loop.run_until_complete(play)
