--- a/tests/test_platform_bodies.py
+++ b/tests/test_platform_bodies.py
@@ -11,8 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bodies import active_of, ended_of, read_report, task_of, task_text
-from documents import check_document, read_queues
+from bodies import decode_active_runs, decode_ended_runs, read_report, task_of, task_text
+from documents import parse_document, read_queues
 from foldloom.peers.messages import Frame, decode_body, encode_body, kind_of
 from foldloom.seed_discovery.endpoints.calls import EndKind
 from foldloom.seed_discovery.endpoints.records import EndpointState
@@ -108,14 +108,14 @@
     def test_read_back_as_sent(self) -> None:
         """The content is kept whole, unknown fields included."""
         body = _document(extra={"x": [1]})
-        checked = check_document(body)
+        checked = parse_document(body)
         assert checked.is_ok()
         assert checked.ok.version == 7
         assert json.loads(checked.ok.document) == json.loads(body)
 
     def test_queues(self) -> None:
         """A route becomes a queue."""
-        checked = check_document(_document())
+        checked = parse_document(_document())
         assert checked.is_ok()
         queue = read_queues(checked.ok).find("h.example", "/p/1")
         assert queue is not None
@@ -137,7 +137,7 @@
     )
     def test_invalid(self, body: bytes) -> None:
         """What can't be read whole, or contradicts itself, is refused."""
-        assert check_document(body).is_error()
+        assert parse_document(body).is_error()
 
 
 _REPORT = {
@@ -261,7 +261,7 @@
     def test_rows(self) -> None:
         """Rows may have more fields than are known."""
         run_id = RunId(TaskId(_ID, 0, 1, 9), 2)
-        active = active_of([[f"{_ID}.0.1.9", 2, "", 100, 12.5]])
+        active = decode_active_runs([[f"{_ID}.0.1.9", 2, "", 100, 12.5]])
         assert active[0].run_id == run_id
-        ended = ended_of([[58, f"{_ID}.0.1.9", 2, "done", ""]])
+        ended = decode_ended_runs([[58, f"{_ID}.0.1.9", 2, "done", ""]])
         assert (ended[0].sequence, ended[0].run_id, ended[0].how) == (58, run_id, EndKind.DONE)
