--- a/tests/test_platform_bodies.py
+++ b/tests/test_platform_bodies.py
@@ -154,7 +154,7 @@
     "call_seq": 4,
     "born": 1_796_000_000_000,
 }
-_NEEDED = ("service", "address", "zone", "state", "capacity", "call_seq")
+_REQUIRED = ("service", "address", "zone", "state", "capacity", "call_seq")
 _PLAIN = st.none() | st.booleans() | st.integers() | st.floats() | st.text()
 _JSON = st.recursive(
     _PLAIN, lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner), max_leaves=8
@@ -181,7 +181,7 @@
         fields = {key: value for key, value in _REPORT.items() if key != "born"}
         assert read_report("i-1", json.dumps(fields).encode()).ok.born_ms == 0
 
-    @pytest.mark.parametrize("field", _NEEDED)
+    @pytest.mark.parametrize("field", _REQUIRED)
     def test_a_field_is_missing(self, field: str) -> None:
         """What every endpoint says must be there."""
         fields = {key: value for key, value in _REPORT.items() if key != field}
--- a/tests/test_platform_connections.py
+++ b/tests/test_platform_connections.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Open connections that go silent for good while new ones work, and addresses used again."""
+"""Open connections that go silent for good while new ones work, and addresses used restarted."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 _OPEN_CONNECTIONS = 4
 # Seconds from the silence to the next start: 0.2 + 0.45 + 0.05, and some for a busy machine.
-_BACK_WITHIN_S = 0.9
+_RECOVERY_TIMEOUT_S = 0.9
 _ORDER = PollOrder(1, 0, 0, 0)
 
 
@@ -54,15 +54,15 @@
             entry = system.entries[0]
             # Several starts at once leave several connections open.
             await asyncio.gather(*(system.submit(entry, n, steps(4, 50)) for n in range(1, 4)))
-            began = system.sightings.starts.total()
+            starts_before = system.sightings.starts.total()
             job = asyncio.create_task(system.submit(entry, 10, steps(2, 1_500, estimate_ms=2_000)))
             await asyncio.sleep(0.4)
             silenced_s = time.monotonic()
             for endpoint in system.endpoints:
                 endpoint.silence_open_connections()
             assert (await job).status == 200
-            assert began + 2 <= system.sightings.starts.total() <= began + 4
-            assert system.sightings.newest_start_s - silenced_s < _BACK_WITHIN_S
+            assert starts_before + 2 <= system.sightings.starts.total() <= starts_before + 4
+            assert system.sightings.newest_start_s - silenced_s < _RECOVERY_TIMEOUT_S
 
         play(scenario, tmp_path)
 
@@ -78,15 +78,15 @@
             for other in others:
                 await other.stop()
             await crashed.stop()
-            again = crashed.next_life("w-again")
-            system.endpoints.append(again)
-            await again.start([system.control])
+            restarted = crashed.next_life("w-again")
+            system.endpoints.append(restarted)
+            await restarted.start([system.control])
             entry = system.entries[0]
 
-            async def is_served() -> bool:
+            async def is_serving() -> bool:
                 return (await system.submit(entry, 20, steps(1, 20), 1_000)).status == 200
 
-            await system.until(is_served, "the new incarnation serves")
+            await system.until(is_serving, "the new incarnation serves")
             await crashed.report_again(system.control)
             for number in range(30, 40):
                 answer = await system.submit(entry, number, steps(2, 20, estimate_ms=200))
--- a/tests/test_platform_same_id.py
+++ b/tests/test_platform_same_id.py
@@ -18,11 +18,11 @@
 from soak_same_id import begin_again_and_leave, begin_again_at, call_until
 
 # Seconds that each life serves.
-_SERVES_S = 1.8
-_FIRST_SERVES_S = 4.0
+_SERVING_S = 1.8
+_FIRST_SERVING_S = 4.0
 # Tasks that the second life is to get while it serves: an endpoint that is used like the other one
 # of its zone gets hundreds.
-_USED = 50
+_STARTS_MIN = 50
 
 
 class TestSecondLife:
@@ -33,15 +33,15 @@
 
         async def scenario(system: PlatformSystem) -> None:
             first = await begin_again_at(system, 0)
-            is_over = asyncio.Event()
-            calling = asyncio.create_task(call_until(system, is_over))
-            await asyncio.sleep(_FIRST_SERVES_S)
-            is_over.set()
+            stop_calling = asyncio.Event()
+            calling = asyncio.create_task(call_until(system, stop_calling))
+            await asyncio.sleep(_FIRST_SERVING_S)
+            stop_calling.set()
             await calling
-            second = await begin_again_and_leave(system, _SERVES_S)
+            second = await begin_again_and_leave(system, _SERVING_S)
             assert second.is_draining_known
             assert not second.late_starts
             started_before = second.starts - second.starts_after_draining
-            assert started_before >= _USED, f"{started_before} tasks; {first.starts} before"
+            assert started_before >= _STARTS_MIN, f"{started_before} tasks; {first.starts} before"
 
         play(scenario, tmp_path)
--- a/tests/test_platform_signals.py
+++ b/tests/test_platform_signals.py
@@ -12,11 +12,11 @@
 
 from platform_system import PlatformSystem, play
 
-_STARTS_WITHIN_S = 20.0
-_HUP = 1 << (signal.SIGHUP - 1)
+_START_TIMEOUT_S = 20.0
+_SIGHUP_BIT = 1 << (signal.SIGHUP - 1)
 
 
-def _mask(pid: int, field: str) -> int:
+def _read_signal_mask(pid: int, field: str) -> int:
     """Return a mask of signals of a process, as the kernel shows it."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     (mask,) = (line.split()[1] for line in lines if line.startswith(field))
@@ -34,9 +34,11 @@
             await system.kill(name)
             await system.start(name)
             process = system.processes[name]
-            until_s = time.monotonic() + _STARTS_WITHIN_S
-            while not _mask(process.pid, "SigIgn:") & _HUP:
-                assert not _mask(process.pid, "SigCgt:") & _HUP, "the handler came first"
+            until_s = time.monotonic() + _START_TIMEOUT_S
+            while not _read_signal_mask(process.pid, "SigIgn:") & _SIGHUP_BIT:
+                assert not _read_signal_mask(process.pid, "SigCgt:") & _SIGHUP_BIT, (
+                    "the handler came first"
+                )
                 assert time.monotonic() < until_s
                 await asyncio.sleep(0.001)
             while not await system.is_up(name):
--- a/tests/test_platform_system.py
+++ b/tests/test_platform_system.py
@@ -13,17 +13,17 @@
 from foldloom.cli.explain import explain, read_lines
 from platform_system import Answer, PlatformSystem, job_id, play, steps
 
-_OWNER_LOST_MS = 3_000
+_FAILOVER_TIMEOUT_MS = 3_000
 
 
-def _bad(**changes: Any) -> dict[str, Any]:
+def _invalid_job(**changes: Any) -> dict[str, Any]:
     body = steps()
     body["phases"][0] |= changes
     return body
 
 
 class TestServing:
-    """Jobs on a calm system."""
+    """Jobs on a shared_system system."""
 
     def test_each_task_runs_once(self, tmp_path: Path) -> None:
         """Jobs at all entry processes are completed, each task by one start.
@@ -55,13 +55,13 @@
             if await system.delays() > delays:
                 return
             assert len(completed) == 12
-            ours = {
+            counted = {
                 task: count
                 for task, count in system.sightings.starts.items()
                 if int(task.job_id, 16) < 12
             }
-            assert len(ours) == 24
-            assert set(ours.values()) == {1}
+            assert len(counted) == 24
+            assert set(counted.values()) == {1}
 
         play(scenario, tmp_path)
 
@@ -114,28 +114,28 @@
             ("1" * 16, b'{"spec":"x","phases":[{"cou', ""),
             ("1" * 16, {**steps(), "spec": "x" * 4_001}, "spec"),
             ("1" * 16, {**steps(), "phases": []}, "phases"),
-            ("1" * 16, _bad(count=0), "count"),
-            ("1" * 16, _bad(count=1_000_000), "count"),
-            ("1" * 16, _bad(cpu=-1), "cpu"),
-            ("1" * 16, _bad(depends_on=[0]), "depends_on"),
-            ("1" * 16, _bad(depends_on=[7]), "depends_on"),
+            ("1" * 16, _invalid_job(count=0), "count"),
+            ("1" * 16, _invalid_job(count=1_000_000), "count"),
+            ("1" * 16, _invalid_job(cpu=-1), "cpu"),
+            ("1" * 16, _invalid_job(depends_on=[0]), "depends_on"),
+            ("1" * 16, _invalid_job(depends_on=[7]), "depends_on"),
             ("1" * 16, b'{"spec":"x","spec":"y","phases":[{"count":1}]}', "spec"),
             ("1" * 16, b'{"spec":"x","phases":[{"count":1,"cpu":1,"count":2}]}', "count"),
         ],
     )
-    def test_refused(self, calm: _Calm, text: str, body: Any, named: str) -> None:
+    def test_refused(self, shared_system: _SharedSystem, text: str, body: Any, named: str) -> None:
         """A 4xx that names the field."""
-        answer = calm.submit(text, body)
+        answer = shared_system.submit(text, body)
         assert 400 <= answer.status < 500, answer
         assert named in answer.fields["error"], answer
-        assert not any(task.job_id == text for task in calm.system.sightings.starts)
+        assert not any(task.job_id == text for task in shared_system.system.sightings.starts)
 
-    def test_oversized(self, calm: _Calm) -> None:
+    def test_oversized(self, shared_system: _SharedSystem) -> None:
         """A body beyond the bound is refused."""
-        assert calm.submit("1" * 16, b" " * 2_000_000).status == 413
+        assert shared_system.submit("1" * 16, b" " * 2_000_000).status == 413
 
 
-class _Calm:
+class _SharedSystem:
     """A system that is not disturbed, shared by tests of what it refuses."""
 
     def __init__(self, folder: Path) -> None:
@@ -154,9 +154,9 @@
 
 
 @pytest.fixture(scope="module")
-def calm(tmp_path_factory: pytest.TempPathFactory) -> Any:
+def shared_system(tmp_path_factory: pytest.TempPathFactory) -> Any:
     """Give a system that is not disturbed."""
-    shared = _Calm(tmp_path_factory.mktemp("calm"))
+    shared = _SharedSystem(tmp_path_factory.mktemp("calm"))
     yield shared
     shared.stop()
 
@@ -193,13 +193,13 @@
                 system.thaw(owner)
                 await asyncio.sleep(1.0)
             assert [answer.status for answer in answers] == [200] * 12
-            assert max(answer.took_ms for answer in answers) < _OWNER_LOST_MS
+            assert max(answer.took_ms for answer in answers) < _FAILOVER_TIMEOUT_MS
 
         play(scenario, tmp_path)
 
 
 class TestExplained:
-    """A request's life is found in the logs, also across a lost owner."""
+    """A request's explanation is found in the logs, also across a lost owner."""
 
     def test_from_id_to_cause(self, tmp_path: Path) -> None:
         """A job in flight when the owner dies: accepted, placed, resumed elsewhere, ended."""
@@ -212,11 +212,15 @@
             await system.kill(owner)
             assert (await running).status == 200
             await asyncio.sleep(0.3)
-            life = explain(job_id(1), read_lines(system.logs))
-            told = [line.event for line in life.lines]
-            assert (told[0], told[-1], life.outcome) == ("job.accepted", "job.ended", "completed")
-            assert {"run.placed", "owner.claimed", "runs.resumed", "run.ended"} <= set(told)
-            assert "resumed at owner" in life.cause
+            explanation = explain(job_id(1), read_lines(system.logs))
+            events = [line.event for line in explanation.lines]
+            assert (events[0], events[-1], explanation.outcome) == (
+                "job.accepted",
+                "job.ended",
+                "completed",
+            )
+            assert {"run.placed", "owner.claimed", "runs.resumed", "run.ended"} <= set(events)
+            assert "resumed at owner" in explanation.cause
 
         play(scenario, tmp_path)
 
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -23,7 +23,7 @@
 
 _SUSPENDED_S = 3.0
 # Seconds after a resumed box is back by which it must serve: it catches up meanwhile.
-_BACK_S = 4.0
+_RECOVERY_S = 4.0
 _JOBS = 6
 
 
@@ -33,10 +33,10 @@
     system.resume(name)
 
 
-async def _completed_at(system: PlatformSystem, name: str, first: int) -> list[int]:
+async def _submit_jobs(system: PlatformSystem, name: str, first_job: int) -> list[int]:
     """Hand jobs in at a box, one after the other, and return the statuses."""
     body = steps(2, ms=20, estimate_ms=500)
-    return [(await system.submit(name, first + n, body, 2_000)).status for n in range(_JOBS)]
+    return [(await system.submit(name, first_job + n, body, 2_000)).status for n in range(_JOBS)]
 
 
 class TestSuspendedEntryBox:
@@ -50,20 +50,20 @@
             owner = system.owner()
             name = owner if is_owner else next(one for one in system.entries if one != owner)
             await _suspend(system, name)
-            await asyncio.sleep(_BACK_S)
-            for first, entry in enumerate(system.entries):
-                assert await _completed_at(system, entry, 100 * first) == [200] * _JOBS
+            await asyncio.sleep(_RECOVERY_S)
+            for first_job, entry in enumerate(system.entries):
+                assert await _submit_jobs(system, entry, 100 * first_job) == [200] * _JOBS
 
         play(scenario, tmp_path)
 
     def test_twice(self, tmp_path: Path) -> None:
-        """The second suspension is over as soon as the first."""
+        """The second suspension is over as soon as the first_job."""
 
         async def scenario(system: PlatformSystem) -> None:
-            for first in (0, 100):
+            for first_job in (0, 100):
                 await _suspend(system, "e0", 1.5)
-                await asyncio.sleep(_BACK_S)
-                assert await _completed_at(system, "e0", first) == [200] * _JOBS
+                await asyncio.sleep(_RECOVERY_S)
+                assert await _submit_jobs(system, "e0", first_job) == [200] * _JOBS
 
         play(scenario, tmp_path)
 
@@ -72,9 +72,9 @@
 
         async def scenario(system: PlatformSystem) -> None:
             await asyncio.gather(*(_suspend(system, name) for name in system.entries))
-            await asyncio.sleep(_BACK_S)
-            for first, entry in enumerate(system.entries):
-                assert await _completed_at(system, entry, 100 * first) == [200] * _JOBS
+            await asyncio.sleep(_RECOVERY_S)
+            for first_job, entry in enumerate(system.entries):
+                assert await _submit_jobs(system, entry, 100 * first_job) == [200] * _JOBS
 
         play(scenario, tmp_path)
 
@@ -91,9 +91,9 @@
 
         async def scenario(system: PlatformSystem) -> None:
             await _suspend(system, "e0")
-            await asyncio.sleep(_BACK_S)
-            for first, entry in enumerate(system.entries):
-                assert await _completed_at(system, entry, 100 * first) == [200] * _JOBS
+            await asyncio.sleep(_RECOVERY_S)
+            for first_job, entry in enumerate(system.entries):
+                assert await _submit_jobs(system, entry, 100 * first_job) == [200] * _JOBS
 
         play(scenario, tmp_path, boot_clock_stops=True)
 
@@ -103,10 +103,10 @@
         async def scenario(system: PlatformSystem) -> None:
             for name in ("c0", "c1"):
                 await _suspend(system, name)
-                await asyncio.sleep(_BACK_S)
-            began_s = time.monotonic()
+                await asyncio.sleep(_RECOVERY_S)
+            started_s = time.monotonic()
             await system.until(lambda: system.configure(2), "version 2 is acknowledged")
-            assert time.monotonic() - began_s < _BACK_S
+            assert time.monotonic() - started_s < _RECOVERY_S
 
         play(scenario, tmp_path, controllers=3, boot_clock_stops=True)
 
@@ -120,16 +120,16 @@
         async def scenario(system: PlatformSystem) -> None:
             for name in ("c0", "c1"):
                 await _suspend(system, name)
-                await asyncio.sleep(_BACK_S)
+                await asyncio.sleep(_RECOVERY_S)
             for version, controller in enumerate(system.controllers, 2):
-                began_s = time.monotonic()
+                started_s = time.monotonic()
                 await system.until(
                     lambda version=version, controller=controller: system.configure(
                         version, controller
                     ),
                     f"version {version} is acknowledged by {controller}",
                 )
-                assert time.monotonic() - began_s < _BACK_S
+                assert time.monotonic() - started_s < _RECOVERY_S
 
         play(scenario, tmp_path, controllers=3)
 
--- a/tests/test_unchanged.py
+++ b/tests/test_unchanged.py
@@ -47,14 +47,14 @@
 
 _ROOT = Path(__file__).parent.parent
 _CONTROLLERS = "foldloom.controllers.messages"
-_BY_SETTINGS = [
+_STATIC_PEERS_MODULES = [
     _CONTROLLERS,
     "foldloom.static_peers.claims.messages",
     "foldloom.static_peers.placement.messages",
     "foldloom.static_peers.entry.messages",
     "foldloom.static_peers.membership",
 ]
-_BY_SEEDS = [
+_SEED_DISCOVERY_MODULES = [
     _CONTROLLERS,
     "foldloom.seed_discovery.fleet.messages",
     "foldloom.seed_discovery.owners.messages",
@@ -79,7 +79,10 @@
 
     @pytest.mark.parametrize(
         ("name", "modules"),
-        [("messages_by_settings", _BY_SETTINGS), ("messages_by_seeds", _BY_SEEDS)],
+        [
+            ("messages_by_settings", _STATIC_PEERS_MODULES),
+            ("messages_by_seeds", _SEED_DISCOVERY_MODULES),
+        ],
     )
     def test_bytes(self, name: str, modules: list[str]) -> None:
         """Each message has its number, its bytes and its counter."""
@@ -93,33 +96,35 @@
     return kind(*(sample(hint, "f" + "x" * place) for place, (_, hint) in enumerate(hints)))
 
 
-def _confirm(command: str, intents: list[dict[str, Any]], known: ReplicatedState) -> bytes:
-    planned = plans.make_plan(known.config, parse_intents(intents).ok)
+def _confirm(command: str, intents: list[dict[str, Any]], replicated: ReplicatedState) -> bytes:
+    planned = plans.make_plan(replicated.config, parse_intents(intents).ok)
     return commands.encode_command(commands.ConfirmCommand(command, planned.ok.digest, intents))
 
 
-def _payloads(known: ReplicatedState) -> Iterator[bytes]:
+def _payloads(replicated: ReplicatedState) -> Iterator[bytes]:
     """Yield commands of both kinds of state; each sees the effect of those before."""
     yield b""
     yield commands.encode_command(commands.FoundCommand({"a1": "a"}, {"c1": "*", "c2": "*"}))
     yield commands.encode_command(commands.IncarnationCommand("a1", 41))
     yield commands.encode_command(commands.VoterReadyCommand("c1", "disk-1"))
-    yield _confirm("first", INTENTS, known)
-    yield _confirm("second", [{"kind": "remove", "section": "workers", "name": "w1"}], known)
+    yield _confirm("first", INTENTS, replicated)
+    yield _confirm("second", [{"kind": "remove", "section": "workers", "name": "w1"}], replicated)
     yield commands.encode_command(commands.BoxesSettledCommand(1))
     yield commands.encode_command(commands.ControllerJoinCommand("c3", "disk-3"))
     yield commands.encode_command(commands.ControllerLeaveCommand("c2"))
     yield commands.encode_command(commands.PublishCommand(7, b'{"version":7}'))
 
 
-def _meaning(known: ReplicatedState) -> dict[str, Any]:
+def _describe_state(replicated: ReplicatedState) -> dict[str, Any]:
     """Return what a state says, in words that do not depend on the code's names."""
     return {
-        "config": list(known.config),
-        "publication": [known.publication.version, known.publication.document.decode()],
-        "changes": [list(changes) for changes in known.changes_since(1)],
-        "founders": known.founder_count,
-        "resent": list(known.apply(commands.encode_command(commands.IncarnationCommand("a1", 41)))),
+        "config": list(replicated.config),
+        "publication": [replicated.publication.version, replicated.publication.document.decode()],
+        "changes": [list(changes) for changes in replicated.changes_since(1)],
+        "founders": replicated.founder_count,
+        "resent": list(
+            replicated.apply(commands.encode_command(commands.IncarnationCommand("a1", 41)))
+        ),
     }
 
 
@@ -128,22 +133,22 @@
 
     def test_commands(self) -> None:
         """The entries of the log have the same bytes."""
-        present = {
+        actual = {
             kind.__struct_config__.tag: commands.encode_command(_command_of(kind)).hex()
             for kind in _COMMANDS
         }
-        check("commands", present)
+        check("commands", actual)
 
     def test_configuration(self) -> None:
         """The cached configuration and the snapshot have the same bytes."""
-        known = ReplicatedState(state.empty_config({}, {}))
-        answers = [list(known.apply(payload)) for payload in _payloads(known)]
-        present = {
+        replicated = ReplicatedState(state.empty_config({}, {}))
+        answers = [list(replicated.apply(payload)) for payload in _payloads(replicated)]
+        actual = {
             "answers": msgspec.to_builtins(answers),
-            "config": encode_config(known.config).hex(),
-            "snapshot": known.dump().hex(),
+            "config": encode_config(replicated.config).hex(),
+            "snapshot": replicated.dump().hex(),
         }
-        check("state", present)
+        check("state", actual)
 
     def test_folder(self, tmp_path: Path) -> None:
         """A folder with a snapshot and a log is read, replayed and written as before."""
@@ -159,11 +164,11 @@
         assert (opened.identity.storage_id, opened.identity.is_first) == ("0" * 32, True)
         assert tuple(recovered.term_vote) == (4, "c2")
         assert recovered.snapshot.last_index == 6
-        known = ReplicatedState(state.empty_config({}, {}))
-        known.load(recovered.snapshot.state)
+        replicated = ReplicatedState(state.empty_config({}, {}))
+        replicated.load(recovered.snapshot.state)
         for entry in recovered.entries:
-            known.apply(entry.payload)
-        check("folder_meaning", msgspec.to_builtins(_meaning(known)))
+            replicated.apply(entry.payload)
+        check("folder_meaning", msgspec.to_builtins(_describe_state(replicated)))
 
     def test_cache(self, tmp_path: Path) -> None:
         """The cached publication has the same bytes and is read back."""
@@ -197,13 +202,13 @@
     (folder / "identity").write_bytes(record)
     log = storage.LogStorage(str(folder))
     log.open()
-    known = ReplicatedState(state.empty_config({}, {}))
+    replicated = ReplicatedState(state.empty_config({}, {}))
     entries = []
-    for index, payload in enumerate(_payloads(known), start=1):
+    for index, payload in enumerate(_payloads(replicated), start=1):
         entries.append(records.Entry(index, 2 if index < 4 else 3, payload))
-        known.apply(payload)
+        replicated.apply(payload)
         if index == 6:
-            snapshot = records.Snapshot(6, 3, known.dump())
+            snapshot = records.Snapshot(6, 3, replicated.dump())
             log.save_snapshot(snapshot, records.TermVote(3, "c1"), [])
     log.append(entries[6:])
     log.cut_from(9)
@@ -264,7 +269,7 @@
 
     def test_parts_of_names(self) -> None:
         """What is put into names at run time."""
-        present = {
+        actual = {
             "runs": [cause.label for cause in EndCause],
             "starts": [outcome.value for outcome in CallOutcome],
             "claims": [vote.name.lower() for vote in Vote],
@@ -274,7 +279,7 @@
                 outcome_of(Error(may_have_run("any"))),
             ],
         }
-        check("metric_parts", present)
+        check("metric_parts", actual)
 
     def test_text(self) -> None:
         """How names and values are served."""
--- a/tests/test_unchanged_platform.py
+++ b/tests/test_unchanged_platform.py
@@ -103,42 +103,42 @@
     def test_answers(self) -> None:
         """Statuses, headers and bodies, while serving, stopping and not yet configured."""
 
-        async def play() -> Any:
+        async def collect_answers() -> Any:
             box = _EntryBox()
             routes = ClientRoutes(box)  # type: ignore[arg-type]
             leaving = ClientRoutes(_EntryBox(is_leaving=True))  # type: ignore[arg-type]
-            bare = ClientRoutes(_EntryBox(is_configured=False))  # type: ignore[arg-type]
+            unconfigured = ClientRoutes(_EntryBox(is_configured=False))  # type: ignore[arg-type]
             deadline = {"X-Foldloom-Deadline-Ms": "800"}
-            present = {
+            actual = {
                 "serving": await _serve(routes.handle, _CLIENT_CALLS),
                 "with_deadline": await _serve(routes.handle, _CLIENT_CALLS[:1], deadline),
                 "leaving": await _serve(leaving.handle, _CLIENT_CALLS[:1]),
-                "bare": await _serve(bare.handle, _CLIENT_CALLS[:1]),
+                "bare": await _serve(unconfigured.handle, _CLIENT_CALLS[:1]),
                 "ready": await _serve(routes.ready, [("GET", "/foldloom/readyz", None)]),
                 "not_ready": await _serve(leaving.ready, [("GET", "/foldloom/readyz", None)]),
             }
-            return present | {"timeouts": box.timeouts}
+            return actual | {"timeouts": box.timeouts}
 
-        check("platform_clients", asyncio.run(play()))
+        check("platform_clients", asyncio.run(collect_answers()))
 
 
 class _Controller:
-    """A controller that remembers what it was told."""
+    """A controller that remembers what it was received."""
 
     def __init__(self, is_leading: bool = True) -> None:
         self.metrics = Metrics()
-        self.told: list[Any] = []
+        self.received: list[Any] = []
         self._is_leading = is_leading
 
     async def note_endpoint(self, record: EndpointRecord) -> bool:
-        self.told.append(list(record))
+        self.received.append(list(record))
         return True
 
     async def note_gone(self, endpoint: str) -> None:
-        self.told.append(endpoint)
+        self.received.append(endpoint)
 
     async def publish(self, version: int, document: bytes, timeout_ms: float) -> Any:
-        self.told.append([version, document.decode(), timeout_ms])
+        self.received.append([version, document.decode(), timeout_ms])
         return Ok(version) if self._is_leading else Error(not_run("no-leader", "no leader"))
 
     async def newest(self, _timeout_ms: float) -> Any:
@@ -181,23 +181,23 @@
     def test_answers(self, is_leading: bool) -> None:
         """Statuses, headers and bodies, and what arrives inside."""
 
-        async def play() -> Any:
+        async def collect_answers() -> Any:
             controller = _Controller(is_leading)
             routes = OperatorRoutes(controller)  # type: ignore[arg-type]
             answers = await _serve(routes.handle, _CONTROL_CALLS)
-            return {"answers": answers, "told": controller.told}
+            return {"answers": answers, "told": controller.received}
 
-        check(f"platform_control_{is_leading}".lower(), asyncio.run(play()))
+        check(f"platform_control_{is_leading}".lower(), asyncio.run(collect_answers()))
 
 
 _RUN = RunId(TaskId("5c0e7a21d94b36f8", 0, 1, 17), 2)
-_LISTS = {
+_POLL_BODY = {
     "clock_ms": 482_113,
     "active": [["5c0e7a21d94b36f8.0.1.17", 2, "c", 41, 12]],
     "finished": [[58, "5c0e7a21d94b36f8.0.1.9", 1, "done", ""]],
 }
-_REPLIES: list[tuple[int, Any]] = [
-    (200, _LISTS),
+_RESPONSES: list[tuple[int, Any]] = [
+    (200, _POLL_BODY),
     *((409, {"clock_ms": 7, "reason": reason}) for reason in ("fence", "old", "late", "room", "x")),
     (400, {}),
     (421, {}),
@@ -217,12 +217,14 @@
         self.answer: tuple[int, Any] = (200, {})
 
     async def handle(self, request: web.Request) -> web.Response:
-        kept = {
+        kept_headers = {
             key: request.headers[key]
             for key in ("Content-Type", "X-Foldloom-Expected-Instance")
             if key in request.headers
         }
-        self.orders.append([request.method, request.path, kept, (await request.read()).decode()])
+        self.orders.append(
+            [request.method, request.path, kept_headers, (await request.read()).decode()]
+        )
         status, body = self.answer
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         return web.Response(status=status, body=data, content_type="application/json")
@@ -234,7 +236,7 @@
     def test_orders_and_replies(self) -> None:
         """Paths, headers and bodies of the orders; what each answer is taken for."""
 
-        async def play() -> Any:
+        async def collect_answers() -> Any:
             endpoint = _Endpoint()
             app = web.Application()
             app.router.add_route("*", "/{path:.*}", endpoint.handle)
@@ -243,32 +245,37 @@
             async with TestServer(app) as server:
                 address = f"{server.host}:{server.port}"
                 record = EndpointRecord("i-1", "s", address, "a", Demand())
-                for answer in _REPLIES:
+                for answer in _RESPONSES:
                     endpoint.answer = answer
                     start = await calls.start_run(record, StartOrder(_RUN, "t", 7, 900, "c"))
                     stop = await calls.stop_run(record, _RUN, 7)
-                    look = await calls.poll(record, PollOrder(7, 57, 900, 200))
+                    poll_reply = await calls.poll(record, PollOrder(7, 57, 900, 200))
                     replies.append(
                         [
                             [start.outcome.value, start.clock_ms],
                             [stop.outcome.value, stop.clock_ms],
-                            [look.outcome.value, look.clock_ms, len(look.active), len(look.ended)],
+                            [
+                                poll_reply.outcome.value,
+                                poll_reply.clock_ms,
+                                len(poll_reply.active),
+                                len(poll_reply.ended),
+                            ],
                         ]
                     )
                 await calls.start_run(record, StartOrder(_RUN, "t", 7, 900))
                 await calls.poll(record, PollOrder(7, 57, 0, 0))
-            gone = await calls.stop_run(record, _RUN, 7)
+            unreachable = await calls.stop_run(record, _RUN, 7)
             await calls.stop()
-            replies.append([gone.outcome.value])
+            replies.append([unreachable.outcome.value])
             distinct = [
                 json.loads(text) for text in sorted({json.dumps(o) for o in endpoint.orders})
             ]
             return {"orders": distinct, "replies": replies}
 
-        check("platform_orders", asyncio.run(play()))
+        check("platform_orders", asyncio.run(collect_answers()))
 
 
-_LOCAL = """
+_LOCAL_SETTINGS = """
 node_name = "edge-1"
 role = "my-edge"
 ip = "127.0.0.1"
@@ -292,7 +299,7 @@
     @pytest.mark.parametrize("name", ["entry", "controller"])
     def test_read(self, name: str, tmp_path: Any) -> None:
         """Each field arrives where it did."""
-        text = _LOCAL
+        text = _LOCAL_SETTINGS
         if name == "controller":
             text = text.replace("frontend", "control_plane").replace(
                 "zone", 'data_dir = "/d"\nzone'
@@ -301,7 +308,7 @@
         path.write_text(text)
         local = read_settings(str(path))
         settings = local.settings
-        present = {
+        actual = {
             "box": settings.box,
             "zone": settings.zone,
             "roles": settings.roles,
@@ -314,4 +321,4 @@
             "stop": settings.timings.stop_timeout_ms,
             "local": list(local)[1:],
         }
-        check(f"local_settings_{name}", present)
+        check(f"local_settings_{name}", actual)
--- a/tests/unchanged/own_http.py
+++ b/tests/unchanged/own_http.py
@@ -67,7 +67,7 @@
 ]
 
 
-async def play(folder: Path) -> Any:
+async def collect_answers(folder: Path) -> Any:
     """Return the answers of a box, and of an HTTP server whose jobs end by their names."""
     tokens = folder / "tokens"
     tokens.write_text("secret\n")
@@ -80,12 +80,12 @@
         Metrics(),
         lambda _app: None,  # type: ignore
     )
-    bare, box = Box(settings), Box(settings)
+    unauthorized, box = Box(settings), Box(settings)
     token = {"Authorization": "Bearer secret"}
     status = box.status()
     answers = {
         "callers": await answers_of(callers._app, _OWN_CALLS[:15], {}),
-        "unauthorized": await answers_of(bare._http._app, _OWN_CALLS[15:], {}),
+        "unauthorized": await answers_of(unauthorized._http._app, _OWN_CALLS[15:], {}),
         "operators": await answers_of(box._http._app, [("GET", "/v1/config", None)], token),
         "status": [sorted(status), sorted(status["boxes"]["a1"])],
     }
@@ -97,7 +97,7 @@
 def main() -> None:
     """Print the answers."""
     with tempfile.TemporaryDirectory() as folder:
-        print(json.dumps(asyncio.run(play(Path(folder)))))
+        print(json.dumps(asyncio.run(collect_answers(Path(folder)))))
 
 
 if __name__ == "__main__":
--- a/tests/unchanged/recorded.py
+++ b/tests/unchanged/recorded.py
@@ -15,11 +15,11 @@
 FOLDER = Path(__file__).parent / "recorded"
 
 
-def check(name: str, present: Any) -> None:
-    """Compare *present* with what was recorded as *name*."""
+def check(name: str, actual: Any) -> None:
+    """Compare *actual* with what was recorded as *name*."""
     file = FOLDER / f"{name}.json"
-    plain = json.loads(json.dumps(present))
+    normalized = json.loads(json.dumps(actual))
     if os.environ.get("FOLDLOOM_RECORD"):
         FOLDER.mkdir(exist_ok=True)
-        file.write_text(json.dumps(plain, indent=1, sort_keys=True) + "\n")
-    assert plain == json.loads(file.read_text())
+        file.write_text(json.dumps(normalized, indent=1, sort_keys=True) + "\n")
+    assert normalized == json.loads(file.read_text())
