--- a/tests/test_platform_bodies.py
+++ b/tests/test_platform_bodies.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The platform's JSON: what is taken, what is refused and by which name."""
+"""Decoding and validation of the platform's JSON bodies."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 
 
 class TestJob:
-    """Jobs that clients hand in."""
+    """Jobs submitted by clients."""
 
     def test_whole(self) -> None:
-        """Every field of a step arrives."""
+        """Every field of a step is decoded."""
         phase = {
             "mem_mb": 3,
             "gpu": 1,
@@ -72,7 +72,7 @@
         ],
     )
     def test_refused_by_name(self, body: bytes, status: int, named: str) -> None:
-        """What is wrong or not carried out is refused, and the field is named."""
+        """Invalid values and unsupported features are rejected with the field's name."""
         parsed = parse_job(_ID, body)
         assert parsed.is_error()
         assert parsed.error.status == status
@@ -80,7 +80,7 @@
 
     @pytest.mark.parametrize("job_id", ["", "5C0E7A21D94B36F8", "5c0e", _ID + "0", "../../etc"])
     def test_bad_id(self, job_id: str) -> None:
-        """An id that is not 16 hex digits is refused."""
+        """A job id that is not 16 lowercase hex digits is rejected."""
         assert parse_job(job_id, _job()).is_error()
 
 
@@ -103,10 +103,10 @@
 
 
 class TestDocument:
-    """Configurations that the operator sends."""
+    """Configuration documents of the operator."""
 
     def test_read_back_as_sent(self) -> None:
-        """The content is kept whole, unknown fields included."""
+        """The document is stored unchanged, including unknown fields."""
         body = _document(extra={"x": [1]})
         checked = parse_document(body)
         assert checked.is_ok()
@@ -114,7 +114,7 @@
         assert json.loads(checked.ok.document) == json.loads(body)
 
     def test_queues(self) -> None:
-        """A route becomes a queue."""
+        """A route is converted to a queue."""
         checked = parse_document(_document())
         assert checked.is_ok()
         queue = read_queues(checked.ok).find("h.example", "/p/1")
@@ -136,7 +136,7 @@
         ],
     )
     def test_invalid(self, body: bytes) -> None:
-        """What can't be read whole, or contradicts itself, is refused."""
+        """Malformed or inconsistent documents are rejected."""
         assert parse_document(body).is_error()
 
 
@@ -166,10 +166,10 @@
 
 
 class TestReport:
-    """What endpoints say of themselves, and what other writers leave at their path."""
+    """Heartbeat reports of endpoints, valid and invalid."""
 
     def test_whole(self) -> None:
-        """Every field that decisions use arrives."""
+        """Every field that decisions depend on is decoded."""
         record = read_report("i-1", _report()).ok
         assert (record.endpoint, record.service, record.zone) == ("i-1", "s", "z")
         assert record.capacity == (16_000, 32_768, 0)
@@ -177,13 +177,13 @@
         assert record.born_ms == 1_796_000_000_000
 
     def test_without_a_birth(self) -> None:
-        """An endpoint whose id belongs to one life says no birth."""
+        """``born`` is optional: an id may belong to a single incarnation."""
         fields = {key: value for key, value in _REPORT.items() if key != "born"}
         assert read_report("i-1", json.dumps(fields).encode()).ok.born_ms == 0
 
     @pytest.mark.parametrize("field", _REQUIRED)
     def test_a_field_is_missing(self, field: str) -> None:
-        """What every endpoint says must be there."""
+        """A missing required field is rejected with its name."""
         fields = {key: value for key, value in _REPORT.items() if key != field}
         refused = read_report("i-1", json.dumps(fields).encode())
         assert refused.is_error()
@@ -214,12 +214,12 @@
         ],
     )
     def test_a_field_is_wrong(self, changes: dict[str, Any]) -> None:
-        """A value of another type or beyond what it can be is refused whole."""
+        """A report with a value of the wrong type or out of range is rejected."""
         assert read_report("i-1", _report(**changes)).is_error()
 
     @pytest.mark.parametrize("endpoint", ["", "a/b", "a b", "x" * 300])
     def test_the_path_names_nothing(self, endpoint: str) -> None:
-        """An id is a text without slashes and blanks."""
+        """An endpoint id that is empty, too long or contains slashes or blanks is rejected."""
         assert read_report(endpoint, _report()).is_error()
 
     @given(
@@ -230,7 +230,7 @@
         )
     )
     def test_whatever_comes(self, body: bytes) -> None:
-        """It is refused, or it is a report that the boxes can pass on to each other."""
+        """Any body is either rejected or survives encoding between boxes unchanged."""
         read = read_report("i-1", body)
         if read.is_error():
             assert read.error
@@ -240,26 +240,26 @@
         assert received_endpoints(decode_body(frame)) == [read.ok]
 
     def test_nested_without_end(self) -> None:
-        """A body that no reader gets to the end of is refused."""
+        """A body nested beyond the decoder's recursion limit is rejected."""
         assert read_report("i-1", b'{"x":' + b"[" * 100_000).is_error()
 
 
 class TestNames:
-    """Names of tasks and the rows of an endpoint's lists."""
+    """Task names and the rows of poll responses."""
 
     def test_task(self) -> None:
-        """A task's name holds job, time, step and number."""
+        """A task name consists of job, repeat, step and position."""
         task = TaskId(_ID, 0, 1, 17)
         assert task_text(task) == f"{_ID}.0.1.17"
         assert task_of(task_text(task)) == task
 
     def test_not_a_task(self) -> None:
-        """Another text is no task's name."""
+        """Text that is not a task name raises."""
         with pytest.raises(ValueError, match="names no task"):
             task_of("x.1.2")
 
     def test_rows(self) -> None:
-        """Rows may have more fields than are known."""
+        """Rows are decoded, and extra fields are ignored."""
         run_id = RunId(TaskId(_ID, 0, 1, 9), 2)
         active = decode_active_runs([[f"{_ID}.0.1.9", 2, "", 100, 12.5]])
         assert active[0].run_id == run_id
--- a/tests/test_platform_connections.py
+++ b/tests/test_platform_connections.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Open connections that go silent for good while new ones work, and addresses used restarted."""
+"""Connections to endpoints that stop responding, and reused endpoint addresses."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from standins.run_endpoint import RunEndpoint, Sightings
 
 _OPEN_CONNECTIONS = 4
-# Seconds from the silence to the next start: 0.2 + 0.45 + 0.05, and some for a busy machine.
+# From the loss of the connections to the next start.
 _RECOVERY_TIMEOUT_S = 0.9
 _ORDER = PollOrder(1, 0, 0, 0)
 
 
 class TestSilentConnections:
-    """Nothing resets them; only the time-out of a call shows it."""
+    """Connections that stop responding without a reset, while new ones work."""
 
     def test_one_call_is_lost_at_most(self) -> None:
-        """After a call that got no answer, no other connection of then is used."""
+        """After a call times out, no other connection of the same pool is used."""
 
         async def run() -> None:
             endpoint = RunEndpoint("w1", "127.0.0.1", free_port(), "a", Sightings())
@@ -44,15 +44,11 @@
         asyncio.run(run())
 
     def test_runs_start_again_soon(self, tmp_path: Path) -> None:
-        """A lease lapses before the silence shows, once; the next start goes over a new connection.
-
-        It lapses 600 ms after the last poll that was heard; a poll shows the silence 450 ms after
-        it was sent, which may be 200 ms after that one.
-        """
+        """Runs whose lease expires are restarted soon, at most once, over new connections."""
 
         async def scenario(system: PlatformSystem) -> None:
             entry = system.entries[0]
-            # Several starts at once leave several connections open.
+            # Concurrent starts open several connections.
             await asyncio.gather(*(system.submit(entry, n, steps(4, 50)) for n in range(1, 4)))
             starts_before = system.sightings.starts.total()
             job = asyncio.create_task(system.submit(entry, 10, steps(2, 1_500, estimate_ms=2_000)))
@@ -68,10 +64,10 @@
 
 
 class TestReusedAddress:
-    """A new incarnation of an endpoint at the address of one that crashed."""
+    """An endpoint started at the address of a crashed one."""
 
     def test_a_late_heartbeat_of_the_one_before(self, tmp_path: Path) -> None:
-        """It brings the crashed one back for nobody: all runs go to the new one and end there."""
+        """A delayed heartbeat of the crashed endpoint gets no runs placed on it."""
 
         async def scenario(system: PlatformSystem) -> None:
             crashed, *others = system.endpoints
--- a/tests/test_platform_same_id.py
+++ b/tests/test_platform_same_id.py
@@ -1,12 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Endpoints that start again under the id that they had.
-
-An endpoint crashed, started again under its id and said some seconds later that it was leaving;
-its message was answered, and tasks went on starting there. Reports were ordered by a number alone
-that starts anew with each life: what the second life said was dropped as late, its leave too, until
-the first one had been silent for 12 s. The controller's log, which lists the endpoint again exactly
-then, with the eighth report of the second life, proved it. The other half shows less: the owner
-went on with the clock and the ends of the first life, and the second one was hardly given work.
+"""Endpoints that restart under the same id.
+
+Guards against dropping a new incarnation's reports because their sequence numbers restart.
 """
 
 from __future__ import annotations
@@ -17,19 +12,18 @@
 from platform_system import PlatformSystem, play
 from soak_same_id import begin_again_and_leave, begin_again_at, call_until
 
-# Seconds that each life serves.
+# Serving time of each incarnation.
 _SERVING_S = 1.8
 _FIRST_SERVING_S = 4.0
-# Tasks that the second life is to get while it serves: an endpoint that is used like the other one
-# of its zone gets hundreds.
+# Least number of tasks started on the second incarnation.
 _STARTS_MIN = 50
 
 
 class TestSecondLife:
-    """An endpoint that crashes and starts again at once, with everything counted anew."""
+    """An endpoint that crashes and restarts at once, with its counters reset."""
 
     def test_it_serves_and_leaves(self, tmp_path: Path) -> None:
-        """It is used like the first life, and nothing starts there once its leave is known."""
+        """The second incarnation gets tasks, and none after its draining report."""
 
         async def scenario(system: PlatformSystem) -> None:
             first = await begin_again_at(system, 0)
--- a/tests/test_platform_signals.py
+++ b/tests/test_platform_signals.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Signals that reach a program of the platform while it starts."""
+"""Signals received while a platform program starts."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 def _read_signal_mask(pid: int, field: str) -> int:
-    """Return a mask of signals of a process, as the kernel shows it."""
+    """Return a signal mask of a process from ``/proc``."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     (mask,) = (line.split()[1] for line in lines if line.startswith(field))
     return int(mask, 16)
 
 
 class TestReloadWhileStarting:
-    """SIGHUP before the program has installed its handler, which it does after some time."""
+    """SIGHUP before the program has installed its handler."""
 
     @pytest.mark.parametrize("name", ["e0", "c0"])
     def test_it_goes_on(self, tmp_path: Path, name: str) -> None:
-        """From the program's first lines on, a reload ends nothing, and the last seeds hold."""
+        """An early SIGHUP does not end the process, and a later one reloads the settings."""
 
         async def scenario(system: PlatformSystem) -> None:
             await system.kill(name)
--- a/tests/test_platform_system.py
+++ b/tests/test_platform_system.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The platform's programs end to end: jobs, bad input, lost owners, dark controllers, stops."""
+"""End-to-end tests of the platform programs: jobs, bad input, failures and planned stops."""
 
 from __future__ import annotations
 
@@ -23,18 +23,13 @@
 
 
 class TestServing:
-    """Jobs on a shared_system system."""
+    """Jobs on an undisturbed system."""
 
     def test_each_task_runs_once(self, tmp_path: Path) -> None:
-        """Jobs at all entry processes are completed, each task by one start.
-
-        Seen beside 40 busy processes on 8 cores, in 5 of 96 plays: tasks that started twice, or
-        jobs that were refused. In four the owner had not been run by the machine for 0.2 to 0.3 s,
-        as it had logged, the rights of boxes, which last 400 ms, had lapsed, and what they cover is
-        stopped and started again. In one the answers of both endpoints were overdue by 80 ms, and a
-        zone in which no endpoint may be used refuses. Both are meant so. This holds for a system of
-        which nothing stands still and nothing is overdue; of any other it holds that no task is on
-        two endpoints, and that what is called completed is done.
+        """All jobs complete, and each task starts exactly once.
+
+        If scheduling delays were logged meanwhile, leases may expire and jobs may be rejected; then
+        only the tasks of completed jobs are checked.
         """
 
         async def scenario(system: PlatformSystem) -> None:
@@ -66,7 +61,7 @@
         play(scenario, tmp_path)
 
     def test_same_id_at_two_entries(self, tmp_path: Path) -> None:
-        """The same job at two entry processes at once never runs beside itself."""
+        """The same job submitted to all entry processes at once completes at each of them."""
 
         async def scenario(system: PlatformSystem) -> None:
             body = steps(2, ms=300)
@@ -76,7 +71,7 @@
         play(scenario, tmp_path)
 
     def test_failing_task(self, tmp_path: Path) -> None:
-        """A task that fails as often as it may fails its job."""
+        """A job fails once a task has failed its maximum number of attempts."""
 
         async def scenario(system: PlatformSystem) -> None:
             answer = await system.submit("e0", 1, steps(1, how="failed"))
@@ -89,7 +84,7 @@
         play(scenario, tmp_path)
 
     def test_draining_endpoint(self, tmp_path: Path) -> None:
-        """Once a heartbeat that says draining is answered, nothing new starts there."""
+        """No run starts on an endpoint after its draining report is acknowledged."""
 
         async def scenario(system: PlatformSystem) -> None:
             system.endpoints[0].state = "draining"
@@ -104,7 +99,7 @@
 
 
 class TestBadInput:
-    """What is wrong is refused with the field's name, and nothing of it runs."""
+    """Invalid jobs are rejected, and none of their tasks run."""
 
     @pytest.mark.parametrize(
         ("text", "body", "named"),
@@ -124,19 +119,19 @@
         ],
     )
     def test_refused(self, shared_system: _SharedSystem, text: str, body: Any, named: str) -> None:
-        """A 4xx that names the field."""
+        """The response is a 4xx that names the field."""
         answer = shared_system.submit(text, body)
         assert 400 <= answer.status < 500, answer
         assert named in answer.fields["error"], answer
         assert not any(task.job_id == text for task in shared_system.system.sightings.starts)
 
     def test_oversized(self, shared_system: _SharedSystem) -> None:
-        """A body beyond the bound is refused."""
+        """A body above the size limit is rejected with 413."""
         assert shared_system.submit("1" * 16, b" " * 2_000_000).status == 413
 
 
 class _SharedSystem:
-    """A system that is not disturbed, shared by tests of what it refuses."""
+    """A small system shared by the tests of rejected input."""
 
     def __init__(self, folder: Path) -> None:
         self._runner = asyncio.Runner()
@@ -144,29 +139,29 @@
         self._runner.run(self.system.__aenter__())
 
     def submit(self, text: str, body: Any) -> Answer:
-        """Hand a job in."""
+        """Submit a job under the id *text*."""
         return self._runner.run(self.system.submit_text("e0", text, body))
 
     def stop(self) -> None:
-        """End it."""
+        """Stop the system."""
         self._runner.run(self.system.__aexit__())
         self._runner.close()
 
 
 @pytest.fixture(scope="module")
 def shared_system(tmp_path_factory: pytest.TempPathFactory) -> Any:
-    """Give a system that is not disturbed."""
+    """Start a system for all tests of the module."""
     shared = _SharedSystem(tmp_path_factory.mktemp("calm"))
     yield shared
     shared.stop()
 
 
 class TestLostOwner:
-    """The owner of the zone dies or freezes: another one goes on, and nothing runs twice."""
+    """Failover after the owner of a zone crashes or freezes."""
 
     @pytest.mark.parametrize("how", ["kill", "freeze"])
     def test_another_takes_over(self, tmp_path: Path, how: str) -> None:
-        """Jobs at the other entry processes are completed within a few seconds."""
+        """Jobs at the other entry processes complete within the failover timeout."""
 
         async def scenario(system: PlatformSystem) -> None:
             owner = system.owner()
@@ -199,10 +194,10 @@
 
 
 class TestExplained:
-    """A request's explanation is found in the logs, also across a lost owner."""
+    """A job can be traced through the logs, also across a failover."""
 
     def test_from_id_to_cause(self, tmp_path: Path) -> None:
-        """A job in flight when the owner dies: accepted, placed, resumed elsewhere, ended."""
+        """A job in flight when the owner crashes is accepted, placed, resumed and ended."""
 
         async def scenario(system: PlatformSystem) -> None:
             owner = system.owner()
@@ -226,10 +221,10 @@
 
 
 class TestDarkControllers:
-    """Controllers are not on the path of a job that need not be kept."""
+    """Best-effort jobs do not depend on controllers."""
 
     def test_served_without(self, tmp_path: Path) -> None:
-        """With the controller dead, jobs are completed; its return changes nothing."""
+        """Jobs complete while the controller is down and after it restarts."""
 
         async def scenario(system: PlatformSystem) -> None:
             await system.kill("c0")
@@ -246,10 +241,10 @@
 
 
 class TestPlannedStop:
-    """SIGTERM cuts nothing."""
+    """A planned stop by SIGTERM loses no jobs."""
 
     def test_jobs_in_flight_are_answered(self, tmp_path: Path) -> None:
-        """Every entry process is stopped in turn while busy; each job gets its answer."""
+        """Two entry processes are stopped in turn while busy; every job is answered."""
 
         async def scenario(system: PlatformSystem) -> None:
             running = []
@@ -271,10 +266,10 @@
 
 
 class TestLostEndpoint:
-    """An endpoint that falls silent keeps its tasks until its lease is over, and not longer."""
+    """Tasks of an endpoint that stops responding are rerun once its lease has expired."""
 
     def test_its_tasks_run_elsewhere(self, tmp_path: Path) -> None:
-        """Tasks on a silent endpoint are started again on another one."""
+        """Tasks of an unresponsive endpoint complete on another one."""
 
         async def scenario(system: PlatformSystem) -> None:
             running = [
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -1,14 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Boxes that are suspended by their machine: the steady clock leaves the time out.
+"""Boxes whose operating system is suspended, so that ``CLOCK_MONOTONIC`` falls behind.
 
-Seen: an entry box that was suspended for 3 s completed no job any more, until it was restarted:
-each waited for its deadline, while the other boxes completed all. Two of three controllers that
-were suspended one after the other acknowledged no configuration any more.
-
-Cause: a message's age is its sender's clock held against the receiver's, by the least difference
-ever seen. ``CLOCK_MONOTONIC`` of a suspended machine falls back against all others, so all that it
-sent looked as much older, for good, and was dropped as expired: the counter
-``messages.dropped.expired`` of its peers rose with each of its messages, and nothing was logged.
+Guards against peers dropping every later message of such a box as expired, because the clock
+difference from which they compute a message's age has changed.
 """
 
 from __future__ import annotations
@@ -22,7 +16,7 @@
 from platform_system import PlatformSystem, play, steps
 
 _SUSPENDED_S = 3.0
-# Seconds after a resumed box is back by which it must serve: it catches up meanwhile.
+# Time for a resumed box to catch up.
 _RECOVERY_S = 4.0
 _JOBS = 6
 
@@ -34,17 +28,17 @@
 
 
 async def _submit_jobs(system: PlatformSystem, name: str, first_job: int) -> list[int]:
-    """Hand jobs in at a box, one after the other, and return the statuses."""
+    """Submit jobs to a box one after another and return the statuses."""
     body = steps(2, ms=20, estimate_ms=500)
     return [(await system.submit(name, first_job + n, body, 2_000)).status for n in range(_JOBS)]
 
 
 class TestSuspendedEntryBox:
-    """A box that was suspended serves again within seconds, and the others all the while."""
+    """Entry boxes that are suspended and resumed."""
 
     @pytest.mark.parametrize("is_owner", [True, False])
     def test_it_serves_again(self, tmp_path: Path, is_owner: bool) -> None:
-        """Jobs handed in there are completed, whether it owned its zone or not."""
+        """Jobs complete at every box after the owner or another box was suspended."""
 
         async def scenario(system: PlatformSystem) -> None:
             owner = system.owner()
@@ -57,7 +51,7 @@
         play(scenario, tmp_path)
 
     def test_twice(self, tmp_path: Path) -> None:
-        """The second suspension is over as soon as the first_job."""
+        """The box recovers from a second suspension as it does from the first."""
 
         async def scenario(system: PlatformSystem) -> None:
             for first_job in (0, 100):
@@ -68,7 +62,7 @@
         play(scenario, tmp_path)
 
     def test_a_whole_zone_at_once(self, tmp_path: Path) -> None:
-        """All entry boxes stand still together, and serve again together."""
+        """All entry boxes of a zone are suspended at once and recover."""
 
         async def scenario(system: PlatformSystem) -> None:
             await asyncio.gather(*(_suspend(system, name) for name in system.entries))
@@ -80,14 +74,13 @@
 
 
 class TestPausedGuest:
-    """A box of which every clock but the time of day stops, as that of a guest that is paused.
+    """A paused virtual machine: every clock except the time of day stops.
 
-    Its peers see its clock fall back, for good. All that it sends then looks too old to them, until
-    a reply to one of their own messages shows how old it can be.
+    Peers take its messages for expired until a reply to one of their own bounds the clock skew.
     """
 
     def test_it_serves_again(self, tmp_path: Path) -> None:
-        """Jobs handed in there are completed, and at the other boxes."""
+        """Jobs complete at the resumed box and at the others."""
 
         async def scenario(system: PlatformSystem) -> None:
             await _suspend(system, "e0")
@@ -98,7 +91,7 @@
         play(scenario, tmp_path, boot_clock_stops=True)
 
     def test_controllers(self, tmp_path: Path) -> None:
-        """Two of three in turn: a configuration is acknowledged."""
+        """A configuration is acknowledged after two of three controllers were paused in turn."""
 
         async def scenario(system: PlatformSystem) -> None:
             for name in ("c0", "c1"):
@@ -112,10 +105,10 @@
 
 
 class TestSuspendedControllers:
-    """Controllers that were suspended agree again."""
+    """Controllers that are suspended and resumed."""
 
     def test_two_of_three_in_turn(self, tmp_path: Path) -> None:
-        """A configuration is acknowledged by any controller within the bound of a change."""
+        """Every controller acknowledges a configuration within the recovery time."""
 
         async def scenario(system: PlatformSystem) -> None:
             for name in ("c0", "c1"):
@@ -135,10 +128,10 @@
 
 
 class TestDeadlineWhileSuspended:
-    """A job whose deadline passes while its box is suspended is answered at once afterwards."""
+    """A job whose deadline expires while its box is suspended."""
 
     def test_it_is_answered_at_once(self, tmp_path: Path) -> None:
-        """The job had 1.5 s; its box was suspended for 3 s soon after it arrived."""
+        """The job gets a 504 as soon as the box resumes."""
 
         async def scenario(system: PlatformSystem) -> None:
             body = steps(1, ms=5_000, estimate_ms=1_000)
@@ -154,10 +147,10 @@
 
 
 class TestLogged:
-    """On-call engineers see a suspension in the log of the box itself."""
+    """Suspensions in the log of the suspended box."""
 
     def test_a_pause_tells_it(self, tmp_path: Path) -> None:
-        """The pause is as long as the suspension, and says how much the steady clock left out."""
+        """The event has the duration of the pause and the part missing from the monotonic clock."""
 
         async def scenario(system: PlatformSystem) -> None:
             await _suspend(system, "e0", 1.0)
--- a/tests/test_unchanged.py
+++ b/tests/test_unchanged.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What other boxes, callers, operators, endpoints and scripts rely on stays as recorded.
+"""Compatibility of messages, stored data, HTTP, settings, metrics and the command line.
 
-Each test compares the code with files in ``tests/unchanged/recorded``. A red test here means
-that a peer of another release, a caller, a settings file, a data folder or a dashboard would
-notice the change.
+Compares them with ``tests/unchanged/recorded``. A failure means that a peer of another release, a
+caller, a settings file, a data folder or a dashboard would be affected.
 """
 
 from __future__ import annotations
@@ -72,9 +71,9 @@
 
 
 class TestMessages:
-    """Messages between boxes: numbers, order and types of fields, counters.
+    """Messages between boxes: numbers, field order and types, counters.
 
-    Only the names of fields may be changed here, together with the code.
+    Only field names may change in the recorded file, together with the code.
     """
 
     @pytest.mark.parametrize(
@@ -85,7 +84,7 @@
         ],
     )
     def test_bytes(self, name: str, modules: list[str]) -> None:
-        """Each message has its number, its bytes and its counter."""
+        """Each message keeps its number, encoding and counter."""
         program = [sys.executable, str(_ROOT / "tests/unchanged/describe_messages.py"), *modules]
         printed = subprocess.run(program, capture_output=True, text=True, check=True)
         check(name, json.loads(printed.stdout))
@@ -102,7 +101,7 @@
 
 
 def _payloads(replicated: ReplicatedState) -> Iterator[bytes]:
-    """Yield commands of both kinds of state; each sees the effect of those before."""
+    """Yield commands for both kinds of state; later ones depend on the earlier ones."""
     yield b""
     yield commands.encode_command(commands.FoundCommand({"a1": "a"}, {"c1": "*", "c2": "*"}))
     yield commands.encode_command(commands.IncarnationCommand("a1", 41))
@@ -116,7 +115,7 @@
 
 
 def _describe_state(replicated: ReplicatedState) -> dict[str, Any]:
-    """Return what a state says, in words that do not depend on the code's names."""
+    """Return a state's content without identifiers of the code."""
     return {
         "config": list(replicated.config),
         "publication": [replicated.publication.version, replicated.publication.document.decode()],
@@ -129,10 +128,10 @@
 
 
 class TestData:
-    """A controller's data folder, written by the recorded release."""
+    """Data folders written by the recorded release."""
 
     def test_commands(self) -> None:
-        """The entries of the log have the same bytes."""
+        """Commands in the log keep their encoding."""
         actual = {
             kind.__struct_config__.tag: commands.encode_command(_command_of(kind)).hex()
             for kind in _COMMANDS
@@ -140,7 +139,7 @@
         check("commands", actual)
 
     def test_configuration(self) -> None:
-        """The cached configuration and the snapshot have the same bytes."""
+        """The cached configuration and the snapshot keep their encoding."""
         replicated = ReplicatedState(state.empty_config({}, {}))
         answers = [list(replicated.apply(payload)) for payload in _payloads(replicated)]
         actual = {
@@ -151,7 +150,7 @@
         check("state", actual)
 
     def test_folder(self, tmp_path: Path) -> None:
-        """A folder with a snapshot and a log is read, replayed and written as before."""
+        """A folder with a snapshot and a log is read, replayed and written in the same format."""
         recorded = Path(__file__).parent / "unchanged/recorded/folder.json"
         files = _write_folder(tmp_path / "new")
         check("folder", {name: base64.b64encode(data).decode() for name, data in files.items()})
@@ -171,7 +170,7 @@
         check("folder_meaning", msgspec.to_builtins(_describe_state(replicated)))
 
     def test_cache(self, tmp_path: Path) -> None:
-        """The cached publication has the same bytes and is read back."""
+        """The cached publication keeps its encoding and can be read back."""
         written = {}
 
         async def write(publication: state.Publication) -> None:
@@ -187,7 +186,7 @@
         assert PublicationCache(str(tmp_path)).read().version == 7
 
     def test_set_aside(self, tmp_path: Path) -> None:
-        """A damaged folder's parts keep their names, with the reason and a time behind."""
+        """Files of a damaged folder are renamed with the suffix ``.lost`` and a time."""
         _write_folder(tmp_path)
         storage.set_aside(str(tmp_path))
         names = sorted(path.name.rpartition("-")[0] for path in tmp_path.iterdir())
@@ -195,7 +194,7 @@
 
 
 def _write_folder(folder: Path) -> dict[str, bytes]:
-    """Write a data folder with a snapshot, entries after it, a cut and a vote."""
+    """Write a data folder with a snapshot, later entries, a truncation and a vote."""
     storage.format_folder(str(folder), is_first=True)
     identity = records.Identity("0" * 32, True)
     record = records.encode_identity(identity)
@@ -220,10 +219,10 @@
 
 
 class TestOwnHttp:
-    """Callers' and operators' routes of the own interface."""
+    """foldloom's own HTTP interface for callers and operators."""
 
     def test_answers(self) -> None:
-        """Statuses, headers and bodies of every route."""
+        """Every route keeps its status, headers and body."""
         program = [sys.executable, "-m", "unchanged.own_http"]
         printed = subprocess.run(
             program, capture_output=True, text=True, check=True, cwd=_ROOT / "tests"
@@ -232,10 +231,10 @@
 
 
 class TestSettings:
-    """Keys of the settings file and their defaults."""
+    """Keys of the settings file."""
 
     def test_keys(self) -> None:
-        """Every key with its default; files that name all of them still load."""
+        """Every key keeps its default, and the sample settings still load."""
         check("settings", _fields(Settings))
         assert settings_from(SETTINGS).box == "a1"
 
@@ -257,10 +256,10 @@
 
 
 class TestMetrics:
-    """Names of counters, gauges and timings."""
+    """Counters, gauges and timings."""
 
     def test_names(self) -> None:
-        """Every name in the code; what is put into a name at run time is shown as ``{}``."""
+        """Every metric name in the code; parts computed at run time appear as ``{}``."""
         names = set()
         for folder in ("src", "platform"):
             for path in sorted((_ROOT / folder).rglob("*.py")):
@@ -268,7 +267,7 @@
         check("metrics", sorted(names))
 
     def test_parts_of_names(self) -> None:
-        """What is put into names at run time."""
+        """Parts of metric names computed at run time."""
         actual = {
             "runs": [cause.label for cause in EndCause],
             "starts": [outcome.value for outcome in CallOutcome],
@@ -282,7 +281,7 @@
         check("metric_parts", actual)
 
     def test_text(self) -> None:
-        """How names and values are served."""
+        """The exposition format of names and values."""
         metrics = Metrics()
         metrics.count("jobs.refused.over-load", 3)
         metrics.gauge("queue.a", 2.5)
@@ -308,10 +307,10 @@
 
 
 class TestCommandLine:
-    """Verbs, flags and exit codes."""
+    """Commands, flags and exit codes."""
 
     def test_verbs(self) -> None:
-        """Every verb with its flags and their defaults."""
+        """Every command keeps its flags and their defaults."""
         verbs = {
             name: [str(one) for one in inspect.signature(verb).parameters.values()][1:]
             for name, verb in vars(Commands).items()
@@ -321,7 +320,7 @@
         check("command_line", {"verbs": verbs, "load": options})
 
     def test_exit_codes(self) -> None:
-        """What scripts tell a refusal, a failure and a conflict apart by."""
+        """Exit codes for refusals, failures and conflicts."""
         answers: list[tuple[int, dict[str, Any]]] = [
             (200, {}),
             (409, {"verdict": "refused"}),
@@ -340,5 +339,5 @@
     """The users' deploy file."""
 
     def test_content(self) -> None:
-        """Its roles, programs and addresses."""
+        """Roles, programs and addresses."""
         check("deploy", tomllib.loads((_ROOT / "deploy/system.toml").read_text()))
--- a/tests/test_unchanged_platform.py
+++ b/tests/test_unchanged_platform.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""What the users' platform sees of the adapter stays as recorded.
+"""Compatibility of the adapter with the platform's clients, operator and endpoints.
 
-Its clients, its operator, its endpoints' heartbeats, and the orders that endpoints get.
+Compares HTTP responses, calls to endpoints and settings with ``tests/unchanged/recorded``.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 
 class _EntryBox:
-    """An entry box that ends jobs by their id."""
+    """An entry box whose job results depend on the job id."""
 
     def __init__(self, is_leaving: bool = False, is_configured: bool = True) -> None:
         publication = Publication(7, json.dumps(_DOCUMENT).encode())
@@ -98,10 +98,10 @@
 
 
 class TestClients:
-    """Clients of the platform and its balancer."""
+    """Requests of clients and the load balancer."""
 
     def test_answers(self) -> None:
-        """Statuses, headers and bodies, while serving, stopping and not yet configured."""
+        """Status, headers and body while serving, stopping and not yet configured."""
 
         async def collect_answers() -> Any:
             box = _EntryBox()
@@ -123,7 +123,7 @@
 
 
 class _Controller:
-    """A controller that remembers what it was received."""
+    """A controller that records the calls to it."""
 
     def __init__(self, is_leading: bool = True) -> None:
         self.metrics = Metrics()
@@ -175,11 +175,11 @@
 
 
 class TestControl:
-    """Heartbeats of endpoints and the operator's calls."""
+    """Requests of endpoints and the operator."""
 
     @pytest.mark.parametrize("is_leading", [True, False])
     def test_answers(self, is_leading: bool) -> None:
-        """Statuses, headers and bodies, and what arrives inside."""
+        """Status, headers and body, and the arguments passed to the controller."""
 
         async def collect_answers() -> Any:
             controller = _Controller(is_leading)
@@ -210,7 +210,7 @@
 
 
 class _Endpoint:
-    """An endpoint that keeps orders and gives one answer after the other."""
+    """An endpoint that records requests and returns the configured response."""
 
     def __init__(self) -> None:
         self.orders: list[Any] = []
@@ -231,10 +231,10 @@
 
 
 class TestOrders:
-    """Calls to endpoints."""
+    """Calls from the adapter to endpoints."""
 
     def test_orders_and_replies(self) -> None:
-        """Paths, headers and bodies of the orders; what each answer is taken for."""
+        """Paths, headers and bodies of the calls, and the outcome of each response."""
 
         async def collect_answers() -> Any:
             endpoint = _Endpoint()
@@ -294,11 +294,11 @@
 
 
 class TestLocalSettings:
-    """The settings that the platform writes."""
+    """The settings file written by the platform."""
 
     @pytest.mark.parametrize("name", ["entry", "controller"])
     def test_read(self, name: str, tmp_path: Any) -> None:
-        """Each field arrives where it did."""
+        """Every field is mapped to the same setting."""
         text = _LOCAL_SETTINGS
         if name == "controller":
             text = text.replace("frontend", "control_plane").replace(
--- a/tests/unchanged/describe_messages.py
+++ b/tests/unchanged/describe_messages.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Print each message between boxes of one path as JSON: number, fields, bytes, counter.
+"""Print the number, fields, encoding and counter of each message between boxes as JSON.
 
-Run as a program with the modules to import. The two paths number some messages alike (80 to
-83), so that their modules can't be imported into one process.
+Run as a program with the modules to import: static_peers and seed_discovery share the message
+numbers 80 to 83, so their modules cannot be imported into one process.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def sample(annotation: Any, name: str) -> Any:
-    """Return a value of the type *annotation* that differs with the field's *name*."""
+    """Return a value of the type *annotation* derived from the field's *name*."""
     origin, arguments = typing.get_origin(annotation), typing.get_args(annotation)
     if origin in (types.UnionType, typing.Union):
         return sample(arguments[0], name)
@@ -54,7 +54,7 @@
 
 
 def sample_message(message_type: Any) -> Any:
-    """Return a message whose fields are numbered by their place, not by their names."""
+    """Return a message whose values depend on the fields' positions, not their names."""
     hints = typing.get_type_hints(message_type)
     return message_type(
         *(
@@ -65,7 +65,7 @@
 
 
 def describe(number: int, message_type: Any) -> dict[str, Any]:
-    """Return what boxes of other releases and readers of metrics rely on."""
+    """Return the wire format of a message type and the counter of messages sent."""
     message = sample_message(message_type)
     metrics = Metrics()
     settings = settings_from(
@@ -95,7 +95,7 @@
 
 
 def main() -> None:
-    """Print the messages that the named modules register."""
+    """Print the messages registered by the modules on the command line."""
     for module in sys.argv[1:]:
         importlib.import_module(module)
     rows = [describe(number, kind) for number, kind in sorted(messages._KINDS.items())]
--- a/tests/unchanged/http_answers.py
+++ b/tests/unchanged/http_answers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What a server answers to a list of calls."""
+"""Collects a server's responses to a list of requests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 async def answers_of(app: Any, calls: list[tuple[str, str, Any]], headers: dict[str, str]) -> Any:
-    """Return status, headers and body of each of *calls* on *app*."""
+    """Return status, selected headers and body of the response to each of *calls*."""
     answers = {}
     async with TestClient(TestServer(app)) as client:
         for method, path, body in calls:
--- a/tests/unchanged/own_http.py
+++ b/tests/unchanged/own_http.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Print what the own interface answers, as JSON.
+"""Print the responses of foldloom's own HTTP interface as JSON.
 
-Run as a program: the two paths number some messages alike (80 to 83), so that their modules
-can't be imported into one process.
+Run as a program: static_peers and seed_discovery share the message numbers 80 to 83, so their
+modules cannot be imported into one process.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class _Coordinator:
-    """Answers by the submission's name."""
+    """A coordinator whose result depends on the submission's name."""
 
     async def submit(self, submission: str, _request: Any) -> Any:
         problems = {
@@ -68,7 +68,7 @@
 
 
 async def collect_answers(folder: Path) -> Any:
-    """Return the answers of a box, and of an HTTP server whose jobs end by their names."""
+    """Return the responses of a box and of an HTTP server with a stub coordinator."""
     tokens = folder / "tokens"
     tokens.write_text("secret\n")
     settings = settings_from({**SETTINGS, "operator_tokens_file": str(tokens)})
@@ -95,7 +95,7 @@
 
 
 def main() -> None:
-    """Print the answers."""
+    """Print the responses."""
     with tempfile.TemporaryDirectory() as folder:
         print(json.dumps(asyncio.run(collect_answers(Path(folder)))))
 
--- a/tests/unchanged/recorded.py
+++ b/tests/unchanged/recorded.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What was recorded of the outer forms, from the code of commit 82919ef.
+"""Comparison with the external formats recorded from commit 82919ef.
 
-``FOLDLOOM_RECORD=1`` writes the files anew. That is right only when an outer form is meant to
-change, with the deprecation that CONTRIBUTING.md asks for.
+``FOLDLOOM_RECORD=1`` rewrites the files. Use it only for an intended change of an external format,
+with the deprecation that CONTRIBUTING.md requires.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def check(name: str, actual: Any) -> None:
-    """Compare *actual* with what was recorded as *name*."""
+    """Assert that *actual* equals the recorded data called *name*."""
     file = FOLDER / f"{name}.json"
     normalized = json.loads(json.dumps(actual))
     if os.environ.get("FOLDLOOM_RECORD"):
--- a/tests/unchanged/samples.py
+++ b/tests/unchanged/samples.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Settings and intents that the recorded forms were made from."""
+"""Settings and intents used for the recorded formats."""
 
 from __future__ import annotations
 
