--- a/tests/test_platform_signals.py
+++ b/tests/test_platform_signals.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Signals that reach a program of the platform while it starts."""
+"""Signals received while a platform program starts."""
 
 from __future__ import annotations
 
@@ -12,35 +12,37 @@
 
 from platform_system import PlatformSystem, play
 
-_STARTS_WITHIN_S = 20.0
-_HUP = 1 << (signal.SIGHUP - 1)
+_START_TIMEOUT_S = 20.0
+_SIGHUP_BIT = 1 << (signal.SIGHUP - 1)
 
 
-def _mask(pid: int, field: str) -> int:
-    """Return a mask of signals of a process, as the kernel shows it."""
+def _read_signal_mask(pid: int, field: str) -> int:
+    """Return a signal mask of a process from ``/proc``."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     (mask,) = (line.split()[1] for line in lines if line.startswith(field))
     return int(mask, 16)
 
 
 class TestReloadWhileStarting:
-    """SIGHUP before the program has installed its handler, which it does after some time."""
+    """SIGHUP before the program has installed its handler."""
 
     @pytest.mark.parametrize("name", ["e0", "c0"])
     def test_it_goes_on(self, tmp_path: Path, name: str) -> None:
-        """From the program's first lines on, a reload ends nothing, and the last seeds hold."""
+        """An early SIGHUP does not end the process, and a later one reloads the settings."""
 
         async def scenario(system: PlatformSystem) -> None:
             await system.kill(name)
             await system.start(name)
             process = system.processes[name]
-            until_s = time.monotonic() + _STARTS_WITHIN_S
-            while not _mask(process.pid, "SigIgn:") & _HUP:
-                assert not _mask(process.pid, "SigCgt:") & _HUP, "the handler came first"
-                assert time.monotonic() < until_s
+            deadline_s = time.monotonic() + _START_TIMEOUT_S
+            while not _read_signal_mask(process.pid, "SigIgn:") & _SIGHUP_BIT:
+                assert not _read_signal_mask(process.pid, "SigCgt:") & _SIGHUP_BIT, (
+                    "the handler came first"
+                )
+                assert time.monotonic() < deadline_s
                 await asyncio.sleep(0.001)
             while not await system.is_up(name):
-                assert time.monotonic() < until_s
+                assert time.monotonic() < deadline_s
                 process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.005)
             assert process.returncode is None
--- a/tests/test_unchanged.py
+++ b/tests/test_unchanged.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What other boxes, callers, operators, endpoints and scripts rely on stays as recorded.
+"""Compatibility of messages, stored data, HTTP, settings, metrics and the command line.
 
-Each test compares the code with files in ``tests/unchanged/recorded``. A red test here means
-that a peer of another release, a caller, a settings file, a data folder or a dashboard would
-notice the change.
+Compares them with ``tests/unchanged/recorded``. A failure means that a peer of another release, a
+caller, a settings file, a data folder or a dashboard would be affected.
 """
 
 from __future__ import annotations
@@ -47,14 +46,14 @@
 
 _ROOT = Path(__file__).parent.parent
 _CONTROLLERS = "foldloom.controllers.messages"
-_BY_SETTINGS = [
+_STATIC_PEERS_MODULES = [
     _CONTROLLERS,
     "foldloom.static_peers.claims.messages",
     "foldloom.static_peers.placement.messages",
     "foldloom.static_peers.entry.messages",
     "foldloom.static_peers.membership",
 ]
-_BY_SEEDS = [
+_SEED_DISCOVERY_MODULES = [
     _CONTROLLERS,
     "foldloom.seed_discovery.fleet.messages",
     "foldloom.seed_discovery.owners.messages",
@@ -72,81 +71,86 @@
 
 
 class TestMessages:
-    """Messages between boxes: numbers, order and types of fields, counters.
+    """Messages between boxes: numbers, field order and types, counters.
 
-    Only the names of fields may be changed here, together with the code.
+    Only field names may change in the recorded file, together with the code.
     """
 
     @pytest.mark.parametrize(
         ("name", "modules"),
-        [("messages_by_settings", _BY_SETTINGS), ("messages_by_seeds", _BY_SEEDS)],
+        [
+            ("messages_by_settings", _STATIC_PEERS_MODULES),
+            ("messages_by_seeds", _SEED_DISCOVERY_MODULES),
+        ],
     )
     def test_bytes(self, name: str, modules: list[str]) -> None:
-        """Each message has its number, its bytes and its counter."""
+        """Each message keeps its number, encoding and counter."""
         program = [sys.executable, str(_ROOT / "tests/unchanged/describe_messages.py"), *modules]
-        printed = subprocess.run(program, capture_output=True, text=True, check=True)
-        check(name, json.loads(printed.stdout))
+        process = subprocess.run(program, capture_output=True, text=True, check=True)
+        check(name, json.loads(process.stdout))
 
 
 def _command_of(kind: Any) -> Any:
     hints = [(field.name, field.type) for field in msgspec.structs.fields(kind)]
-    return kind(*(sample(hint, "f" + "x" * place) for place, (_, hint) in enumerate(hints)))
+    return kind(*(sample(hint, "f" + "x" * position) for position, (_, hint) in enumerate(hints)))
 
 
-def _confirm(command: str, intents: list[dict[str, Any]], known: ReplicatedState) -> bytes:
-    planned = plans.make_plan(known.config, parse_intents(intents).ok)
+def _confirm(command: str, intents: list[dict[str, Any]], replicated: ReplicatedState) -> bytes:
+    planned = plans.make_plan(replicated.config, parse_intents(intents).ok)
     return commands.encode_command(commands.ConfirmCommand(command, planned.ok.digest, intents))
 
 
-def _payloads(known: ReplicatedState) -> Iterator[bytes]:
-    """Yield commands of both kinds of state; each sees the effect of those before."""
+def _payloads(replicated: ReplicatedState) -> Iterator[bytes]:
+    """Yield commands for both kinds of state; later ones depend on the earlier ones."""
     yield b""
     yield commands.encode_command(commands.FoundCommand({"a1": "a"}, {"c1": "*", "c2": "*"}))
     yield commands.encode_command(commands.IncarnationCommand("a1", 41))
     yield commands.encode_command(commands.VoterReadyCommand("c1", "disk-1"))
-    yield _confirm("first", INTENTS, known)
-    yield _confirm("second", [{"kind": "remove", "section": "workers", "name": "w1"}], known)
+    yield _confirm("first", INTENTS, replicated)
+    yield _confirm("second", [{"kind": "remove", "section": "workers", "name": "w1"}], replicated)
     yield commands.encode_command(commands.BoxesSettledCommand(1))
     yield commands.encode_command(commands.ControllerJoinCommand("c3", "disk-3"))
     yield commands.encode_command(commands.ControllerLeaveCommand("c2"))
     yield commands.encode_command(commands.PublishCommand(7, b'{"version":7}'))
 
 
-def _meaning(known: ReplicatedState) -> dict[str, Any]:
-    """Return what a state says, in words that do not depend on the code's names."""
+def _describe_state(replicated: ReplicatedState) -> dict[str, Any]:
+    """Return a state's content without identifiers of the code."""
     return {
-        "config": list(known.config),
-        "publication": [known.publication.version, known.publication.document.decode()],
-        "changes": [list(changes) for changes in known.changes_since(1)],
-        "founders": known.founder_count,
-        "resent": list(known.apply(commands.encode_command(commands.IncarnationCommand("a1", 41)))),
+        "config": list(replicated.config),
+        "publication": [replicated.publication.version, replicated.publication.document.decode()],
+        "changes": [list(changes) for changes in replicated.changes_since(1)],
+        "founders": replicated.founder_count,
+        "resent": list(
+            replicated.apply(commands.encode_command(commands.IncarnationCommand("a1", 41)))
+        ),
     }
 
 
 class TestData:
-    """A controller's data folder, written by the recorded release."""
+    """Data folders written by the recorded release."""
 
     def test_commands(self) -> None:
-        """The entries of the log have the same bytes."""
-        present = {
+        """Commands in the log keep their encoding."""
+        actual = {
             kind.__struct_config__.tag: commands.encode_command(_command_of(kind)).hex()
             for kind in _COMMANDS
         }
-        check("commands", present)
+        check("commands", actual)
 
     def test_configuration(self) -> None:
-        """The cached configuration and the snapshot have the same bytes."""
-        known = ReplicatedState(state.empty_config({}, {}))
-        answers = [list(known.apply(payload)) for payload in _payloads(known)]
-        present = {
+        """The cached configuration and the snapshot keep their encoding."""
+        replicated = ReplicatedState(state.empty_config({}, {}))
+        answers = [list(replicated.apply(payload)) for payload in _payloads(replicated)]
+        actual = {
             "answers": msgspec.to_builtins(answers),
-            "config": encode_config(known.config).hex(),
-            "snapshot": known.dump().hex(),
+            "config": encode_config(replicated.config).hex(),
+            "snapshot": replicated.dump().hex(),
         }
-        check("state", present)
+        check("state", actual)
 
     def test_folder(self, tmp_path: Path) -> None:
-        """A folder with a snapshot and a log is read, replayed and written as before."""
+        """A folder with a snapshot and a log is read, replayed and written in the same format."""
         recorded = Path(__file__).parent / "unchanged/recorded/folder.json"
         files = _write_folder(tmp_path / "new")
         check("folder", {name: base64.b64encode(data).decode() for name, data in files.items()})
@@ -159,14 +163,14 @@
         assert (opened.identity.storage_id, opened.identity.is_first) == ("0" * 32, True)
         assert tuple(recovered.term_vote) == (4, "c2")
         assert recovered.snapshot.last_index == 6
-        known = ReplicatedState(state.empty_config({}, {}))
-        known.load(recovered.snapshot.state)
+        replicated = ReplicatedState(state.empty_config({}, {}))
+        replicated.load(recovered.snapshot.state)
         for entry in recovered.entries:
-            known.apply(entry.payload)
-        check("folder_meaning", msgspec.to_builtins(_meaning(known)))
+            replicated.apply(entry.payload)
+        check("folder_meaning", msgspec.to_builtins(_describe_state(replicated)))
 
     def test_cache(self, tmp_path: Path) -> None:
-        """The cached publication has the same bytes and is read back."""
+        """The cached publication keeps its encoding and can be read back."""
         written = {}
 
         async def write(publication: state.Publication) -> None:
@@ -182,7 +186,7 @@
         assert PublicationCache(str(tmp_path)).read().version == 7
 
     def test_set_aside(self, tmp_path: Path) -> None:
-        """A damaged folder's parts keep their names, with the reason and a time behind."""
+        """Files of a damaged folder are renamed with the suffix ``.lost`` and a time."""
         _write_folder(tmp_path)
         storage.set_aside(str(tmp_path))
         names = sorted(path.name.rpartition("-")[0] for path in tmp_path.iterdir())
@@ -190,20 +194,20 @@
 
 
 def _write_folder(folder: Path) -> dict[str, bytes]:
-    """Write a data folder with a snapshot, entries after it, a cut and a vote."""
+    """Write a data folder with a snapshot, later entries, a truncation and a vote."""
     storage.format_folder(str(folder), is_first=True)
     identity = records.Identity("0" * 32, True)
     record = records.encode_identity(identity)
     (folder / "identity").write_bytes(record)
     log = storage.LogStorage(str(folder))
     log.open()
-    known = ReplicatedState(state.empty_config({}, {}))
+    replicated = ReplicatedState(state.empty_config({}, {}))
     entries = []
-    for index, payload in enumerate(_payloads(known), start=1):
+    for index, payload in enumerate(_payloads(replicated), start=1):
         entries.append(records.Entry(index, 2 if index < 4 else 3, payload))
-        known.apply(payload)
+        replicated.apply(payload)
         if index == 6:
-            snapshot = records.Snapshot(6, 3, known.dump())
+            snapshot = records.Snapshot(6, 3, replicated.dump())
             log.save_snapshot(snapshot, records.TermVote(3, "c1"), [])
     log.append(entries[6:])
     log.cut_from(9)
@@ -215,22 +219,22 @@
 
 
 class TestOwnHttp:
-    """Callers' and operators' routes of the own interface."""
+    """foldloom's own HTTP interface for callers and operators."""
 
     def test_answers(self) -> None:
-        """Statuses, headers and bodies of every route."""
+        """Every route keeps its status, headers and body."""
         program = [sys.executable, "-m", "unchanged.own_http"]
-        printed = subprocess.run(
+        process = subprocess.run(
             program, capture_output=True, text=True, check=True, cwd=_ROOT / "tests"
         )
-        check("own_http", json.loads(printed.stdout))
+        check("own_http", json.loads(process.stdout))
 
 
 class TestSettings:
-    """Keys of the settings file and their defaults."""
+    """Keys of the settings file."""
 
     def test_keys(self) -> None:
-        """Every key with its default; files that name all of them still load."""
+        """Every key keeps its default, and the sample settings still load."""
         check("settings", _fields(Settings))
         assert settings_from(SETTINGS).box == "a1"
 
@@ -246,16 +250,18 @@
         elif field.default is not msgspec.NODEFAULT:
             found[field.encode_name] = field.default
         else:
-            is_made = field.default_factory is not msgspec.NODEFAULT
-            found[field.encode_name] = field.default_factory() if is_made else "(required)"
+            has_default_factory = field.default_factory is not msgspec.NODEFAULT
+            found[field.encode_name] = (
+                field.default_factory() if has_default_factory else "(required)"
+            )
     return found
 
 
 class TestMetrics:
-    """Names of counters, gauges and timings."""
+    """Counters, gauges and timings."""
 
     def test_names(self) -> None:
-        """Every name in the code; what is put into a name at run time is shown as ``{}``."""
+        """Every metric name in the code; parts computed at run time appear as ``{}``."""
         names = set()
         for folder in ("src", "platform"):
             for path in sorted((_ROOT / folder).rglob("*.py")):
@@ -263,8 +269,8 @@
         check("metrics", sorted(names))
 
     def test_parts_of_names(self) -> None:
-        """What is put into names at run time."""
-        present = {
+        """Parts of metric names computed at run time."""
+        actual = {
             "runs": [cause.label for cause in EndCause],
             "starts": [outcome.value for outcome in CallOutcome],
             "claims": [vote.name.lower() for vote in Vote],
@@ -274,10 +280,10 @@
                 outcome_of(Error(may_have_run("any"))),
             ],
         }
-        check("metric_parts", present)
+        check("metric_parts", actual)
 
     def test_text(self) -> None:
-        """How names and values are served."""
+        """The exposition format of names and values."""
         metrics = Metrics()
         metrics.count("jobs.refused.over-load", 3)
         metrics.gauge("queue.a", 2.5)
@@ -303,12 +309,12 @@
 
 
 class TestCommandLine:
-    """Verbs, flags and exit codes."""
+    """Commands, flags and exit codes."""
 
     def test_verbs(self) -> None:
-        """Every verb with its flags and their defaults."""
+        """Every command keeps its flags and their defaults."""
         verbs = {
-            name: [str(one) for one in inspect.signature(verb).parameters.values()][1:]
+            name: [str(parameter) for parameter in inspect.signature(verb).parameters.values()][1:]
             for name, verb in vars(Commands).items()
             if inspect.isfunction(verb) and not name.startswith("_")
         }
@@ -316,7 +322,7 @@
         check("command_line", {"verbs": verbs, "load": options})
 
     def test_exit_codes(self) -> None:
-        """What scripts tell a refusal, a failure and a conflict apart by."""
+        """Exit codes for refusals, failures and conflicts."""
         answers: list[tuple[int, dict[str, Any]]] = [
             (200, {}),
             (409, {"verdict": "refused"}),
@@ -335,5 +341,5 @@
     """The users' deploy file."""
 
     def test_content(self) -> None:
-        """Its roles, programs and addresses."""
+        """Roles, programs and addresses."""
         check("deploy", tomllib.loads((_ROOT / "deploy/system.toml").read_text()))
--- a/tests/unchanged/http_answers.py
+++ b/tests/unchanged/http_answers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""What a server answers to a list of calls."""
+"""Collects a server's responses to a list of requests."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 
 
 async def answers_of(app: Any, calls: list[tuple[str, str, Any]], headers: dict[str, str]) -> Any:
-    """Return status, headers and body of each of *calls* on *app*."""
+    """Return status, selected headers and body of the response to each of *calls*."""
     answers = {}
     async with TestClient(TestServer(app)) as client:
         for method, path, body in calls:
             data = body if isinstance(body, bytes | None) else json.dumps(body).encode()
             async with client.request(method, path, data=data, headers=headers) as answer:
-                kept = {key: answer.headers[key] for key in _KEPT_HEADERS if key in answer.headers}
+                kept_headers = {
+                    key: answer.headers[key] for key in _KEPT_HEADERS if key in answer.headers
+                }
                 text = await answer.text()
-            answers[f"{method} {path}"] = [answer.status, kept, text]
+            answers[f"{method} {path}"] = [answer.status, kept_headers, text]
     return answers
--- a/tests/unchanged/own_http.py
+++ b/tests/unchanged/own_http.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Print what the own interface answers, as JSON.
+"""Print the responses of foldloom's own HTTP interface as JSON.
 
-Run as a program: the two paths number some messages alike (80 to 83), so that their modules
-can't be imported into one process.
+Run as a program: static_peers and seed_discovery share the message numbers 80 to 83, so their
+modules cannot be imported into one process.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class _Coordinator:
-    """Answers by the submission's name."""
+    """A coordinator whose result depends on the submission's name."""
 
     async def submit(self, submission: str, _request: Any) -> Any:
         problems = {
@@ -45,7 +45,7 @@
 
 
 _JOB = {"service": "s", "member": "m", "tasks": [{"payload": {"ms": 1}}]}
-_OWN_CALLS: list[tuple[str, str, Any]] = [
+_REQUESTS: list[tuple[str, str, Any]] = [
     ("GET", "/healthz", None),
     ("GET", "/readyz", None),
     ("PUT", "/v1/jobs/complete", _JOB),
@@ -67,8 +67,8 @@
 ]
 
 
-async def play(folder: Path) -> Any:
-    """Return the answers of a box, and of an HTTP server whose jobs end by their names."""
+async def collect_answers(folder: Path) -> Any:
+    """Return the responses of a box and of an HTTP server with a stub coordinator."""
     tokens = folder / "tokens"
     tokens.write_text("secret\n")
     settings = settings_from({**SETTINGS, "operator_tokens_file": str(tokens)})
@@ -80,12 +80,12 @@
         Metrics(),
         lambda _app: None,  # type: ignore
     )
-    bare, box = Box(settings), Box(settings)
+    unauthorized, box = Box(settings), Box(settings)
     token = {"Authorization": "Bearer secret"}
     status = box.status()
     answers = {
-        "callers": await answers_of(callers._app, _OWN_CALLS[:15], {}),
-        "unauthorized": await answers_of(bare._http._app, _OWN_CALLS[15:], {}),
+        "callers": await answers_of(callers._app, _REQUESTS[:15], {}),
+        "unauthorized": await answers_of(unauthorized._http._app, _REQUESTS[15:], {}),
         "operators": await answers_of(box._http._app, [("GET", "/v1/config", None)], token),
         "status": [sorted(status), sorted(status["boxes"]["a1"])],
     }
@@ -95,9 +95,9 @@
 
 
 def main() -> None:
-    """Print the answers."""
+    """Print the responses."""
     with tempfile.TemporaryDirectory() as folder:
-        print(json.dumps(asyncio.run(play(Path(folder)))))
+        print(json.dumps(asyncio.run(collect_answers(Path(folder)))))
 
 
 if __name__ == "__main__":
--- a/tests/unchanged/recorded.py
+++ b/tests/unchanged/recorded.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""What was recorded of the outer forms, from the code of commit 82919ef.
+"""Comparison with the external formats recorded from commit 82919ef.
 
-``FOLDLOOM_RECORD=1`` writes the files anew. That is right only when an outer form is meant to
-change, with the deprecation that CONTRIBUTING.md asks for.
+``FOLDLOOM_RECORD=1`` rewrites the files. Use it only for an intended change of an external format,
+with the deprecation that CONTRIBUTING.md requires.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 FOLDER = Path(__file__).parent / "recorded"
 
 
-def check(name: str, present: Any) -> None:
-    """Compare *present* with what was recorded as *name*."""
+def check(name: str, actual: Any) -> None:
+    """Assert that *actual* equals the recorded data called *name*."""
     file = FOLDER / f"{name}.json"
-    plain = json.loads(json.dumps(present))
+    normalized = json.loads(json.dumps(actual))
     if os.environ.get("FOLDLOOM_RECORD"):
         FOLDER.mkdir(exist_ok=True)
-        file.write_text(json.dumps(plain, indent=1, sort_keys=True) + "\n")
-    assert plain == json.loads(file.read_text())
+        file.write_text(json.dumps(normalized, indent=1, sort_keys=True) + "\n")
+    assert normalized == json.loads(file.read_text())
