--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Real daemons and endpoint stand-ins as processes of their own, on loopback."""
+"""Starts daemons and endpoint stand-ins as separate processes on loopback."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class HttpAnswer(NamedTuple):
-    """An HTTP answer: status, decoded JSON, headers."""
+    """An HTTP response: status, decoded JSON body (or text), headers."""
 
     status: int
     fields: Any
@@ -37,7 +37,7 @@
 
 
 class EndpointSpec(NamedTuple):
-    """An endpoint stand-in's endpoint."""
+    """Name, zone, port and relative speed of an endpoint stand-in."""
 
     name: str
     zone: str
@@ -45,20 +45,18 @@
     speed: float
 
 
-# A box writes what it has logged every 100 ms; what is looked for, or must not be there, may
-# be among the newest lines.
+# Boxes flush their logs every 100 ms.
 _LOG_DELAY_S = 0.15
 
-# Below the range that the kernel gives to outgoing connections. Each test process keeps a block for
-# itself, by a lock that ends with it: a port may be probed long before its server binds it, and
-# again while its server is down.
+# Below the kernel's ephemeral range. Each test process locks a block of ports until it exits, since
+# a port is probed long before its server binds it and is unbound while its server is down.
 _FIRST_PORT, _BLOCK_PORTS, _BLOCK_COUNT = 10_000, 500, 44
 _LOCK_FOLDER = Path(tempfile.gettempdir()) / "foldloom-test-ports"
 
 
 @functools.cache
 def _reserved_ports() -> Iterator[int]:
-    """Return the ports of a block that no other test process has, over and over."""
+    """Lock a block of ports for this process and cycle through it."""
     _LOCK_FOLDER.mkdir(exist_ok=True)
     for block in range(_BLOCK_COUNT):
         lock = os.open(_LOCK_FOLDER / str(block), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC)
@@ -69,11 +67,11 @@
             continue
         first = _FIRST_PORT + block * _BLOCK_PORTS
         return itertools.cycle(range(first, first + _BLOCK_PORTS))
-    raise AssertionError(f"{_BLOCK_COUNT} test processes hold all blocks of ports")
+    raise AssertionError(f"{_BLOCK_COUNT} blocks of test ports are all locked by other processes")
 
 
 def free_port() -> int:
-    """Return a loopback port that nothing listens on, and that was not given a while before."""
+    """Return a loopback port without a listener that was not returned recently."""
     for port in _reserved_ports():
         with socket.socket() as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -82,13 +80,13 @@
             except OSError:
                 continue
         return port
-    raise AssertionError("no port is free")
+    raise AssertionError("no free port in the block of this test process")
 
 
 def http(
     method: str, url: str, body: Any = None, token: str = "", timeout_s: float = 60.0
 ) -> HttpAnswer:
-    """Make one HTTP call, without sending anything again."""
+    """Make one HTTP call without retries."""
     data = body if isinstance(body, bytes) or body is None else json.dumps(body).encode()
     request = urllib.request.Request(url, data=data, method=method)
     if token:
@@ -108,7 +106,7 @@
 
 
 def wait_until(condition: Callable[[], Any], what: str, timeout_s: float = _WAIT_S) -> Any:
-    """Return the first true value of *condition*; fail when there is none in time."""
+    """Return the first true value of *condition*; raise ``AssertionError`` after *timeout_s*."""
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
         try:
@@ -118,21 +116,21 @@
         if value:
             return value
         time.sleep(0.05)
-    raise AssertionError(f"not within {timeout_s} s: {what}")
+    raise AssertionError(f"condition not met within {timeout_s} s: {what}")
 
 
 class Cluster:
-    """Boxes named ``a1, b1, c1, a2, ...`` over the zones, and endpoints in each zone.
+    """A cluster of boxes ``a1, b1, c1, a2, ...`` across the zones, with endpoints in each zone.
 
     Args:
-        folder: Where settings, logs and data go.
-        zones: The zones' names.
-        boxes_per_zone: Entry boxes in each.
-        controllers: How many boxes, one zone after the other, are controllers too.
-        endpoints_per_zone: Endpoint stand-ins in each.
-        slow_every: Each n-th endpoint runs at half speed; 0 for none.
+        folder: Folder for settings, logs and data.
+        zones: Zone names, one character each.
+        boxes_per_zone: Entry boxes per zone.
+        controllers: Number of boxes that are controllers too, assigned round-robin over the zones.
+        endpoints_per_zone: Endpoint stand-ins per zone.
+        slow_every: Every n-th endpoint runs at half speed; 0 for none.
         overrides: Settings for every box, merged over the defaults.
-        address_of: Returns the address at which *sender* reaches *receiver*; for proxies.
+        address_of: Maps (sender, receiver, port) to the port the sender connects to; for proxies.
     """
 
     def __init__(
@@ -169,16 +167,16 @@
         (folder / "tokens").write_text(TOKEN + "\n")
 
     def __enter__(self) -> Cluster:
-        """Start everything."""
+        """Start the endpoints and boxes."""
         self.start()
         return self
 
     def __exit__(self, *_exc: object) -> None:
-        """End every process that was started here."""
+        """Kill every process of the cluster."""
         self.end()
 
     def start(self) -> None:
-        """Start the endpoints and the boxes and put the first intents in force."""
+        """Start the endpoints and boxes, apply the initial intents and wait until all are ready."""
         self.start_endpoints()
         for box in self.boxes:
             self.write_settings(box)
@@ -190,7 +188,7 @@
         self.wait_ready()
 
     def first_intents(self) -> list[dict[str, Any]]:
-        """Return intents for the service ``sleep`` on all endpoints and one member."""
+        """Return the intents for service ``sleep``, member ``m1`` and all endpoints."""
         endpoints = [
             {
                 "kind": "worker",
@@ -238,14 +236,14 @@
         return path
 
     def add_box(self, box: str) -> None:
-        """Write the settings of a box that was not there at the start; it is not started."""
+        """Add a box and write its settings, without starting it."""
         self.boxes.append(box)
         self._peer_ports[box] = free_port()
         self.http_ports[box] = free_port()
         self.write_settings(box)
 
     def format_data(self, box: str) -> None:
-        """Make the data folder of a controller of a new system."""
+        """Initialize the data folder of a controller for a new cluster."""
         self.cli("init-data", str(self.folder / f"{box}.yaml"))
 
     def wipe_data(self, box: str) -> None:
@@ -259,7 +257,7 @@
         self._start(box, command)
 
     def start_endpoints(self) -> None:
-        """Start one process of stand-ins for each zone."""
+        """Start one process of endpoint stand-ins per zone and wait until they answer."""
         for zone in self.zones:
             specs = [spec for spec in self.endpoints if spec.zone == zone]
             if not specs:
@@ -278,21 +276,21 @@
             wait_until(lambda url=url: http("GET", url).status == 200, f"worker {spec.name}")
 
     def signal(self, name: str, number: int) -> None:
-        """Send a signal to a process started here."""
+        """Send a signal to a process of the cluster."""
         self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """End a process with SIGKILL and wait for it."""
+        """Send SIGKILL to a process and wait for its exit."""
         self.signal(name, signal.SIGKILL)
         self.processes[name].wait()
 
     def stop(self, name: str, timeout_s: float = 30.0) -> int:
-        """Ask a process to stop with SIGTERM and return its exit code."""
+        """Send SIGTERM to a process and return its exit code."""
         self.signal(name, signal.SIGTERM)
         return self.processes[name].wait(timeout_s)
 
     def end(self) -> None:
-        """End every process that was started here."""
+        """Kill every process of the cluster."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -300,7 +298,7 @@
                 process.wait()
 
     def url(self, box: str) -> str:
-        """Return the HTTP address of *box*."""
+        """Return the base URL of *box*."""
         return f"http://127.0.0.1:{self.http_ports[box]}"
 
     def submit(
@@ -311,17 +309,17 @@
         timeout_s: float = 60.0,
         **fields: Any,
     ) -> HttpAnswer:
-        """Submit a job of one task a payload at *box* and return the answer."""
+        """Submit a job with one task per payload to *box* and return the response."""
         body = {"service": "sleep", "member": "m1", "tasks": [{"payload": p} for p in payloads]}
         body.update(fields)
         return http("PUT", f"{self.url(box)}/v1/jobs/{submission}", body, timeout_s=timeout_s)
 
     def status(self, box: str) -> Any:
-        """Return the status that *box* gives."""
+        """Return the status document of *box*."""
         return http("GET", f"{self.url(box)}/v1/status", token=TOKEN, timeout_s=3).fields
 
     def plan(self, box: str, intents: list[dict[str, Any]]) -> HttpAnswer:
-        """Return the plan for *intents*."""
+        """Request a plan for *intents*."""
         return http("POST", f"{self.url(box)}/v1/intents", {"intents": intents}, TOKEN)
 
     def confirm_plan(
@@ -332,7 +330,7 @@
         return http("POST", f"{self.url(box)}/v1/plans/{digest}/confirm", body, TOKEN)
 
     def confirm(self, intents: list[dict[str, Any]], boxes: list[str] | None = None) -> int:
-        """Plan and confirm *intents*; return the version."""
+        """Plan and confirm *intents*, retrying on all boxes; return the confirmed version."""
         command = f"command-{time.time_ns()}"
 
         def try_confirm() -> int | None:
@@ -351,7 +349,7 @@
         return int(wait_until(try_confirm, f"confirm {intents[:1]}"))
 
     def wait_version(self, version: int, boxes: list[str] | None = None) -> None:
-        """Wait until *version* or a later one is in force on the boxes."""
+        """Wait until the boxes have applied *version* or a later one."""
         for box in boxes or self.boxes:
             wait_until(
                 lambda box=box: self.status(box)["version"] >= version,
@@ -359,7 +357,7 @@
             )
 
     def wait_ready(self, boxes: list[str] | None = None) -> None:
-        """Wait until the boxes take jobs and vote on claims."""
+        """Wait until the boxes accept jobs and vote on claims."""
         for box in boxes or self.boxes:
             wait_until(
                 lambda box=box: http("GET", f"{self.url(box)}/readyz").status == 200,
@@ -368,7 +366,7 @@
             wait_until(lambda box=box: self.status(box)["boxes"][box]["can_vote"], f"{box} votes")
 
     def starts(self) -> dict[str, int]:
-        """Return how often each task was started, over all endpoints."""
+        """Return the number of starts per task, summed over all endpoints."""
         total: dict[str, int] = {}
         for spec in self.endpoints:
             fields = http("GET", f"http://127.0.0.1:{spec.port}/starts").fields
@@ -377,12 +375,12 @@
         return total
 
     def control_endpoint(self, name: str, **wanted: Any) -> None:
-        """Set ``speed`` or ``refuse`` of a stand-in."""
+        """Set ``speed`` or ``refuse`` of an endpoint stand-in."""
         spec = next(spec for spec in self.endpoints if spec.name == name)
         http("POST", f"http://127.0.0.1:{spec.port}/control", wanted)
 
     def cli(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run the command-line tool."""
+        """Run the command-line tool and return its result."""
         command = [sys.executable, "-m", "foldloom.cli.main", *arguments]
         environment = {**os.environ, "FOLDLOOM_TOKEN": TOKEN}
         return subprocess.run(
@@ -390,7 +388,7 @@
         )
 
     def log(self, box: str) -> str:
-        """Return the log of *box* so far."""
+        """Return the log of *box*, including the latest flush."""
         time.sleep(_LOG_DELAY_S)
         return (self.folder / f"{box}.log").read_text()
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Known red tests, and the seeds of generated cases.
+"""Marks the tests listed in KNOWN-RED.txt as xfail and configures hypothesis profiles.
 
-Tests listed in KNOWN-RED.txt may fail, and are named when they do. Generated cases are the
-same in each run unless ``HYPOTHESIS_PROFILE=fresh`` asks for new ones; a case that fails then
-is written into its test as an explicit one.
+Generated cases are the same in each run unless ``HYPOTHESIS_PROFILE=fresh`` is set; a case that
+fails under ``fresh`` is added to its test as an explicit example.
 """
 
 from __future__ import annotations
@@ -22,10 +21,10 @@
 
 
 def _known_red() -> dict[str, str]:
-    """Return the entries by test id: the test, how it is run, what was seen, an open issue.
+    """Return the entries of KNOWN-RED.txt by test id: test, command, observed failure, issue.
 
-    An entry begins with its test's id and a comma; lines that are indented belong to it. The id of
-    a test with parameters stands for all of them, unless it names one.
+    An entry starts with the test id and a comma and continues on indented lines. The id of a
+    parametrized test without a parameter covers all its parameters.
     """
     if not _LIST.exists():
         return {}
@@ -37,13 +36,13 @@
             assert test not in entries, f"KNOWN-RED.txt lists {test} twice"
             entries[test] = line
         elif line.strip():
-            assert test, "KNOWN-RED.txt begins with a line that belongs to no entry"
+            assert test, "KNOWN-RED.txt: indented line before the first entry"
             entries[test] += " " + line.strip()
     return entries
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let the listed tests fail."""
+    """Mark the listed tests as xfail, not strict."""
     known = _known_red()
     for item in items:
         reason = known.get(item.nodeid) or known.get(item.nodeid.partition("[")[0])
--- a/tests/link_proxy.py
+++ b/tests/link_proxy.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""A proxy that knows who calls whom: faults for each sender and receiver, over real sockets.
+"""A fault-injecting TCP proxy with faults per sender and receiver.
 
-It listens where the receivers say that they do, on the test's own event loop. The sender of a
-connection between boxes stands in its handshake, as the socket's identity; nobody tells the sender
-of an HTTP connection.
+It listens at the advertised addresses of the receivers, on the test's event loop. The sender of a
+connection between boxes is read from the socket identity in its ZMTP handshake; the sender of an
+HTTP connection is unknown.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 
 Address = tuple[str, int]
 
-# Bytes of a ZMTP greeting; the command that tells the sender follows.
+# Length of the ZMTP greeting; the command with the socket identity follows.
 _GREETING_BYTES = 64
 _LONG_FRAME = 0x02
 _IDENTITY = b"\x08Identity"
-# Bytes that wait in one direction until the sender is held up, as by a small window.
+# Queued bytes per direction above which reading pauses, as with a small receive window.
 _QUEUED_MAX = 256 * 1024
-# Ends a connection by a reset: linger for 0 s.
+# SO_LINGER of 0 s: closing the socket sends a reset.
 _NO_LINGER = struct.pack("ii", 1, 0)
 
 
 class Kind(Enum):
-    """What a receiver listens for."""
+    """The purpose of a listener."""
 
     PEER = "peer"
     CALLERS = "callers"
@@ -43,9 +43,9 @@
     """All connections of a kind from one sender to one receiver.
 
     Args:
-        sender: The box that opens them; empty if that is not known.
-        receiver: The box or endpoint that accepts them.
-        kind: What they are for.
+        sender: The connecting box; empty if unknown.
+        receiver: The accepting box or endpoint.
+        kind: The purpose of the listener.
     """
 
     sender: str
@@ -57,15 +57,15 @@
 
 
 class Fault(NamedTuple):
-    """What is wrong with some links for a while.
+    """A temporary fault on a set of links.
 
     Args:
-        link_filter: Which links.
-        is_refusing: Open connections are reset, and new ones too.
-        holds_requests: What the sender writes is held up and arrives when the fault is over, as
-            behind a cut of the network.
-        holds_responses: What the receiver writes is.
-        delay_s: The least and the most seconds by which both are late; their order stays.
+        link_filter: Selects the links.
+        is_refusing: Resets open and new connections.
+        holds_requests: Holds data from the sender until the fault ends, as a network partition
+            does.
+        holds_responses: Holds data from the receiver likewise.
+        delay_s: Minimum and maximum delay of both directions; order is kept.
     """
 
     link_filter: LinkFilter
@@ -79,8 +79,8 @@
     """All links of one test.
 
     Args:
-        names: The boxes' names by ``IP:port`` of their peer sockets.
-        rng: Draws delays.
+        names: Box names by the ``IP:port`` of their peer sockets.
+        rng: Random generator for delays.
     """
 
     def __init__(self, names: dict[str, str], rng: random.Random) -> None:
@@ -91,7 +91,7 @@
         self._connections: set[_Connection] = set()
 
     async def listen(self, receiver: str, kind: Kind, at: Address, target: Address) -> None:
-        """Accept connections to *receiver* at one address and pass them on to another."""
+        """Accept connections to *receiver* on *at* and forward them to *target*."""
 
         def accept() -> _HalfConnection:
             connection = _Connection(self, Link("", receiver, kind), target)
@@ -103,7 +103,7 @@
 
     @contextlib.contextmanager
     def inject(self, fault: Fault) -> Iterator[None]:
-        """Let *fault* act on all its links, also on connections that are opened meanwhile."""
+        """Apply *fault* to its links, including connections opened meanwhile."""
         self._faults.append(fault)
         self._apply()
         try:
@@ -114,10 +114,10 @@
 
     @contextlib.contextmanager
     def stalled(self, link_filter: LinkFilter) -> Iterator[None]:
-        """Hold up what is written on open connections; new ones work.
+        """Hold data on connections that are open now; new connections work.
 
-        So a sender's network sends lost packets again, later each time, while a new connection is
-        made at once: what was written first arrives last.
+        Reproduces TCP retransmission back-off: data written first on an old connection arrives
+        after data on a new one.
         """
         stalled = self._open(link_filter)
         for connection in stalled:
@@ -130,37 +130,37 @@
                 connection.forward()
 
     def reset(self, link_filter: LinkFilter) -> None:
-        """Reset the open connections of some links; new ones work."""
+        """Reset the open connections of the selected links; new connections work."""
         for connection in self._open(link_filter):
             connection.reset()
 
     def silence(self, link_filter: LinkFilter) -> None:
-        """Pass on nothing more on open connections, for good, and reset none; new ones work."""
+        """Drop all further data on open connections without a reset; new connections work."""
         for connection in self._open(link_filter):
             connection.is_silent = True
 
     def close(self) -> None:
-        """Close all links."""
+        """Close the listeners and reset all connections."""
         for server in self._servers:
             server.close()
         for connection in list(self._connections):
             connection.reset()
 
     def sender_of(self, identity: bytes) -> str:
-        """Return the name of the box whose socket has this identity (``IP:port/incarnation``)."""
+        """Return the box name for a socket identity ``IP:port/incarnation``; empty if unknown."""
         address, _, _incarnation = identity.decode("latin-1").rpartition("/")
         return self._names_by_address.get(address, "")
 
     def faults_of(self, link: Link) -> list[Fault]:
-        """Return what is wrong with *link* now."""
+        """Return the faults currently applied to *link*."""
         return [fault for fault in self._faults if fault.link_filter(link)]
 
     def delay_s(self, faults: list[Fault]) -> float:
-        """Draw how late some bytes are."""
+        """Draw the delay of a chunk in seconds: the maximum over *faults*."""
         return max((self._rng.uniform(*fault.delay_s) for fault in faults), default=0.0)
 
     def remove_connection(self, connection: _Connection) -> None:
-        """Drop a connection that has ended."""
+        """Remove a closed connection."""
         self._connections.discard(connection)
 
     def _open(self, link_filter: LinkFilter) -> list[_Connection]:
@@ -172,12 +172,12 @@
 
 
 class _Connection:
-    """One connection from a sender to the proxy, and the one that carries it on.
+    """A connection from a sender to the proxy, with its connection to the receiver.
 
     Args:
-        proxy: Whose connection it is.
-        link: The link it belongs to; the sender between boxes is learnt from the handshake.
-        target: Where the receiver listens.
+        proxy: The owning proxy.
+        link: Its link; the sender of a peer connection is filled in from the handshake.
+        target: The receiver's bound address.
     """
 
     def __init__(self, proxy: LinkProxy, link: Link, target: Address) -> None:
@@ -199,7 +199,7 @@
         self.receiver.outgoing, self.receiver.incoming = self.responses, self.requests
 
     def begin(self) -> None:
-        """Connect to the receiver, now that the sender has connected."""
+        """Connect to the receiver."""
         self._connecting = asyncio.create_task(self._connect())
         self.apply_faults()
 
@@ -214,7 +214,7 @@
             self.receiver.reset()
 
     def parse_sender(self, data: bytes) -> None:
-        """Read the sender from what the caller has written so far, and apply its faults."""
+        """Read the sender from the handshake once it is complete, and apply its faults."""
         if self._has_sender:
             return
         self._handshake += data
@@ -226,7 +226,7 @@
         self.apply_faults()
 
     def apply_faults(self) -> None:
-        """Follow a change of what is wrong with the link."""
+        """Apply the current faults of the link."""
         if not self._has_sender:
             return
         self.faults = self._proxy.faults_of(self.link)
@@ -238,21 +238,21 @@
         self.forward()
 
     def forward(self) -> None:
-        """Write what is due and not held up, both ways."""
+        """Forward data that is due, in both directions."""
         self.requests.forward()
         self.responses.forward()
 
     @property
     def is_blocked(self) -> bool:
-        """Whether nothing passes, for a while or for good."""
+        """Whether data is held by a stall or dropped for good."""
         return self.is_silent or self.stall_count > 0
 
     def sample_delay_s(self) -> float:
-        """Draw how late the bytes are that were just written."""
+        """Draw the delay of a chunk under the current faults."""
         return self._proxy.delay_s(self.faults)
 
     def reset(self) -> None:
-        """End both halves without a word, what waits included."""
+        """Reset both halves and discard queued data."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -263,7 +263,7 @@
         self._proxy.remove_connection(self)
 
     def close_if_finished(self) -> None:
-        """End when both sides have closed and everything has arrived."""
+        """Close once both sides have sent EOF and all data is forwarded."""
         if self.requests.is_over and self.responses.is_over:
             self.is_closed = True
             self.caller.close()
@@ -272,7 +272,7 @@
 
 
 class _HalfConnection(asyncio.Protocol):
-    """One half of a connection: the proxy's socket to the sender, or to the receiver."""
+    """The proxy's socket to the sender or to the receiver."""
 
     outgoing: _Direction
     incoming: _Direction
@@ -295,7 +295,7 @@
 
     def eof_received(self) -> bool:
         self.outgoing.add(b"")
-        # What is on its way to this side may still arrive.
+        # Half-closed: data towards this side may still be forwarded.
         return True
 
     def connection_lost(self, _error: Exception | None) -> None:
@@ -309,7 +309,7 @@
         self.incoming.forward()
 
     def write(self, data: bytes) -> None:
-        """Write *data*; nothing stands for the end."""
+        """Write *data*; empty data means EOF."""
         if self.transport.is_closing():
             return
         if data:
@@ -318,11 +318,11 @@
         try:
             self.transport.write_eof()
         except OSError:
-            # It was reset after it had closed its own side, so nobody was reading.
+            # The peer reset the connection after closing its side.
             self._connection.reset()
 
     def read(self, is_reading: bool) -> None:
-        """Read on, or hold the other side up."""
+        """Resume or pause reading."""
         if self.transport is None or self.transport.is_closing():
             return
         if is_reading:
@@ -331,12 +331,12 @@
             self.transport.pause_reading()
 
     def close(self) -> None:
-        """Close once everything is written."""
+        """Close after flushing."""
         if self.transport is not None:
             self.transport.close()
 
     def reset(self) -> None:
-        """Close by a reset."""
+        """Close with a TCP reset."""
         if self.transport is None:
             return
         with contextlib.suppress(OSError):
@@ -346,12 +346,12 @@
 
 
 class _Direction:
-    """What one side writes to the other, in order.
+    """The ordered data stream in one direction.
 
     Args:
-        connection: The connection.
-        source: Where it is read.
-        target: Where it is written.
+        connection: The owning connection.
+        source: The half that data is read from.
+        target: The half that data is written to.
     """
 
     def __init__(
@@ -369,7 +369,7 @@
         self.is_over = False
 
     def add(self, data: bytes) -> None:
-        """Take what was written; nothing stands for the end."""
+        """Queue *data* with a sampled delay; empty data means EOF."""
         now_s = asyncio.get_running_loop().time()
         self._last_due_s = max(self._last_due_s, now_s + self._connection.sample_delay_s())
         self._queue.append((self._last_due_s, data))
@@ -379,14 +379,14 @@
             self._source.read(is_reading=False)
 
     def discard_pending(self) -> None:
-        """Drop what waits, after a reset by the source; the target hears of it unless held up."""
+        """Discard queued data after a reset by the source and propagate it unless held."""
         self._queue.clear()
         self._queued = 0
         self._is_source_reset = True
         self.forward()
 
     def forward(self) -> None:
-        """Write what is due and not held up."""
+        """Write queued data that is due, unless held."""
         if self._target.transport is None or self._connection.is_closed:
             return
         if self._is_source_reset and not (self.is_held or self._connection.is_blocked):
@@ -417,7 +417,10 @@
 
 
 def _parse_identity(data: bytes) -> bytes | None:
-    """Return the socket's identity if *data* holds the whole first command of a ZMTP peer."""
+    """Return the ZMTP socket identity; ``None`` until the first command is complete.
+
+    Returns empty bytes if the command has no identity.
+    """
     command = data[_GREETING_BYTES:]
     if len(command) < 2:
         return None
--- a/tests/own_soak_callers.py
+++ b/tests/own_soak_callers.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Callers of the own interface, who leave early, send again and elsewhere, and ask.
+"""Callers of the daemon's own interface that disconnect early, retry and query submissions.
 
-They keep using an open connection until its process is gone. A submission is sent again for as long
-as it is surely remembered.
+They keep a connection until its process is gone, and retry a submission only while the boxes are
+certain to remember it.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from own_soak_records import NEVER_SENT, Attempt, Submission
 from own_soak_system import DEADLINE_MAX_MS, WINDOW_MS, SoakSystem
 
-# Milliseconds that a caller gives a job.
+# Range of a job's deadline.
 _DEADLINES_MS = (1_000, DEADLINE_MAX_MS)
-# Seconds that it waits beyond that.
+# How much longer than the deadline the caller waits.
 _TIMEOUT_MARGIN_S = 1.5
-# Seconds after a submission's first try in which it is sent again: half of the window, as a box may
-# stand still for four seconds with a try in its socket.
+# Retry period after the first attempt: half of the window, since a frozen box may read an attempt
+# seconds after it was sent.
 _RETRY_PERIOD_S = WINDOW_MS / 2_000
 _ATTEMPTS_MAX = 6
 _TASK_MS = (5, 5, 50, 200, 600)
@@ -39,11 +39,11 @@
 _TWO_BOXES_PROBABILITY = 0.15
 _QUERY_PROBABILITY = 0.2
 _TAG_PROBABILITY = 0.1
-# How likely a submission is sent again after each answer.
+# Probability of a retry by kind of response.
 _RETRY_PROBABILITY_REFUSED = 0.8
 _RETRY_PROBABILITY_COMPLETE = 0.15
 _RETRY_PROBABILITY_OTHER = 0.7
-# Seconds until then.
+# Delays before a retry, drawn uniformly.
 _RETRY_DELAYS_S = (0.0, 0.0, 0.05, 0.3, 1.0, 2.0)
 
 
@@ -51,8 +51,8 @@
     """Callers at all boxes.
 
     Args:
-        system: The programs.
-        rng: Draws what they do.
+        system: The system under test.
+        rng: Random generator for their behavior.
     """
 
     def __init__(self, system: SoakSystem, rng: random.Random) -> None:
@@ -61,11 +61,11 @@
         self.submissions: dict[str, Submission] = {}
 
     async def run(self, callers: int, is_over: asyncio.Event) -> None:
-        """Let so many callers hand jobs in until *is_over*; return when all have their answers."""
+        """Run concurrent callers until *is_over*; return when all have finished."""
         await asyncio.gather(*(self._call(is_over) for _ in range(callers)))
 
     async def _call(self, is_over: asyncio.Event) -> None:
-        """Use one connection as long as it is open, then one to another box."""
+        """Submit jobs over one connection until it fails, then over another one."""
         while not is_over.is_set():
             box = self._rng.choice(self._system.boxes)
             async with _new_session() as session:
@@ -73,7 +73,7 @@
                     await asyncio.sleep(self._rng.uniform(0.0, 0.15))
 
     async def _submit_with_retries(self, session: ClientSession, box: str) -> bool:
-        """Hand a new submission in until it is let go; return whether the connection is good."""
+        """Submit a new job with retries; return whether the connection is still open."""
         submission = self._new_submission()
         body = self._body(submission)
         if self._rng.random() < _TWO_BOXES_PROBABILITY:
@@ -146,7 +146,7 @@
         client_timeout_s: float,
         body: dict[str, Any] | None,
     ) -> Attempt:
-        """Make one call and write down what became of it, also if this caller is cancelled."""
+        """Make one call and record its result; a cancelled call stays recorded as unanswered."""
         attempts = self.submissions[submission].attempts
         place = len(attempts)
         is_query = method == "GET"
@@ -163,10 +163,10 @@
                 run, reason = fields.get("run", ""), fields.get("reason", "")
                 answers = fields.get("answers")
         except ClientConnectorError:
-            # There was no connection, so nothing of this try got anywhere.
+            # No connection was made, so nothing was sent.
             run = NEVER_SENT
         except (ClientError, OSError, ValueError) as error:
-            # The box is gone, or this caller has left.
+            # The box is gone or this caller disconnected.
             reason = type(error).__name__
         attempts[place] = Attempt(
             box, sent_s, time.monotonic(), status, run, reason, answers, is_query
@@ -175,7 +175,7 @@
 
     @property
     def completed(self) -> int:
-        """How many tries got a complete answer."""
+        """Number of attempts with a complete response."""
         return sum(
             one.answers is not None
             for submission in self.submissions.values()
@@ -183,7 +183,7 @@
         )
 
     def summary(self) -> str:
-        """Return how many tries got which answer."""
+        """Return the number of attempts per kind of response."""
         counts = Counter(
             f"{'asked ' if one.is_query else ''}{one.status} {one.run} {one.reason}".strip()
             for submission in self.submissions.values()
@@ -193,10 +193,9 @@
 
 
 def _new_session() -> ClientSession:
-    """Return a session with one connection, which sends nothing twice.
+    """Return a session with one connection and without automatic retries.
 
-    aiohttp sends a PUT again by itself on a connection that was lost, and then tells of the second
-    sending alone.
+    By default aiohttp repeats a PUT after a lost connection and reports only the second result.
     """
     session = ClientSession(connector=TCPConnector(limit=1))
     session._retry_connection = False
--- a/tests/own_soak_endpoint.py
+++ b/tests/own_soak_endpoint.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""An endpoint stand-in for the soak: it writes down each start, so that its own death loses none.
+"""An endpoint stand-in that records every start in a file, so that killing it loses none.
 
-``POST /control`` sets ``answer_mode`` beside what the usual stand-in knows: how tasks are answered.
+``POST /control`` also accepts ``answers``: how task requests are answered.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class AnswerMode(StrEnum):
-    """How a stand-in answers the tasks that come."""
+    """How a stand-in answers task requests."""
 
     USUAL = ""
     CUT_SHORT = "cut-short"
@@ -32,9 +32,9 @@
     BUSY = "busy"
 
 
-# What is answered without a start, and without a word on whether one was made.
+# Responses without a start that do not state whether the task ran.
 _STATUS_WITHOUT_START = {AnswerMode.UNKNOWN: 404, AnswerMode.BUSY: 503}
-# What the usual stand-in is asked for by a task's payload.
+# Payload faults of :class:`EndpointStandin`.
 _FAULTS = {AnswerMode.CUT_SHORT: "cut-short", AnswerMode.ERROR: "error"}
 
 
@@ -42,8 +42,8 @@
     """One endpoint.
 
     Args:
-        slots: Tasks that run at a time; further ones wait here.
-        record: The file that starts are added to.
+        slots: Concurrent tasks; further ones are queued.
+        record: File to which starts are appended.
     """
 
     def __init__(self, slots: int, record: Path) -> None:
@@ -84,7 +84,7 @@
 
 
 def main() -> None:
-    """Serve the endpoints named on the command line."""
+    """Serve the endpoints given on the command line."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--ports", required=True)
     parser.add_argument("--slots", type=int, required=True)
--- a/tests/own_soak_faults.py
+++ b/tests/own_soak_faults.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Faults of boxes, links and endpoints of the own interface, in series that overlap.
+"""Overlapping faults of boxes, links and endpoints for the soak of the daemon's own interface.
 
-All come from outside the programs: signals, the proxy between them, what the stand-ins answer.
+All are injected from outside the programs: signals, the fault proxy and endpoint stand-in behavior.
 """
 
 from __future__ import annotations
@@ -15,30 +15,29 @@
 from own_soak_system import SoakSystem
 from proxy import Link
 
-# Seconds between two faults of a series.
+# Range of the interval between the starts of two faults.
 _INTERVAL_S = (0.05, 1.5)
-# Seconds that a fault lasts; longer than a deadline at times.
+# Range of a fault's duration; may exceed a job's deadline.
 _DURATION_S = (0.3, 4.0)
-# Seconds that a box is gone.
+# Range of a killed box's downtime.
 _DOWNTIME_S = (0.0, 1.0)
-# Seconds between two losses of all boxes.
+# Range of the interval between two kills of all boxes.
 _RESTART_ALL_INTERVAL_S = (0.5, 3.0)
-# Seconds that each message of a link is late.
+# Range of a link's delay.
 _LINK_DELAY_S = (0.01, 0.4)
-# Bytes of all answers of an endpoint's connection, of which the rest is cut.
+# Response bytes after which a connection to an endpoint is cut.
 _REPLY_BYTES = (20, 1_500)
-# Seconds that a box may take to stop: its jobs' deadlines, its last heartbeats, its connections,
-# and a handing over to a box that stands still.
+# Covers job deadlines, the last heartbeats, closing connections and a hand-over to a frozen box.
 _STOP_TIMEOUT_S = 20.0
 
 
 class Faults:
-    """The faults of one run.
+    """The faults of one soak run.
 
     Args:
-        system: The programs.
-        rng: Draws them.
-        kills_all: Whether all boxes may be lost at once, after which none votes for a while.
+        system: The system under test.
+        rng: Random generator for the faults.
+        kills_all: Whether all boxes may be killed at once, after which none votes for a while.
     """
 
     def __init__(self, system: SoakSystem, rng: random.Random, kills_all: bool) -> None:
@@ -73,7 +72,7 @@
             self._kinds += [self._kill_all_boxes_twice] * 2
 
     async def run(self, faults: int) -> None:
-        """Begin so many faults one after the other; return when all are over."""
+        """Start *faults* faults at random intervals; return when all have ended."""
         tasks = []
         for _ in range(faults):
             kind = self._rng.choice(self._kinds)
@@ -111,7 +110,7 @@
             await asyncio.sleep(pause_s)
 
     async def _stop_box(self) -> None:
-        """Have a box stop as planned; it must end by itself."""
+        """Send SIGTERM to a box; it must exit in time."""
         box = self._draw_box()
         async with self._system.locks[box]:
             self._system.signal(box, signal.SIGTERM)
@@ -147,7 +146,7 @@
     # Links between boxes.
 
     async def _cut_one_way(self) -> None:
-        """A box reaches some others no more; they reach it."""
+        """Cut the links from a box to half of the boxes, but not the reverse ones."""
         box = self._draw_box()
         others = set(self._rng.sample(self._system.boxes, len(self._system.boxes) // 2))
         await self._set_links("cut", lambda one, other: one == box and other in others)
@@ -165,7 +164,7 @@
         await self._set_links("cut", lambda one, other: (one[0] == zone) != (other[0] == zone))
 
     async def _freeze_links(self) -> None:
-        """What a box sends is taken and arrives late, one way or both."""
+        """Hold the data that a box sends or, half of the time, also what it receives."""
         box = self._draw_box()
         if self._rng.random() < 0.5:
             await self._set_links("freeze", lambda one, _other: one == box)
@@ -195,7 +194,7 @@
             link.delay_s = 0.0
 
     async def _silence_connections(self) -> None:
-        """Open connections of a box or an endpoint are silent for good; new ones work."""
+        """Silence the open connections of a box or of a zone's endpoints; new ones work."""
         name = self._rng.choice([*self._system.boxes, *self._system.zones])
         for (one, other), link in self._system.proxy.links.items():
             if name in (one, other, other[0]):
@@ -216,21 +215,21 @@
         self._system.proxy.set_mode("pass", lambda one, other: (one, other) == key)
 
     async def _shorten_answers(self) -> None:
-        """Connections to an endpoint end in the middle of an answer."""
+        """Cut connections to an endpoint in the middle of a response."""
         link = self._rng.choice(list(self._system.endpoint_links.values()))
         link.reply_bytes_max = self._rng.randint(*_REPLY_BYTES)
         await self._wait_duration()
         link.reply_bytes_max = 0
 
     async def _answer_otherwise(self) -> None:
-        """An endpoint's answers are cut short or errors, after or without a start."""
+        """Make an endpoint's responses truncated or errors, with or without a start."""
         answer_mode = self._rng.choice([one for one in AnswerMode if one is not AnswerMode.USUAL])
         await self._control(
             self._draw_endpoint(), {"answers": answer_mode}, {"answers": AnswerMode.USUAL}
         )
 
     async def _refuse(self) -> None:
-        """One endpoint or all refuse, and say so."""
+        """Make one endpoint or all refuse tasks, reporting them as not run."""
         names = [spec.name for spec in self._system.endpoints]
         chosen = names if self._rng.random() < 0.5 else [self._draw_endpoint()]
         await asyncio.gather(
--- a/tests/own_soak_records.py
+++ b/tests/own_soak_records.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""What callers were told and what endpoints have started, and which promises that breaks.
+"""Records of callers' attempts and endpoints' starts, and checks of the guarantees.
 
-Times are of the machine's steady clock, which all processes of a soak share.
+Times are on the monotonic clock, which all processes of a soak share.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from typing import Any, NamedTuple
 
 NOT_RUN = "not-run"
-# The ``run`` of a try that got no answer, and of one that never had a connection.
+# ``run`` of an attempt without that field, and of one that never had a connection.
 NO_RUN_FIELD = ""
 NEVER_SENT = "never-sent"
 
 
 class Start(NamedTuple):
-    """An endpoint began a task."""
+    """A task start at an endpoint."""
 
     submission: str
     index: int
@@ -25,17 +25,17 @@
 
 
 class Attempt(NamedTuple):
-    """A call of a caller.
+    """A caller's request.
 
     Args:
-        box: Where it was made.
-        sent_s: When.
-        answered_s: When its answer came, or it was given up.
-        status: The answer's HTTP status; 0 without an answer.
-        run: What the answer says of the submission's tasks; empty if it says nothing.
-        reason: Why there was no whole answer.
+        box: The box it was sent to.
+        sent_s: Time of sending.
+        answered_s: Time of the response or failure.
+        status: HTTP status; 0 without a response.
+        run: The response's ``run`` field; empty if missing.
+        reason: Why there was no complete response.
         answers: The tasks' answers of a complete job.
-        is_query: Whether it asked what is known of the submission, and handed nothing in.
+        is_query: Whether it only queried the submission's state.
     """
 
     box: str
@@ -49,29 +49,29 @@
 
     @property
     def reports_not_run(self) -> bool:
-        """Whether its caller may take it that nothing of the submission ran before."""
+        """Whether it guarantees that no task of the submission ran before."""
         return self.run == NOT_RUN
 
     @property
     def may_start_tasks(self) -> bool:
-        """Whether tasks may begin because of it."""
+        """Whether it may cause tasks to start."""
         return not self.is_query and self.run not in (NOT_RUN, NEVER_SENT)
 
 
 class Submission(NamedTuple):
-    """One submission: what is asked for, and every try in the order of their sending."""
+    """A submission: its task payloads and all attempts in order of sending."""
 
     payloads: list[dict[str, Any]]
     attempts: list[Attempt]
 
 
 def guarantee_violations(submissions: dict[str, Submission], starts: list[Start]) -> list[str]:
-    """Return every promise that did not hold, in words."""
+    """Return a description of every violated guarantee."""
     by_submission: dict[str, list[Start]] = {name: [] for name in submissions}
     violations = []
     for start in starts:
         if start.submission not in submissions:
-            violations.append(f"{start.submission} was never handed in")
+            violations.append(f"{start.submission} was never submitted")
             continue
         by_submission[start.submission].append(start)
     for name, submission in submissions.items():
@@ -89,25 +89,25 @@
 
 
 def _duplicate_starts(starts: Iterable[Start]) -> Iterator[str]:
-    """A stand-in writes no start down that it refused, so that no second one is excused."""
+    """Find tasks started twice; a stand-in records no start that it refused."""
     for index, count in Counter(start.index for start in starts).items():
         if count > 1:
             yield f"task {index} was started {count} times"
 
 
 def _refused_but_started(attempts: list[Attempt], starts: list[Start]) -> Iterator[str]:
-    """A "not run" covers all that was before the call that it answers."""
+    """Find "not run" responses to attempts sent after a task had started."""
     for one in attempts:
         if one.reports_not_run and any(start.at_s < one.sent_s for start in starts):
-            yield f"had run when {one.box} was asked, and was told {one.reason}: not run"
+            yield f"had started before {one.box} responded not run: {one.reason}"
 
 
 def _unsubmitted(attempts: list[Attempt], starts: list[Start]) -> Iterator[str]:
-    """Only a try that was not told "not run" may have begun anything, after it was sent."""
+    """Find starts without an earlier attempt that may have caused them."""
     causes = [one.sent_s for one in attempts if one.may_start_tasks]
     for start in starts:
         if not any(sent_s <= start.at_s for sent_s in causes):
-            yield f"began task {start.index} though all tries until then were told: not run"
+            yield f"started task {start.index} though no attempt sent before may have caused it"
 
 
 def _incomplete_answers(submission: Submission, starts: list[Start]) -> Iterator[str]:
@@ -117,17 +117,17 @@
         if one.answers is None:
             continue
         if one.answers != wanted:
-            yield f"was completed at {one.box} with {one.answers}"
+            yield f"was completed at {one.box} with wrong answers {one.answers}"
         if started != set(range(len(wanted))):
-            yield f"was completed at {one.box}, and began tasks {sorted(started)}"
+            yield f"was completed at {one.box} with only tasks {sorted(started)} started"
 
 
 def _history(attempts: list[Attempt], starts: list[Start]) -> str:
-    """Return tries and starts in words."""
+    """Describe the attempts and starts of a submission."""
     attempt_texts = [
         f"{'asked' if one.is_query else 'sent to'} {one.box} {one.sent_s:.3f} to"
         f" {one.answered_s:.3f}: {one.status} {one.run} {one.reason}"
         for one in attempts
     ]
-    task_starts = [f"task {start.index} began {start.at_s:.3f}" for start in starts]
+    task_starts = [f"task {start.index} started {start.at_s:.3f}" for start in starts]
     return "; ".join([*attempt_texts, *task_starts])
--- a/tests/own_soak_system.py
+++ b/tests/own_soak_system.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Boxes of the own interface and recording endpoints, as processes behind a fault proxy."""
+"""Runs boxes with the daemon's own interface and recording endpoints behind a fault proxy."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from own_soak_records import Start
 from proxy import FaultProxy, Link
 
-# Milliseconds: the longest deadline, and for how long after it a submission is remembered. Chosen
-# short, as boxes that all lost their memory vote again after the sum of both.
+# Maximum deadline, and how long a submission is remembered after it. Short, since boxes that all
+# restarted vote again only after the sum of both.
 DEADLINE_MAX_MS = 2_000
 WINDOW_MS = 12_000
 RETENTION_S = (DEADLINE_MAX_MS + WINDOW_MS) / 1_000
-# Tasks at a time: so few that jobs wait and are refused.
+# Slots per endpoint; few, so that jobs are queued and refused.
 _SLOTS = 2
-# Endpoints of this zone are called without a proxy, which would take a call to one that is gone.
+# Endpoints of this zone have no proxy, which would accept connections to a dead endpoint.
 _DIRECT_ZONE = "c"
-# The sender's name of the links on which boxes call endpoints.
+# Sender name of the links from boxes to endpoints.
 _ANY_BOX = "*"
 _PROGRAM = Path(__file__).with_name("own_soak_endpoint.py")
 _OVERRIDES = {"timings": {"deadline_max_ms": DEADLINE_MAX_MS, "resubmission_window_ms": WINDOW_MS}}
 
 
 class SoakSystem(Cluster):
-    """Everything that runs in one soak.
+    """The system under test in one soak.
 
     Args:
-        folder: Where settings, logs, data and the endpoints' records go.
+        folder: Folder for settings, logs, data and endpoint records.
         boxes_per_zone: Entry boxes in each of three zones.
     """
 
@@ -54,11 +54,11 @@
 
     @property
     def endpoint_links(self) -> dict[tuple[str, str], Link]:
-        """The links from all boxes to an endpoint."""
+        """The links from boxes to endpoints."""
         return {key: link for key, link in self.proxy.links.items() if key[0] == _ANY_BOX}
 
     def start(self) -> None:
-        """Start everything, or leave nothing behind."""
+        """Start everything; kill all processes if that fails."""
         try:
             super().start()
         except BaseException:
@@ -66,12 +66,12 @@
             raise
 
     def end(self) -> None:
-        """End every process and the proxy."""
+        """Kill every process and close the proxy."""
         super().end()
         self.proxy.close()
 
     def first_intents(self) -> list[dict[str, Any]]:
-        """Return the usual intents, with fewer slots and endpoints behind the proxy."""
+        """Return the usual intents with fewer slots and with proxied endpoint addresses."""
         intents = super().first_intents()
         for intent in intents:
             if intent["kind"] != "worker":
@@ -84,12 +84,12 @@
         return intents
 
     def start_endpoints(self) -> None:
-        """Start one process of stand-ins for each zone."""
+        """Start one process of endpoint stand-ins per zone."""
         for zone in self.zones:
             self.start_endpoints_of(zone)
 
     def start_endpoints_of(self, zone: str) -> None:
-        """Start the stand-ins of *zone*; return once they serve."""
+        """Start the endpoint stand-ins of *zone* and wait until they answer."""
         ports = [spec.port for spec in self.endpoints if spec.zone == zone]
         command = [sys.executable, str(_PROGRAM), "--ports", ",".join(map(str, ports))]
         command += ["--slots", str(_SLOTS), "--record", str(self._record_path(zone))]
@@ -99,7 +99,7 @@
             wait_until(lambda url=url: http("GET", url).status == 200, f"worker of {zone}")
 
     def starts_in_order(self) -> list[Start]:
-        """Return every start that an endpoint wrote down, also in lives before."""
+        """Return all recorded starts in order of time, including those before a restart."""
         lines = [
             line
             for zone in self.zones
@@ -110,7 +110,7 @@
         return sorted(starts, key=lambda start: start.at_s)
 
     def restore(self) -> None:
-        """Heal every link and start every process that has ended."""
+        """Clear all link faults and restart every process that has ended."""
         self.proxy.heal()
         for link in self.proxy.links.values():
             link.delay_s = 0.0
--- a/tests/platform_system.py
+++ b/tests/platform_system.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""The platform's programs as real processes on loopback, with stand-ins of endpoints and clients.
+"""Runs the platform's programs as processes on loopback, with endpoint stand-ins.
 
-Each machine has a loopback address of its own, since the platform's machines use equal ports.
+Each box has its own loopback address, since all boxes of a platform use the same ports.
 """
 
 from __future__ import annotations
@@ -30,10 +30,9 @@
 _HOST, _PREFIX = "desk.example", "/jobs/"
 _ZONE = "a"
 _WAIT_S = 20.0
-# Seconds until a pause that is over stands in a program's log: a look at the clock and a batch of
-# lines, 100 ms each, and some for a busy machine.
+# Until a pause is in the log: 100 ms each for the clock check and the log flush, plus slack.
 _LOG_DELAY_S = 0.4
-# Of the pauses of programs, how many a failure names.
+# Process pauses listed in a failure message.
 _PAUSES_SHOWN = 5
 CALL_TIMEOUT_S = 10.0
 _SUBNET_PARTS = 250
@@ -41,18 +40,18 @@
 _SUBNETS_APART = 101
 
 
-# A subnet for each system: some ports are the same on every machine.
+# One subnet per system, since some ports are the same on every box.
 _subnets = itertools.count(os.getpid() * _SUBNETS_APART)
 
 
 def _next_subnet() -> str:
-    """Return the first three parts of addresses that no other system of a test run has."""
+    """Return the first three octets of a subnet for one system."""
     number = next(_subnets) % _SUBNETS
     return f"127.{1 + number // _SUBNET_PARTS}.{1 + number % _SUBNET_PARTS}"
 
 
 class Answer(NamedTuple):
-    """A client's answer; status 0 if there was none."""
+    """The response to a client's call; status 0 if there was none."""
 
     status: int
     fields: dict[str, Any]
@@ -62,9 +61,9 @@
 def steps(
     tasks: int = 1, ms: int = 20, how: str = "done", estimate_ms: int = 0, cpu_milli: int = 1_000
 ) -> dict[str, Any]:
-    """Return the body of a job that need not be kept.
+    """Return the body of a best-effort job with one phase.
 
-    A generous *estimate_ms* lets it be late without being given up on a busy machine.
+    A large *estimate_ms* keeps a run that is slow under load from being abandoned.
     """
     spec = msgspec.json.encode({"ms": ms, "how": how}).decode()
     phase = {"count": tasks, "cpu": cpu_milli, "mem_mb": 64, "estimate_ms": estimate_ms or ms}
@@ -72,34 +71,33 @@
 
 
 def crashing_steps(crash_ms: int, ms: int = 1_000) -> dict[str, Any]:
-    """Return the body of a job of one task that crashes each endpoint that starts it."""
+    """Return the body of a one-task job that crashes every endpoint that starts it."""
     body = steps(1, ms)
     body["spec"] = msgspec.json.encode({"ms": ms, "crash_ms": crash_ms}).decode()
     return body
 
 
 def job_id(number: int) -> str:
-    """Return the id of the job with this number."""
+    """Return the job id for a number."""
     return f"{number:016x}"
 
 
 def job_url(front: str, text: str, deadline_ms: int) -> tuple[str, dict[str, str]]:
-    """Return where a job with this id is handed in, and the headers that go with it."""
+    """Return the submission URL for a job id, and the request headers."""
     headers = {"Host": _HOST, "X-Foldloom-Deadline-Ms": str(deadline_ms)}
     return f"http://{front}{_PREFIX}{text}", headers
 
 
 class PlatformSystem:
-    """Some controllers, entry processes and endpoints, over the zones in turn.
+    """Controllers, entry processes and endpoints, assigned round-robin to the zones.
 
     Args:
-        folder: Where settings and the controllers' disks lie.
-        entries: How many entry processes.
-        endpoints: How many endpoints.
-        controllers: How many controllers.
-        zones: The zones' names.
-        boot_clock_stops: Whether a machine that is suspended has no clock that goes on but the
-            time of day.
+        folder: Folder for settings, logs and controller data.
+        entries: Number of entry processes.
+        endpoints: Number of endpoints.
+        controllers: Number of controllers.
+        zones: Zone names, one character each.
+        boot_clock_stops: Whether ``CLOCK_BOOTTIME`` of a suspended box stops too.
     """
 
     def __init__(
@@ -131,26 +129,26 @@
         self._session: ClientSession | None = None
         self._own_pauses: list[Pause] = []
         self._watch: asyncio.Task[None] | None = None
-        # When each program was last started, stopped, frozen or thawed; monotonic clock.
+        # Time of the last start, stop, freeze or thaw per box; monotonic clock.
         self._disturbed_s: dict[str, float] = {}
         self.sightings.is_undisturbed = self.is_undisturbed
 
     @property
     def control(self) -> str:
-        """Where endpoints and the operator call."""
+        """The control address of the first controller."""
         return self.address("c0", "control")
 
     @property
     def controls(self) -> list[str]:
-        """Where endpoints and the operator call, at each controller."""
+        """The control address of each controller, used by endpoints and the operator."""
         return [self.address(name, "control") for name in self.controllers]
 
     def address(self, name: str, listener: str) -> str:
-        """Return ``IP:port`` of one of a machine's listeners."""
+        """Return the ``IP:port`` of a listener of a box."""
         return f"{self._ips[name]}:{self._ports[listener]}"
 
     def zone_of(self, name: str) -> str:
-        """Return the zone of a machine."""
+        """Return the zone of a box."""
         return self._zones[name]
 
     async def __aenter__(self) -> PlatformSystem:
@@ -159,7 +157,7 @@
         try:
             await self._start_all()
         except BaseException:
-            # No process may outlive a test, also one that could not start.
+            # Kill all processes when start-up fails.
             await self.__aexit__()
             raise
         return self
@@ -169,10 +167,10 @@
             await self.start(name, is_first=True)
         for endpoint in self.endpoints:
             await endpoint.start(self.controls)
-        await self.until(lambda: self.configure(1), "the configuration is acknowledged")
+        await self.until(lambda: self.configure(1), "configuration acknowledged")
         for name in self.entries:
-            await self.until(lambda name=name: self._is_ready(name), f"{name} is ready")
-        await self.until(self._serves_jobs, "a job is served")
+            await self.until(lambda name=name: self._is_ready(name), f"{name} ready")
+        await self.until(self._serves_jobs, "a job completed on every entry process")
 
     async def __aexit__(self, *_: object) -> None:
         for endpoint in self.endpoints:
@@ -185,11 +183,11 @@
         self._watch.cancel()
 
     def record_disturbance(self, name: str, until_s: float = 0.0) -> None:
-        """Note that something happens to a machine's program, now or until *until_s*."""
+        """Record a disturbance of a box, now or until *until_s* (monotonic clock)."""
         self._disturbed_s[name] = until_s or time.monotonic()
 
     def is_undisturbed(self, zone: str, since_s: float) -> bool:
-        """Return whether nothing has happened to controllers and a zone's entry processes."""
+        """Return whether no controller and no entry process of *zone* was disturbed since."""
         relevant_boxes = [
             *self.controllers,
             *(name for name in self.entries if self.zone_of(name) == zone),
@@ -197,7 +195,7 @@
         return all(self._disturbed_s[name] < since_s for name in relevant_boxes)
 
     async def start(self, name: str, is_first: bool = False) -> None:
-        """Start a machine's program."""
+        """Start the program of a box."""
         self.record_disturbance(name)
         path = self._folder / f"{name}.toml"
         path.write_text(self._settings(name, is_first))
@@ -215,7 +213,7 @@
             )
 
     async def kill(self, name: str) -> None:
-        """End a machine's program without a word."""
+        """Kill the program of a box and wait for its exit."""
         self.record_disturbance(name)
         process = self.processes.pop(name)
         if process.returncode is None:
@@ -223,49 +221,49 @@
         await process.wait()
 
     async def abort(self, name: str) -> None:
-        """End a machine's program so that it writes to its log where each thread stands."""
+        """Send SIGABRT so that the program logs the stack of every thread."""
         process = self.processes.pop(name)
         process.send_signal(signal.SIGABRT)
         await process.wait()
 
     def freeze(self, name: str) -> None:
-        """Let a machine's program stand still."""
+        """Stop the program of a box with SIGSTOP."""
         self.record_disturbance(name, math.inf)
         self.processes[name].send_signal(signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let it go on."""
+        """Continue a frozen program with SIGCONT."""
         self.record_disturbance(name)
         self.processes[name].send_signal(signal.SIGCONT)
 
     def suspend(self, name: str) -> None:
-        """Suspend a machine: its program stands still, and its steady clock with it."""
+        """Suspend a box: its program and its monotonic clock stop."""
         self.record_disturbance(name, math.inf)
         self._clocks[name].suspend(self.processes[name].pid)
 
     def resume(self, name: str) -> None:
-        """Let a suspended machine go on."""
+        """Resume a suspended box."""
         self.record_disturbance(name)
         self._clocks[name].resume(self.processes[name].pid)
 
     def log_of(self, name: str) -> str:
-        """Return what a machine's program has logged."""
+        """Return the log of a box."""
         return (self._folder / f"{name}.log").read_text()
 
     @property
     def logs(self) -> list[str]:
-        """The files that the programs log to."""
+        """The paths of all log files."""
         return [str(self._folder / f"{name}.log") for name in self._ips]
 
     def events(self, name: str, kind: str) -> list[dict[str, Any]]:
-        """Return the events of a kind that a machine's program has logged."""
+        """Return the log events of one kind from a box."""
         texts = self.log_of(name).splitlines()
-        # Lines that are no events are of the interpreter: where a program that is aborted stands.
+        # Other lines are written by the interpreter, such as the traceback of an aborted program.
         lines = (msgspec.json.decode(text) for text in texts if text.startswith("{"))
         return [line for line in lines if line.get("event") == kind]
 
     def owner(self) -> str:
-        """Return the entry process that claimed the zone last."""
+        """Return the entry process with the highest fencing token in its claims."""
         tokens = {
             name: max((line["token"] for line in self.events(name, "owner.claimed")), default=0)
             for name in self.entries
@@ -273,12 +271,12 @@
         return max(tokens, key=lambda name: tokens[name])
 
     def wipe(self, name: str) -> None:
-        """Empty a controller's disk, while its program does not run."""
+        """Empty the data folder of a stopped controller."""
         shutil.rmtree(self._folder / name)
         (self._folder / name).mkdir()
 
     async def configure(self, version: int, controller: str = "c0") -> bool:
-        """Send a configuration to a controller; return whether it was acknowledged."""
+        """Send a configuration to a controller and return whether it was acknowledged."""
         route = {
             "name": "jobs",
             "host": _HOST,
@@ -294,45 +292,47 @@
         return (await self._call("PUT", url, document)).status == 200
 
     async def read_version(self, controller: str) -> int | None:
-        """Return the version that a controller shows, or ``None`` if it is not sure."""
+        """Return the configuration version of a controller, or ``None`` if the read fails."""
         url = f"http://{self.address(controller, 'control')}/foldloom/config"
         answer = await self._call("GET", url)
         return int(answer.fields["version"]) if answer.status == 200 else None
 
     async def submit(self, entry: str, number: int, body: Any, deadline_ms: int = 4_000) -> Answer:
-        """Hand a job in and return its answer."""
+        """Submit a job and return the response."""
         return await self.submit_text(entry, job_id(number), body, deadline_ms)
 
     async def submit_text(
         self, entry: str, text: str, body: Any, deadline_ms: int = 4_000
     ) -> Answer:
-        """Hand a job in under an id that may be wrong; a body of bytes is sent as it is."""
+        """Submit a job under an arbitrary id; a body of bytes is sent unchanged."""
         url, headers = job_url(self.address(entry, "front"), text, deadline_ms)
         return await self._call("POST", url, body, headers)
 
     async def until(self, condition: Callable[[], Awaitable[bool]], what: str) -> None:
-        """Wait for *condition*; fail when it does not come true in time."""
+        """Wait for *condition*; raise ``AssertionError`` on timeout."""
         deadline = time.monotonic() + _WAIT_S
         while time.monotonic() < deadline:
             if await condition():
                 return
             await asyncio.sleep(0.05)
-        raise AssertionError(f"not within {_WAIT_S} s: {what}; {self._describe_pauses()}")
+        raise AssertionError(
+            f"condition not met within {_WAIT_S} s: {what}; {self._describe_pauses()}"
+        )
 
     async def delays(self) -> int:
-        """Return how often a program or this process stood still, or an answer was overdue."""
+        """Return the number of process pauses, this process included, and overdue responses."""
         await asyncio.sleep(_LOG_DELAY_S)
         overdue = [self.events(name, "endpoint.suspected") for name in self.entries]
         return len(self._pauses_logged()) + sum(map(len, overdue))
 
     def _describe_pauses(self) -> str:
-        """Return the pauses in words, the longest first."""
+        """Describe the longest pauses and the boxes with empty logs."""
         longest = ", ".join(
-            f"{name} {pause.paused_ms} ms ({pause.processor_ms} ms at work)"
+            f"{name} {pause.paused_ms} ms ({pause.processor_ms} ms of CPU time)"
             for pause, name in sorted(self._pauses_logged(), reverse=True)[:_PAUSES_SHOWN]
         )
         silent = [name for name in self._ips if not self.log_of(name)]
-        return f"stood still: {longest or 'none'}; have not logged yet: {silent or 'none'}"
+        return f"longest pauses: {longest or 'none'}; boxes with empty logs: {silent or 'none'}"
 
     def _pauses_logged(self) -> list[tuple[Pause, str]]:
         own = [(pause, "this process") for pause in self._own_pauses]
@@ -343,7 +343,7 @@
         ]
 
     async def is_up(self, name: str) -> bool:
-        """Return whether a machine's program answers HTTP; one that is starting does not."""
+        """Return whether the program of a box answers HTTP."""
         listener = "control" if name in self.controllers else "ready"
         url = f"http://{self._bound(name, listener)}/"
         return (await self._call("GET", url)).status != 0
@@ -378,11 +378,11 @@
         return ClientSession(timeout=ClientTimeout(total=CALL_TIMEOUT_S))
 
     def _variables(self, name: str, settings: Path) -> dict[str, str]:
-        """Return the environment variables that a machine's program reads."""
+        """Return the environment variables for the program of a box."""
         return {"FOLDLOOM_SETTINGS": str(settings), **self._clocks[name].variables}
 
     def _bound(self, name: str, listener: str) -> str:
-        """Return ``IP:port`` at which a machine's program itself listens for HTTP."""
+        """Return the ``IP:port`` that the program binds for HTTP; a proxy may be in front."""
         return self.address(name, listener)
 
     def _new_endpoint(self, name: str, host: str, zone: str) -> RunEndpoint:
@@ -409,12 +409,12 @@
         return "\n".join([*lines, "[listen]", *listen, "[bounds]", "grace_s = 6", ""])
 
     def _launch_command(self, _name: str, command: list[str]) -> list[str]:
-        """Return the command that starts a machine's program; another kind of system adds to it."""
+        """Return the command that starts the program of a box; subclasses wrap it."""
         return command
 
 
 def play(scenario: Callable[[PlatformSystem], Awaitable[None]], folder: Path, **sizes: Any) -> None:
-    """Start a system and play *scenario* on it; no task may ever be on two endpoints."""
+    """Run *scenario* on a new system; fail if any task ran on two endpoints at once."""
 
     async def run() -> None:
         async with PlatformSystem(folder, **sizes) as system:
--- a/tests/proxied_system.py
+++ b/tests/proxied_system.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The platform's programs as real processes, with a proxy on every way between them.
+"""The platform's programs as processes, with a fault proxy on every connection.
 
-The proxy listens at the addresses that boxes, callers and endpoints know; the programs and the
-stand-ins of endpoints listen at other ports of the same hosts.
+The proxy listens at the advertised addresses; the programs and the endpoint stand-ins bind other
+ports of the same hosts.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from standins.run_behind_proxy import BOUND_PEER
 from standins.run_endpoint import RunEndpoint, Sightings
 
-# Seconds between two looks at whether the proxy itself stood still.
+# Interval at which stalls of the proxy's event loop are measured.
 _CHECK_INTERVAL_S = 0.01
 _LAUNCHER = Path(__file__).resolve().parent / "standins" / "run_behind_proxy.py"
 
@@ -31,16 +31,16 @@
 
 
 class ProxiedEndpoint(RunEndpoint):
-    """An endpoint behind a proxy; the next one at its address listens where this one did.
+    """An endpoint behind the proxy; its next incarnation binds the same port.
 
     Args:
-        name: Its id.
-        host: Where it listens.
-        port: Its port.
-        zone: Its zone.
-        sightings: Where starts are noted.
-        advertised_port: The port that it tells; the proxy's.
-        born_ms: Tells its lives under one id apart; 0 if each life has an id of its own.
+        name: Endpoint id.
+        host: Host to bind.
+        port: Port to bind.
+        zone: Zone of the endpoint.
+        sightings: Shared record of starts.
+        advertised_port: The proxy's port.
+        born_ms: Identifies the incarnation under a shared id; 0 if each has its own id.
     """
 
     def __init__(
@@ -59,26 +59,26 @@
 
     @property
     def address(self) -> str:
-        """Where it says that it takes orders."""
+        """The advertised address, which is the proxy's."""
         return f"{self.bound[0]}:{self._advertised_port}"
 
     def next_life(self, name: str, born_ms: int = 0) -> ProxiedEndpoint:
-        """Return another incarnation at the same address; it has to be started."""
+        """Return the next incarnation at the same address, not started."""
         return ProxiedEndpoint(
             name, *self.bound, self.zone, self._sightings, self._advertised_port, born_ms
         )
 
 
 class ProxiedSystem(PlatformSystem):
-    """A system whose connections pass a proxy.
+    """A system whose connections all pass a :class:`LinkProxy`.
 
     Args:
-        folder: Where settings and the controllers' disks lie.
-        entries: How many entry processes.
-        endpoints: How many endpoints.
-        controllers: How many controllers.
-        zones: The zones' names.
-        rng: Draws how late the proxy is.
+        folder: Folder for settings, logs and controller data.
+        entries: Number of entry processes.
+        endpoints: Number of endpoints.
+        controllers: Number of controllers.
+        zones: Zone names, one character each.
+        rng: Random generator for the proxy's delays.
     """
 
     def __init__(
@@ -122,7 +122,7 @@
         print(f"the proxy stood still for {self._longest_stall_s:.2f} s at most")
 
     async def _measure_stalls(self) -> None:
-        """Measure how long this process stands still: all links are late by that, unasked."""
+        """Record the longest event-loop stall, which delays every link."""
         while True:
             began = time.monotonic()
             await asyncio.sleep(_CHECK_INTERVAL_S)
@@ -130,7 +130,7 @@
             self._longest_stall_s = max(self._longest_stall_s, stall_s)
 
     def _new_session(self) -> ClientSession:
-        # A call of the test's own must not wait on a connection that has fallen silent meanwhile.
+        # The test's own calls must not reuse a connection that the proxy has silenced.
         connector = TCPConnector(force_close=True)
         return ClientSession(connector=connector, timeout=ClientTimeout(total=CALL_TIMEOUT_S))
 
--- a/tests/proxy.py
+++ b/tests/proxy.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""A small fault proxy for TCP links: cut, freeze one way, silence, delay, cut short.
+"""A fault-injecting TCP proxy: reset, freeze, silence, delay, truncate.
 
 All links run on one event loop in a thread of the test process.
 """
@@ -17,7 +17,10 @@
 
 
 class Link:
-    """One proxied port. ``mode`` is ``pass``, ``cut`` or ``freeze`` (takes, forwards nothing)."""
+    """One proxied port.
+
+    ``mode`` is ``pass``, ``cut`` (resets connections) or ``freeze`` (accepts, forwards nothing).
+    """
 
     def __init__(self, target: int) -> None:
         """Forward to the loopback port *target*."""
@@ -32,17 +35,17 @@
 
 
 class FaultProxy:
-    """All links of one test."""
+    """The proxied links of one test."""
 
     def __init__(self) -> None:
-        """Start the loop's thread."""
+        """Start the event loop's thread."""
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
         self._thread.start()
         self.links: dict[tuple[str, str], Link] = {}
 
     def address_of(self, sender: str, receiver: str, port: int) -> int:
-        """Return the port at which *sender* reaches *receiver*, which listens on *port*."""
+        """Return the proxy port for connections from *sender* to *receiver*, bound to *port*."""
         if (sender, receiver) not in self.links:
             link = Link(port)
             self.links[sender, receiver] = link
@@ -50,31 +53,31 @@
         return self.links[sender, receiver].port
 
     def set_mode(self, mode: str, chosen: Callable[[str, str], bool]) -> None:
-        """Set the mode of every link of which ``chosen(sender, receiver)`` is true."""
+        """Set the mode of every link for which ``chosen(sender, receiver)`` is true."""
         for (sender, receiver), link in self.links.items():
             if chosen(sender, receiver):
                 self._run(self._set(link, mode))
 
     def silence_open_connections(self) -> None:
-        """Forward nothing more on any connection that is open, and reset none; new ones work."""
+        """Stop forwarding on all open connections without a reset; new connections work."""
         for link in self.links.values():
             link.silent_up_to = link.opened
 
     def cut_zone(self, zone: str) -> None:
-        """Cut every link between *zone* and the others."""
+        """Cut every link between *zone* and other zones."""
         self.set_mode("cut", lambda one, other: (one[0] == zone) != (other[0] == zone))
 
     def heal(self) -> None:
-        """Let every link pass again."""
+        """Set every link back to ``pass``."""
         self.set_mode("pass", lambda _one, _other: True)
 
     def delay(self, seconds: float) -> None:
-        """Delay every link."""
+        """Delay every chunk on every link by *seconds*."""
         for link in self.links.values():
             link.delay_s = seconds
 
     def close(self) -> None:
-        """Close every link and end the thread."""
+        """Cut every link and stop the thread."""
         self.set_mode("cut", lambda _one, _other: True)
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
--- a/tests/soak_callers.py
+++ b/tests/soak_callers.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Callers, an operator and the promises that both rely on, over the real programs.
+"""Callers and an operator for the soak tests, with checks of the guarantees made to them.
 
-Callers keep using an open connection until its process is gone, leave early, and send a job again
-that got no clear answer. What they are promised is held against what the endpoints have run.
+Callers keep a connection until its process is gone, sometimes disconnect early, and retry jobs
+without a definite response. The checks compare the responses with the runs that the endpoints
+recorded.
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 
 from platform_system import PlatformSystem, job_id, job_url, steps
 
-# Milliseconds that a caller gives a job, and that it waits beyond that.
+# Deadline of a job, and how much longer the caller waits for the response.
 _DEADLINE_MS = 1_500
 _TIMEOUT_MARGIN_MS = 1_500
-# Seconds until a job that got no clear answer is sent again.
+# Delay before retrying a job without a definite response.
 RETRY_DELAY_S = 1.3
-# Seconds after its answer in which a task of a completed job may still begin again.
+# Time after the response during which a task of a completed job may still start.
 _LATE_START_MAX_S = 1.0
-# Seconds after an acknowledgement in which an older version may still be shown.
+# Time after an acknowledgement during which a read may return an older version.
 _STALE_READ_MAX_S = 2.0
 _TASK_MS = (20, 60, 200, 600)
-# Thousandths of cores: two tasks fill an endpoint, so that jobs wait and are refused.
+# Two tasks fill an endpoint, so that jobs are queued and refused.
 _TASK_MILLI = 6_800
-# Numbers of the callers' jobs; those of other jobs on the system lie outside.
+# Range of the callers' job numbers; other jobs use numbers outside it.
 JOB_NUMBERS_START = 10**6
 JOB_NUMBERS_END = 10**9
 _NO_RESPONSE = 0
@@ -37,15 +38,15 @@
 
 
 class JobAttempt(NamedTuple):
-    """One try of a caller.
+    """One attempt of a caller to run a job.
 
     Args:
-        entry: The entry process that it went to.
-        status: The answer's HTTP status; 0 for a broken or refused connection, -1 if it left.
-        state: How the job ended, if it was carried out.
-        sent_s: When it was sent; monotonic clock.
-        answered_s: When that was; monotonic clock.
-        retry_after_ms: When the caller was told to come back; 0 if it was not told.
+        entry: The entry process it was sent to.
+        status: HTTP status; 0 for a failed connection, -1 if the caller disconnected.
+        state: Final state of the job, if the response has one.
+        sent_s: Time of sending; monotonic clock.
+        answered_s: Time of the response or failure; monotonic clock.
+        retry_after_ms: Retry delay given in the response; 0 if none.
     """
 
     entry: str
@@ -60,9 +61,9 @@
     """Callers at all entry processes.
 
     Args:
-        system: The programs.
-        rng: Draws what they do.
-        numbers: The numbers of their jobs; no others hand those in.
+        system: The system under test.
+        rng: Random generator for their behavior.
+        numbers: Job numbers reserved for these callers.
     """
 
     def __init__(
@@ -79,11 +80,11 @@
         self.tasks: dict[str, int] = {}
 
     async def run(self, callers: int, is_over: asyncio.Event) -> None:
-        """Let so many callers hand jobs in until *is_over*; return when all have their answers."""
+        """Run concurrent callers until *is_over*; return when all have finished."""
         await asyncio.gather(*(self._call(is_over) for _ in range(callers)))
 
     async def _call(self, is_over: asyncio.Event) -> None:
-        """Use one connection as long as it is open, then one to another process."""
+        """Submit jobs over one connection until it fails, then over another one."""
         while not is_over.is_set():
             entry = self._rng.choice(self._system.entries)
             async with ClientSession(connector=TCPConnector(limit=1)) as session:
@@ -93,7 +94,7 @@
                     await asyncio.sleep(self._rng.uniform(0.0, 0.15))
 
     async def _submit_job(self, session: ClientSession, entry: str) -> int:
-        """Hand a new job in, and again elsewhere if the answer is not clear."""
+        """Submit a new job; half of the time, retry one without a definite response elsewhere."""
         text, body = self._new_job()
         status = (await self._send(session, entry, text, body)).status
         if status in (200, *REJECTED) or self._rng.random() < 0.5:
@@ -104,7 +105,7 @@
         return status
 
     def _new_job(self) -> tuple[str, object]:
-        """Return the id and the body of a job that nobody has handed in."""
+        """Return the id and the body of a new job."""
         text = job_id(next(self._job_counter))
         self.tasks[text] = self._rng.choice([1, 2, 2, 4, 8])
         body = steps(self.tasks[text], self._rng.choice(_TASK_MS), cpu_milli=_TASK_MILLI)
@@ -131,14 +132,14 @@
         except TimeoutError:
             status = _DISCONNECTED
         except (ClientError, OSError):
-            # The process is gone, or was never there.
+            # The process was not reachable or went away.
             status = _NO_RESPONSE
         one = JobAttempt(entry, status, state, sent_s, time.monotonic(), retry_after_ms)
         self.sent[text].append(one)
         return one
 
     def guarantee_violations(self) -> list[str]:
-        """Return what callers were promised and did not get, in words."""
+        """Return a description of every violated guarantee."""
         return [
             *self._refused_but_started(),
             *self._completed_but_unfinished(),
@@ -146,10 +147,10 @@
         ]
 
     def _refused_but_started(self) -> list[str]:
-        """A start comes from a try sent before it: one of those must not have been refused.
+        """Find jobs that started although every earlier attempt was refused.
 
-        So a refusal is also broken by a start that comes later, and is not made good by another
-        answer to a try that was sent after the start.
+        A start after the refusal counts too; responses to attempts sent after the start do not
+        excuse it.
         """
         violations = []
         for text, first_start_s in self._system.sightings.first_start_of.items():
@@ -170,11 +171,13 @@
             if not completed:
                 continue
             if done.get(text, 0) < self.tasks[text]:
-                violations.append(f"{text} is completed, {done.get(text, 0)} of its tasks are done")
+                violations.append(
+                    f"{text} is completed, but only {done.get(text, 0)} of its tasks are done"
+                )
             start_delay_s = self._system.sightings.newest_start_of[text] - completed[0].answered_s
             if len(attempts) == 1 and start_delay_s > _LATE_START_MAX_S:
                 violations.append(
-                    f"{text} began again {start_delay_s:.1f} s after it was completed"
+                    f"{text} began again {start_delay_s:.1f} s after its completed response"
                 )
         return violations
 
@@ -190,11 +193,11 @@
 
     @property
     def completed(self) -> int:
-        """How many jobs were completed."""
+        """Number of attempts with a completed job."""
         return sum(one.state == "completed" for attempts in self.sent.values() for one in attempts)
 
     def summary(self) -> str:
-        """Return how many tries got which answer."""
+        """Return the number of attempts per HTTP status."""
         counts: dict[int, int] = {}
         for attempts in self.sent.values():
             for one in attempts:
@@ -203,18 +206,18 @@
 
 
 def _describe_refusal(one: JobAttempt, first_start_s: float) -> str:
-    """Return a refusal in words, with the job's first start as the zero of time."""
+    """Describe a refusal, with times relative to the job's first start."""
     sent_ms, answered_ms = (1_000 * (at_s - first_start_s) for at_s in (one.sent_s, one.answered_s))
     return f"{one.status} at {one.entry}, sent {sent_ms:.0f} ms, answered {answered_ms:+.0f} ms"
 
 
 class Operator:
-    """An operator who changes the configuration and reads it, at any controller.
+    """An operator who changes and reads the configuration at random controllers.
 
     Args:
-        system: The programs.
-        rng: Draws whom it asks.
-        retry_delay_s: Seconds between two calls that got no clear answer.
+        system: The system under test.
+        rng: Random generator for the choice of controllers.
+        retry_delay_s: Delay before retrying an unacknowledged change.
     """
 
     def __init__(
@@ -227,13 +230,13 @@
         self.violations: list[str] = []
 
     async def run(self, is_over: asyncio.Event) -> None:
-        """Change and read until *is_over*."""
+        """Change the configuration repeatedly until *is_over*."""
         while not is_over.is_set():
             await self.change()
             await asyncio.sleep(self._rng.uniform(0.1, 0.8))
 
     async def change(self) -> None:
-        """Send the next version until it is acknowledged, with reads between."""
+        """Send the next version until it is acknowledged, reading between the attempts."""
         version = self.acknowledged[-1][1] + 1
         for _ in range(100):
             if await self._system.configure(version, self._rng.choice(self._system.controllers)):
@@ -241,10 +244,10 @@
                 return
             await self.read()
             await asyncio.sleep(self._retry_delay_s)
-        self.violations.append(f"version {version} was not acknowledged in 100 calls")
+        self.violations.append(f"version {version} was not acknowledged in 100 attempts")
 
     async def read(self) -> bool:
-        """Read the version at any controller; return whether it was shown."""
+        """Read the version at a random controller; return whether the read succeeded."""
         requested_s = time.monotonic()
         version_read = await self._system.read_version(self._rng.choice(self._system.controllers))
         if version_read is None:
@@ -254,6 +257,6 @@
         )
         if version_read < version_min:
             self.violations.append(
-                f"version {version_read} was shown after {version_min} was acknowledged"
+                f"read of version {version_read} after {version_min} was acknowledged"
             )
         return True
--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Faults of machines, disks, endpoints and connections, in series that overlap.
+"""Overlapping faults of processes, disks, endpoints and connections.
 
-All come from outside the programs: signals, emptied folders, and what the stand-ins of endpoints
-do. Of the controllers one at a time is disturbed, as the platform promises.
+All are injected from outside the programs: signals, emptied data folders and endpoint stand-in
+behavior. Only one controller is disturbed at a time, as the platform's guarantees assume.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 from platform_system import PlatformSystem
 from standins.run_endpoint import RunEndpoint
 
-# Seconds that a fault lasts.
+# Range of a fault's duration.
 _DURATION_S = (0.2, 2.5)
-# Seconds that a process may take to stop, by the platform's grace, and some for a busy machine.
+# The platform's grace period for stopping, plus slack.
 _STOP_TIMEOUT_S = 12.0
-# Seconds that a controller has to catch up before another one may be disturbed.
+# Time for a controller to catch up before another one is disturbed.
 CATCH_UP_S = 4.0
-# Seconds until an endpoint that has said it is draining leaves.
+# Time between an endpoint's switch to draining and its stop.
 _DRAIN_S = 0.6
 
 
 class Faults:
-    """The faults of one run.
+    """The faults of one soak run.
 
     Args:
-        system: The programs.
-        rng: Draws them.
+        system: The system under test.
+        rng: Random generator for the faults.
     """
 
-    # Seconds between two faults of a series.
+    # Range of the interval between the starts of two faults.
     interval_s = (0.05, 1.0)
 
     def __init__(self, system: PlatformSystem, rng: random.Random) -> None:
@@ -67,7 +67,7 @@
         ]
 
     async def run(self, faults: int, is_over: asyncio.Event) -> None:
-        """Begin so many faults one after the other; set *is_over* when all are."""
+        """Start *faults* faults at random intervals; set *is_over* when all have ended."""
         tasks = []
         for kind in self._draw(faults):
             self.log.append(kind.__name__.strip("_"))
@@ -77,7 +77,7 @@
         is_over.set()
 
     def _draw(self, faults: int) -> Iterator[Callable[[], Awaitable[None]]]:
-        """Draw one kind after the other, between the draws of those that are under way."""
+        """Draw the kinds lazily, interleaved with the draws of faults in progress."""
         for _ in range(faults):
             yield self._rng.choice(self._kinds)
 
@@ -117,7 +117,7 @@
                 await self._system.start(name)
 
     async def _stop(self, name: str) -> None:
-        """Have a process stop as planned; it must end by itself, with 0 if it was up."""
+        """Send SIGTERM; the process must exit in time, with code 0 if it was up."""
         self._system.record_disturbance(name, math.inf)
         process = self._system.processes[name]
         was_up = await self._system.is_up(name)
@@ -126,11 +126,13 @@
             async with asyncio.timeout(_STOP_TIMEOUT_S):
                 code = await process.wait()
         except TimeoutError:
-            self.violations.append(f"{name} did not stop within {_STOP_TIMEOUT_S} s: see its log")
+            self.violations.append(
+                f"{name} did not stop within {_STOP_TIMEOUT_S} s; its log has the stacks"
+            )
             await self._system.abort(name)
             return
         if code and (was_up or code != -signal.SIGTERM):
-            self.violations.append(f"{name} ended with {code} when it was stopped")
+            self.violations.append(f"{name} exited with code {code} after SIGTERM")
 
     async def _freeze_entry(self) -> None:
         await self._freeze(self._draw_entry())
@@ -183,14 +185,14 @@
     # Endpoints and connections to them.
 
     async def _silence_endpoint(self) -> None:
-        """It answers nothing for a while and runs on."""
+        """An endpoint leaves requests unanswered for a while; its runs continue."""
         endpoint = self._draw_endpoint()
         endpoint.is_silent = True
         await asyncio.sleep(self._draw_duration_s())
         endpoint.is_silent = False
 
     async def _silence_connections(self) -> None:
-        """Its open connections are silent for good; new ones work."""
+        """The open connections of an endpoint stay silent; new ones work."""
         self._draw_endpoint().silence_open_connections()
 
     async def _silence_all_connections(self) -> None:
@@ -198,14 +200,14 @@
             endpoint.silence_open_connections()
 
     async def _start_late(self) -> None:
-        """It answers no order to start, and carries each out later."""
+        """An endpoint leaves start requests unanswered and executes them later."""
         endpoint = self._draw_endpoint()
         endpoint.starts_late_s = self._rng.uniform(0.3, 3.0)
         await asyncio.sleep(self._draw_duration_s())
         endpoint.starts_late_s = 0.0
 
     async def _crash_endpoint(self) -> None:
-        """Another life begins at its address; then a heartbeat of the one before arrives."""
+        """Replace an endpoint at its address; then a late heartbeat of its predecessor arrives."""
         crashed = self._remove_endpoint()
         if crashed is None:
             return
@@ -217,7 +219,7 @@
         self._system.endpoints.append(successor)
 
     async def _drain_endpoint(self) -> None:
-        """It says that it is draining, leaves, and another one comes at its address."""
+        """An endpoint reports draining, stops, and is replaced at its address."""
         leaving = self._remove_endpoint()
         if leaving is None:
             return
@@ -227,7 +229,7 @@
         self._system.endpoints.append(await self._start_successor(leaving))
 
     def _remove_endpoint(self) -> RunEndpoint | None:
-        """Return an endpoint that nothing else happens to; ``None`` if too few are left."""
+        """Remove an endpoint from the system and return it; ``None`` if too few are left."""
         if len(self._system.endpoints) <= len(self._system.entries) // 2 + 1:
             return None
         endpoint = self._draw_endpoint()
--- a/tests/soak_foreign_reports.py
+++ b/tests/soak_foreign_reports.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Heartbeats of another writer, beside the faults of a soak: none of them names an endpoint."""
+"""Invalid heartbeats from a foreign client, sent during a soak; none may be accepted."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from platform_system import PlatformSystem
 from standins.run_endpoint import CAPACITY, SERVICE
 
-# Seconds until the first one: a controller that has not pulled its first configuration takes any.
+# A controller without its first configuration accepts any heartbeat.
 _INITIAL_DELAY_S = 1.0
-# Seconds between two of them.
+# Range of the interval between heartbeats.
 _INTERVAL_S = (0.05, 0.4)
 _TIMEOUT = ClientTimeout(total=1.0)
-# Rises above what any endpoint has counted.
+# Above the ``call_seq`` of every real endpoint.
 _CALL_SEQ_BASE = 10**6
 _REQUIRED_FIELDS = ["service", "address", "zone", "state", "capacity", "call_seq"]
 _INVALID_VALUES: list[Any] = [None, True, -1, 1.5, [], {}, "?"]
 
 
 class ForeignReports:
-    """What another writer leaves at the path of endpoints' heartbeats.
+    """Sends invalid reports to the path of endpoint heartbeats.
 
     Args:
-        system: The programs.
-        rng: Draws the reports.
+        system: The system under test.
+        rng: Random generator for the reports.
     """
 
     def __init__(self, system: PlatformSystem, rng: random.Random) -> None:
@@ -42,7 +42,7 @@
         self._address = ("127.0.0.1", free_port())
 
     async def run(self, is_over: asyncio.Event) -> None:
-        """Send one after the other until *is_over*; count who calls the address they name."""
+        """Send reports until *is_over*; count connections to the address in them."""
         server = await asyncio.start_server(self._count_connection, *self._address)
         await asyncio.sleep(_INITIAL_DELAY_S)
         async with server, ClientSession(timeout=_TIMEOUT) as session:
@@ -59,11 +59,11 @@
                 if response.status == 200:
                     self.accepted.append(f"{endpoint}: {body!r}")
         except (ClientError, TimeoutError):
-            # The controller is down; another writer does not try again.
+            # The controller is down; no retry.
             return
 
     def _draw_endpoint_id(self) -> str:
-        """Return the id of an endpoint, or one that is nobody's."""
+        """Return the id of a real endpoint or an unknown one."""
         names = [one.name for one in self._system.endpoints]
         return self._rng.choice([*names, f"x{self._rng.randrange(10)}"])
 
@@ -91,10 +91,10 @@
         return body[: self._rng.randrange(len(body))] if kind == "unreadable" else body
 
     def _draw_invalid_value(self, field: str) -> Any:
-        """Return a value of a type, or a form, that *field* does not have."""
+        """Return a value that is invalid for *field*."""
         invalid_values = _INVALID_VALUES
         if field == "zone":
-            # Any text may be a zone's name.
+            # Any string is a valid zone name.
             invalid_values = [value for value in _INVALID_VALUES if not isinstance(value, str)]
         return self._rng.choice(invalid_values)
 
--- a/tests/soak_links.py
+++ b/tests/soak_links.py
@@ -1,9 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Faults of the connections between boxes, callers, endpoints and controllers.
+"""Connection faults between boxes, callers, endpoints and controllers.
 
-They overlap each other and the faults of machines, disks and endpoints. A cut either refuses, as a
-box whose network resets does, or holds back what is written until it heals, as a network does that
-loses packets.
+They overlap each other and the other faults. A cut either resets connections or holds all data
+until it heals, as a partition that loses packets does.
 """
 
 from __future__ import annotations
@@ -16,23 +15,23 @@
 from proxied_system import ProxiedSystem
 from soak_faults import Faults
 
-# Least and most seconds by which bytes are late.
+# Bounds of a link's delay.
 _DELAY_MIN_S = 0.02
 _DELAY_MAX_S = 0.6
-# How often a delay changes, resets come, or a link is cut in one fault.
+# Range of delay changes, resets or cuts in one fault.
 _REPEATS = (1, 5)
-# Seconds between two resets.
+# Range of the interval between resets.
 _RESET_INTERVAL_S = (0.05, 0.8)
-# Seconds for which a link that goes and comes is cut, and those until it is again: a grant of a
-# session (400 ms) lapses in some of the cuts, and is renewed in between.
+# A flapping link's cuts and the intervals between them: a session grant (400 ms) expires in some
+# cuts and is renewed in between.
 _FLAP_CUT_S = (0.2, 0.9)
 _FLAP_HEALED_S = (0.02, 0.4)
-# Seconds that a controller has to catch up before another one may be disturbed.
+# Time for a controller to catch up before another one is disturbed.
 _CATCH_UP_S = 4.0
 
 
 def _one_way(senders: Iterable[str], receivers: Iterable[str]) -> LinkFilter:
-    """Choose the connections that boxes open to others, by which they send."""
+    """Select the peer connections that *senders* open to *receivers*."""
     sender_names, receiver_names = frozenset(senders), frozenset(receivers)
     return lambda link: (
         link.kind is Kind.PEER
@@ -42,7 +41,7 @@
 
 
 def _both_ways(boxes: Iterable[str], others: Iterable[str]) -> LinkFilter:
-    """Choose the connections that boxes open to others, and the others to them."""
+    """Select the peer connections between two sets of boxes, in both directions."""
     outbound, inbound = _one_way(boxes, others), _one_way(others, boxes)
     return lambda link: outbound(link) or inbound(link)
 
@@ -52,11 +51,11 @@
 
 
 class LinkFaults(Faults):
-    """The faults of one run, those of connections among them.
+    """The faults of one soak run, connection faults included.
 
     Args:
-        system: The programs.
-        rng: Draws them.
+        system: The system under test.
+        rng: Random generator for the faults.
     """
 
     def __init__(self, system: ProxiedSystem, rng: random.Random) -> None:
@@ -96,12 +95,12 @@
         ]
 
     async def run(self, faults: int, is_over: asyncio.Event) -> None:
-        """Begin so many faults one after the other, and tell which; set *is_over* when all are."""
+        """Run the faults and print their kinds; set *is_over* when all have ended."""
         await super().run(faults, is_over)
-        # A play that does not recover ends before it sums up.
+        # Printed here, since a run that does not recover fails before its summary.
         print(f"faults: {', '.join(self.log)}")
 
-    # Connections that are late.
+    # Delays.
 
     async def _delay_box(self) -> None:
         await self._delay(self._links_of_box(self._draw_entry()))
@@ -116,17 +115,17 @@
         await self._delay(self._links_to(Kind.CALLERS, [self._draw_entry()]))
 
     async def _delay(self, link_filter: LinkFilter) -> None:
-        """Be late, by other times every now and then."""
+        """Delay the links, changing the delay range a few times."""
         for _ in range(self._rng.randint(*_REPEATS)):
             delay_max_s = self._rng.uniform(_DELAY_MIN_S, _DELAY_MAX_S)
             with self._proxy.inject(Fault(link_filter, delay_s=(_DELAY_MIN_S, delay_max_s))):
                 await asyncio.sleep(self._draw_duration_s() / 2)
 
     async def _delay_control(self) -> None:
-        """Be late for endpoints' heartbeats and the operator, at one controller."""
+        """Delay endpoint heartbeats and operator calls at one controller."""
         await self._delay(self._links_to(Kind.CONTROL, [self._draw_controller()]))
 
-    # Connections that are reset, once or a few times.
+    # Resets.
 
     async def _reset_box(self) -> None:
         await self._reset(self._links_of_box(self._draw_entry()))
@@ -145,7 +144,7 @@
             self._proxy.reset(link_filter)
             await asyncio.sleep(self._rng.uniform(*_RESET_INTERVAL_S))
 
-    # Open connections that fall silent for good; new ones work.
+    # Open connections that stay silent; new ones work.
 
     async def _silence_box(self) -> None:
         self._proxy.silence(self._links_of_box(self._draw_entry()))
@@ -159,7 +158,7 @@
     async def _silence_control(self) -> None:
         self._proxy.silence(self._links_to(Kind.CONTROL, [self._draw_controller()]))
 
-    # Open connections on which all arrives late; new ones work.
+    # Open connections that stall for a while; new ones work.
 
     async def _stall_box(self) -> None:
         await self._stall(self._links_of_box(self._draw_entry()))
@@ -184,34 +183,34 @@
         await self._cut(self._links_of_box_one_way(self._draw_entry()))
 
     async def _cut_box(self) -> None:
-        """Cut an entry box off from all others, and from its callers or not."""
+        """Cut an entry box off from all other boxes and, half of the time, its callers."""
         name = self._draw_entry()
         boxes, callers = self._links_of_box(name), self._links_to(Kind.CALLERS, [name])
         is_whole = self._rng.random() < 0.5
         await self._cut(lambda link: boxes(link) or (is_whole and callers(link)))
 
     async def _cut_entries_of_zone(self) -> None:
-        """Cut a zone's entry boxes off from those of the others."""
+        """Cut a zone's entry boxes off from those of other zones."""
         zone = self._draw_zone()
         inside = [one for one in self._system.entries if self._system.zone_of(one) == zone]
         outside = [one for one in self._system.entries if one not in inside]
         await self._cut(_both_ways(inside, outside))
 
     async def _cut_zone(self) -> None:
-        """Cut a zone's boxes off from the others, controllers included."""
+        """Cut a zone's boxes, controllers included, off from all others."""
         zone = self._draw_zone()
         inside = [one for one in self._boxes if self._system.zone_of(one) == zone]
         outside = [one for one in self._boxes if one not in inside]
         await self._cut_controllers(_both_ways(inside, outside))
 
     async def _cut_from_controllers(self) -> None:
-        """Cut an entry box off from all controllers, both ways or one way."""
+        """Cut an entry box off from all controllers, in one or both directions."""
         name, controllers = [self._draw_entry()], self._system.controllers
         filters = [_one_way(name, controllers), _one_way(controllers, name)]
         await self._cut(self._rng.choice([*filters, _both_ways(name, controllers)]))
 
     async def _cut_controller(self) -> None:
-        """Cut a controller off from all boxes, both ways or one way."""
+        """Cut a controller off from all boxes, in one or both directions."""
         name = self._draw_controller()
         filters = [self._links_of_box_one_way(name), self._links_of_box(name)]
         await self._cut_controllers(self._rng.choice(filters))
@@ -224,12 +223,12 @@
             await asyncio.sleep(_CATCH_UP_S)
 
     async def _cut_endpoints_of_zone(self) -> None:
-        """Cut a zone's endpoints off from whoever owns them."""
+        """Cut all run connections to a zone's endpoints."""
         zone = self._draw_zone()
         await self._cut(lambda link: link.kind is Kind.RUNS and self._zone_of(link) == zone)
 
     async def _lose_answers_of_endpoints(self) -> None:
-        """Orders arrive, and are carried out; what came of them is heard late."""
+        """Requests arrive and are executed; responses are held until the fault ends."""
         await self._hold_answers(self._links_to(Kind.RUNS, self._draw_endpoints()))
 
     async def _lose_answers_to_callers(self) -> None:
@@ -249,7 +248,7 @@
         await self._flap(self._links_of_box_one_way(self._draw_entry()))
 
     async def _flap(self, link_filter: LinkFilter) -> None:
-        """Cut a few times, shortly one after the other."""
+        """Cut the links a few times at short intervals."""
         for _ in range(self._rng.randint(*_REPEATS)):
             await self._cut(link_filter, self._rng.uniform(*_FLAP_CUT_S))
             await asyncio.sleep(self._rng.uniform(*_FLAP_HEALED_S))
@@ -262,7 +261,7 @@
         with self._proxy.inject(fault):
             await asyncio.sleep(lasts_s or self._draw_duration_s())
 
-    # What is chosen.
+    # Link filters and random targets.
 
     def _links_of_box(self, name: str) -> LinkFilter:
         return _both_ways([name], self._boxes)
@@ -278,7 +277,7 @@
         return self._rng.choice(self._system.controllers)
 
     def _draw_endpoints(self) -> list[str]:
-        """Return the places of some endpoints, by the name of the first one there."""
+        """Return a random subset of the endpoints' base names, under which the proxy listens."""
         base_names = self._endpoint_base_names()
         return self._rng.sample(base_names, self._rng.randint(1, len(base_names)))
 
--- a/tests/soak_patience.py
+++ b/tests/soak_patience.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Callers that send a job up to the end of their patience, to one entry process after another."""
+"""Callers that retry a job at other entry processes until it is answered or a deadline passes."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from soak_callers import REJECTED, RETRY_DELAY_S, Callers, JobAttempt
 from soak_system import SiteSystem
 
-# Seconds that a caller goes on for one job.
+# Range of the time that a caller keeps retrying one job.
 _RETRY_PERIOD_S = (2.5, 7.0)
-# Seconds until a caller comes back that was refused and not told when.
+# Retry delay after a refusal without one.
 _DEFAULT_RETRY_DELAY_S = 0.3
-# Share of the jobs of which each try goes to two entry processes at one time.
+# Share of jobs whose every attempt goes to two entry processes concurrently.
 _CONCURRENT_SHARE = 0.3
 
 
 class RetryingCallers(Callers):
-    """Callers that come back under the same id, at another process, until their patience ends.
+    """Callers that retry a job under the same id at other entry processes.
 
-    What is handed in at two processes at one time may run in two zones: one of the two may move
-    to where the other is not known. Callers that wait before they send again are promised that
-    it does not; so is everyone in a system of one zone.
+    A job submitted to two processes concurrently may run twice, in two zones, since one submission
+    may move to a zone that does not know the other. Callers that wait before a retry are
+    guaranteed a single run, and so is everyone in a system with one zone.
 
     Args:
-        system: The programs.
-        rng: Draws what they do.
-        numbers: The numbers of their jobs; no others hand those in.
+        system: The system under test.
+        rng: Random generator for their behavior.
+        numbers: Job numbers reserved for these callers.
     """
 
     def __init__(self, system: SiteSystem, rng: random.Random, numbers: range) -> None:
@@ -56,7 +56,7 @@
     async def _send_attempt(
         self, session: ClientSession, entry: str, text: str, body: object, is_concurrent: bool
     ) -> list[JobAttempt]:
-        """Send a job to one process, or to two at one time; return the answers."""
+        """Send a job to one process, or to two concurrently; return the attempts."""
         if not is_concurrent:
             return [await self._send(session, entry, text, body)]
         second = self._draw_other_entry(entry)
@@ -71,7 +71,10 @@
         return self._rng.choice([one for one in self._system.entries if one != entry])
 
     def _retry_delay_s(self, answers: list[JobAttempt]) -> float:
-        """Return when to come back: as told after a refusal, as usual after no clear answer."""
+        """Return the delay before the next attempt.
+
+        It follows the response after a refusal and is fixed without a definite response.
+        """
         if any(one.status not in REJECTED for one in answers):
             return RETRY_DELAY_S
         retry_after_max_ms = max(one.retry_after_ms for one in answers)
--- a/tests/soak_same_id.py
+++ b/tests/soak_same_id.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Endpoints that begin again under their ids, beside the faults of a soak, and then leave."""
+"""Endpoints that restart under the same id and drain, combined with the other soak faults."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from soak_faults import Faults
 from standins.run_endpoint import START_AFTER_DRAIN_MAX_S, RunEndpoint
 
-# Seconds that an endpoint is down, and then serves before it says that it leaves.
+# Ranges of an endpoint's downtime, and of its uptime before it drains.
 _DOWN_S = (0.0, 0.6)
 _SERVE_S = (0.2, 2.0)
-# Seconds that it stays after that.
+# Time between the switch to draining and the stop.
 _DRAIN_S = START_AFTER_DRAIN_MAX_S + 1.5
-# Seconds for which nothing happens to a system before it is held to its promise in any case.
+# Undisturbed time after which a start on a draining endpoint always counts as a violation.
 _UNDISTURBED_S = 3.2
-# Thousandths of cores: so many that the callers' tasks need every endpoint.
+# Large enough that the callers' tasks need every endpoint.
 _TASK_MILLI = 4_000
 _CALLERS = 6
-# Numbers of the jobs of these callers; no others hand those in.
+# Job numbers reserved for these callers.
 _job_counter = itertools.count(JOB_NUMBERS_END + 10**6)
 
 
 class SameIdFaults(Faults):
-    """Half of the faults are of endpoints whose next life has their id."""
+    """The usual faults, and as many endpoint restarts under the same id."""
 
     def __init__(self, system: PlatformSystem, rng: random.Random) -> None:
         super().__init__(system, rng)
@@ -35,7 +35,7 @@
         self._kinds = [*self._kinds, *(own * (len(self._kinds) // len(own)))]
 
     async def _crash_same_id(self) -> None:
-        """It crashes and begins again; late words of the life before arrive after that."""
+        """An endpoint crashes and restarts; then late messages of its predecessor arrive."""
         crashed = self._remove_endpoint()
         if crashed is None:
             return
@@ -44,7 +44,7 @@
         self._system.endpoints.append(successor)
 
     async def _restart_and_leave(self) -> None:
-        """It begins again, says some time later that it leaves, and crashes without a farewell."""
+        """An endpoint restarts, drains later and crashes without deregistering."""
         crashed = self._remove_endpoint()
         if crashed is None:
             return
@@ -54,7 +54,7 @@
         self._system.endpoints.append(await self._restart_same_id(successor))
 
     async def _leave_and_begin_again(self) -> None:
-        """It leaves as planned and begins again; its farewell arrives before or after that."""
+        """An endpoint drains and restarts; it deregisters before or after the restart."""
         leaving = self._remove_endpoint()
         if leaving is None:
             return
@@ -77,7 +77,7 @@
         return successor
 
     async def _send_delayed_messages(self, predecessor: RunEndpoint) -> None:
-        """Have a heartbeat and a farewell of the life before arrive now."""
+        """Send a late heartbeat of the predecessor and, if it was draining, a deregistration."""
         await asyncio.sleep(self._rng.uniform(0.0, 1.0))
         await predecessor.report_again(self._rng.choice(self._system.controls))
         if predecessor.state == "draining":
@@ -85,7 +85,7 @@
 
 
 async def begin_again_at(system: PlatformSystem, place: int) -> RunEndpoint:
-    """Crash an endpoint; its next life begins at once under its id."""
+    """Crash an endpoint and restart it at once under the same id."""
     predecessor = system.endpoints[place]
     await predecessor.stop()
     successor = predecessor.next_incarnation_same_id()
@@ -95,7 +95,7 @@
 
 
 async def call_until(system: PlatformSystem, is_over: asyncio.Event) -> None:
-    """Have callers hand in one job after the other at all entry processes."""
+    """Submit jobs continuously at all entry processes until *is_over*."""
 
     async def call() -> None:
         while not is_over.is_set():
@@ -108,7 +108,7 @@
 
 
 async def begin_again_and_leave(system: PlatformSystem, serves_s: float) -> RunEndpoint:
-    """Have the first endpoint begin again and say that it leaves, on a calm system with callers."""
+    """Restart and drain the first endpoint of an undisturbed system under load."""
     await asyncio.sleep(_UNDISTURBED_S)
     is_over = asyncio.Event()
     calling = asyncio.create_task(call_until(system, is_over))
--- a/tests/soak_site_faults.py
+++ b/tests/soak_site_faults.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""Faults of a whole site, of clocks, storage and settings files, among those of single machines.
+"""Faults of a whole site, of clocks, storage and settings files, added to those of single boxes.
 
-Of the controllers one at a time is disturbed, but for the restarts of the whole site.
+Only one controller is disturbed at a time, except when the whole site restarts.
 """
 
 from __future__ import annotations
@@ -16,33 +16,33 @@
 from soak_faults import CATCH_UP_S, Faults
 from soak_system import SiteSystem
 
-# Seconds between two restarts of the whole site.
+# Range of the interval between the two restarts of a site fault.
 _BETWEEN_RESTARTS_S = (1.0, 8.0)
-# Seconds that an entry process stands still while its callers go on waiting.
+# Range of an entry process's freeze, shorter than its callers' timeout.
 _FREEZE_S = (0.4, 1.3)
-# Restarts of the whole site in one run; each takes some ten seconds.
+# Maximum number of site faults in one run; each takes about 10 s.
 _SITE_RESTARTS_MAX = 2
-# Seconds between two changes of a settings file.
+# Ranges of the interval between settings file changes, and of their number.
 _RELOAD_GAP_S = (0.01, 0.3)
 _RELOADS = (3, 8)
-# Seconds by which the time of day steps, forward or back.
+# Sizes of a wall-clock step, forward or back.
 _CLOCK_STEPS_S = (0.5, 5.0, 60.0, 3_600.0, 86_400.0)
-# Bytes that a disk still takes when it begins to refuse: a record may be cut short.
+# Bytes that a full disk still accepts, so that a record may be truncated.
 _BYTES_LEFT_MAX = 200
 
 _FaultMethod = Callable[[], Awaitable[None]]
 
 
 class SiteFaults(Faults):
-    """The faults of one run on a whole site.
+    """The faults of one soak run on a whole site.
 
     Args:
-        system: The programs.
-        rng: Draws them.
-        allowed_kinds: The names of the kinds to draw from; empty for all.
+        system: The system under test.
+        rng: Random generator for the faults.
+        allowed_kinds: Names of the kinds to draw from; empty for all.
     """
 
-    # Longer, so that jobs run between: a site's restart takes longer than one process's.
+    # Longer than for single processes, so that jobs run between site restarts.
     interval_s = (0.3, 2.0)
 
     def __init__(
@@ -70,7 +70,7 @@
             ]
 
     def _draw(self, faults: int) -> Iterator[_FaultMethod]:
-        """Draw all kinds beforehand, so that a seed has the same ones in each run."""
+        """Draw all kinds up front, so that a seed always has the same ones."""
         return iter(self._rng.choices(self._kinds, k=faults))
 
     # The whole site.
@@ -82,7 +82,7 @@
         await self._restart_site("stop_site", self._stop_all_at_once)
 
     async def _restart_site(self, kind: str, stop_all: _FaultMethod) -> None:
-        """All processes end at once and start again, and soon once more."""
+        """End and restart all processes together, twice."""
         if self._site_lock.locked() or self._site_restarts >= _SITE_RESTARTS_MAX:
             return
         self._site_restarts += 1
@@ -96,7 +96,7 @@
 
     @contextlib.asynccontextmanager
     async def _all_entries(self) -> AsyncIterator[None]:
-        """Keep other faults from all entry processes."""
+        """Hold the locks of all entry processes."""
         async with contextlib.AsyncExitStack() as held:
             for name in self._system.entries:
                 await held.enter_async_context(self._locks[name])
@@ -108,7 +108,7 @@
         await asyncio.gather(*(self._system.start(name) for name in self._site.box_names))
 
     async def _kill_all_at_once(self) -> None:
-        """One entry process may stand still when all are killed."""
+        """Kill all processes; half of the time one entry process is frozen first."""
         if self._rng.random() < 0.5:
             self._system.freeze(self._draw_entry())
             await asyncio.sleep(self._rng.uniform(*_FREEZE_S))
@@ -120,7 +120,7 @@
     # Entry processes.
 
     async def _hold_up_entries(self) -> None:
-        """Some stand still, each for less than its callers wait."""
+        """Freeze one or two entry processes, each for less than its callers' timeout."""
         self.fault_counts["hold_up_entries"] += 1
         names = self._rng.sample(self._system.entries, self._rng.choice([1, 1, 2]))
         await asyncio.gather(*(self._freeze_briefly(name) for name in names))
@@ -134,7 +134,7 @@
     # Settings files and clocks.
 
     async def _reload_settings(self) -> None:
-        """The settings files change in series that overlap; the core's only while it is whole."""
+        """Reload settings of boxes concurrently; of controllers only if none is disturbed."""
         names = self._rng.sample(self._system.entries, len(self._system.entries) // 2 + 1)
         series = [self._reload_entry_process(name) for name in names]
         await asyncio.gather(self._reload_controllers(), *series)
@@ -152,9 +152,9 @@
             )
 
     async def _reload_repeatedly(self, name: str) -> None:
-        """Write other seeds and say so, some of them cut short; the last ones are all seeds.
+        """Write shuffled seeds, sometimes truncated, and send SIGHUP; the last file is complete.
 
-        A process that does not answer yet has no handler, and the signal would end it.
+        Skips a process that does not answer HTTP yet: without its handler SIGHUP would kill it.
         """
         if not await self._system.is_up(name):
             return
@@ -173,7 +173,7 @@
         self._site.write_seeds(name, seeds, is_truncated)
 
     async def _step_clocks(self) -> None:
-        """The time of day steps on some machines; it stays so until it steps again."""
+        """Step the wall clocks of two boxes; the offset stays until the next step."""
         self.fault_counts["step_clocks"] += 1
         for name in self._rng.sample(self._site.launched_boxes, 2):
             step_s = self._rng.choice(_CLOCK_STEPS_S) * self._rng.choice([-1, 1])
@@ -182,7 +182,7 @@
     # Storage.
 
     async def _refuse_storage(self) -> None:
-        """A controller's disk is full for a while."""
+        """Make a controller's disk full for a while."""
         async with self._lock_controller("refuse_storage") as name:
             if name:
                 self._site.refuse_writes(name, self._rng.randint(0, _BYTES_LEFT_MAX))
@@ -190,7 +190,7 @@
                 self._site.accept_writes(name)
 
     async def _stall_storage(self) -> None:
-        """No sync of a controller returns for a while."""
+        """Block every fsync of a controller for a while."""
         async with self._lock_controller("stall_storage") as name:
             if name:
                 self._site.stall_storage(name, is_stalled=True)
@@ -199,7 +199,7 @@
 
     @contextlib.asynccontextmanager
     async def _lock_controller(self, kind: str) -> AsyncIterator[str]:
-        """Yield a controller in its turn, to catch up afterwards; "" if this kind has been."""
+        """Lock and yield a controller, then let it catch up; yield "" if the kind was played."""
         if self.fault_counts[kind]:
             yield ""
             return
--- a/tests/soak_suspensions.py
+++ b/tests/soak_suspensions.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Machines that are suspended, beside the faults of processes, disks and endpoints.
+"""Suspended boxes, combined with the faults of processes, disks and endpoints.
 
-One box, several, a whole zone or a controller at a time; each box's steady clock leaves out the
-time for which it was suspended, from 0.1 to 10 s.
+Suspends one box, several, a whole zone or a controller for up to 10 s; the monotonic clock of a
+box excludes the time for which it was suspended.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from platform_system import PlatformSystem
 from soak_faults import CATCH_UP_S, Faults
 
-# Seconds that suspensions last: most are short, some longer than anything that boxes wait for.
+# Ranges of a suspension's duration; the longest exceed every timeout between boxes.
 _DURATION_S = [(0.1, 0.5), (0.3, 2.0), (0.3, 2.0), (2.0, 5.0), (5.0, 10.0)]
-# Seconds between two suspensions of a series.
+# Range of the interval between the suspensions of a series.
 _SERIES_INTERVAL_S = (0.05, 1.0)
 _SERIES_MAX = 3
 
@@ -24,8 +24,8 @@
     """The usual faults, and about as many suspensions.
 
     Args:
-        system: The programs.
-        rng: Draws them.
+        system: The system under test.
+        rng: Random generator for the faults.
     """
 
     def __init__(self, system: PlatformSystem, rng: random.Random) -> None:
@@ -45,19 +45,19 @@
         await self._suspend(self._draw_entry(), self._draw_suspension_s())
 
     async def _suspend_in_series(self) -> None:
-        """One box again and again, also soon after it is back."""
+        """Suspend one box repeatedly at short intervals."""
         name = self._draw_entry()
         for _ in range(self._rng.randint(2, _SERIES_MAX)):
             await self._suspend(name, self._draw_suspension_s() / 2)
             await asyncio.sleep(self._rng.uniform(*_SERIES_INTERVAL_S))
 
     async def _suspend_some(self) -> None:
-        """Several boxes, each for a time of its own."""
+        """Suspend several boxes, each for a different time."""
         names = self._rng.sample(self._system.entries, len(self._system.entries) // 2 + 1)
         await asyncio.gather(*(self._suspend(name, self._draw_suspension_s()) for name in names))
 
     async def _suspend_zone(self) -> None:
-        """All boxes of a zone for one time."""
+        """Suspend all entry boxes of a zone for the same time."""
         zone = self._system.zone_of(self._draw_entry())
         seconds = self._draw_suspension_s()
         names = [name for name in self._system.entries if self._system.zone_of(name) == zone]
--- a/tests/soak_system.py
+++ b/tests/soak_system.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""A whole site whose machines' clocks, disks and settings files a test can disturb.
+"""A site whose clocks, disks and settings files a test can disturb.
 
-Owns a folder for each machine that a launcher starts. Relies on :mod:`standins.launch` for what
-the files in it mean, and on the kernel's limit of a file's size for a disk that refuses writes.
+Each box started by :mod:`standins.launch` has a folder with control files for the launcher. A full
+disk is simulated with ``RLIMIT_FSIZE``.
 """
 
 from __future__ import annotations
@@ -22,32 +22,32 @@
 
 
 class SiteSystem(PlatformSystem):
-    """The platform's programs; the controllers and every second entry process by the launcher."""
+    """A system whose controllers and every second entry process are started by the launcher."""
 
     @property
     def box_names(self) -> list[str]:
-        """All controllers and entry processes."""
+        """The names of all controllers and entry processes."""
         return [*self.controllers, *self.entries]
 
     @property
     def launched_boxes(self) -> list[str]:
-        """The machines whose clocks can step."""
+        """The boxes started by the launcher, whose clocks can step."""
         return [*self.controllers, *self.entries[::2]]
 
     def zone_of(self, name: str) -> str:
-        """Return the zone of a machine."""
+        """Return the zone of a box."""
         return self._zones[name]
 
     def step_clock(self, name: str, offset_s: float) -> None:
-        """Set a machine's time of day off by so many seconds."""
+        """Offset the wall clock of a box by *offset_s*."""
         path = self._launch_folder(name) / CLOCK
         whole = path.with_suffix(".new")
         whole.write_text(str(offset_s))
-        # By renaming: the program may read it at any moment.
+        # Atomic rename: the program may read the file at any time.
         whole.rename(path)
 
     def stall_storage(self, name: str, is_stalled: bool) -> None:
-        """Let each sync of a controller wait until this is called again with false."""
+        """Block or unblock every fsync of a controller."""
         path = self._launch_folder(name) / STALL
         if is_stalled:
             path.touch()
@@ -55,16 +55,16 @@
             path.unlink()
 
     def refuse_writes(self, name: str, bytes_left: int) -> None:
-        """Refuse what a controller writes beyond so many bytes behind the end of its log."""
+        """Fail a controller's writes beyond *bytes_left* after the current end of its log."""
         log = self._folder / name / "log"
         self._limit_file_size(name, log.stat().st_size + bytes_left)
 
     def accept_writes(self, name: str) -> None:
-        """Take all of a controller's writes again."""
+        """Remove the limit of a controller's writes."""
         self._limit_file_size(name, _UNLIMITED)
 
     def write_seeds(self, name: str, seeds: list[str], is_truncated: bool = False) -> None:
-        """Write a machine's settings file with other seeds; cut short, it is no settings file."""
+        """Write the settings file of a box with these seeds; truncated, it is invalid TOML."""
         line = f"seed_nodes = {msgspec.json.encode(seeds).decode()}"
         text = _SEEDS_LINE.sub(line, self._settings(name, is_first=False))
         if is_truncated:
--- a/tests/standins/endpoint.py
+++ b/tests/standins/endpoint.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""An endpoint stand-in: serves one or more endpoints, counts every start, fails on demand.
+"""Serves one or more endpoint stand-ins that count starts and fail on demand.
 
 A task's payload is ``{"ms": N, "fault": NAME}``; it takes N ms at full speed. ``GET /starts``
-tells how often each task was started; ``POST /control`` sets ``speed`` and ``refuse``.
+returns the number of starts per task; ``POST /control`` sets ``speed`` and ``refuse``.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     """One endpoint."""
 
     def __init__(self, speed: float, slots: int) -> None:
-        """Run tasks at *speed*, *slots* at a time; further ones wait here."""
+        """Run tasks at *speed*, *slots* at a time; further ones are queued."""
         self.speed = speed
         self.refuse = False
         self.running = 0
@@ -108,7 +108,7 @@
 
 
 def main() -> None:
-    """Serve the endpoints named on the command line."""
+    """Serve the endpoints given on the command line."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--ports", required=True)
     parser.add_argument("--speeds", default="")
--- a/tests/standins/launch.py
+++ b/tests/standins/launch.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Start a program on a machine whose time of day steps and whose disk stalls.
+"""Runs a program with a stepped wall clock and a stalling disk.
 
-``launch.py FOLDER PROGRAM``: the time of day is off by the seconds in ``FOLDER/clock``, and a sync
-takes as long as ``FOLDER/stall`` exists. The program's code is the same; so are its log lines'
-times, by which the lines of all machines are put in order.
+``launch.py FOLDER PROGRAM``: the wall clock is offset by the seconds in ``FOLDER/clock``, and
+``os.fsync`` blocks while ``FOLDER/stall`` exists. Log timestamps are not affected, so that the logs
+of all boxes can be merged by time.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 CLOCK, STALL = "clock", "stall"
-# Seconds between two looks at whether the disk still stalls.
+# Interval at which a blocked fsync checks for the end of the stall.
 _CHECK_INTERVAL_S = 0.005
 _NS_PER_S = 10**9
 
@@ -23,7 +23,7 @@
 
 
 class _Box:
-    """The clock and the disk as the files in *folder* say."""
+    """The clock and the disk as controlled by the files in *folder*."""
 
     def __init__(self, folder: Path) -> None:
         self._clock = folder / CLOCK
@@ -44,15 +44,15 @@
         try:
             return float(self._clock.read_text())
         except FileNotFoundError:
-            # It has not stepped yet.
+            # The clock has not stepped yet.
             return 0.0
 
 
 def main() -> None:
-    """Run the program named on the command line as if it had been started itself."""
+    """Run the program given on the command line as ``__main__``."""
     folder, program = sys.argv[1:]
     machine = _Box(Path(folder))
-    # Before the program is imported: its code may bind these as defaults.
+    # Before the program's imports, which may bind these functions.
     time.time, time.time_ns, os.fsync = machine.time, machine.time_ns, machine.fsync
     sys.argv = [program]
     sys.path[0] = str(Path(program).parent)
--- a/tests/standins/run_behind_proxy.py
+++ b/tests/standins/run_behind_proxy.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""Run one of the platform's programs with its peer socket bound elsewhere than where it says.
+"""Runs a platform program whose peer socket binds another address than the advertised one.
 
 ``run_behind_proxy.py PROGRAM`` binds the peer socket to ``FOLDLOOM_BOUND_PEER`` (``IP:port``); the
-box keeps its name, the address at which a proxy listens for it. Nothing else is altered.
+box keeps its name, which is the address of the proxy in front of it.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 
 def main(program: Path) -> None:
-    """Run *program* as if it had been started by itself."""
-    # The program's own modules, in place of this file's folder.
+    """Run *program* as ``__main__``."""
+    # Import the program's modules instead of those in this file's folder.
     sys.path[0] = str(program.parent)
     import local_settings
 
--- a/tests/standins/run_endpoint.py
+++ b/tests/standins/run_endpoint.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""An endpoint stand-in that speaks the platform's runs, holds, leases and fences.
+"""An endpoint stand-in with the platform's run protocol: starts, stops, holds, leases and fencing.
 
-It serves in the test's own event loop, so that a test can look at what ran where. A task's text
-is ``{"ms": N}``: it takes so long; ``{"how": "failed"}`` makes it end so. ``{"crash_ms": N}`` makes
-the endpoint crash so long after the start, 0 before the order is answered; it is back under its id
-as another life after ``RESTART_DELAY_S``.
+It serves on the test's event loop, so that a test can inspect its runs. A task's spec is a JSON
+object: ``ms`` is the duration, ``how`` the end kind (default ``done``), ``crash_ms`` crashes the
+endpoint that long after the start, with 0 before the start is answered. A crashed endpoint restarts
+under its id after ``RESTART_DELAY_S``.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 SERVICE = "svc"
 CAPACITY = {"cpu": 16_000, "mem_mb": 32_768, "gpu": 0}
 _HEARTBEAT_INTERVAL_S = 0.3
-# A heartbeat counts only if it is acknowledged within a second.
+# A heartbeat counts only if acknowledged within 1 s.
 _REPORT_TIMEOUT = ClientTimeout(total=1.0)
 _LEASE_CHECK_INTERVAL_S = 0.005
-# Seconds after the answer to the report of a smaller capacity from which on it holds: the users'
-# bound of contact and one heartbeat of the stand-in.
+# Time after the acknowledgement of a smaller capacity from which it must be respected: the contact
+# bound and one heartbeat interval.
 SHRUNK_KNOWN_S = 3.0 + _HEARTBEAT_INTERVAL_S
-# Seconds until an endpoint that a task has crashed is back.
+# Delay before an endpoint crashed by a task restarts.
 RESTART_DELAY_S = 3.0
-# Seconds after the answer to its leave from which on an endpoint may be given nothing: the users'.
+# Time after the acknowledgement of draining from which nothing may be started on an endpoint.
 START_AFTER_DRAIN_MAX_S = 2.0
-# Seconds that a box must have been undisturbed to be held to that: the users'.
+# Time for which boxes must have been undisturbed for that bound to apply.
 _UNDISTURBED_S = 3.0
 _CLOCK_RATE = 0.98
 _REASONS = {
@@ -52,10 +52,10 @@
 
 
 class Sightings:
-    """What all endpoints of a test have run: starts by task, and tasks seen on two at a time.
+    """The runs of all endpoints of a test: starts per task, and tasks on two endpoints at once.
 
-    ``is_undisturbed`` returns whether the boxes that serve a zone have been undisturbed
-    since a time of the monotonic clock.
+    ``is_undisturbed(zone, since_s)`` returns whether the boxes that serve the zone have been
+    undisturbed since a time of the monotonic clock.
     """
 
     def __init__(self) -> None:
@@ -70,7 +70,7 @@
         self.crashes: Counter[TaskId] = Counter()
 
     def note_start(self, task: TaskId) -> None:
-        """Note a start and look where else the task runs."""
+        """Record a start and check whether the task runs on another endpoint too."""
         self.starts[task] += 1
         self.newest_start_s = time.monotonic()
         self.first_start_of.setdefault(task.job_id, self.newest_start_s)
@@ -79,7 +79,7 @@
             self.doubled.append(task)
 
     def running(self, task: TaskId) -> list[RunEndpoint]:
-        """Return the endpoints on which *task* runs now; a lease that is over ends it there."""
+        """Return the endpoints on which *task* runs, after expiring leases."""
         for endpoint in self.endpoints:
             endpoint.simulated.lapse(_now_ms())
         return [one for one in self.endpoints if task in one.simulated.active]
@@ -89,12 +89,12 @@
     """One endpoint.
 
     Args:
-        name: Its id.
-        host: Where it listens.
-        port: Its port.
-        zone: Its zone.
-        sightings: Where starts are noted.
-        born_ms: Tells its lives under one id apart; 0 if each life has an id of its own.
+        name: Endpoint id.
+        host: Host to bind.
+        port: Port to bind.
+        zone: Zone of the endpoint.
+        sightings: Shared record of starts.
+        born_ms: Identifies the incarnation under a shared id; 0 if each has its own id.
     """
 
     def __init__(
@@ -139,7 +139,7 @@
         sightings.endpoints.append(self)
 
     async def start(self, controllers: list[str]) -> None:
-        """Listen, and report to the *controllers* in turn."""
+        """Listen, and send heartbeats to the *controllers* in turn."""
         self._controllers = controllers
         self._runner = web.ServerRunner(web.Server(self._handle), shutdown_timeout=0)
         await self._runner.setup()
@@ -149,37 +149,37 @@
 
     @property
     def address(self) -> str:
-        """Where it takes orders."""
+        """The advertised ``IP:port``."""
         return f"{self._address[0]}:{self._address[1]}"
 
     def next_life(self, name: str, born_ms: int = 0) -> RunEndpoint:
-        """Return another incarnation at the same address; it has to be started."""
+        """Return the next incarnation at the same address, not started."""
         return RunEndpoint(name, *self._address, self.zone, self._sightings, born_ms)
 
     def next_incarnation_same_id(self) -> RunEndpoint:
-        """Return the next life under the same id, which knows nothing of this one."""
+        """Return the next incarnation under the same id, without any state of this one."""
         born_ms = max(time.time_ns() // 10**6, self.born_ms + 1)
         return self.next_life(self.name, born_ms)
 
     def silence_open_connections(self) -> None:
-        """Answer nothing more on the connections that are open; new ones work."""
+        """Stop responding on the open connections; new ones work."""
         self._silent |= self._open
 
     async def report_again(self, controller: str) -> None:
-        """Report once more, as a heartbeat does that was held up until after this one's crash."""
+        """Send one more heartbeat, as one that was delayed until after the crash."""
         self._sequence += 1
         async with ClientSession() as session:
             await self._report(session, controller)
 
     async def deregister(self, controller: str) -> None:
-        """Say that it has left, as its last word; it may arrive after its next life has begun."""
+        """Deregister; may arrive after the next incarnation has started."""
         url = f"http://{controller}/foldloom/instances/{self.name}"
         async with ClientSession(timeout=_REPORT_TIMEOUT) as session:
             with contextlib.suppress(ClientError, TimeoutError):
                 await (await session.delete(url)).read()
 
     async def stop(self) -> None:
-        """End it, and the lives that have followed a crash."""
+        """Stop this endpoint and any successor after a crash."""
         if self._crash_task is not None:
             self._crash_task.cancel()
         if self._successor is not None:
@@ -187,10 +187,10 @@
         await self._end()
 
     def crash(self, task: TaskId) -> None:
-        """Crash under *task*; another life begins under the same id after ``RESTART_DELAY_S``."""
+        """Crash because of *task*; restart under the same id after ``RESTART_DELAY_S``."""
         if self._crash_task is None:
             self._sightings.crashes[task] += 1
-            # Before anything else: a process that crashes answers nothing that waits.
+            # First, since a crashed process answers no pending request.
             for transport in self._open:
                 transport.abort()
             self._crash_task = asyncio.create_task(self._crash())
@@ -205,7 +205,7 @@
         self._is_stopped.set()
         for task in self._tasks:
             task.cancel()
-        # What runs on it dies with it.
+        # Runs end with the process.
         self.simulated.active.clear()
         if self._runner is not None:
             await self._runner.cleanup()
@@ -242,7 +242,7 @@
 
     @property
     def _life(self) -> dict[str, int]:
-        """The field that tells which life speaks, if its lives share an id."""
+        """The incarnation field of messages; empty if every incarnation has its own id."""
         return {"born": self.born_ms} if self.born_ms else {}
 
     async def _expire_leases(self) -> None:
@@ -296,21 +296,21 @@
             self.crash(task)
 
     def _crash_if_running(self, task: TaskId) -> None:
-        """Crash under *task*, unless its lease is over or it was stopped."""
+        """Crash because of *task*, unless its lease has expired or it was stopped."""
         self.simulated.lapse(_now_ms())
         if task in self.simulated.active:
             self.crash(task)
 
     @property
     def used_milli(self) -> int:
-        """Thousandths of cores that what runs takes, of tasks that say in their text how much."""
+        """CPU of the active runs in thousandths of a core, as far as their specs state it."""
         present = self.simulated.active.items()
         return sum(self._cpu_by_run.get(RunId(task, attempt), 0) for task, attempt in present)
 
     def _check_capacity(self, run_id: RunId, cpu_milli: int) -> None:
-        """Note a start that takes it over its capacity, once that has been known for long enough.
+        """Record a start beyond the capacity, if that was acknowledged long enough ago.
 
-        It guards its room as little as an endpoint may that does not.
+        The stand-in itself enforces no capacity limit.
         """
         self._cpu_by_run[run_id] = cpu_milli
         is_known = self.cpu_milli == self.reported_cpu_milli
@@ -328,11 +328,11 @@
         )
         if since_drain_s > START_AFTER_DRAIN_MAX_S and is_undisturbed and not self.starts_late_s:
             self.late_starts.append(
-                f"{task} began on {self.name} {since_drain_s:.1f} s after its leave"
+                f"{task} started on {self.name} {since_drain_s:.1f} s after its acknowledged drain"
             )
 
     def _start_delayed(self, body: dict[str, Any]) -> None:
-        """Carry out an order that nobody got an answer to."""
+        """Execute a start request that was never answered."""
         if not self._is_stopped.is_set():
             self._start(body)
 
--- a/tests/standins/wire.py
+++ b/tests/standins/wire.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The peers of two boxes of one process, whose messages arrive at once."""
+"""An in-process peer network between two boxes, with immediate delivery."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class InProcessWire:
-    """One box's side of it.
+    """One box's side of the connection.
 
     Args:
-        box: The box.
+        box: Name of the box.
     """
 
     incarnation = 7
@@ -24,7 +24,7 @@
         self._handlers: dict[type, Callable[[str, Any], Any]] = {}
 
     def on(self, message_type: type, handler: Callable[[str, Any], Any]) -> None:
-        """Register a handler."""
+        """Register a handler for a message type."""
         self._handlers[message_type] = handler
 
     async def request(self, _box: str, message: object, _timeout_ms: float) -> Any:
@@ -35,11 +35,11 @@
         return await reply if asyncio.iscoroutine(reply) else reply
 
     def drop_peer(self, _box: str) -> None:
-        """Close nothing: there is no connection."""
+        """Do nothing, as there is no connection."""
 
 
 def connected(first: str, second: str) -> tuple[InProcessWire, InProcessWire]:
-    """Return the two sides between these boxes."""
+    """Return the two connected sides."""
     one, other = InProcessWire(first), InProcessWire(second)
     one.other, other.other = other, one
     return one, other
--- a/tests/suspension.py
+++ b/tests/suspension.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""Processes that are suspended as by their machine: their steady clock leaves that time out.
+"""Simulates the suspension of a box: its process stops and its monotonic clock excludes that time.
 
-A process is stopped by a signal, and while it is, a preloaded library is told for how long; the
-library takes that from every steady clock that the process reads. It never steps back: less is
-taken than the process has stood still for. ``CLOCK_BOOTTIME`` goes on, unless the test wants it to
-stop too, as that of a guest that its host has paused; the time of day always goes on.
+The process is stopped with SIGSTOP. A preloaded library subtracts the total suspended time from
+every monotonic clock reading; it subtracts less than the real stop, so the clock never steps back.
+``CLOCK_BOOTTIME`` continues unless the test stops it too, as for a paused virtual machine; the wall
+clock always continues.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @functools.cache
 def _library() -> Path:
-    """Return the compiled library, which all test processes share."""
+    """Return the compiled library, shared by all test processes."""
     text = _SOURCE.read_bytes()
     name = f"foldloom-suspended-clock-{os.getuid()}-{hashlib.sha256(text).hexdigest()[:16]}.so"
     library = Path(tempfile.gettempdir()) / name
@@ -37,17 +37,17 @@
         fresh = library.with_suffix(f".{os.getpid()}")
         command = ["cc", "-O2", "-Wall", "-Werror", "-shared", "-fPIC", "-o", str(fresh)]
         subprocess.run([*command, str(_SOURCE), "-ldl"], check=True, timeout=60)
-        # By renaming: another test process may load it at any moment.
+        # Atomic rename: another test process may load the library at any time.
         fresh.rename(library)
     return library
 
 
 class SuspendableClock:
-    """The steady clock of one machine's program.
+    """The monotonic clock of one box's program.
 
     Args:
-        path: The file that holds for how long the program was suspended in all.
-        boot_clock_stops: Whether the clock of time since boot stops too.
+        path: File that holds the total suspended time in ns.
+        boot_clock_stops: Whether ``CLOCK_BOOTTIME`` stops too.
     """
 
     def __init__(self, path: Path, boot_clock_stops: bool = False) -> None:
@@ -59,21 +59,21 @@
 
     @property
     def variables(self) -> Mapping[str, str]:
-        """The environment variables with which the program must be started."""
+        """Environment variables for starting the program."""
         variables = {"LD_PRELOAD": str(_library()), "FOLDLOOM_SUSPENDED": str(self._path)}
         return variables | ({"FOLDLOOM_BOOT_CLOCK_STOPS": "1"} if self._boot_clock_stops else {})
 
     def suspend(self, pid: int) -> None:
-        """Suspend the program's process; return once it stands still."""
+        """Stop the process; return once all its threads have stopped."""
         os.kill(pid, signal.SIGSTOP)
         deadline_s = time.monotonic() + _STOP_TIMEOUT_S
         while not _is_stopped(pid):
-            assert time.monotonic() < deadline_s, f"{pid} does not stop"
+            assert time.monotonic() < deadline_s, f"process {pid} did not stop after SIGSTOP"
             time.sleep(_CHECK_INTERVAL_S)
         self._stopped_ns = time.monotonic_ns()
 
     def resume(self, pid: int) -> float:
-        """Let the process go on; return for how many seconds its clock stood still."""
+        """Continue the process; return the length of the suspension in seconds."""
         suspended_ns = time.monotonic_ns() - self._stopped_ns
         self._suspended_ns += suspended_ns
         self._write()
@@ -81,15 +81,15 @@
         return suspended_ns / _NS_PER_S
 
     def _write(self) -> None:
-        # Into the file that the program has mapped, in one piece.
+        # In place and in one write: the program has the file mapped.
         with self._path.open("r+b" if self._path.exists() else "wb") as file:
             file.write(_INT64.pack(self._suspended_ns))
 
 
 def _is_stopped(pid: int) -> bool:
-    """Return whether every thread of a process has stopped."""
+    """Return whether every thread of the process is stopped or dead."""
     states = []
     for status in Path(f"/proc/{pid}/task").glob("*/stat"):
-        # The name in parentheses may hold anything; the state is the first field behind it.
+        # The state follows the parenthesized name, which may contain any character.
         states.append(status.read_text().rpartition(")")[2].split()[0])
     return bool(states) and set(states) <= {"T", "t", "Z", "X"}
--- a/tests/test_link_proxy.py
+++ b/tests/test_link_proxy.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The proxy that knows who calls whom, between two boxes that each know the other's end of it."""
+"""Tests of the fault-injecting link proxy between two boxes."""
 
 from __future__ import annotations
 
@@ -70,14 +70,14 @@
         self.proxy.close()
 
     def send(self, sender: str, job: str, ttl_ms: int = _TIMEOUT_MS) -> None:
-        """Send without waiting for an answer."""
+        """Send a message to the other box without waiting for a reply."""
         receiver = "b" if sender == "a" else "a"
         self._networks[sender].send(self.advertised[receiver], CancelJob(job), ttl_ms)
 
     async def is_answered(
         self, sender: str, job: str = "", timeout_ms: int = _SHORT_TIMEOUT_MS
     ) -> bool:
-        """Return whether the other box answers *sender* in time."""
+        """Return whether the other box replies to *sender* within the timeout."""
         receiver = "b" if sender == "a" else "a"
         try:
             await self._networks[sender].request(
@@ -88,7 +88,7 @@
         return True
 
     async def wait_connected(self) -> None:
-        """Wait until both answer each other."""
+        """Wait until both boxes reply to each other."""
         began = time.monotonic()
         while not (await self.is_answered("a") and await self.is_answered("b")):
             assert time.monotonic() - began < _WAIT_S
@@ -111,10 +111,10 @@
 
 
 class TestFaults:
-    """Each acts on its links, as long as it lasts, and on no other."""
+    """Guards against faults that affect other links or outlast their duration."""
 
     def test_held_up_one_way(self) -> None:
-        """What was sent meanwhile arrives when the cut is over; the other way works."""
+        """Held messages arrive after the fault; the other direction works."""
 
         async def scenario(boxes: _Boxes) -> None:
             with boxes.proxy.inject(Fault(_from_a, holds_requests=True)):
@@ -129,7 +129,7 @@
         _play(scenario)
 
     def test_refused_one_way(self) -> None:
-        """What is sent meanwhile is lost; later messages arrive over a new connection."""
+        """Messages sent during the fault are lost; later ones arrive over a new connection."""
 
         async def scenario(boxes: _Boxes) -> None:
             with boxes.proxy.inject(Fault(_from_a, is_refusing=True)):
@@ -144,7 +144,7 @@
         _play(scenario)
 
     def test_late_in_order(self) -> None:
-        """Each message is late by a time of its own, and none overtakes another."""
+        """Delayed messages keep their order."""
 
         async def scenario(boxes: _Boxes) -> None:
             with boxes.proxy.inject(Fault(_from_a, delay_s=(0.1, 0.3))):
@@ -163,7 +163,7 @@
         _play(scenario)
 
     def test_reset(self) -> None:
-        """The boxes connect again."""
+        """The boxes reconnect after a reset."""
 
         async def scenario(boxes: _Boxes) -> None:
             boxes.proxy.reset(_all)
@@ -172,7 +172,7 @@
         _play(scenario)
 
     def test_stalled(self) -> None:
-        """What was sent on the open connection arrives late, and a new connection works before."""
+        """A new connection works while the old one is stalled."""
 
         async def scenario(boxes: _Boxes) -> None:
             with boxes.proxy.stalled(_from_a):
@@ -182,7 +182,7 @@
         _play(scenario)
 
     def test_silent_for_good(self) -> None:
-        """Nothing arrives on the open connection, also later; a new one works."""
+        """Data on a silenced connection is lost; a new connection works."""
 
         async def scenario(boxes: _Boxes) -> None:
             boxes.proxy.silence(_from_a)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: MIT
-"""A soak of the real programs: faults drawn by seed, promises checked meanwhile and afterwards.
+"""Soak tests of the platform's programs: random faults by seed, then checks of the guarantees.
 
-``FOLDLOOM_SOAK_SEEDS`` plays so many seeds from ``FOLDLOOM_SOAK_FIRST`` on; each takes about half a
-minute. ``FOLDLOOM_SOAK_CROWDED=1`` plays them with many more processes than the machine has cores.
-``FOLDLOOM_SOAK_KINDS=kill_site,step_clocks`` draws a site's faults from these kinds only.
-A seed draws the same faults again, but real processes meet them at other moments.
+``FOLDLOOM_SOAK_SEEDS`` is the number of seeds, starting at ``FOLDLOOM_SOAK_FIRST``; each takes
+about 30 s. ``FOLDLOOM_SOAK_CROWDED=1`` runs many more processes than there are cores.
+``FOLDLOOM_SOAK_KINDS=kill_site,step_clocks`` restricts a site's faults to these kinds. A seed
+reproduces the faults, but not the timing of the processes.
 """
 
 from __future__ import annotations
@@ -35,26 +35,24 @@
 from standins.launch import CLOCK, STALL
 from standins.run_endpoint import Sightings
 
-# Seconds until all is served again after the last fault.
+# Maximum time until all entry processes serve again after the last fault.
 _RECOVERY_MAX_S = 12.0
-# Seconds after the last answer by which nothing of any job may run any more.
+# Time after the last response by which no run may be active.
 _QUIESCENCE_S = 4.0
 _FAULTS = 14
 _SITE_FAULTS = 18
-# Seconds until a play on a whole site counts as hung: twice what the longest took.
 _SITE_TIMEOUT_S = 240
-# The same for plays of single processes, and for crowded ones: to stop 40 processes one after the
-# other, as one kind of fault does, took 111 s.
 _TIMEOUT_S = 120
+# Longer, since one kind of fault stops 40 processes in sequence.
 _CROWDED_TIMEOUT_S = 300
-# Seconds between two calls of an operator who waits for a whole site to be back.
+# Delay between an operator's attempts while a whole site restarts.
 _OPERATOR_PAUSE_S = 0.2
-# Seconds that an endpoint which began again serves in the end before it says that it leaves.
+# Time that the restarted endpoint serves before it drains, in the final check.
 _SERVE_S = 1.0
 
 
 class _Size(NamedTuple):
-    """How many of each there are."""
+    """Size of a system and its load."""
 
     zones: str
     controllers: int
@@ -63,7 +61,7 @@
     callers: int
 
 
-# Every fourth seed has as many processes as a run beside other tests bears; by hand, more.
+# Sizes cycle by seed; the crowded one is selected by environment variable only.
 _SMALL = _Size("a", 3, 2, 3, 6)
 _USUAL = _Size("ab", 3, 4, 6, 10)
 _LARGE = _Size("abc", 3, 9, 12, 20)
@@ -72,7 +70,7 @@
 
 
 async def _is_served(system: PlatformSystem, numbers: list[int]) -> bool:
-    """Return whether each entry process completes a job now."""
+    """Return whether each entry process completes a job."""
     for entry in system.entries:
         number = numbers.pop()
         answer = await system.submit(entry, number, steps(1, 20, estimate_ms=500), 1_500)
@@ -106,9 +104,9 @@
 
 
 async def _run_then_recover(faults: Faults, is_over: asyncio.Event) -> None:
-    """Play the faults; let callers go on until boxes that the last ones have hit serve again.
+    """Run the faults, then keep the callers running while the boxes recover.
 
-    Both boxes of a small system may be killed first and suspended while they start until the end.
+    Otherwise a small system whose boxes are down until the end would complete no job.
     """
     faults_over = asyncio.Event()
     await faults.run(_FAULTS, faults_over)
@@ -163,24 +161,24 @@
     faults: Faults,
     may_run_twice: Collection[str] = (),
 ) -> None:
-    """Wait until all is served again, then hold what was promised against what has run.
+    """Wait for recovery, then check the guarantees against the recorded runs.
 
-    The jobs in *may_run_twice* may run in two places.
+    Jobs in *may_run_twice* are allowed to run on two endpoints.
     """
     numbers = list(range(JOB_NUMBERS_END, JOB_NUMBERS_END + 10_000))
     recovery_began_s = time.monotonic()
     await system.until(lambda: _is_served(system, numbers), "all entry processes serve again")
     recovered_s = time.monotonic() - recovery_began_s
     await operator.change()
-    await system.until(operator.read, "the configuration is read back")
+    await system.until(operator.read, "configuration read back")
     await asyncio.sleep(_QUIESCENCE_S)
     running = [
-        f"{task} still runs on {endpoint.name}"
+        f"{task} still runs on {endpoint.name} after all jobs have ended"
         for endpoint in system.endpoints
         for task in endpoint.simulated.active
     ]
     ended = [
-        f"{name} ended by itself"
+        f"{name} exited unexpectedly"
         for name, process in system.processes.items()
         if process.returncode is not None
     ]
@@ -195,7 +193,7 @@
         *faults.violations,
         *running,
         *ended,
-        *(f"{task} ran in two places" for task in doubled),
+        *(f"{task} ran on two endpoints at once" for task in doubled),
     ]
     assert not violations, "\n".join(violations)
     assert sum(callers.completed for callers in groups)
@@ -204,9 +202,9 @@
 
 _FIRST_SEED = int(os.environ.get("FOLDLOOM_SOAK_FIRST", "0"))
 _SEEDS = int(os.environ.get("FOLDLOOM_SOAK_SEEDS", "4"))
-# 127: an entry process stood still for 10 s while it stopped, and was ended; not traced.
+# 127: an entry process stalled for 10 s during its stop and was killed.
 _REGRESSION_SEEDS = [127]
-# CI plays fewer of a whole site: each takes a minute.
+# Fewer by default, since each takes about a minute.
 _SITE_SEEDS = int(os.environ.get("FOLDLOOM_SOAK_SEEDS", "2"))
 _SAME_ID_SEEDS = int(os.environ.get("FOLDLOOM_SOAK_SEEDS", "2"))
 _SUSPENSION_SEEDS = int(os.environ.get("FOLDLOOM_SOAK_SEEDS", "2"))
@@ -219,7 +217,7 @@
 
 
 def _run(play: _Play, kind: type[PlatformSystem], folder: Path, seed: int) -> None:
-    """Play a seed on a system of a *kind*."""
+    """Run *play* with a seed on a new system of class *kind*."""
     size = _CROWDED if _IS_CROWDED else _SIZES[seed % len(_SIZES)]
 
     async def run() -> None:
@@ -234,40 +232,40 @@
 @pytest.mark.parametrize("seed", [*_REGRESSION_SEEDS, *range(_FIRST_SEED, _FIRST_SEED + _SEEDS)])
 @_PLAY_TIMEOUT
 class TestSoak:
-    """Processes are stopped, killed, frozen; disks emptied; endpoints late, silent, replaced."""
+    """Guards the guarantees under process, disk and endpoint faults."""
 
     def test_the_promises_hold(self, tmp_path: Path, seed: int) -> None:
-        """Refused is not run, completed is done, one task is in one place, all is served again."""
+        """Refused jobs never run, completed ones are done, no task runs on two endpoints."""
         _run(_play, PlatformSystem, tmp_path, seed)
 
 
 @pytest.mark.parametrize("seed", range(_FIRST_SEED, _FIRST_SEED + _SITE_SEEDS))
 @pytest.mark.timeout(_SITE_TIMEOUT_S)
 class TestSiteSoak:
-    """The whole site restarts, clocks step, disks refuse and stall, settings change in series."""
+    """Guards the guarantees under site restarts, clock steps, disk faults and settings reloads."""
 
     def test_the_promises_hold(self, tmp_path: Path, seed: int) -> None:
-        """The same promises, also to callers that come back until their patience ends."""
+        """The guarantees hold for callers that retry too."""
         _run(_play_site, SiteSystem, tmp_path, seed)
 
 
 @pytest.mark.parametrize("seed", range(_FIRST_SEED, _FIRST_SEED + _SAME_ID_SEEDS))
 @_PLAY_TIMEOUT
 class TestSameIdSoak:
-    """Endpoints begin again under their ids and leave, beside the faults of processes."""
+    """Guards the guarantees when endpoints restart under the same id and drain."""
 
     def test_the_promises_hold(self, tmp_path: Path, seed: int) -> None:
-        """The same promises, and nothing starts on an endpoint whose leave is known."""
+        """The guarantees hold, and nothing starts on an endpoint known to be draining."""
         _run(_play_same_id, PlatformSystem, tmp_path, seed)
 
 
 @pytest.mark.parametrize("seed", range(_FIRST_SEED, _FIRST_SEED + _SUSPENSION_SEEDS))
 @_PLAY_TIMEOUT
 class TestSuspensionSoak:
-    """Machines are suspended, one, several or a zone at a time, beside the faults of processes."""
+    """Guards the guarantees when one box, several or a zone are suspended."""
 
     def test_the_promises_hold(self, tmp_path: Path, seed: int) -> None:
-        """The same promises, and a box that was suspended serves again."""
+        """The guarantees hold, and suspended boxes serve again."""
         _run(_play_suspensions, PlatformSystem, tmp_path, seed)
 
 
@@ -282,7 +280,7 @@
 def _violations(
     attempts: list[JobAttempt], starts_s: list[float], is_done: bool = True
 ) -> list[str]:
-    """Return what is broken for a job of one task with these tries and starts."""
+    """Return the violations for a one-task job with these attempts and starts."""
     sightings = Sightings()
     task = TaskId(_JOB, 0, 0, 0)
     if starts_s:
@@ -299,63 +297,63 @@
 
 
 class TestBrokenPromises:
-    """The soak's own check, on made-up tries and starts."""
+    """Guards the soak's checks against missed or false violations, on synthetic records."""
 
     @pytest.mark.parametrize("status", [429, 503])
     @pytest.mark.parametrize("start_s", [0.5, 1.5])
     def test_a_refused_job_ran(self, status: int, start_s: float) -> None:
-        """A start before the refusal breaks it, and so does one that comes after it."""
+        """A start before or after the refusal is a violation."""
         violations = _violations([_attempt(status, 0.0, 1.0)], [start_s])
         assert len(violations) == 1
         assert "was refused 1 times and has run" in violations[0]
 
     def test_a_job_refused_many_times_ran(self) -> None:
-        """All tries were turned away, and one of them was given to an endpoint."""
+        """A start after three refusals is a violation."""
         attempts = [_attempt(503, at_s, at_s + 0.1) for at_s in (0.0, 1.0, 2.0)]
         assert "was refused 3 times" in _violations(attempts, [2.05])[0]
 
     def test_another_answer_does_not_make_it_good(self) -> None:
-        """It ran and was refused; what a try sent later is told does not change that."""
+        """The response to a later attempt does not excuse a start after a refusal."""
         for status in (200, 504, 0):
             attempts = [_attempt(503, 0.0, 1.0), _attempt(status, 2.0, 3.0)]
             assert "was refused 1 times" in _violations(attempts, [0.5, 2.5])[0]
 
     def test_two_refusals_at_one_time(self) -> None:
-        """Two processes refuse what was sent to both at one time, and it ran."""
+        """A start after two concurrent attempts were both refused is a violation."""
         attempts = [_attempt(503, 0.0, 1.0), _attempt(503, 0.0, 0.2)]
         assert "was refused 2 times" in _violations(attempts, [0.5])[0]
 
     @pytest.mark.parametrize("status", [504, 502, 0, -1])
     def test_an_unclear_answer_promises_nothing(self, status: int) -> None:
-        """After a try without a clear answer, a refusal speaks of its own try only."""
+        """After an attempt without a definite response, a refusal covers its own attempt only."""
         attempts = [_attempt(status, 0.0, 1.0), _attempt(503, 2.0, 3.0)]
         assert not _violations(attempts, [0.5])
         assert not _violations(attempts, [2.5])
 
     def test_refused_by_one_and_run_by_the_other(self) -> None:
-        """Sent to two processes at one time, refused by one, completed by the other."""
+        """Of two concurrent attempts, one may be refused and the other completed."""
         assert not _violations([_attempt(503, 0.0, 0.1), _attempt(200, 0.0, 1.0)], [0.5])
 
     def test_refused_and_run_when_it_came_back(self) -> None:
-        """A refused job that comes back may run then."""
+        """A refused job may run when it is retried."""
         assert not _violations([_attempt(503, 0.0, 1.0), _attempt(200, 2.0, 3.0)], [2.5])
 
     def test_a_refused_job_did_not_run(self) -> None:
-        """Nothing started: the promise holds."""
+        """Refusals without a start are no violation."""
         assert not _violations(
             [_attempt(503, 0.0, 1.0), _attempt(503, 2.0, 3.0)], [], is_done=False
         )
 
     def test_a_completed_job_was_not_done(self) -> None:
-        """Completed means that each task ended that way."""
+        """A completed response with an unfinished task is a violation."""
         assert "is completed" in _violations([_attempt(200, 0.0, 1.0)], [0.5], is_done=False)[0]
 
     def test_a_completed_job_begins_again(self) -> None:
-        """Long after its only answer, nothing of a completed job may start."""
+        """A start long after the only, completed response is a violation."""
         assert "began again" in _violations([_attempt(200, 0.0, 1.0)], [0.5, 3.0])[0]
 
     def test_an_unasked_start(self) -> None:
-        """A job that nobody handed in, or not yet."""
+        """A start without a submission, or before it, is a violation."""
         assert "was never handed in" in _violations([], [0.5])[0]
         assert "ran before" in _violations([_attempt(504, 1.0, 2.0)], [0.5])[0]
 
@@ -370,7 +368,7 @@
 
 
 class TestLaunch:
-    """The launcher by which a soak's programs see other clocks and slower disks."""
+    """Guards the launcher that steps wall clocks and stalls disks."""
 
     def _start(self, folder: Path) -> subprocess.Popen[str]:
         program = folder / "program.py"
@@ -379,7 +377,7 @@
         return subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
 
     def test_a_program_runs_as_by_itself(self, tmp_path: Path) -> None:
-        """Without the files, it has the machine's clock, its own arguments and its own folder."""
+        """Without control files, clock, arguments and import path are the program's own."""
         with self._start(tmp_path) as program:
             summaries, _ = program.communicate(timeout=10.0)
         now_s, now_from_ns_s, name, folder, synced = summaries.split()
@@ -388,7 +386,7 @@
         assert (name, folder, synced) == ("program.py", str(tmp_path), "synced")
 
     def test_the_clock_steps(self, tmp_path: Path) -> None:
-        """Both ways to ask for the time of day are off by as much."""
+        """``time.time`` and ``time.time_ns`` have the same offset."""
         (tmp_path / CLOCK).write_text("-3600.0")
         with self._start(tmp_path) as program:
             summaries, _ = program.communicate(timeout=10.0)
@@ -397,7 +395,7 @@
         assert abs(float(now_from_ns_s) + 3_600 - time.time()) < 10.0
 
     def test_a_sync_waits(self, tmp_path: Path) -> None:
-        """A sync does not return until the disk stalls no more."""
+        """``os.fsync`` blocks until the stall ends."""
         stall = tmp_path / STALL
         stall.touch()
         with self._start(tmp_path) as program:
--- a/tests/test_soak_links.py
+++ b/tests/test_soak_links.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""The soak of the real programs again, with faults of their connections among the others.
+"""Soak tests of the platform's programs with connection faults among the others.
 
-``FOLDLOOM_SOAK_SEEDS`` plays so many seeds from ``FOLDLOOM_SOAK_FIRST`` on; each takes about half a
-minute.
+``FOLDLOOM_SOAK_SEEDS`` is the number of seeds, starting at ``FOLDLOOM_SOAK_FIRST``; each takes
+about 30 s.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 
 _FIRST_SEED = int(os.environ.get("FOLDLOOM_SOAK_FIRST", "0"))
 _SEEDS = int(os.environ.get("FOLDLOOM_SOAK_SEEDS", "2"))
-# 102: a connection fell silent in its handshake and was kept for 30 s; its box reached nobody.
+# 102: a connection silenced during its handshake was kept for 30 s and isolated its box.
 _REGRESSION_SEEDS = [102]
 
 
 @pytest.mark.parametrize("seed", [*_REGRESSION_SEEDS, *range(_FIRST_SEED, _FIRST_SEED + _SEEDS)])
 class TestSoakOfLinks:
-    """Connections are late, reset, silent, cut one way or both; processes die meanwhile."""
+    """Guards the guarantees under connection and process faults."""
 
     def test_the_promises_hold(
         self, tmp_path: Path, seed: int, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Refused is not run, completed is done, one task is in one place, all is served again."""
+        """Refused jobs never run, completed ones are done, no task runs on two endpoints."""
         monkeypatch.setattr("test_soak.Faults", LinkFaults)
         size = _SIZES[seed % len(_SIZES)]
 
--- a/tests/test_soak_own_interface.py
+++ b/tests/test_soak_own_interface.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
-"""A soak of the own interface's daemon: faults drawn by seed, promises checked afterwards.
+"""Soak tests of the daemon's own interface: random faults by seed, then checks of the guarantees.
 
-``FOLDLOOM_SOAK_SEEDS`` plays so many seeds from ``FOLDLOOM_SOAK_FIRST`` on; each takes about half a
-minute. A seed draws the same faults again, but real processes meet them at other moments.
+``FOLDLOOM_SOAK_SEEDS`` is the number of seeds, starting at ``FOLDLOOM_SOAK_FIRST``; each takes
+about 30 s. A seed reproduces the faults, but not the timing of the processes.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 from own_soak_records import NEVER_SENT, NOT_RUN, Attempt, Start, Submission, guarantee_violations
 from own_soak_system import RETENTION_S, SoakSystem
 
-# Seconds until all boxes serve again: those that lost their memory together wait for the end of
-# what they may have forgotten, and some seconds to start.
+# Maximum time until all boxes serve again: boxes that all restarted wait until every submission
+# that they lost has expired, plus the start-up time.
 _RECOVERY_MAX_S = RETENTION_S + 10.0
 _FAULTS = 14
 _CALLERS = 20
-# Every fourth seed loses all boxes at once; every third has one box a zone.
+# Every fourth seed kills all boxes at once; every third has one box per zone.
 _KILL_ALL_EVERY = 4
 _SMALL_EVERY = 3
 
 
 async def _is_served(system: SoakSystem, number: int) -> bool:
-    """Return whether each box completes a job now."""
+    """Return whether each box completes a job."""
     task = {"payload": {"ms": 5, "of": "served", "n": 0}}
     body = {"service": "sleep", "member": "m1", "tasks": [task], "deadline_ms": 1_500}
     async with ClientSession(timeout=ClientTimeout(total=3.0)) as session:
@@ -44,13 +44,13 @@
                     if response.status != 200:
                         return False
             except (ClientError, OSError):
-                # Not up yet.
+                # The box is not up yet.
                 return False
     return True
 
 
 async def _wait_recovered(system: SoakSystem) -> float:
-    """Return the seconds until every box serves."""
+    """Wait until every box serves, up to a limit; return the elapsed seconds."""
     began_s = time.monotonic()
     number = 0
     while not await _is_served(system, number):
@@ -62,7 +62,7 @@
 
 
 async def _run_faults(callers: Callers, faults: Faults, is_over: asyncio.Event) -> None:
-    """Let the callers go on after the last fault until one of them gets a complete answer."""
+    """Run the faults; then keep the callers running until one gets a complete response."""
     await faults.run(_FAULTS)
     before = callers.completed
     until_s = time.monotonic() + _RECOVERY_MAX_S
@@ -92,8 +92,8 @@
     assert recovered_s < _RECOVERY_MAX_S
 
 
-# 2: a box that alone holds the claims of a tagged id forgot one. 3: a refusal was told again to one
-# who asked after the job had run.
+# 2: the only box with the claims of a tagged id lost one. 3: a refusal was repeated to a query
+# after the job had run.
 _REGRESSION_SEEDS = [2, 3]
 _FIRST_SEED = int(os.environ.get("FOLDLOOM_SOAK_FIRST", "0"))
 _SEED_COUNT = int(os.environ.get("FOLDLOOM_SOAK_SEEDS", "2"))
@@ -105,10 +105,10 @@
 @pytest.mark.timeout(180)
 @pytest.mark.parametrize("seed", [*_REGRESSION_SEEDS, *_DRAWN_SEEDS])
 class TestSoak:
-    """Boxes are killed, stopped, frozen, cut off; endpoints answer badly; callers send again."""
+    """Guards the guarantees under box, link and endpoint faults."""
 
     def test_the_promises_hold(self, tmp_path: Path, seed: int) -> None:
-        """Not run is true, nothing starts twice, answers are whole, all is served again."""
+        """Not-run reports are true, no task starts twice, answers are complete, boxes recover."""
         boxes_per_zone = 1 if seed % _SMALL_EVERY == _SMALL_EVERY - 1 else 2
         with SoakSystem(tmp_path, boxes_per_zone) as system:
             asyncio.run(_play(seed, system))
@@ -128,10 +128,10 @@
 
 
 class TestChecks:
-    """The checks fail on records of broken promises, and pass those of kept ones."""
+    """Guards the soak's checks against missed or false violations, on synthetic records."""
 
     def test_kept(self) -> None:
-        """A refusal, then a try without an answer that ran, then the answer."""
+        """A refusal, an unanswered attempt that ran and a complete response are no violation."""
         attempts = [
             _attempt(1.0, NOT_RUN),
             _attempt(2.0, ""),
@@ -140,46 +140,46 @@
         assert not _violations(attempts, (0, 2.5), (1, 2.6))
 
     def test_refused_has_run(self) -> None:
-        """All tries were told that nothing ran: before or after them nothing may."""
+        """If every attempt was refused, a start at any time is a violation."""
         attempts = [_attempt(1.0, NOT_RUN), _attempt(5.0, NOT_RUN)]
         for at_s in (0.5, 1.5, 3.0, 9.0):
             assert _violations(attempts, (0, at_s))
 
     def test_refused_after_a_start(self) -> None:
-        """A later refusal covers what an earlier try without an answer began."""
+        """A refusal after the start of an earlier unanswered attempt is a violation."""
         assert _violations([_attempt(1.0, ""), _attempt(3.0, NOT_RUN)], (0, 1.5))
 
     def test_never_sent(self) -> None:
-        """A try without a connection says nothing, and begins nothing."""
+        """An attempt without a connection neither causes nor excludes a start."""
         assert _violations([_attempt(1.0, NEVER_SENT)], (0, 2.0))
         assert not _violations([_attempt(1.0, ""), _attempt(3.0, NEVER_SENT)], (0, 1.5))
 
     def test_begun_between_refusals(self) -> None:
-        """What began before any try that could have begun it came of a refused one."""
+        """A start before the first attempt that may have caused it is a violation."""
         assert _violations([_attempt(1.0, NOT_RUN), _attempt(3.0, "may-have-run")], (0, 2.0))
 
     def test_a_question_begins_nothing(self) -> None:
-        """A question that got no answer excuses no start; one told "not run" must be true."""
+        """An unanswered query causes no start; a "not run" response to a query must be true."""
         assert _violations([_attempt(1.0, "", is_query=True), _attempt(3.0, NOT_RUN)], (0, 4.5))
         assert _violations([_attempt(1.0, ""), _attempt(3.0, NOT_RUN, is_query=True)], (0, 1.5))
 
     def test_concurrent_tries(self) -> None:
-        """A refusal that came while another try began tasks may be from before."""
+        """A refusal concurrent with another attempt's start is no violation."""
         assert not _violations([_attempt(1.0, NOT_RUN), _attempt(1.1, "may-have-run")], (0, 1.5))
 
     def test_started_twice(self) -> None:
-        """No task is begun twice, also not after an answer that says it may have run."""
+        """A task that starts twice is a violation, even after a "may have run" response."""
         attempts = [_attempt(1.0, "may-have-run"), _attempt(3.0, "may-have-run")]
         assert _violations(attempts, (0, 1.5), (0, 3.5))
         assert not _violations(attempts, (0, 1.5), (1, 3.5))
 
     def test_not_whole(self) -> None:
-        """A complete answer has every task's own answer, and all have begun."""
+        """A complete response with a missing start or wrong answers is a violation."""
         attempts = [_attempt(1.0, "", answers=_COMPLETE_ANSWERS)]
         assert _violations(attempts, (0, 1.5))
         assert _violations([_attempt(1.0, "", answers=_COMPLETE_ANSWERS[:1])], (0, 1.5), (1, 1.5))
         assert _violations([_attempt(1.0, "", answers=_COMPLETE_ANSWERS[::-1])], (0, 1.5), (1, 1.5))
 
     def test_unknown_submission(self) -> None:
-        """Nothing runs that nobody handed in."""
+        """A start of an unknown submission is a violation."""
         assert guarantee_violations({}, [Start("s", 0, 1.0)])
