--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -105,7 +105,7 @@
         return HttpAnswer(status, raw.decode("utf-8", "replace"), dict(headers))
 
 
-def wait_until(condition: Callable[[], Any], what: str, timeout_s: float = _WAIT_S) -> Any:
+def wait_until(condition: Callable[[], Any], description: str, timeout_s: float = _WAIT_S) -> Any:
     """Return the first true value of *condition*; raise ``AssertionError`` after *timeout_s*."""
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
@@ -116,7 +116,7 @@
         if value:
             return value
         time.sleep(0.05)
-    raise AssertionError(f"condition not met within {timeout_s} s: {what}")
+    raise AssertionError(f"condition not met within {timeout_s} s: {description}")
 
 
 class Cluster:
@@ -374,10 +374,10 @@
                 total[key] = total.get(key, 0) + count
         return total
 
-    def control_endpoint(self, name: str, **wanted: Any) -> None:
+    def control_endpoint(self, name: str, **changes: Any) -> None:
         """Set ``speed`` or ``refuse`` of an endpoint stand-in."""
         spec = next(spec for spec in self.endpoints if spec.name == name)
-        http("POST", f"http://127.0.0.1:{spec.port}/control", wanted)
+        http("POST", f"http://127.0.0.1:{spec.port}/control", changes)
 
     def cli(self, *arguments: str) -> subprocess.CompletedProcess[str]:
         """Run the command-line tool and return its result."""
--- a/tests/link_proxy.py
+++ b/tests/link_proxy.py
@@ -321,11 +321,11 @@
             # The peer reset the connection after closing its side.
             self._connection.reset()
 
-    def read(self, is_reading: bool) -> None:
+    def read(self, is_enabled: bool) -> None:
         """Resume or pause reading."""
         if self.transport is None or self.transport.is_closing():
             return
-        if is_reading:
+        if is_enabled:
             self.transport.resume_reading()
         else:
             self.transport.pause_reading()
@@ -376,7 +376,7 @@
         self._queued += len(data)
         self.forward()
         if self._queued > _QUEUED_MAX:
-            self._source.read(is_reading=False)
+            self._source.read(is_enabled=False)
 
     def discard_pending(self) -> None:
         """Discard queued data after a reset by the source and propagate it unless held."""
@@ -406,7 +406,7 @@
             self._target.write(data)
             self.is_over = not data
         if was_full and self._queued <= _QUEUED_MAX:
-            self._source.read(is_reading=True)
+            self._source.read(is_enabled=True)
         if self.is_over:
             self._connection.close_if_finished()
 
--- a/tests/own_soak_callers.py
+++ b/tests/own_soak_callers.py
@@ -77,7 +77,7 @@
         submission = self._new_submission()
         body = self._body(submission)
         if self._rng.random() < _TWO_BOXES_PROBABILITY:
-            other = self._send_elsewhere(submission, body)
+            other = self._send_to_random_box(submission, body)
             last, _ = await asyncio.gather(self._send(session, box, submission, body), other)
         else:
             last = await self._send(session, box, submission, body)
@@ -95,7 +95,7 @@
                 last = await self._send(session, box, submission, body)
                 is_connection_open = last.status != 0
             else:
-                last = await self._send_elsewhere(submission, body)
+                last = await self._send_to_random_box(submission, body)
         return is_connection_open
 
     def _new_submission(self) -> str:
@@ -120,7 +120,7 @@
             "deadline_ms": self._rng.randint(*_DEADLINES_MS),
         }
 
-    async def _send_elsewhere(self, submission: str, body: dict[str, Any]) -> Attempt:
+    async def _send_to_random_box(self, submission: str, body: dict[str, Any]) -> Attempt:
         async with _new_session() as session:
             return await self._send(session, self._rng.choice(self._system.boxes), submission, body)
 
@@ -148,7 +148,7 @@
     ) -> Attempt:
         """Make one call and record its result; a cancelled call stays recorded as unanswered."""
         attempts = self.submissions[submission].attempts
-        place = len(attempts)
+        index = len(attempts)
         is_query = method == "GET"
         sent_s = time.monotonic()
         attempts.append(Attempt(box, sent_s, sent_s, 0, is_query=is_query))
@@ -168,26 +168,29 @@
         except (ClientError, OSError, ValueError) as error:
             # The box is gone or this caller disconnected.
             reason = type(error).__name__
-        attempts[place] = Attempt(
+        attempts[index] = Attempt(
             box, sent_s, time.monotonic(), status, run, reason, answers, is_query
         )
-        return attempts[place]
+        return attempts[index]
 
     @property
     def completed(self) -> int:
         """Number of attempts with a complete response."""
         return sum(
-            one.answers is not None
+            attempt.answers is not None
             for submission in self.submissions.values()
-            for one in submission.attempts
+            for attempt in submission.attempts
         )
 
     def summary(self) -> str:
         """Return the number of attempts per kind of response."""
         counts = Counter(
-            f"{'asked ' if one.is_query else ''}{one.status} {one.run} {one.reason}".strip()
+            (
+                f"{'asked ' if attempt.is_query else ''}"
+                f"{attempt.status} {attempt.run} {attempt.reason}"
+            ).strip()
             for submission in self.submissions.values()
-            for one in submission.attempts
+            for attempt in submission.attempts
         )
         return ", ".join(f"{answer}: {count}" for answer, count in sorted(counts.items()))
 
--- a/tests/own_soak_endpoint.py
+++ b/tests/own_soak_endpoint.py
@@ -25,7 +25,7 @@
 class AnswerMode(StrEnum):
     """How a stand-in answers task requests."""
 
-    USUAL = ""
+    NORMAL = ""
     CUT_SHORT = "cut-short"
     ERROR = "error"
     UNKNOWN = "unknown"
@@ -48,7 +48,7 @@
 
     def __init__(self, slots: int, record: Path) -> None:
         super().__init__(1.0, slots)
-        self._answer_mode = AnswerMode.USUAL
+        self._answer_mode = AnswerMode.NORMAL
         self._record = record.open("ab", buffering=0)
 
     async def _task(self, request: web.Request) -> web.StreamResponse:
@@ -70,8 +70,8 @@
         return await self._answer(request, _FAULTS.get(answer_mode, ""), body)
 
     async def _control(self, request: web.Request) -> web.Response:
-        wanted = await request.json()
-        self._answer_mode = AnswerMode(wanted.get("answers", self._answer_mode))
+        changes = await request.json()
+        self._answer_mode = AnswerMode(changes.get("answers", self._answer_mode))
         return await super()._control(request)
 
 
--- a/tests/own_soak_faults.py
+++ b/tests/own_soak_faults.py
@@ -125,7 +125,7 @@
                 )
                 await asyncio.to_thread(self._system.kill, box)
             if process.returncode not in (0, -signal.SIGTERM, -signal.SIGKILL):
-                self.violations.append(f"{box} ended with {process.returncode} when it was stopped")
+                self.violations.append(f"{box} exited with {process.returncode} after SIGTERM")
             await asyncio.sleep(self._rng.uniform(*_DOWNTIME_S))
             self._system.start_box(box)
 
@@ -137,8 +137,8 @@
         boxes = self._rng.sample(self._system.boxes, 2)
         await asyncio.gather(*(self._freeze(box, box) for box in boxes))
 
-    async def _freeze(self, turn: str, process: str) -> None:
-        async with self._system.locks[turn]:
+    async def _freeze(self, lock_name: str, process: str) -> None:
+        async with self._system.locks[lock_name]:
             self._system.signal(process, signal.SIGSTOP)
             await self._wait_duration()
             self._system.signal(process, signal.SIGCONT)
@@ -198,7 +198,7 @@
         name = self._rng.choice([*self._system.boxes, *self._system.zones])
         for (one, other), link in self._system.proxy.links.items():
             if name in (one, other, other[0]):
-                link.silent_up_to = link.opened
+                link.silenced_up_to = link.opened
 
     # Endpoints, and the links to them.
 
@@ -223,9 +223,9 @@
 
     async def _answer_otherwise(self) -> None:
         """Make an endpoint's responses truncated or errors, with or without a start."""
-        answer_mode = self._rng.choice([one for one in AnswerMode if one is not AnswerMode.USUAL])
+        answer_mode = self._rng.choice([one for one in AnswerMode if one is not AnswerMode.NORMAL])
         await self._control(
-            self._draw_endpoint(), {"answers": answer_mode}, {"answers": AnswerMode.USUAL}
+            self._draw_endpoint(), {"answers": answer_mode}, {"answers": AnswerMode.NORMAL}
         )
 
     async def _refuse(self) -> None:
@@ -236,11 +236,13 @@
             *(self._control(name, {"refuse": True}, {"refuse": False}) for name in chosen)
         )
 
-    async def _control(self, name: str, fault: dict[str, object], usual: dict[str, object]) -> None:
+    async def _control(
+        self, name: str, fault: dict[str, object], normal: dict[str, object]
+    ) -> None:
         async with self._system.locks[name[0]]:
             await asyncio.to_thread(self._system.control_endpoint, name, **fault)
             await self._wait_duration()
-            await asyncio.to_thread(self._system.control_endpoint, name, **usual)
+            await asyncio.to_thread(self._system.control_endpoint, name, **normal)
 
     async def _kill_endpoints(self) -> None:
         zone = self._draw_zone()
--- a/tests/own_soak_records.py
+++ b/tests/own_soak_records.py
@@ -97,14 +97,14 @@
 
 def _refused_but_started(attempts: list[Attempt], starts: list[Start]) -> Iterator[str]:
     """Find "not run" responses to attempts sent after a task had started."""
-    for one in attempts:
-        if one.reports_not_run and any(start.at_s < one.sent_s for start in starts):
-            yield f"had started before {one.box} responded not run: {one.reason}"
+    for attempt in attempts:
+        if attempt.reports_not_run and any(start.at_s < attempt.sent_s for start in starts):
+            yield f"had started before {attempt.box} responded not run: {attempt.reason}"
 
 
 def _unsubmitted(attempts: list[Attempt], starts: list[Start]) -> Iterator[str]:
     """Find starts without an earlier attempt that may have caused them."""
-    causes = [one.sent_s for one in attempts if one.may_start_tasks]
+    causes = [attempt.sent_s for attempt in attempts if attempt.may_start_tasks]
     for start in starts:
         if not any(sent_s <= start.at_s for sent_s in causes):
             yield f"started task {start.index} though no attempt sent before may have caused it"
@@ -112,22 +112,22 @@
 
 def _incomplete_answers(submission: Submission, starts: list[Start]) -> Iterator[str]:
     started = {start.index for start in starts}
-    wanted = [{"echo": payload} for payload in submission.payloads]
-    for one in submission.attempts:
-        if one.answers is None:
+    expected = [{"echo": payload} for payload in submission.payloads]
+    for attempt in submission.attempts:
+        if attempt.answers is None:
             continue
-        if one.answers != wanted:
-            yield f"was completed at {one.box} with wrong answers {one.answers}"
-        if started != set(range(len(wanted))):
-            yield f"was completed at {one.box} with only tasks {sorted(started)} started"
+        if attempt.answers != expected:
+            yield f"was completed at {attempt.box} with wrong answers {attempt.answers}"
+        if started != set(range(len(expected))):
+            yield f"was completed at {attempt.box} with only tasks {sorted(started)} started"
 
 
 def _history(attempts: list[Attempt], starts: list[Start]) -> str:
     """Describe the attempts and starts of a submission."""
     attempt_texts = [
-        f"{'asked' if one.is_query else 'sent to'} {one.box} {one.sent_s:.3f} to"
-        f" {one.answered_s:.3f}: {one.status} {one.run} {one.reason}"
-        for one in attempts
+        f"{'asked' if attempt.is_query else 'sent to'} {attempt.box} {attempt.sent_s:.3f} to"
+        f" {attempt.answered_s:.3f}: {attempt.status} {attempt.run} {attempt.reason}"
+        for attempt in attempts
     ]
     task_starts = [f"task {start.index} started {start.at_s:.3f}" for start in starts]
     return "; ".join([*attempt_texts, *task_starts])
--- a/tests/platform_system.py
+++ b/tests/platform_system.py
@@ -128,7 +128,7 @@
         }
         self._session: ClientSession | None = None
         self._own_pauses: list[Pause] = []
-        self._watch: asyncio.Task[None] | None = None
+        self._pause_watcher: asyncio.Task[None] | None = None
         # Time of the last start, stop, freeze or thaw per box; monotonic clock.
         self._disturbed_s: dict[str, float] = {}
         self.sightings.is_undisturbed = self.is_undisturbed
@@ -139,7 +139,7 @@
         return self.address("c0", "control")
 
     @property
-    def controls(self) -> list[str]:
+    def control_addresses(self) -> list[str]:
         """The control address of each controller, used by endpoints and the operator."""
         return [self.address(name, "control") for name in self.controllers]
 
@@ -153,7 +153,7 @@
 
     async def __aenter__(self) -> PlatformSystem:
         self._session = self._new_session()
-        self._watch = asyncio.create_task(watch_pauses(self._own_pauses.append))
+        self._pause_watcher = asyncio.create_task(watch_pauses(self._own_pauses.append))
         try:
             await self._start_all()
         except BaseException:
@@ -166,7 +166,7 @@
         for name in self._ips:
             await self.start(name, is_first=True)
         for endpoint in self.endpoints:
-            await endpoint.start(self.controls)
+            await endpoint.start(self.control_addresses)
         await self.until(lambda: self.configure(1), "configuration acknowledged")
         for name in self.entries:
             await self.until(lambda name=name: self._is_ready(name), f"{name} ready")
@@ -179,8 +179,8 @@
             await self.kill(name)
         assert self._session is not None
         await self._session.close()
-        assert self._watch is not None
-        self._watch.cancel()
+        assert self._pause_watcher is not None
+        self._pause_watcher.cancel()
 
     def record_disturbance(self, name: str, until_s: float = 0.0) -> None:
         """Record a disturbance of a box, now or until *until_s* (monotonic clock)."""
@@ -308,7 +308,7 @@
         url, headers = job_url(self.address(entry, "front"), text, deadline_ms)
         return await self._call("POST", url, body, headers)
 
-    async def until(self, condition: Callable[[], Awaitable[bool]], what: str) -> None:
+    async def until(self, condition: Callable[[], Awaitable[bool]], description: str) -> None:
         """Wait for *condition*; raise ``AssertionError`` on timeout."""
         deadline = time.monotonic() + _WAIT_S
         while time.monotonic() < deadline:
@@ -316,7 +316,7 @@
                 return
             await asyncio.sleep(0.05)
         raise AssertionError(
-            f"condition not met within {_WAIT_S} s: {what}; {self._describe_pauses()}"
+            f"condition not met within {_WAIT_S} s: {description}; {self._describe_pauses()}"
         )
 
     async def delays(self) -> int:
@@ -395,7 +395,7 @@
             f'ip = "{ip}"',
             f'zone = "{self._zones[name]}"',
             f"internal_ports = [{peer}, {peer}]",
-            f"seed_nodes = {msgspec.json.encode(self.controls).decode()}",
+            f"seed_nodes = {msgspec.json.encode(self.control_addresses).decode()}",
             f"bootstrap = {str(is_first).lower()}",
         ]
         if name.startswith("c"):
--- a/tests/proxy.py
+++ b/tests/proxy.py
@@ -30,7 +30,7 @@
         self.delay_s = 0.0
         self.reply_bytes_max = 0
         self.opened = 0
-        self.silent_up_to = 0
+        self.silenced_up_to = 0
         self.writers: set[asyncio.StreamWriter] = set()
 
 
@@ -52,16 +52,16 @@
             self._run(self._listen(link))
         return self.links[sender, receiver].port
 
-    def set_mode(self, mode: str, chosen: Callable[[str, str], bool]) -> None:
-        """Set the mode of every link for which ``chosen(sender, receiver)`` is true."""
+    def set_mode(self, mode: str, matches: Callable[[str, str], bool]) -> None:
+        """Set the mode of every link for which ``matches(sender, receiver)`` is true."""
         for (sender, receiver), link in self.links.items():
-            if chosen(sender, receiver):
+            if matches(sender, receiver):
                 self._run(self._set(link, mode))
 
     def silence_open_connections(self) -> None:
         """Stop forwarding on all open connections without a reset; new connections work."""
         for link in self.links.values():
-            link.silent_up_to = link.opened
+            link.silenced_up_to = link.opened
 
     def cut_zone(self, zone: str) -> None:
         """Cut every link between *zone* and other zones."""
@@ -128,18 +128,18 @@
         number: int,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        most: int,
+        bytes_max: int,
     ) -> None:
-        passed = 0
+        forwarded = 0
         try:
             while data := await reader.read(_CHUNK):
-                while link.mode == "freeze" or number <= link.silent_up_to:
+                while link.mode == "freeze" or number <= link.silenced_up_to:
                     await asyncio.sleep(0.01)
                 if link.delay_s:
                     await asyncio.sleep(link.delay_s)
-                passed += len(data)
-                if most and passed > most:
-                    writer.write(data[: most - passed])
+                forwarded += len(data)
+                if bytes_max and forwarded > bytes_max:
+                    writer.write(data[: bytes_max - forwarded])
                     await writer.drain()
                     break
                 writer.write(data)
--- a/tests/soak_callers.py
+++ b/tests/soak_callers.py
@@ -95,31 +95,29 @@
 
     async def _submit_job(self, session: ClientSession, entry: str) -> int:
         """Submit a new job; half of the time, retry one without a definite response elsewhere."""
-        text, body = self._new_job()
-        status = (await self._send(session, entry, text, body)).status
+        job, body = self._new_job()
+        status = (await self._send(session, entry, job, body)).status
         if status in (200, *REJECTED) or self._rng.random() < 0.5:
             return status
         await asyncio.sleep(RETRY_DELAY_S)
         async with ClientSession() as retry_session:
-            await self._send(retry_session, self._rng.choice(self._system.entries), text, body)
+            await self._send(retry_session, self._rng.choice(self._system.entries), job, body)
         return status
 
     def _new_job(self) -> tuple[str, object]:
         """Return the id and the body of a new job."""
-        text = job_id(next(self._job_counter))
-        self.tasks[text] = self._rng.choice([1, 2, 2, 4, 8])
-        body = steps(self.tasks[text], self._rng.choice(_TASK_MS), cpu_milli=_TASK_MILLI)
-        self.sent[text] = []
-        return text, body
-
-    async def _send(
-        self, session: ClientSession, entry: str, text: str, body: object
-    ) -> JobAttempt:
+        job = job_id(next(self._job_counter))
+        self.tasks[job] = self._rng.choice([1, 2, 2, 4, 8])
+        body = steps(self.tasks[job], self._rng.choice(_TASK_MS), cpu_milli=_TASK_MILLI)
+        self.sent[job] = []
+        return job, body
+
+    async def _send(self, session: ClientSession, entry: str, job: str, body: object) -> JobAttempt:
         leaves = self._rng.random() < 0.05
         client_timeout_s = (
             self._rng.uniform(0.02, 0.5) if leaves else (_DEADLINE_MS + _TIMEOUT_MARGIN_MS) / 1_000
         )
-        url, headers = job_url(self._system.address(entry, "front"), text, _DEADLINE_MS)
+        url, headers = job_url(self._system.address(entry, "front"), job, _DEADLINE_MS)
         status, state, retry_after_ms = _NO_RESPONSE, "", 0
         sent_s = time.monotonic()
         try:
@@ -134,9 +132,9 @@
         except (ClientError, OSError):
             # The process was not reachable or went away.
             status = _NO_RESPONSE
-        one = JobAttempt(entry, status, state, sent_s, time.monotonic(), retry_after_ms)
-        self.sent[text].append(one)
-        return one
+        attempt = JobAttempt(entry, status, state, sent_s, time.monotonic(), retry_after_ms)
+        self.sent[job].append(attempt)
+        return attempt
 
     def guarantee_violations(self) -> list[str]:
         """Return a description of every violated guarantee."""
@@ -153,12 +151,14 @@
         excuse it.
         """
         violations = []
-        for text, first_start_s in self._system.sightings.first_start_of.items():
-            attempts = self.sent.get(text, [])
-            before = [one for one in attempts if one.sent_s <= first_start_s]
-            if before and all(one.status in REJECTED for one in before):
-                refusals = ", ".join(_describe_refusal(one, first_start_s) for one in before)
-                violations.append(f"{text} was refused {len(before)} times and has run: {refusals}")
+        for job, first_start_s in self._system.sightings.first_start_of.items():
+            attempts = self.sent.get(job, [])
+            earlier = [attempt for attempt in attempts if attempt.sent_s <= first_start_s]
+            if earlier and all(attempt.status in REJECTED for attempt in earlier):
+                refusals = ", ".join(
+                    _describe_refusal(attempt, first_start_s) for attempt in earlier
+                )
+                violations.append(f"{job} was refused {len(earlier)} times and has run: {refusals}")
         return violations
 
     def _completed_but_unfinished(self) -> list[str]:
@@ -166,49 +166,56 @@
         done: dict[str, int] = {}
         for task in self._system.sightings.done:
             done[task.job_id] = done.get(task.job_id, 0) + 1
-        for text, attempts in self.sent.items():
-            completed = [one for one in attempts if one.state == "completed"]
+        for job, attempts in self.sent.items():
+            completed = [attempt for attempt in attempts if attempt.state == "completed"]
             if not completed:
                 continue
-            if done.get(text, 0) < self.tasks[text]:
+            if done.get(job, 0) < self.tasks[job]:
                 violations.append(
-                    f"{text} is completed, but only {done.get(text, 0)} of its tasks are done"
+                    f"{job} is completed, but only {done.get(job, 0)} of its tasks are done"
                 )
-            start_delay_s = self._system.sightings.newest_start_of[text] - completed[0].answered_s
+            start_delay_s = self._system.sightings.newest_start_of[job] - completed[0].answered_s
             if len(attempts) == 1 and start_delay_s > _LATE_START_MAX_S:
                 violations.append(
-                    f"{text} began again {start_delay_s:.1f} s after its completed response"
+                    f"{job} began again {start_delay_s:.1f} s after its completed response"
                 )
         return violations
 
     def _unsubmitted(self) -> list[str]:
-        begun = {task.job_id for task in self._system.sightings.starts}
-        ours = {text for text in begun if int(text, 16) in self._job_numbers}
-        unsubmitted = [f"{text} was never handed in" for text in ours - set(self.sent)]
-        for text in ours & set(self.sent):
-            first_start_s = self._system.sightings.first_start_of[text]
-            if all(one.sent_s > first_start_s for one in self.sent[text]):
-                unsubmitted.append(f"{text} ran before it was handed in")
+        started = {task.job_id for task in self._system.sightings.starts}
+        own_jobs = {job for job in started if int(job, 16) in self._job_numbers}
+        unsubmitted = [f"{job} was never handed in" for job in own_jobs - set(self.sent)]
+        for job in own_jobs & set(self.sent):
+            first_start_s = self._system.sightings.first_start_of[job]
+            if all(attempt.sent_s > first_start_s for attempt in self.sent[job]):
+                unsubmitted.append(f"{job} ran before it was handed in")
         return unsubmitted
 
     @property
     def completed(self) -> int:
         """Number of attempts with a completed job."""
-        return sum(one.state == "completed" for attempts in self.sent.values() for one in attempts)
+        return sum(
+            attempt.state == "completed" for attempts in self.sent.values() for attempt in attempts
+        )
 
     def summary(self) -> str:
         """Return the number of attempts per HTTP status."""
         counts: dict[int, int] = {}
         for attempts in self.sent.values():
-            for one in attempts:
-                counts[one.status] = counts.get(one.status, 0) + 1
+            for attempt in attempts:
+                counts[attempt.status] = counts.get(attempt.status, 0) + 1
         return ", ".join(f"{status}: {count}" for status, count in sorted(counts.items()))
 
 
-def _describe_refusal(one: JobAttempt, first_start_s: float) -> str:
+def _describe_refusal(attempt: JobAttempt, first_start_s: float) -> str:
     """Describe a refusal, with times relative to the job's first start."""
-    sent_ms, answered_ms = (1_000 * (at_s - first_start_s) for at_s in (one.sent_s, one.answered_s))
-    return f"{one.status} at {one.entry}, sent {sent_ms:.0f} ms, answered {answered_ms:+.0f} ms"
+    sent_ms, answered_ms = (
+        1_000 * (at_s - first_start_s) for at_s in (attempt.sent_s, attempt.answered_s)
+    )
+    return (
+        f"{attempt.status} at {attempt.entry},"
+        f" sent {sent_ms:.0f} ms, answered {answered_ms:+.0f} ms"
+    )
 
 
 class Operator:
--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -132,7 +132,7 @@
             await self._system.abort(name)
             return
         if code and (was_up or code != -signal.SIGTERM):
-            self.violations.append(f"{name} exited with code {code} after SIGTERM")
+            self.violations.append(f"{name} exited with {code} after SIGTERM")
 
     async def _freeze_entry(self) -> None:
         await self._freeze(self._draw_entry())
@@ -215,7 +215,7 @@
         await asyncio.sleep(self._rng.uniform(0.0, 1.0))
         successor = await self._start_successor(crashed)
         await asyncio.sleep(self._rng.uniform(0.0, 1.0))
-        await crashed.report_again(self._rng.choice(self._system.controls))
+        await crashed.report_again(self._rng.choice(self._system.control_addresses))
         self._system.endpoints.append(successor)
 
     async def _drain_endpoint(self) -> None:
@@ -241,5 +241,5 @@
         successor = predecessor.next_life(
             f"{predecessor.name.partition('-')[0]}-{self._incarnations}"
         )
-        await successor.start(self._system.controls)
+        await successor.start(self._system.control_addresses)
         return successor
--- a/tests/soak_patience.py
+++ b/tests/soak_patience.py
@@ -39,43 +39,43 @@
         self.may_run_twice: set[str] = set()
 
     async def _submit_job(self, session: ClientSession, entry: str) -> int:
-        text, body = self._new_job()
+        job, body = self._new_job()
         deadline_s = time.monotonic() + self._rng.uniform(*_RETRY_PERIOD_S)
         is_concurrent = self._rng.random() < _CONCURRENT_SHARE
-        first = await self._send_attempt(session, entry, text, body, is_concurrent)
-        answers = first
-        while all(one.status != 200 for one in answers):
-            await asyncio.sleep(self._retry_delay_s(answers))
+        first = await self._send_attempt(session, entry, job, body, is_concurrent)
+        attempts = first
+        while all(attempt.status != 200 for attempt in attempts):
+            await asyncio.sleep(self._retry_delay_s(attempts))
             if time.monotonic() > deadline_s:
                 break
             entry = self._draw_other_entry(entry)
             async with ClientSession() as again:
-                answers = await self._send_attempt(again, entry, text, body, is_concurrent)
+                attempts = await self._send_attempt(again, entry, job, body, is_concurrent)
         return first[0].status
 
     async def _send_attempt(
-        self, session: ClientSession, entry: str, text: str, body: object, is_concurrent: bool
+        self, session: ClientSession, entry: str, job: str, body: object, is_concurrent: bool
     ) -> list[JobAttempt]:
         """Send a job to one process, or to two concurrently; return the attempts."""
         if not is_concurrent:
-            return [await self._send(session, entry, text, body)]
+            return [await self._send(session, entry, job, body)]
         second = self._draw_other_entry(entry)
         if self._has_zones:
-            self.may_run_twice.add(text)
+            self.may_run_twice.add(job)
         async with ClientSession() as other:
             return await asyncio.gather(
-                self._send(session, entry, text, body), self._send(other, second, text, body)
+                self._send(session, entry, job, body), self._send(other, second, job, body)
             )
 
     def _draw_other_entry(self, entry: str) -> str:
-        return self._rng.choice([one for one in self._system.entries if one != entry])
+        return self._rng.choice([other for other in self._system.entries if other != entry])
 
-    def _retry_delay_s(self, answers: list[JobAttempt]) -> float:
+    def _retry_delay_s(self, attempts: list[JobAttempt]) -> float:
         """Return the delay before the next attempt.
 
         It follows the response after a refusal and is fixed without a definite response.
         """
-        if any(one.status not in REJECTED for one in answers):
+        if any(attempt.status not in REJECTED for attempt in attempts):
             return RETRY_DELAY_S
-        retry_after_max_ms = max(one.retry_after_ms for one in answers)
+        retry_after_max_ms = max(attempt.retry_after_ms for attempt in attempts)
         return (retry_after_max_ms / 1_000 or _DEFAULT_RETRY_DELAY_S) * self._rng.uniform(1.0, 1.5)
--- a/tests/soak_same_id.py
+++ b/tests/soak_same_id.py
@@ -31,8 +31,8 @@
 
     def __init__(self, system: PlatformSystem, rng: random.Random) -> None:
         super().__init__(system, rng)
-        own = [self._crash_same_id, self._restart_and_leave, self._leave_and_begin_again]
-        self._kinds = [*self._kinds, *(own * (len(self._kinds) // len(own)))]
+        restart_kinds = [self._crash_same_id, self._restart_and_leave, self._leave_and_begin_again]
+        self._kinds = [*self._kinds, *(restart_kinds * (len(self._kinds) // len(restart_kinds)))]
 
     async def _crash_same_id(self) -> None:
         """An endpoint crashes and restarts; then late messages of its predecessor arrive."""
@@ -60,7 +60,7 @@
             return
         await self._drain(leaving)
         if self._rng.random() < 0.5:
-            await leaving.deregister(self._rng.choice(self._system.controls))
+            await leaving.deregister(self._rng.choice(self._system.control_addresses))
         successor = await self._restart_same_id(leaving)
         await self._send_delayed_messages(leaving)
         self._system.endpoints.append(successor)
@@ -73,24 +73,24 @@
         await predecessor.stop()
         await asyncio.sleep(self._rng.uniform(*_DOWN_S))
         successor = predecessor.next_incarnation_same_id()
-        await successor.start(self._system.controls)
+        await successor.start(self._system.control_addresses)
         return successor
 
     async def _send_delayed_messages(self, predecessor: RunEndpoint) -> None:
         """Send a late heartbeat of the predecessor and, if it was draining, a deregistration."""
         await asyncio.sleep(self._rng.uniform(0.0, 1.0))
-        await predecessor.report_again(self._rng.choice(self._system.controls))
+        await predecessor.report_again(self._rng.choice(self._system.control_addresses))
         if predecessor.state == "draining":
-            await predecessor.deregister(self._rng.choice(self._system.controls))
+            await predecessor.deregister(self._rng.choice(self._system.control_addresses))
 
 
-async def begin_again_at(system: PlatformSystem, place: int) -> RunEndpoint:
+async def begin_again_at(system: PlatformSystem, index: int) -> RunEndpoint:
     """Crash an endpoint and restart it at once under the same id."""
-    predecessor = system.endpoints[place]
+    predecessor = system.endpoints[index]
     await predecessor.stop()
     successor = predecessor.next_incarnation_same_id()
-    system.endpoints[place] = successor
-    await successor.start(system.controls)
+    system.endpoints[index] = successor
+    await successor.start(system.control_addresses)
     return successor
 
 
--- a/tests/soak_site_faults.py
+++ b/tests/soak_site_faults.py
@@ -97,9 +97,9 @@
     @contextlib.asynccontextmanager
     async def _all_entries(self) -> AsyncIterator[None]:
         """Hold the locks of all entry processes."""
-        async with contextlib.AsyncExitStack() as held:
+        async with contextlib.AsyncExitStack() as stack:
             for name in self._system.entries:
-                await held.enter_async_context(self._locks[name])
+                await stack.enter_async_context(self._locks[name])
             yield
 
     async def _restart_all(self, stop_all: _FaultMethod) -> None:
@@ -136,8 +136,8 @@
     async def _reload_settings(self) -> None:
         """Reload settings of boxes concurrently; of controllers only if none is disturbed."""
         names = self._rng.sample(self._system.entries, len(self._system.entries) // 2 + 1)
-        series = [self._reload_entry_process(name) for name in names]
-        await asyncio.gather(self._reload_controllers(), *series)
+        reloads = [self._reload_entry_process(name) for name in names]
+        await asyncio.gather(self._reload_controllers(), *reloads)
 
     async def _reload_entry_process(self, name: str) -> None:
         async with self._locks[name]:
@@ -168,7 +168,7 @@
         self._system.processes[name].send_signal(signal.SIGHUP)
 
     def _write_seeds(self, name: str, is_truncated: bool) -> None:
-        seeds = self._system.controls
+        seeds = self._system.control_addresses
         self._rng.shuffle(seeds)
         self._site.write_seeds(name, seeds, is_truncated)
 
--- a/tests/soak_system.py
+++ b/tests/soak_system.py
@@ -41,10 +41,10 @@
     def step_clock(self, name: str, offset_s: float) -> None:
         """Offset the wall clock of a box by *offset_s*."""
         path = self._launch_folder(name) / CLOCK
-        whole = path.with_suffix(".new")
-        whole.write_text(str(offset_s))
+        new_path = path.with_suffix(".new")
+        new_path.write_text(str(offset_s))
         # Atomic rename: the program may read the file at any time.
-        whole.rename(path)
+        new_path.rename(path)
 
     def stall_storage(self, name: str, is_stalled: bool) -> None:
         """Block or unblock every fsync of a controller."""
--- a/tests/standins/endpoint.py
+++ b/tests/standins/endpoint.py
@@ -93,9 +93,9 @@
         )
 
     async def _control(self, request: web.Request) -> web.Response:
-        wanted = await request.json()
-        self.speed = wanted.get("speed", self.speed)
-        self.refuse = wanted.get("refuse", self.refuse)
+        changes = await request.json()
+        self.speed = changes.get("speed", self.speed)
+        self.refuse = changes.get("refuse", self.refuse)
         return web.Response()
 
 
--- a/tests/standins/launch.py
+++ b/tests/standins/launch.py
@@ -51,9 +51,9 @@
 def main() -> None:
     """Run the program given on the command line as ``__main__``."""
     folder, program = sys.argv[1:]
-    machine = _Box(Path(folder))
+    box = _Box(Path(folder))
     # Before the program's imports, which may bind these functions.
-    time.time, time.time_ns, os.fsync = machine.time, machine.time_ns, machine.fsync
+    time.time, time.time_ns, os.fsync = box.time, box.time_ns, box.fsync
     sys.argv = [program]
     sys.path[0] = str(Path(program).parent)
     runpy.run_path(program, run_name="__main__")
--- a/tests/standins/run_endpoint.py
+++ b/tests/standins/run_endpoint.py
@@ -115,7 +115,7 @@
         self.starts_late_s = 0.0
         self.cpu_milli = CAPACITY["cpu"]
         self.reported_cpu_milli = self.cpu_milli
-        self._resized_s = 0.0
+        self._capacity_acknowledged_s = 0.0
         self._cpu_by_run: dict[RunId, int] = {}
         self.overfilled: list[str] = []
         self.is_draining_known = False
@@ -128,9 +128,9 @@
         self._sightings = sightings
         self._run_ended = asyncio.Event()
         self._is_stopped = asyncio.Event()
-        self._sequence = 0
-        self._open: set[Any] = set()
-        self._silent: set[Any] = set()
+        self._call_seq = 0
+        self._open_transports: set[Any] = set()
+        self._silent_transports: set[Any] = set()
         self._tasks: list[asyncio.Task[None]] = []
         self._runner: web.ServerRunner | None = None
         self._controllers: list[str] = []
@@ -163,11 +163,11 @@
 
     def silence_open_connections(self) -> None:
         """Stop responding on the open connections; new ones work."""
-        self._silent |= self._open
+        self._silent_transports |= self._open_transports
 
     async def report_again(self, controller: str) -> None:
         """Send one more heartbeat, as one that was delayed until after the crash."""
-        self._sequence += 1
+        self._call_seq += 1
         async with ClientSession() as session:
             await self._report(session, controller)
 
@@ -191,7 +191,7 @@
         if self._crash_task is None:
             self._sightings.crashes[task] += 1
             # First, since a crashed process answers no pending request.
-            for transport in self._open:
+            for transport in self._open_transports:
                 transport.abort()
             self._crash_task = asyncio.create_task(self._crash())
 
@@ -213,8 +213,8 @@
     async def _send_heartbeats(self, controllers: list[str]) -> None:
         async with ClientSession(timeout=_REPORT_TIMEOUT) as session:
             while True:
-                self._sequence += 1
-                await self._report(session, controllers[self._sequence % len(controllers)])
+                self._call_seq += 1
+                await self._report(session, controllers[self._call_seq % len(controllers)])
                 await asyncio.sleep(_HEARTBEAT_INTERVAL_S)
 
     async def _report(self, session: ClientSession, controller: str) -> None:
@@ -225,8 +225,8 @@
             "zone": self.zone,
             "state": state,
             "capacity": CAPACITY | {"cpu": cpu_milli},
-            "call_seq": self._sequence,
-        } | self._life
+            "call_seq": self._call_seq,
+        } | self._incarnation_field
         url = f"http://{controller}/foldloom/instances/{self.name}"
         try:
             async with session.put(url, json=report) as response:
@@ -235,13 +235,13 @@
             return
         if is_known and cpu_milli != self.reported_cpu_milli:
             self.reported_cpu_milli = cpu_milli
-            self._resized_s = time.monotonic()
+            self._capacity_acknowledged_s = time.monotonic()
         if is_known and state == "draining" and not self.is_draining_known:
             self.is_draining_known = True
             self.draining_known_s = time.monotonic()
 
     @property
-    def _life(self) -> dict[str, int]:
+    def _incarnation_field(self) -> dict[str, int]:
         """The incarnation field of messages; empty if every incarnation has its own id."""
         return {"born": self.born_ms} if self.born_ms else {}
 
@@ -251,8 +251,8 @@
             await asyncio.sleep(_LEASE_CHECK_INTERVAL_S)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        self._open.add(request.transport)
-        if self.is_silent or request.transport in self._silent:
+        self._open_transports.add(request.transport)
+        if self.is_silent or request.transport in self._silent_transports:
             await self._is_stopped.wait()
         if request.headers.get("X-Foldloom-Expected-Instance") != self.name:
             return web.Response(status=421)
@@ -284,9 +284,9 @@
             spec = msgspec.json.decode(body["spec"])
             if "crash_ms" in spec:
                 self._crash_in(spec["crash_ms"], run_id.task)
-            how = EndKind(spec.get("how", "done"))
+            end_kind = EndKind(spec.get("how", "done"))
             loop = asyncio.get_running_loop()
-            loop.call_later(spec.get("ms", 1) / 1_000, self._finish, run_id, how)
+            loop.call_later(spec.get("ms", 1) / 1_000, self._finish, run_id, end_kind)
         return self._answer(200)
 
     def _crash_in(self, ms: int, task: TaskId) -> None:
@@ -304,8 +304,8 @@
     @property
     def used_milli(self) -> int:
         """CPU of the active runs in thousandths of a core, as far as their specs state it."""
-        present = self.simulated.active.items()
-        return sum(self._cpu_by_run.get(RunId(task, attempt), 0) for task, attempt in present)
+        active_runs = self.simulated.active.items()
+        return sum(self._cpu_by_run.get(RunId(task, attempt), 0) for task, attempt in active_runs)
 
     def _check_capacity(self, run_id: RunId, cpu_milli: int) -> None:
         """Record a start beyond the capacity, if that was acknowledged long enough ago.
@@ -314,7 +314,7 @@
         """
         self._cpu_by_run[run_id] = cpu_milli
         is_known = self.cpu_milli == self.reported_cpu_milli
-        since_reported_s = time.monotonic() - self._resized_s if is_known else 0.0
+        since_reported_s = time.monotonic() - self._capacity_acknowledged_s if is_known else 0.0
         if self.used_milli > self.cpu_milli and since_reported_s > SHRUNK_KNOWN_S:
             self.overfilled.append(f"{run_id.text}: {self.used_milli} of {self.cpu_milli}")
 
@@ -336,11 +336,11 @@
         if not self._is_stopped.is_set():
             self._start(body)
 
-    def _finish(self, run_id: RunId, how: EndKind) -> None:
+    def _finish(self, run_id: RunId, end_kind: EndKind) -> None:
         self.simulated.lapse(_now_ms())
         if self.simulated.active.get(run_id.task) == run_id.attempt:
-            self.simulated.finish(run_id.task, how, _now_ms())
-            if how is EndKind.DONE:
+            self.simulated.finish(run_id.task, end_kind, _now_ms())
+            if end_kind is EndKind.DONE:
                 self._sightings.done.add(run_id.task)
         self._run_ended.set()
 
@@ -354,20 +354,20 @@
 
     async def _hold(self, body: dict[str, Any]) -> web.Response:
         token, seen = body["fencing_token"], body["last_seen"]
-        look = self.simulated.look(token, seen, body.get("until_ms", 0), _now_ms())
-        if look.outcome is CallOutcome.DONE and not look.ended and body.get("wait_ms"):
+        view = self.simulated.look(token, seen, body.get("until_ms", 0), _now_ms())
+        if view.outcome is CallOutcome.DONE and not view.ended and body.get("wait_ms"):
             self._run_ended.clear()
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._run_ended.wait(), body["wait_ms"] / 1_000)
-            look = self.simulated.look(token, seen, 0, _now_ms())
-        if look.outcome is not CallOutcome.DONE:
-            return self._answer(409, reason=_REASONS[look.outcome])
-        active = [[task_text(one.run_id.task), one.run_id.attempt, "", 100] for one in look.active]
+            view = self.simulated.look(token, seen, 0, _now_ms())
+        if view.outcome is not CallOutcome.DONE:
+            return self._answer(409, reason=_REASONS[view.outcome])
+        active = [[task_text(one.run_id.task), one.run_id.attempt, "", 100] for one in view.active]
         ended = [
             [end.sequence, task_text(end.run_id.task), end.run_id.attempt, end.how.value, ""]
-            for end in look.ended
+            for end in view.ended
         ]
-        return self._answer(200, active=active, finished=ended, **self._life)
+        return self._answer(200, active=active, finished=ended, **self._incarnation_field)
 
     def _answer(self, status: int, **fields: Any) -> web.Response:
         fields["clock_ms"] = self.simulated.clock(_now_ms())
--- a/tests/suspension.py
+++ b/tests/suspension.py
@@ -30,15 +30,15 @@
 @functools.cache
 def _library() -> Path:
     """Return the compiled library, shared by all test processes."""
-    text = _SOURCE.read_bytes()
-    name = f"foldloom-suspended-clock-{os.getuid()}-{hashlib.sha256(text).hexdigest()[:16]}.so"
+    source = _SOURCE.read_bytes()
+    name = f"foldloom-suspended-clock-{os.getuid()}-{hashlib.sha256(source).hexdigest()[:16]}.so"
     library = Path(tempfile.gettempdir()) / name
     if not library.exists():
-        fresh = library.with_suffix(f".{os.getpid()}")
-        command = ["cc", "-O2", "-Wall", "-Werror", "-shared", "-fPIC", "-o", str(fresh)]
+        new_library = library.with_suffix(f".{os.getpid()}")
+        command = ["cc", "-O2", "-Wall", "-Werror", "-shared", "-fPIC", "-o", str(new_library)]
         subprocess.run([*command, str(_SOURCE), "-ldl"], check=True, timeout=60)
         # Atomic rename: another test process may load the library at any time.
-        fresh.rename(library)
+        new_library.rename(library)
     return library
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -118,21 +118,21 @@
     callers = Callers(system, random.Random(f"{seed} same id callers"))
     operator = Operator(system, random.Random(f"{seed} same id operator"))
     faults = SameIdFaults(system, random.Random(f"{seed} same id faults"))
-    foreign = ForeignReports(system, random.Random(f"{seed} foreign reports"))
+    foreign_reports = ForeignReports(system, random.Random(f"{seed} foreign reports"))
     is_over = asyncio.Event()
     await asyncio.gather(
         callers.run(size.callers, is_over),
         operator.run(is_over),
         faults.run(_FAULTS, is_over),
-        foreign.run(is_over),
+        foreign_reports.run(is_over),
     )
     await _check(seed, system, [callers], operator, faults)
-    print(f"{foreign.sent} reports of another writer")
-    assert not foreign.accepted, "\n".join(foreign.accepted)
-    assert not foreign.connections
-    leaving = await begin_again_and_leave(system, _SERVE_S)
-    assert leaving.is_draining_known
-    assert not leaving.late_starts
+    print(f"{foreign_reports.sent} reports of another writer")
+    assert not foreign_reports.accepted, "\n".join(foreign_reports.accepted)
+    assert not foreign_reports.connections
+    draining = await begin_again_and_leave(system, _SERVE_S)
+    assert draining.is_draining_known
+    assert not draining.late_starts
 
 
 async def _play_site(seed: int, system: SiteSystem, size: _Size) -> None:
@@ -156,7 +156,7 @@
 async def _check(
     seed: int,
     system: PlatformSystem,
-    groups: list[Callers],
+    caller_groups: list[Callers],
     operator: Operator,
     faults: Faults,
     may_run_twice: Collection[str] = (),
@@ -177,26 +177,26 @@
         for endpoint in system.endpoints
         for task in endpoint.simulated.active
     ]
-    ended = [
+    exited = [
         f"{name} exited unexpectedly"
         for name, process in system.processes.items()
         if process.returncode is not None
     ]
     doubled = [task for task in system.sightings.doubled if task.job_id not in may_run_twice]
-    summaries = "; ".join(callers.summary() for callers in groups)
+    summaries = "; ".join(callers.summary() for callers in caller_groups)
     print(f"seed {seed}: {', '.join(faults.log)}; {summaries}; {recovered_s:.1f} s")
     late = [start for endpoint in system.sightings.endpoints for start in endpoint.late_starts]
     violations = [
         *late,
-        *(violation for callers in groups for violation in callers.guarantee_violations()),
+        *(violation for callers in caller_groups for violation in callers.guarantee_violations()),
         *operator.violations,
         *faults.violations,
         *running,
-        *ended,
+        *exited,
         *(f"{task} ran on two endpoints at once" for task in doubled),
     ]
     assert not violations, "\n".join(violations)
-    assert sum(callers.completed for callers in groups)
+    assert sum(callers.completed for callers in caller_groups)
     assert recovered_s < _RECOVERY_MAX_S
 
 
