--- a/tests/own_soak_endpoint.py
+++ b/tests/own_soak_endpoint.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""An endpoint stand-in for the soak: it writes down each start, so that its own death loses none.
+"""An endpoint stand-in that records every start in a file, so that killing it loses none.
 
-``POST /control`` sets ``answers`` beside what the usual stand-in knows: how tasks are answered.
+``POST /control`` also accepts ``answers``: how task requests are answered.
 """
 
 from __future__ import annotations
@@ -22,42 +22,42 @@
 _ENCODER = msgspec.json.Encoder()
 
 
-class Answers(StrEnum):
-    """How a stand-in answers the tasks that come."""
+class AnswerMode(StrEnum):
+    """How a stand-in answers task requests."""
 
-    USUAL = ""
+    NORMAL = ""
     CUT_SHORT = "cut-short"
     ERROR = "error"
     UNKNOWN = "unknown"
     BUSY = "busy"
 
 
-# What is answered without a start, and without a word on whether one was made.
-_STATUS_WITHOUT_START = {Answers.UNKNOWN: 404, Answers.BUSY: 503}
-# What the usual stand-in is asked for by a task's payload.
-_FAULTS = {Answers.CUT_SHORT: "cut-short", Answers.ERROR: "error"}
+# Responses without a start that do not state whether the task ran.
+_STATUS_WITHOUT_START = {AnswerMode.UNKNOWN: 404, AnswerMode.BUSY: 503}
+# Payload faults of :class:`EndpointStandin`.
+_FAULTS = {AnswerMode.CUT_SHORT: "cut-short", AnswerMode.ERROR: "error"}
 
 
 class RecordingEndpoint(EndpointStandin):
     """One endpoint.
 
     Args:
-        slots: Tasks that run at a time; further ones wait here.
-        record: The file that starts are added to.
+        slots: Concurrent tasks; further ones are queued.
+        record: File to which starts are appended.
     """
 
     def __init__(self, slots: int, record: Path) -> None:
         super().__init__(1.0, slots)
-        self._answers = Answers.USUAL
+        self._answer_mode = AnswerMode.NORMAL
         self._record = record.open("ab", buffering=0)
 
     async def _task(self, request: web.Request) -> web.StreamResponse:
         body = msgspec.json.decode(await request.read())
         if self.refuse:
             return web.Response(status=503, headers={"Foldloom-Run": "not-run"})
-        answers = self._answers
-        if answers in _STATUS_WITHOUT_START:
-            return web.Response(status=_STATUS_WITHOUT_START[answers])
+        answer_mode = self._answer_mode
+        if answer_mode in _STATUS_WITHOUT_START:
+            return web.Response(status=_STATUS_WITHOUT_START[answer_mode])
         submission = request.match_info["submission"]
         start = Start(submission, int(request.match_info["index"]), time.monotonic())
         self._record.write(_ENCODER.encode(start) + b"\n")
@@ -67,11 +67,11 @@
                 await asyncio.sleep(body["payload"]["ms"] / 1_000)
         finally:
             self.running -= 1
-        return await self._answer(request, _FAULTS.get(answers, ""), body)
+        return await self._answer(request, _FAULTS.get(answer_mode, ""), body)
 
     async def _control(self, request: web.Request) -> web.Response:
-        wanted = await request.json()
-        self._answers = Answers(wanted.get("answers", self._answers))
+        changes = await request.json()
+        self._answer_mode = AnswerMode(changes.get("answers", self._answer_mode))
         return await super()._control(request)
 
 
@@ -84,7 +84,7 @@
 
 
 def main() -> None:
-    """Serve the endpoints named on the command line."""
+    """Serve the endpoints given on the command line."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--ports", required=True)
     parser.add_argument("--slots", type=int, required=True)
--- a/tests/soak_callers.py
+++ b/tests/soak_callers.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""Callers, an operator and the promises that both rely on, over the real programs.
+"""Callers and an operator for the soak tests, with checks of the guarantees made to them.
 
-Callers keep using an open connection until its process is gone, leave early, and send a job again
-that got no clear answer. What they are promised is held against what the endpoints have run.
+Callers keep a connection until its process is gone, sometimes disconnect early, and retry jobs
+without a definite response. The checks compare the responses with the runs that the endpoints
+recorded.
 """
 
 from __future__ import annotations
@@ -16,36 +17,36 @@
 
 from platform_system import PlatformSystem, job_id, job_url, steps
 
-# Milliseconds that a caller gives a job, and that it waits beyond that.
+# Deadline of a job, and how much longer the caller waits for the response.
 _DEADLINE_MS = 1_500
-_BEYOND_MS = 1_500
-# Seconds until a job that got no clear answer is sent again.
-SEND_AGAIN_S = 1.3
-# Seconds after its answer in which a task of a completed job may still begin again.
-_BEGINS_AFTER_S = 1.0
-# Seconds after an acknowledgement in which an older version may still be shown.
-_APPLIED_S = 2.0
+_TIMEOUT_MARGIN_MS = 1_500
+# Delay before retrying a job without a definite response.
+RETRY_DELAY_S = 1.3
+# Time after the response during which a task of a completed job may still start.
+_LATE_START_MAX_S = 1.0
+# Time after an acknowledgement during which a read may return an older version.
+_STALE_READ_MAX_S = 2.0
 _TASK_MS = (20, 60, 200, 600)
-# Thousandths of cores: two tasks fill an endpoint, so that jobs wait and are refused.
+# Two tasks fill an endpoint, so that jobs are queued and refused.
 _TASK_MILLI = 6_800
-# Numbers of the callers' jobs; those of other jobs on the system lie outside.
-FIRST_JOB = 10**6
-END_OF_JOBS = 10**9
-_NO_ANSWER = 0
-_LEFT = -1
+# Range of the callers' job numbers; other jobs use numbers outside it.
+JOB_NUMBERS_START = 10**6
+JOB_NUMBERS_END = 10**9
+_NO_RESPONSE = 0
+_DISCONNECTED = -1
 REJECTED = (429, 503)
 
 
-class Sent(NamedTuple):
-    """One try of a caller.
+class JobAttempt(NamedTuple):
+    """One attempt of a caller to run a job.
 
     Args:
-        entry: The entry process that it went to.
-        status: The answer's HTTP status; 0 for a broken or refused connection, -1 if it left.
-        state: How the job ended, if it was carried out.
-        sent_s: When it was sent; monotonic clock.
-        answered_s: When that was; monotonic clock.
-        retry_after_ms: When the caller was told to come back; 0 if it was not told.
+        entry: The entry process it was sent to.
+        status: HTTP status; 0 for a failed connection, -1 if the caller disconnected.
+        state: Final state of the job, if the response has one.
+        sent_s: Time of sending; monotonic clock.
+        answered_s: Time of the response or failure; monotonic clock.
+        retry_after_ms: Retry delay given in the response; 0 if none.
     """
 
     entry: str
@@ -60,184 +61,209 @@
     """Callers at all entry processes.
 
     Args:
-        system: The programs.
-        rng: Draws what they do.
-        numbers: The numbers of their jobs; no others hand those in.
+        system: The system under test.
+        rng: Random generator for their behavior.
+        numbers: Job numbers reserved for these callers.
     """
 
     def __init__(
         self,
         system: PlatformSystem,
         rng: random.Random,
-        numbers: range = range(FIRST_JOB, END_OF_JOBS),
+        numbers: range = range(JOB_NUMBERS_START, JOB_NUMBERS_END),
     ) -> None:
         self._system = system
         self._rng = rng
-        self._range = numbers
-        self._numbers = iter(numbers)
-        self.sent: dict[str, list[Sent]] = {}
+        self._job_numbers = numbers
+        self._job_counter = iter(numbers)
+        self.sent: dict[str, list[JobAttempt]] = {}
         self.tasks: dict[str, int] = {}
 
     async def run(self, callers: int, is_over: asyncio.Event) -> None:
-        """Let so many callers hand jobs in until *is_over*; return when all have their answers."""
+        """Run concurrent callers until *is_over*; return when all have finished."""
         await asyncio.gather(*(self._call(is_over) for _ in range(callers)))
 
     async def _call(self, is_over: asyncio.Event) -> None:
-        """Use one connection as long as it is open, then one to another process."""
+        """Submit jobs over one connection until it fails, then over another one."""
         while not is_over.is_set():
             entry = self._rng.choice(self._system.entries)
             async with ClientSession(connector=TCPConnector(limit=1)) as session:
                 status = 200
-                while status not in (_NO_ANSWER, _LEFT) and not is_over.is_set():
-                    status = await self._hand_in(session, entry)
+                while status not in (_NO_RESPONSE, _DISCONNECTED) and not is_over.is_set():
+                    status = await self._submit_job(session, entry)
                     await asyncio.sleep(self._rng.uniform(0.0, 0.15))
 
-    async def _hand_in(self, session: ClientSession, entry: str) -> int:
-        """Hand a new job in, and again elsewhere if the answer is not clear."""
-        text, body = self._new_job()
-        status = (await self._send(session, entry, text, body)).status
+    async def _submit_job(self, session: ClientSession, entry: str) -> int:
+        """Submit a new job; half of the time, retry one without a definite response elsewhere."""
+        job, body = self._new_job()
+        status = (await self._send(session, entry, job, body)).status
         if status in (200, *REJECTED) or self._rng.random() < 0.5:
             return status
-        await asyncio.sleep(SEND_AGAIN_S)
-        async with ClientSession() as another:
-            await self._send(another, self._rng.choice(self._system.entries), text, body)
+        await asyncio.sleep(RETRY_DELAY_S)
+        async with ClientSession() as retry_session:
+            await self._send(retry_session, self._rng.choice(self._system.entries), job, body)
         return status
 
     def _new_job(self) -> tuple[str, object]:
-        """Return the id and the body of a job that nobody has handed in."""
-        text = job_id(next(self._numbers))
-        self.tasks[text] = self._rng.choice([1, 2, 2, 4, 8])
-        body = steps(self.tasks[text], self._rng.choice(_TASK_MS), cpu_milli=_TASK_MILLI)
-        self.sent[text] = []
-        return text, body
-
-    async def _send(self, session: ClientSession, entry: str, text: str, body: object) -> Sent:
+        """Return the id and the body of a new job."""
+        job = job_id(next(self._job_counter))
+        self.tasks[job] = self._rng.choice([1, 2, 2, 4, 8])
+        body = steps(self.tasks[job], self._rng.choice(_TASK_MS), cpu_milli=_TASK_MILLI)
+        self.sent[job] = []
+        return job, body
+
+    async def _send(self, session: ClientSession, entry: str, job: str, body: object) -> JobAttempt:
         leaves = self._rng.random() < 0.05
-        total_s = self._rng.uniform(0.02, 0.5) if leaves else (_DEADLINE_MS + _BEYOND_MS) / 1_000
-        url, headers = job_url(self._system.address(entry, "front"), text, _DEADLINE_MS)
-        status, state, retry_after_ms = _NO_ANSWER, "", 0
+        client_timeout_s = (
+            self._rng.uniform(0.02, 0.5) if leaves else (_DEADLINE_MS + _TIMEOUT_MARGIN_MS) / 1_000
+        )
+        url, headers = job_url(self._system.address(entry, "front"), job, _DEADLINE_MS)
+        status, state, retry_after_ms = _NO_RESPONSE, "", 0
         sent_s = time.monotonic()
         try:
             async with session.post(
-                url, json=body, headers=headers, timeout=ClientTimeout(total=total_s)
+                url, json=body, headers=headers, timeout=ClientTimeout(total=client_timeout_s)
             ) as response:
                 fields = await response.json()
                 status, state = response.status, fields.get("state", "")
                 retry_after_ms = fields.get("retry_after_ms", 0)
         except TimeoutError:
-            status = _LEFT
+            status = _DISCONNECTED
         except (ClientError, OSError):
-            # The process is gone, or was never there.
-            status = _NO_ANSWER
-        one = Sent(entry, status, state, sent_s, time.monotonic(), retry_after_ms)
-        self.sent[text].append(one)
-        return one
-
-    def broken_promises(self) -> list[str]:
-        """Return what callers were promised and did not get, in words."""
-        return [*self._refused_that_ran(), *self._completed_that_did_not(), *self._unasked()]
-
-    def _refused_that_ran(self) -> list[str]:
-        """A start comes from a try sent before it: one of those must not have been refused.
-
-        So a refusal is also broken by a start that comes later, and is not made good by another
-        answer to a try that was sent after the start.
+            # The process was not reachable or went away.
+            status = _NO_RESPONSE
+        attempt = JobAttempt(entry, status, state, sent_s, time.monotonic(), retry_after_ms)
+        self.sent[job].append(attempt)
+        return attempt
+
+    def guarantee_violations(self) -> list[str]:
+        """Return a description of every violated guarantee."""
+        return [
+            *self._refused_but_started(),
+            *self._completed_but_unfinished(),
+            *self._unsubmitted(),
+        ]
+
+    def _refused_but_started(self) -> list[str]:
+        """Find jobs that started although every earlier attempt was refused.
+
+        A start after the refusal counts too; responses to attempts sent after the start do not
+        excuse it.
         """
-        broken = []
-        for text, first_s in self._system.sightings.first_start_of.items():
-            tries = self.sent.get(text, [])
-            before = [one for one in tries if one.sent_s <= first_s]
-            if before and all(one.status in REJECTED for one in before):
-                told = ", ".join(_story(one, first_s) for one in before)
-                broken.append(f"{text} was refused {len(before)} times and has run: {told}")
-        return broken
-
-    def _completed_that_did_not(self) -> list[str]:
-        broken = []
+        violations = []
+        for job, first_start_s in self._system.sightings.first_start_of.items():
+            attempts = self.sent.get(job, [])
+            earlier = [attempt for attempt in attempts if attempt.sent_s <= first_start_s]
+            if earlier and all(attempt.status in REJECTED for attempt in earlier):
+                refusals = ", ".join(
+                    _describe_refusal(attempt, first_start_s) for attempt in earlier
+                )
+                violations.append(f"{job} was refused {len(earlier)} times and has run: {refusals}")
+        return violations
+
+    def _completed_but_unfinished(self) -> list[str]:
+        violations = []
         done: dict[str, int] = {}
         for task in self._system.sightings.done:
             done[task.job_id] = done.get(task.job_id, 0) + 1
-        for text, tries in self.sent.items():
-            completed = [one for one in tries if one.state == "completed"]
+        for job, attempts in self.sent.items():
+            completed = [attempt for attempt in attempts if attempt.state == "completed"]
             if not completed:
                 continue
-            if done.get(text, 0) < self.tasks[text]:
-                broken.append(f"{text} is completed, {done.get(text, 0)} of its tasks are done")
-            begins_late = self._system.sightings.newest_start_of[text] - completed[0].answered_s
-            if len(tries) == 1 and begins_late > _BEGINS_AFTER_S:
-                broken.append(f"{text} began again {begins_late:.1f} s after it was completed")
-        return broken
-
-    def _unasked(self) -> list[str]:
-        begun = {task.job_id for task in self._system.sightings.starts}
-        ours = {text for text in begun if int(text, 16) in self._range}
-        unasked = [f"{text} was never handed in" for text in ours - set(self.sent)]
-        for text in ours & set(self.sent):
-            first_s = self._system.sightings.first_start_of[text]
-            if all(one.sent_s > first_s for one in self.sent[text]):
-                unasked.append(f"{text} ran before it was handed in")
-        return unasked
+            if done.get(job, 0) < self.tasks[job]:
+                violations.append(
+                    f"{job} is completed, but only {done.get(job, 0)} of its tasks are done"
+                )
+            start_delay_s = self._system.sightings.newest_start_of[job] - completed[0].answered_s
+            if len(attempts) == 1 and start_delay_s > _LATE_START_MAX_S:
+                violations.append(
+                    f"{job} began again {start_delay_s:.1f} s after its completed response"
+                )
+        return violations
+
+    def _unsubmitted(self) -> list[str]:
+        started = {task.job_id for task in self._system.sightings.starts}
+        own_jobs = {job for job in started if int(job, 16) in self._job_numbers}
+        unsubmitted = [f"{job} was never handed in" for job in own_jobs - set(self.sent)]
+        for job in own_jobs & set(self.sent):
+            first_start_s = self._system.sightings.first_start_of[job]
+            if all(attempt.sent_s > first_start_s for attempt in self.sent[job]):
+                unsubmitted.append(f"{job} ran before it was handed in")
+        return unsubmitted
 
     @property
     def completed(self) -> int:
-        """How many jobs were completed."""
-        return sum(one.state == "completed" for tries in self.sent.values() for one in tries)
+        """Number of attempts with a completed job."""
+        return sum(
+            attempt.state == "completed" for attempts in self.sent.values() for attempt in attempts
+        )
 
     def summary(self) -> str:
-        """Return how many tries got which answer."""
+        """Return the number of attempts per HTTP status."""
         counts: dict[int, int] = {}
-        for tries in self.sent.values():
-            for one in tries:
-                counts[one.status] = counts.get(one.status, 0) + 1
+        for attempts in self.sent.values():
+            for attempt in attempts:
+                counts[attempt.status] = counts.get(attempt.status, 0) + 1
         return ", ".join(f"{status}: {count}" for status, count in sorted(counts.items()))
 
 
-def _story(one: Sent, first_start_s: float) -> str:
-    """Return a refusal in words, with the job's first start as the zero of time."""
-    sent_ms, answered_ms = (1_000 * (at_s - first_start_s) for at_s in (one.sent_s, one.answered_s))
-    return f"{one.status} at {one.entry}, sent {sent_ms:.0f} ms, answered {answered_ms:+.0f} ms"
+def _describe_refusal(attempt: JobAttempt, first_start_s: float) -> str:
+    """Describe a refusal, with times relative to the job's first start."""
+    sent_ms, answered_ms = (
+        1_000 * (at_s - first_start_s) for at_s in (attempt.sent_s, attempt.answered_s)
+    )
+    return (
+        f"{attempt.status} at {attempt.entry},"
+        f" sent {sent_ms:.0f} ms, answered {answered_ms:+.0f} ms"
+    )
 
 
 class Operator:
-    """An operator who changes the configuration and reads it, at any controller.
+    """An operator who changes and reads the configuration at random controllers.
 
     Args:
-        system: The programs.
-        rng: Draws whom it asks.
-        pause_s: Seconds between two calls that got no clear answer.
+        system: The system under test.
+        rng: Random generator for the choice of controllers.
+        retry_delay_s: Delay before retrying an unacknowledged change.
     """
 
-    def __init__(self, system: PlatformSystem, rng: random.Random, pause_s: float = 0.0) -> None:
+    def __init__(
+        self, system: PlatformSystem, rng: random.Random, retry_delay_s: float = 0.0
+    ) -> None:
         self._system = system
-        self._pause_s = pause_s
+        self._retry_delay_s = retry_delay_s
         self._rng = rng
         self.acknowledged: list[tuple[float, int]] = [(time.monotonic(), 1)]
-        self.broken: list[str] = []
+        self.violations: list[str] = []
 
     async def run(self, is_over: asyncio.Event) -> None:
-        """Change and read until *is_over*."""
+        """Change the configuration repeatedly until *is_over*."""
         while not is_over.is_set():
             await self.change()
             await asyncio.sleep(self._rng.uniform(0.1, 0.8))
 
     async def change(self) -> None:
-        """Send the next version until it is acknowledged, with reads between."""
+        """Send the next version until it is acknowledged, reading between the attempts."""
         version = self.acknowledged[-1][1] + 1
         for _ in range(100):
             if await self._system.configure(version, self._rng.choice(self._system.controllers)):
                 self.acknowledged.append((time.monotonic(), version))
                 return
             await self.read()
-            await asyncio.sleep(self._pause_s)
-        self.broken.append(f"version {version} was not acknowledged in 100 calls")
+            await asyncio.sleep(self._retry_delay_s)
+        self.violations.append(f"version {version} was not acknowledged in 100 attempts")
 
     async def read(self) -> bool:
-        """Read the version at any controller; return whether it was shown."""
-        asked_s = time.monotonic()
-        shown = await self._system.read_version(self._rng.choice(self._system.controllers))
-        if shown is None:
+        """Read the version at a random controller; return whether the read succeeded."""
+        requested_s = time.monotonic()
+        version_read = await self._system.read_version(self._rng.choice(self._system.controllers))
+        if version_read is None:
             return False
-        oldest = max(v for at_s, v in self.acknowledged if v == 1 or at_s + _APPLIED_S < asked_s)
-        if shown < oldest:
-            self.broken.append(f"version {shown} was shown after {oldest} was acknowledged")
+        version_min = max(
+            v for at_s, v in self.acknowledged if v == 1 or at_s + _STALE_READ_MAX_S < requested_s
+        )
+        if version_read < version_min:
+            self.violations.append(
+                f"read of version {version_read} after {version_min} was acknowledged"
+            )
         return True
--- a/tests/soak_patience.py
+++ b/tests/soak_patience.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Callers that send a job up to the end of their patience, to one entry process after another."""
+"""Callers that retry a job at other entry processes until it is answered or a deadline passes."""
 
 from __future__ import annotations
 
@@ -9,70 +9,73 @@
 
 from aiohttp import ClientSession
 
-from soak_callers import REJECTED, SEND_AGAIN_S, Callers, Sent
+from soak_callers import REJECTED, RETRY_DELAY_S, Callers, JobAttempt
 from soak_system import SiteSystem
 
-# Seconds that a caller goes on for one job.
-_PATIENCE_S = (2.5, 7.0)
-# Seconds until a caller comes back that was refused and not told when.
-_COMES_BACK_S = 0.3
-# Share of the jobs of which each try goes to two entry processes at one time.
-_TWINS = 0.3
+# Range of the time that a caller keeps retrying one job.
+_RETRY_PERIOD_S = (2.5, 7.0)
+# Retry delay after a refusal without one.
+_DEFAULT_RETRY_DELAY_S = 0.3
+# Share of jobs whose every attempt goes to two entry processes concurrently.
+_CONCURRENT_SHARE = 0.3
 
 
-class PatientCallers(Callers):
-    """Callers that come back under the same id, at another process, until their patience ends.
+class RetryingCallers(Callers):
+    """Callers that retry a job under the same id at other entry processes.
 
-    What is handed in at two processes at one time may run in two zones: one of the two may move
-    to where the other is not known. Callers that wait before they send again are promised that
-    it does not; so is everyone in a system of one zone.
+    A job submitted to two processes concurrently may run twice, in two zones, since one submission
+    may move to a zone that does not know the other. Callers that wait before a retry are
+    guaranteed a single run, and so is everyone in a system with one zone.
 
     Args:
-        system: The programs.
-        rng: Draws what they do.
-        numbers: The numbers of their jobs; no others hand those in.
+        system: The system under test.
+        rng: Random generator for their behavior.
+        numbers: Job numbers reserved for these callers.
     """
 
     def __init__(self, system: SiteSystem, rng: random.Random, numbers: range) -> None:
         super().__init__(system, rng, numbers)
         self._has_zones = len({system.zone_of(name) for name in system.entries}) > 1
-        self.maybe_apart: set[str] = set()
+        self.may_run_twice: set[str] = set()
 
-    async def _hand_in(self, session: ClientSession, entry: str) -> int:
-        text, body = self._new_job()
-        ends_s = time.monotonic() + self._rng.uniform(*_PATIENCE_S)
-        is_twin = self._rng.random() < _TWINS
-        first = await self._try(session, entry, text, body, is_twin)
-        answers = first
-        while all(one.status != 200 for one in answers):
-            await asyncio.sleep(self._pause_s(answers))
-            if time.monotonic() > ends_s:
+    async def _submit_job(self, session: ClientSession, entry: str) -> int:
+        job, body = self._new_job()
+        deadline_s = time.monotonic() + self._rng.uniform(*_RETRY_PERIOD_S)
+        is_concurrent = self._rng.random() < _CONCURRENT_SHARE
+        first = await self._send_attempt(session, entry, job, body, is_concurrent)
+        attempts = first
+        while all(attempt.status != 200 for attempt in attempts):
+            await asyncio.sleep(self._retry_delay_s(attempts))
+            if time.monotonic() > deadline_s:
                 break
-            entry = self._another(entry)
+            entry = self._draw_other_entry(entry)
             async with ClientSession() as again:
-                answers = await self._try(again, entry, text, body, is_twin)
+                attempts = await self._send_attempt(again, entry, job, body, is_concurrent)
         return first[0].status
 
-    async def _try(
-        self, session: ClientSession, entry: str, text: str, body: object, is_twin: bool
-    ) -> list[Sent]:
-        """Send a job to one process, or to two at one time; return the answers."""
-        if not is_twin:
-            return [await self._send(session, entry, text, body)]
-        second = self._another(entry)
+    async def _send_attempt(
+        self, session: ClientSession, entry: str, job: str, body: object, is_concurrent: bool
+    ) -> list[JobAttempt]:
+        """Send a job to one process, or to two concurrently; return the attempts."""
+        if not is_concurrent:
+            return [await self._send(session, entry, job, body)]
+        second = self._draw_other_entry(entry)
         if self._has_zones:
-            self.maybe_apart.add(text)
+            self.may_run_twice.add(job)
         async with ClientSession() as other:
             return await asyncio.gather(
-                self._send(session, entry, text, body), self._send(other, second, text, body)
+                self._send(session, entry, job, body), self._send(other, second, job, body)
             )
 
-    def _another(self, entry: str) -> str:
-        return self._rng.choice([one for one in self._system.entries if one != entry])
+    def _draw_other_entry(self, entry: str) -> str:
+        return self._rng.choice([other for other in self._system.entries if other != entry])
 
-    def _pause_s(self, answers: list[Sent]) -> float:
-        """Return when to come back: as told after a refusal, as usual after no clear answer."""
-        if any(one.status not in REJECTED for one in answers):
-            return SEND_AGAIN_S
-        told_ms = max(one.retry_after_ms for one in answers)
-        return (told_ms / 1_000 or _COMES_BACK_S) * self._rng.uniform(1.0, 1.5)
+    def _retry_delay_s(self, attempts: list[JobAttempt]) -> float:
+        """Return the delay before the next attempt.
+
+        It follows the response after a refusal and is fixed without a definite response.
+        """
+        if any(attempt.status not in REJECTED for attempt in attempts):
+            return RETRY_DELAY_S
+        retry_after_max_ms = max(attempt.retry_after_ms for attempt in attempts)
+        return (retry_after_max_ms / 1_000 or _DEFAULT_RETRY_DELAY_S) * self._rng.uniform(1.0, 1.5)
