--- a/src/foldloom/seed_discovery/fleet/joiner.py
+++ b/src/foldloom/seed_discovery/fleet/joiner.py
@@ -113,7 +113,7 @@
                 if failures >= _LOST_AFTER_FAILURES:
                     PEER_LOG.event("controller.back", controller=box, unanswered=failures)
                 failures = 0
-                incarnation, revision = reply.catalog_incarnation, reply.catalog_revision
+                incarnation, revision = reply.catalog_life, reply.catalog_revision
                 forgotten = forgotten_before
             spent_ms = monotonic_ms() - began_ms
             await asyncio.sleep(max(0.0, self._interval_ms - spent_ms) / 1_000)
--- a/src/foldloom/seed_discovery/fleet/messages.py
+++ b/src/foldloom/seed_discovery/fleet/messages.py
@@ -78,13 +78,13 @@
     Args:
         record: The sender.
         published_version: The published configuration version active at the sender.
-        catalog_incarnation: The controller incarnation that ``catalog_revision`` refers to.
+        catalog_life: The controller incarnation that ``catalog_revision`` refers to.
         catalog_revision: The last catalog revision received; 0 requests the whole catalog.
     """
 
     record: BoxRecord
     published_version: int
-    catalog_incarnation: int
+    catalog_life: int
     catalog_revision: int
 
 
@@ -96,7 +96,7 @@
         boxes: The live entry boxes.
         owners: The known zone owners.
         published_version: The newest published version at the controller.
-        catalog_incarnation: The controller's incarnation.
+        catalog_life: The controller's incarnation.
         catalog_revision: The revision of its catalog.
         endpoints: The endpoints of the sender's zone that changed since the requested revision.
         born_ms: The start time of each of these endpoints.
@@ -106,7 +106,7 @@
     boxes: list[BoxRecord]
     owners: list[OwnerRecord]
     published_version: int
-    catalog_incarnation: int
+    catalog_life: int
     catalog_revision: int
     endpoints: list[WireEndpoint]
     born_ms: tuple[int, ...] = ()
@@ -135,9 +135,9 @@
 
 
 class PullPublished(NamedTuple):
-    """A request for a configuration newer than ``known_version``."""
+    """A request for a configuration newer than ``have``."""
 
-    known_version: int
+    have: int
 
 
 class ReadPublished(NamedTuple):
--- a/src/foldloom/seed_discovery/fleet/published.py
+++ b/src/foldloom/seed_discovery/fleet/published.py
@@ -87,6 +87,6 @@
         return Noted()
 
     def _on_pull(self, _sender: str, message: PullPublished) -> Published:
-        if message.known_version >= self.version:
+        if message.have >= self.version:
             return Published(NO_PUBLICATION)
         return Published(self._publication)
--- a/src/foldloom/seed_discovery/fleet/registry.py
+++ b/src/foldloom/seed_discovery/fleet/registry.py
@@ -239,9 +239,7 @@
         now_ms = monotonic_ms()
         self._joined_boxes[record.box] = _JoinedBox(record, now_ms)
         incarnation = self._network.incarnation
-        known_revision = (
-            message.catalog_revision if message.catalog_incarnation == incarnation else 0
-        )
+        known_revision = message.catalog_revision if message.catalog_life == incarnation else 0
         endpoints = [
             endpoint
             for endpoint in self._catalog.changes_since(known_revision)
@@ -252,7 +250,7 @@
             boxes=self._live_entry_boxes(),
             owners=[known.owner for known in self._owners.values()],
             published_version=self._holder.version,
-            catalog_incarnation=incarnation,
+            catalog_life=incarnation,
             catalog_revision=self._catalog.revision,
             endpoints=sent_endpoints(endpoints),
             born_ms=births_of(endpoints),
