--- a/tests/link_proxy.py
+++ b/tests/link_proxy.py
@@ -135,7 +135,7 @@
             connection.reset()
 
     def silence(self, link_filter: LinkFilter) -> None:
-        """Drop all further data on open connections without a reset; new connections work."""
+        """Stop forwarding on open connections without a reset; new connections work."""
         for connection in self._open(link_filter):
             connection.is_silent = True
 
@@ -244,7 +244,7 @@
 
     @property
     def is_blocked(self) -> bool:
-        """Whether data is held by a stall or dropped for good."""
+        """Whether the connection is stalled or silenced."""
         return self.is_silent or self.stall_count > 0
 
     def sample_delay_s(self) -> float:
--- a/tests/own_soak_faults.py
+++ b/tests/own_soak_faults.py
@@ -185,10 +185,10 @@
     async def _delay_all_links(self) -> None:
         await self._delay(self._system.proxy.links.values(), self._rng.uniform(*_LINK_DELAY_S) / 2)
 
-    async def _delay(self, links: Iterable[Link], late_s: float) -> None:
+    async def _delay(self, links: Iterable[Link], link_delay_s: float) -> None:
         chosen = list(links)
         for link in chosen:
-            link.delay_s = late_s
+            link.delay_s = link_delay_s
         await self._wait_duration()
         for link in chosen:
             link.delay_s = 0.0
--- a/tests/soak_foreign_reports.py
+++ b/tests/soak_foreign_reports.py
@@ -52,7 +52,7 @@
 
     async def _send(self, session: ClientSession) -> None:
         endpoint, body = self._draw_endpoint_id(), self._draw_body()
-        url = f"http://{self._rng.choice(self._system.controls)}/foldloom/instances/{endpoint}"
+        url = f"http://{self._rng.choice(self._system.control_addresses)}/foldloom/instances/{endpoint}"
         try:
             async with session.put(url, data=body) as response:
                 self.sent += 1
--- a/tests/soak_links.py
+++ b/tests/soak_links.py
@@ -186,8 +186,8 @@
         """Cut an entry box off from all other boxes and, half of the time, its callers."""
         name = self._draw_entry()
         boxes, callers = self._links_of_box(name), self._links_to(Kind.CALLERS, [name])
-        is_whole = self._rng.random() < 0.5
-        await self._cut(lambda link: boxes(link) or (is_whole and callers(link)))
+        includes_callers = self._rng.random() < 0.5
+        await self._cut(lambda link: boxes(link) or (includes_callers and callers(link)))
 
     async def _cut_entries_of_zone(self) -> None:
         """Cut a zone's entry boxes off from those of other zones."""
--- a/tests/soak_site_faults.py
+++ b/tests/soak_site_faults.py
@@ -134,7 +134,7 @@
     # Settings files and clocks.
 
     async def _reload_settings(self) -> None:
-        """Reload settings of boxes concurrently; of controllers only if none is disturbed."""
+        """Reload settings concurrently; those of controllers only if none is disturbed."""
         names = self._rng.sample(self._system.entries, len(self._system.entries) // 2 + 1)
         reloads = [self._reload_entry_process(name) for name in names]
         await asyncio.gather(self._reload_controllers(), *reloads)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -149,7 +149,7 @@
         operator.run(is_over),
         faults.run(_SITE_FAULTS, is_over),
     )
-    print(f"seed {seed} had {dict(faults.happened)}")
+    print(f"seed {seed} had {dict(faults.fault_counts)}")
     await _check(seed, system, [callers, retrying], operator, faults, retrying.may_run_twice)
 
 
@@ -379,8 +379,8 @@
     def test_a_program_runs_as_by_itself(self, tmp_path: Path) -> None:
         """Without control files, clock, arguments and import path are the program's own."""
         with self._start(tmp_path) as program:
-            summaries, _ = program.communicate(timeout=10.0)
-        now_s, now_from_ns_s, name, folder, synced = summaries.split()
+            output, _ = program.communicate(timeout=10.0)
+        now_s, now_from_ns_s, name, folder, synced = output.split()
         assert abs(float(now_s) - time.time()) < 10.0
         assert abs(float(now_from_ns_s) - time.time()) < 10.0
         assert (name, folder, synced) == ("program.py", str(tmp_path), "synced")
@@ -389,8 +389,8 @@
         """``time.time`` and ``time.time_ns`` have the same offset."""
         (tmp_path / CLOCK).write_text("-3600.0")
         with self._start(tmp_path) as program:
-            summaries, _ = program.communicate(timeout=10.0)
-        now_s, now_from_ns_s, *_ = summaries.split()
+            output, _ = program.communicate(timeout=10.0)
+        now_s, now_from_ns_s, *_ = output.split()
         assert abs(float(now_s) + 3_600 - time.time()) < 10.0
         assert abs(float(now_from_ns_s) + 3_600 - time.time()) < 10.0
 
@@ -404,5 +404,5 @@
             with pytest.raises(subprocess.TimeoutExpired):
                 program.wait(0.3)
             stall.unlink()
-            summaries, _ = program.communicate(timeout=10.0)
-        assert summaries.split() == ["synced"]
+            output, _ = program.communicate(timeout=10.0)
+        assert output.split() == ["synced"]
