--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -202,7 +202,7 @@
 
 _FIRST_SEED = int(os.environ.get("FOLDLOOM_SOAK_FIRST", "0"))
 _SEEDS = int(os.environ.get("FOLDLOOM_SOAK_SEEDS", "4"))
-# 127: an entry process stalled for 10 s during its stop and was killed.
+# 127: an entry process stalled for 10 s during its stop and was killed; cause unknown.
 _REGRESSION_SEEDS = [127]
 # Fewer by default, since each takes about a minute.
 _SITE_SEEDS = int(os.environ.get("FOLDLOOM_SOAK_SEEDS", "2"))
