--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -82,7 +82,7 @@
     Mutation(
         "a vote dies with its voter's memory",
         "static_peers/claims/votes.py",
-        "return max(known_life(box), *known_by_voters, 0)",
+        "return max(known_incarnation_of(box), *known_by_voters, 0)",
         "return 0",
         "tests/test_claims.py::TestVotes::test_vote_dies_with_its_voters_memory",
     ),
@@ -125,14 +125,14 @@
     Mutation(
         "jobs in flight end before a stop",
         "static_peers/entry_role.py",
-        "await self._coordinator.finish_all()",
+        "await self._coordinator.wait_all_finished()",
         "pass",
         "tests/test_path.py::TestStop::test_sigterm_under_load_loses_none",
     ),
     Mutation(
         "answers are handed over",
         "static_peers/entry_role.py",
-        "taken = await self._follower.pass_answers_to(successors[0])",
+        "taken = await self._follower.hand_over_responses(successors[0])",
         "taken = 0",
         _CLAIMS_FAULTS + "TestLostMemory::test_planned_stop_hands_answers_over",
     ),
@@ -265,8 +265,8 @@
     Mutation(
         "a start is known until the deadline",
         "seed_discovery/owners/started_jobs.py",
-        "deadline_ms + REMEMBERED_MS",
-        "REMEMBERED_MS",
+        "deadline_ms + STARTED_JOB_GRACE_MS",
+        "STARTED_JOB_GRACE_MS",
         _OWNERS_STATE + "TestGivingUp::test_a_start_is_known_until_the_deadline",
     ),
     Mutation(
@@ -286,14 +286,14 @@
     Mutation(
         "a report from before an order says nothing of it",
         "seed_discovery/owners/reports.py",
-        "if max(run.since_ms, run.stop_known_ms) >= asked_ms:",
+        "if max(run.since_ms, run.stop_confirmed_ms) >= asked_ms:",
         "if False:",
         _OWNERS_DECISIONS + "TestJudgeAbsence::test_running_is_lost",
     ),
     Mutation(
         "a stop is confirmed before the next start",
         "seed_discovery/owners/reports.py",
-        "if run.state is RunState.STOPPING and run.stop_known_ms:",
+        "if run.state is RunState.STOPPING and run.stop_confirmed_ms:",
         "if run.state is RunState.STOPPING:",
         _OWNERS_DECISIONS + "TestJudgeAbsence::test_stopping_waits_for_the_stop",
     ),
@@ -328,7 +328,7 @@
     Mutation(
         "a claim waits for who still knows the owner",
         "seed_discovery/owners/election.py",
-        "return least_silent_ms is None or least_silent_ms >= silent_ms",
+        "return newest_heartbeat_age_ms is None or newest_heartbeat_age_ms >= silent_ms",
         "return True",
         "tests/test_owners_election.py::TestMayClaim::test_somebody_hears_the_owner",
     ),
@@ -370,8 +370,8 @@
     Mutation(
         "another term can't say that nothing started",
         "seed_discovery/owners/zone_owner.py",
-        "is_asked = message.token in (0, self.token)",
-        "is_asked = True",
+        "is_addressed = message.token in (0, self.token)",
+        "is_addressed = True",
         _OWNERS_CLIENT + "TestGivingUp::test_answered_by_a_later_term",
     ),
     Mutation(
@@ -398,15 +398,15 @@
     Mutation(
         "a late box believes no word of its owner",
         "seed_discovery/owners/cancels.py",
-        "if monotonic_ms() >= withdrawal.believed_until_ms:",
+        "if monotonic_ms() >= withdrawal.reply_valid_until_ms:",
         "if reply.has_started:",
         "tests/test_owners_late_words.py::TestAskedLate::test_two_pauses_with_a_heartbeat_between",
     ),
     Mutation(
         "nor an end that it handles late",
         "seed_discovery/owners/batches.py",
-        "is_believed = monotonic_ms() < self.believed_until_ms and not run.terms - {token}",
-        "is_believed = not run.terms - {token}",
+        "is_reply_valid = monotonic_ms() < self.reply_valid_until_ms and not run.terms - {token}",
+        "is_reply_valid = not run.terms - {token}",
         _OWNERS_CLIENT + "TestGivingUp::test_an_end_that_is_handled_too_late",
     ),
     Mutation(
@@ -454,14 +454,14 @@
     Mutation(
         "a cancelled request ends",
         "peers/wire.py",
-        "async with TimeLimit(timeout_ms):\n                return await future",
+        "async with SuspendAwareTimeout(timeout_ms):\n                return await future",
         "return await asyncio.wait_for(future, timeout_ms / 1_000)",
         "tests/test_wire.py::TestCancelledRequests",
     ),
     Mutation(
         "a stopped task's next run goes on for longer",
         "seed_discovery/owners/stragglers.py",
-        "return ran_ms > max(allowed_ms, STOPPED_FACTOR * stopped_after_ms)",
+        "return ran_ms > max(allowed_ms, STUCK_RETRY_FACTOR * stuck_attempt_ms)",
         "return ran_ms > allowed_ms",
         _OWNERS_STATE + "TestStragglers::test_longer_than_anybody_expected",
     ),
@@ -489,7 +489,7 @@
     Mutation(
         "a confirm waits for its version",
         "static_peers/entry/operators.py",
-        "await self._follow_confirmed(result.ok.version)",
+        "await self._wait_until_in_force(result.ok.version)",
         "pass",
         "tests/test_entry_operators.py::TestConfirm::test_its_operator_finds_it_here",
     ),
@@ -525,14 +525,14 @@
     Mutation(
         "no end is acknowledged after a broken poll",
         "seed_discovery/owners/endpoint_link.py",
-        "self._last_sequence if self._has_just_answered else 0",
+        "self._last_sequence if self._last_poll_succeeded else 0",
         "self._last_sequence",
         _ENDPOINT_LINK + "TestOtherLife::test_ends_are_kept_for_whoever_answers_next",
     ),
     Mutation(
         "leases meant for the life before",
         "seed_discovery/owners/endpoint_link.py",
-        "if now_ms < self._misled_until_ms + LAPSE_MARGIN_MS:",
+        "if now_ms < self._stale_orders_until_ms + LAPSE_MARGIN_MS:",
         "if False:",
         _ENDPOINT_LINK + "TestOtherLife::test_orders_for_the_life_before",
     ),
@@ -546,8 +546,9 @@
     Mutation(
         "a next life's report ends what the one before ran",
         "seed_discovery/owners/state.py",
-        "        candidate.begin_life()\n",
-        "        self.note_lapsed(endpoint, now_ms)\n        candidate.begin_life()\n",
+        "        candidate.begin_incarnation()\n",
+        "        self.handle_lease_expiry(endpoint, now_ms)\n"
+        "        candidate.begin_incarnation()\n",
         _OWNERS_STATE + "TestNextLife::test_an_order_that_reached_it",
     ),
     Mutation(
@@ -567,10 +568,10 @@
     Mutation(
         "late orders outlive the endpoint that left",
         "seed_discovery/owners/state.py",
-        """        self.note_lapsed(endpoint, now_ms)
+        """        self.handle_lease_expiry(endpoint, now_ms)
         self._late_starts.end_life(endpoint)
 """,
-        """        self.note_lapsed(endpoint, now_ms)
+        """        self.handle_lease_expiry(endpoint, now_ms)
 """,
         _OWNERS_STATE + "TestNextLife::test_one_that_follows_a_leave",
     ),
@@ -605,8 +606,8 @@
     Mutation(
         "a recovered log is synced",
         "controllers/storage.py",
-        "            os.ftruncate(self._fd, good_bytes)\n            self._fsync(self._fd)\n",
-        "            os.ftruncate(self._fd, good_bytes)\n",
+        "            os.ftruncate(self._fd, valid_bytes)\n            self._fsync(self._fd)\n",
+        "            os.ftruncate(self._fd, valid_bytes)\n",
         "tests/test_storage.py::TestStorageMachine",
     ),
     Mutation(
@@ -656,14 +657,14 @@
     Mutation(
         "a reply bounds the age of its sender's messages",
         "peers/lives.py",
-        "if least_ms > known.least_at(now_ms):",
+        "if min_offset_ms > known.min_offset_at(now_ms):",
         "if False:",
         "tests/test_peers_lives.py::TestSendersClock",
     ),
     Mutation(
         "a task that crashes its endpoints is given up",
         "seed_discovery/scheduling/crashes.py",
-        "if count.alone and count.crashes >= _CRASHES_MAX_ALONE:",
+        "if count.alone and count.crashes >= _SOLE_TASK_CRASHES_MAX:",
         "if False:",
         _CRASHED_ENDPOINTS + "TestGivenUp::test_at_once",
     ),
@@ -677,7 +678,7 @@
     Mutation(
         "a lapse in silence is no crash",
         "seed_discovery/owners/state.py",
-        "        candidate.note_alive()\n",
+        "        candidate.mark_alive()\n",
         "        candidate.has_crashed = False\n",
         _CRASHED_ENDPOINTS + "TestWhatCounts::test_a_silent_lapse_does_not",
     ),
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -34,7 +34,7 @@
 from foldloom.settings_file import settings_from
 from foldloom.static_peers.claims.messages import Claim
 from foldloom.static_peers.claims.table import ClaimTable
-from foldloom.static_peers.placement.messages import SlotRequest, SlotReturn, SlotUse
+from foldloom.static_peers.placement.messages import SlotOutcome, SlotRequest, SlotReturn
 from foldloom.static_peers.placement.policies import SlotLeases
 from foldloom.static_peers.placement.shard import Shard
 
@@ -115,7 +115,7 @@
             for grant in shard.match(number):
                 message = grant.message
                 slot_return = SlotReturn(
-                    message.lease_id, message.endpoint, "sleep", 100.0, SlotUse.DONE
+                    message.lease_id, message.endpoint, "sleep", 100.0, SlotOutcome.DONE
                 )
                 shard.give_back(slot_return, number)
         rows.append([endpoints, (time.process_time() - start_s) / _DECISIONS * 1e6])
@@ -138,7 +138,7 @@
         for number in range(_DECISIONS):
             message = grants.pop(0)
             shard.give_back(
-                SlotReturn(message.lease_id, message.endpoint, "sleep", 100.0, SlotUse.DONE), 0
+                SlotReturn(message.lease_id, message.endpoint, "sleep", 100.0, SlotOutcome.DONE), 0
             )
             name = f"team-{number % customers:03d}"
             shard.add("a1", SlotRequest(next(numbers), "fleet", "sleep", name, 1, 10**7, 1))
--- a/src/foldloom/controllers/applied.py
+++ b/src/foldloom/controllers/applied.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-from foldloom.controllers.commands import Answer, FoundCommand, encode_command
+from foldloom.controllers.commands import Answer, BootstrapCommand, encode_command
 from foldloom.controllers.config import Config
 from foldloom.controllers.controller_table import ControllerTable
 from foldloom.controllers.log import ReplicatedLog
@@ -70,7 +70,7 @@
         if self._state.is_founded or self._log.last_index:
             return b""
         boxes = self._initial.boxes["current"]
-        return encode_command(FoundCommand(boxes, self._initial.controllers))
+        return encode_command(BootstrapCommand(boxes, self._initial.controllers))
 
     def load(self, snapshot: Snapshot) -> None:
         """Replace the state by that of *snapshot* unless more entries are applied here."""
--- a/src/foldloom/controllers/commands.py
+++ b/src/foldloom/controllers/commands.py
@@ -55,7 +55,7 @@
     epoch: int
 
 
-class FoundCommand(msgspec.Struct, tag="found", array_like=True, frozen=True):
+class BootstrapCommand(msgspec.Struct, tag="found", array_like=True, frozen=True):
     """Record the initial boxes and controllers of the system.
 
     Replay must not depend on the settings, which change when boxes are added.
@@ -77,7 +77,7 @@
     | IncarnationCommand
     | VoterReadyCommand
     | BoxesSettledCommand
-    | FoundCommand
+    | BootstrapCommand
     | PublishCommand
     | ControllerJoinCommand
     | ControllerLeaveCommand
--- a/src/foldloom/controllers/config.py
+++ b/src/foldloom/controllers/config.py
@@ -24,7 +24,7 @@
 CONTROLLERS = "controllers"
 
 # Storage id of a founding controller whose folder is not recorded yet.
-ANY_STORAGE = "?"
+UNRECORDED_STORAGE_ID = "?"
 
 # Section names as used in plans, log entries and HTTP answers.
 _FIELDS = {
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -16,7 +16,7 @@
 from foldloom.controllers.applied import AppliedState
 from foldloom.controllers.commands import Answer
 from foldloom.controllers.compaction import Compaction
-from foldloom.controllers.config import ANY_STORAGE, Config
+from foldloom.controllers.config import UNRECORDED_STORAGE_ID, Config
 from foldloom.controllers.election import Elections
 from foldloom.controllers.following import ReplicationHandlers
 from foldloom.controllers.leader_contact import LeaderContact
@@ -168,7 +168,7 @@
     def is_voter(self, box: str, storage_id: str, is_first: bool) -> bool:
         """Return whether *box* is a voter with this data folder."""
         expected = self.controllers.get(box, "")
-        if expected == ANY_STORAGE:
+        if expected == UNRECORDED_STORAGE_ID:
             return is_first
         return bool(storage_id) and expected == storage_id
 
--- a/src/foldloom/controllers/holder.py
+++ b/src/foldloom/controllers/holder.py
@@ -16,12 +16,12 @@
 from foldloom.controllers.config import Config, apply_changes, decode_config, encode_config
 from foldloom.controllers.messages import ConfigPull, ConfigReply
 from foldloom.controllers.state import CHANGE_SETS_RETAINED_MAX, ChangeSet
-from foldloom.controllers.storage import write_whole
+from foldloom.controllers.storage import write_atomically
 from foldloom.exceptions import PeerUnreachableError
 from foldloom.logs import CONFIG_LOG
 from foldloom.peers.wire import PeerNetwork
 from foldloom.tasks import TaskSet
-from foldloom.time_limits import TimeLimit
+from foldloom.time_limits import SuspendAwareTimeout
 
 _CACHE_NAME = "config-in-force"
 # Allows for a few hundred kilobytes on a slow link.
@@ -69,7 +69,7 @@
     async def wait_version(self, version: int, timeout_s: float) -> bool:
         """Return whether *version* or a later one takes effect here within *timeout_s*."""
         try:
-            async with TimeLimit(timeout_s * 1_000):
+            async with SuspendAwareTimeout(timeout_s * 1_000):
                 while self._config.version < version:
                     self._version_changed.clear()
                     await self._version_changed.wait()
@@ -78,7 +78,7 @@
             return False
         return True
 
-    def note_version(self, box: str, version: int) -> None:
+    def pull_if_newer(self, box: str, version: int) -> None:
         """Pull from *box* if its version is newer."""
         if version <= self._config.version or self._is_pulling:
             return
@@ -129,6 +129,6 @@
         if self._cache is None:
             return
         try:
-            write_whole(self._cache, encode_config(self._config), lambda _fd: None)
+            write_atomically(self._cache, encode_config(self._config), lambda _fd: None)
         except OSError as error:
             CONFIG_LOG.warning("Writing the configuration cache failed: {}.", error)
--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -18,7 +18,7 @@
 from foldloom.controllers.voter_changes import VoterChanges
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.logs import CONTROLLER_LOG
-from foldloom.time_limits import TimeLimit
+from foldloom.time_limits import SuspendAwareTimeout
 
 # Bounds one append to a few hundred kilobytes.
 _ENTRIES_PER_APPEND = 500
@@ -116,7 +116,10 @@
         started = monotonic_ms()
         self._wake_replication()
         try:
-            async with TimeLimit(self._controller.election_timeout_ms), self._reply_received:
+            async with (
+                SuspendAwareTimeout(self._controller.election_timeout_ms),
+                self._reply_received,
+            ):
                 await self._reply_received.wait_for(
                     lambda: self._is_leader_confirmed_since(started)
                 )
@@ -166,7 +169,7 @@
             if is_behind:
                 continue
             try:
-                async with TimeLimit(interval_ms):
+                async with SuspendAwareTimeout(interval_ms):
                     await self._wakeups[box].wait()
             except TimeoutError:
                 # No new entries: send a heartbeat.
--- a/src/foldloom/controllers/log.py
+++ b/src/foldloom/controllers/log.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 
 from foldloom.controllers.records import Entry, RecoveredLog, Snapshot, TermVote
-from foldloom.controllers.storage import LogStorage, format_folder, set_aside
-from foldloom.exceptions import LostMemoryError
+from foldloom.controllers.storage import LogStorage, format_folder, quarantine_files
+from foldloom.exceptions import DataLossError
 from foldloom.logs import CONTROLLER_LOG
 from foldloom.settings import Settings
 
@@ -217,7 +217,7 @@
         Runs in a thread, as a stalled disk blocks writes as well as syncs.
         """
         if truncate_from:
-            self._storage.cut_from(truncate_from)
+            self._storage.truncate_from(truncate_from)
         self._storage.append(entries)
         self._storage.sync()
 
@@ -244,9 +244,9 @@
     storage = LogStorage(settings.data_folder, settings.timings.sync_delay_ms)
     try:
         recovered = storage.open()
-    except LostMemoryError as error:
+    except DataLossError as error:
         CONTROLLER_LOG.error("Memory lost: {}. Voting is disabled until readmission.", error)
-        set_aside(settings.data_folder)
+        quarantine_files(settings.data_folder)
         format_folder(settings.data_folder, is_first=False)
         storage = LogStorage(settings.data_folder, settings.timings.sync_delay_ms)
         recovered = storage.open()
--- a/src/foldloom/controllers/members.py
+++ b/src/foldloom/controllers/members.py
@@ -13,10 +13,10 @@
 from typing import Any, NamedTuple
 
 from foldloom.controllers.commands import (
+    BootstrapCommand,
     Command,
     ControllerJoinCommand,
     ControllerLeaveCommand,
-    FoundCommand,
     VoterReadyCommand,
     decode_command,
 )
@@ -49,7 +49,7 @@
     table = dict(committed)
     for payload in payloads:
         command = decode_command(payload) if payload else None
-        if isinstance(command, FoundCommand):
+        if isinstance(command, BootstrapCommand):
             table = table if is_founded else dict(command.controllers)
             is_founded = True
         else:
--- a/src/foldloom/controllers/proposals.py
+++ b/src/foldloom/controllers/proposals.py
@@ -10,7 +10,7 @@
 from foldloom.controllers.leadership import Leadership
 from foldloom.controllers.state import ReplicatedState
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
-from foldloom.time_limits import TimeLimit
+from foldloom.time_limits import SuspendAwareTimeout
 
 # Allows for several elections.
 _PROPOSE_TIMEOUT_MS = 5_000
@@ -39,7 +39,7 @@
     """
     leadership = _leadership_of(controller)
     try:
-        async with TimeLimit(_PROPOSE_TIMEOUT_MS):
+        async with SuspendAwareTimeout(_PROPOSE_TIMEOUT_MS):
             return await leadership.propose(payload)
     except (TimeoutError, NotLeaderError):
         raise PeerUnreachableError("not confirmed by a majority; it may still commit") from None
--- a/src/foldloom/controllers/records.py
+++ b/src/foldloom/controllers/records.py
@@ -15,7 +15,7 @@
 import msgspec
 import xxhash
 
-from foldloom.exceptions import LostMemoryError
+from foldloom.exceptions import DataLossError
 
 _HEADER = struct.Struct("<IIQ")
 # Kinds of records; the numbers are stored on disk and never reused. Term and vote.
@@ -113,11 +113,11 @@
     """Return the identity stored in *data*.
 
     Raises:
-        LostMemoryError: The file is damaged.
+        DataLossError: The file is damaged.
     """
     record = _parse(data, 0)
     if record is None:
-        raise LostMemoryError("the identity record is truncated")
+        raise DataLossError("the identity record is truncated")
     return msgspec.msgpack.decode(record.body, type=Identity)
 
 
@@ -125,11 +125,11 @@
     """Return the snapshot stored in *data*.
 
     Raises:
-        LostMemoryError: The file is damaged.
+        DataLossError: The file is damaged.
     """
     record = _parse(data, 0)
     if record is None:
-        raise LostMemoryError("the snapshot record is truncated")
+        raise DataLossError("the snapshot record is truncated")
     return msgspec.msgpack.decode(record.body, type=Snapshot)
 
 
@@ -137,7 +137,7 @@
     """Return the log's contents after *snapshot*, and the number of valid bytes in *data*.
 
     Raises:
-        LostMemoryError: A record is damaged, or entries are missing.
+        DataLossError: A record is damaged, or entries are missing.
     """
     term_vote = TermVote(snapshot.term, "")
     entries: list[Entry] = []
@@ -155,7 +155,7 @@
                 entries.append(entry)
     for position, entry in enumerate(entries, snapshot.last_index + 1):
         if entry.log_index != position:
-            raise LostMemoryError("the log entries are not consecutive")
+            raise DataLossError("the log entries are not consecutive")
     return RecoveredLog(term_vote, snapshot, entries), offset
 
 
@@ -181,18 +181,18 @@
     """Return the record at *offset*, or ``None`` at the end of the valid data.
 
     Raises:
-        LostMemoryError: The record is damaged.
+        DataLossError: The record is damaged.
     """
     start = offset + _HEADER.size
     if start > len(data) or not any(data[offset:]):
         return None
     length, header_checksum, checksum = _HEADER.unpack_from(data, offset)
     if header_checksum != _header_checksum(length, checksum):
-        raise LostMemoryError(f"invalid header checksum in the record at byte {offset}")
+        raise DataLossError(f"invalid header checksum in the record at byte {offset}")
     end = start + length
     if end > len(data):
         return None
     content = data[start:end]
     if xxhash.xxh3_64_intdigest(content) != checksum:
-        raise LostMemoryError(f"invalid content checksum in the record at byte {offset}")
+        raise DataLossError(f"invalid content checksum in the record at byte {offset}")
     return _Record(content[0], content[1:], end)
--- a/src/foldloom/controllers/state.py
+++ b/src/foldloom/controllers/state.py
@@ -14,11 +14,11 @@
 
 from foldloom.controllers.commands import (
     Answer,
+    BootstrapCommand,
     BoxesSettledCommand,
     ConfirmCommand,
     ControllerJoinCommand,
     ControllerLeaveCommand,
-    FoundCommand,
     IncarnationCommand,
     PublishCommand,
     VoterReadyCommand,
@@ -75,7 +75,7 @@
     change_sets: list[ChangeSet]
     is_founded: bool
     publication: Publication = NO_PUBLICATION
-    founder_count: int = 0
+    target_voter_count: int = 0
 
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -104,7 +104,7 @@
         return self._publication
 
     @property
-    def founder_count(self) -> int:
+    def target_voter_count(self) -> int:
         """The intended number of controllers."""
         return self._founder_count
 
@@ -154,9 +154,9 @@
         self._change_sets = list(body.change_sets)
         self._is_founded = body.is_founded
         self._publication = body.publication
-        self._founder_count = body.founder_count
+        self._founder_count = body.target_voter_count
 
-    def bootstrap(self, command: FoundCommand) -> Answer:
+    def bootstrap(self, command: BootstrapCommand) -> Answer:
         """Adopt the initial boxes and controllers; repeating it has no effect."""
         if not self._is_founded:
             self._is_founded = True
@@ -272,7 +272,7 @@
 
 
 @_apply.register
-def _(command: FoundCommand, state: ReplicatedState) -> Answer:
+def _(command: BootstrapCommand, state: ReplicatedState) -> Answer:
     return state.bootstrap(command)
 
 
--- a/src/foldloom/controllers/storage.py
+++ b/src/foldloom/controllers/storage.py
@@ -4,7 +4,7 @@
 Owns the data folder: ``identity`` (storage id), ``snapshot`` and ``log``, each made of records
 (:mod:`foldloom.controllers.records`). Nothing is durable before :meth:`LogStorage.sync` returns. A
 truncated last record, or zeros after the last one, is an unfinished write and is dropped. Any other
-damage, also in the last record, may affect acknowledged data and raises :class:`LostMemoryError`,
+damage, also in the last record, may affect acknowledged data and raises :class:`DataLossError`,
 as does a folder without an identity.
 """
 
@@ -32,7 +32,7 @@
     encode_truncation,
     replay_log,
 )
-from foldloom.exceptions import LostMemoryError
+from foldloom.exceptions import DataLossError
 
 
 def format_folder(folder: str, is_first: bool, fsync: Callable[[int], None] = os.fsync) -> Identity:
@@ -51,12 +51,12 @@
     if (path / "identity").exists():
         raise FileExistsError(f"{folder} is formatted already")
     identity = Identity(uuid.uuid4().hex, is_first)
-    write_whole(path / "log", b"", fsync)
-    write_whole(path / "identity", encode_identity(identity), fsync)
+    write_atomically(path / "log", b"", fsync)
+    write_atomically(path / "identity", encode_identity(identity), fsync)
     return identity
 
 
-def set_aside(folder: str) -> None:
+def quarantine_files(folder: str) -> None:
     """Rename the files of a damaged data folder, keeping them for inspection."""
     path = Path(folder)
     suffix = f"lost-{time.time_ns()}"
@@ -104,21 +104,21 @@
         """Read the stored data and open the log for appending.
 
         Raises:
-            LostMemoryError: The folder is empty or damaged.
+            DataLossError: The folder is empty or damaged.
         """
         identity = self._folder / "identity"
         log = self._folder / "log"
         if not identity.exists() or not log.exists():
-            raise LostMemoryError("the data folder has no identity file or no log file")
+            raise DataLossError("the data folder has no identity file or no log file")
         snapshot = self._read_snapshot()
-        recovered, good_bytes = replay_log(log.read_bytes(), snapshot)
+        recovered, valid_bytes = replay_log(log.read_bytes(), snapshot)
         self._identity = decode_identity(identity.read_bytes())
         self._fd = os.open(log, os.O_RDWR)
-        if os.fstat(self._fd).st_size != good_bytes:
-            os.ftruncate(self._fd, good_bytes)
+        if os.fstat(self._fd).st_size != valid_bytes:
+            os.ftruncate(self._fd, valid_bytes)
             self._fsync(self._fd)
         os.lseek(self._fd, 0, os.SEEK_END)
-        self._log_bytes = good_bytes
+        self._log_bytes = valid_bytes
         return recovered
 
     def close(self) -> None:
@@ -131,7 +131,7 @@
         """Write *entries*; durable only after :meth:`sync`."""
         self._write(encode_entries(entries))
 
-    def cut_from(self, index: int) -> None:
+    def truncate_from(self, index: int) -> None:
         """Drop the entries from *index* on; durable only after :meth:`sync`."""
         self._write(encode_truncation(index))
 
@@ -169,7 +169,7 @@
         self._bytes_written += len(data)
 
     def _replace_file(self, name: str, data: bytes) -> None:
-        write_whole(self._folder / name, data, self._fsync)
+        write_atomically(self._folder / name, data, self._fsync)
         self._bytes_written += len(data)
 
     def _read_snapshot(self) -> Snapshot:
@@ -179,7 +179,7 @@
         return decode_snapshot(path.read_bytes())
 
 
-def write_whole(path: Path, data: bytes, fsync: Callable[[int], None] = os.fsync) -> None:
+def write_atomically(path: Path, data: bytes, fsync: Callable[[int], None] = os.fsync) -> None:
     """Replace the file at *path* atomically and durably by *data*."""
     temporary = path.with_suffix(".tmp")
     with temporary.open("wb") as file:
--- a/src/foldloom/controllers/voter_changes.py
+++ b/src/foldloom/controllers/voter_changes.py
@@ -13,7 +13,7 @@
 
 from foldloom.clock import monotonic_ms
 from foldloom.controllers.commands import Command, VoterReadyCommand
-from foldloom.controllers.config import ANY_STORAGE
+from foldloom.controllers.config import UNRECORDED_STORAGE_ID
 from foldloom.controllers.followers import FollowerTable
 from foldloom.controllers.members import Standby, next_change
 from foldloom.controllers.participant import Leader
@@ -95,7 +95,7 @@
 
     def record_storage_id(self, box: str, storage_id: str, is_first: bool) -> None:
         """Record the data folder of a founding controller if it is not recorded yet."""
-        if self._controller.controllers.get(box) == ANY_STORAGE and is_first:
+        if self._controller.controllers.get(box) == UNRECORDED_STORAGE_ID and is_first:
             self._append_voter_ready(box, storage_id)
 
     def propose_next_change(self) -> None:
@@ -117,7 +117,7 @@
         ]
         command = next_change(
             self._controller.controllers,
-            self._controller.applied.state.founder_count,
+            self._controller.applied.state.target_voter_count,
             self._followers.unresponsive_since(unresponsive_since_ms)
             if has_observed_long_enough
             else [],
--- a/src/foldloom/exceptions.py
+++ b/src/foldloom/exceptions.py
@@ -28,7 +28,7 @@
     """A peer did not reply within the timeout, or can't be reached."""
 
 
-class LostMemoryError(FoldloomError):
+class DataLossError(FoldloomError):
     """The data folder is empty or corrupted, so this controller must not vote."""
 
 
--- a/src/foldloom/logs.py
+++ b/src/foldloom/logs.py
@@ -42,7 +42,7 @@
     suppressed: int
 
 
-class EventLimits:
+class EventRateLimits:
     """A token bucket for each kind of event.
 
     Args:
@@ -71,7 +71,7 @@
         return bucket.suppressed
 
 
-_LIMITS = EventLimits()
+_LIMITS = EventRateLimits()
 
 
 class ComponentLogger(logbook.Logger):  # type: ignore[misc]
--- a/src/foldloom/peers/lives.py
+++ b/src/foldloom/peers/lives.py
@@ -21,7 +21,7 @@
 _DRIFT_RATIO_MAX = 1e-4
 
 
-class Lives(Protocol):
+class IncarnationTracker(Protocol):
     """Tracks the current incarnation and the clock offset of each peer."""
 
     def current(self, sender: str) -> int:
@@ -58,7 +58,7 @@
     offset_ms: float
     observed_ms: float
 
-    def least_at(self, now_ms: float) -> float:
+    def min_offset_at(self, now_ms: float) -> float:
         """Return the smallest offset at *now_ms*, allowing for clock drift.
 
         Without the allowance, drift would make every later message look older than it is.
@@ -71,19 +71,19 @@
 ) -> _ClockOffset:
     """Return the clock offset of an incarnation, updated with one more message."""
     offset_ms = now_ms - sent_ms
-    if known is None or offset_ms <= known.least_at(now_ms):
+    if known is None or offset_ms <= known.min_offset_at(now_ms):
         return _ClockOffset(life, offset_ms, now_ms)
-    least_ms = offset_ms - age_max_ms
-    if least_ms > known.least_at(now_ms):
-        return _ClockOffset(life, least_ms, now_ms)
+    min_offset_ms = offset_ms - age_max_ms
+    if min_offset_ms > known.min_offset_at(now_ms):
+        return _ClockOffset(life, min_offset_ms, now_ms)
     return known
 
 
 def _age_ms(offset: _ClockOffset, sent_ms: float, now_ms: float) -> float:
-    return max(0.0, now_ms - sent_ms - offset.least_at(now_ms))
+    return max(0.0, now_ms - sent_ms - offset.min_offset_at(now_ms))
 
 
-class OrderedLives:
+class OrderedIncarnations:
     """Incarnations with increasing numbers; messages of lower ones are dropped."""
 
     def __init__(self) -> None:
@@ -108,7 +108,7 @@
         return _age_ms(offset, sent_ms, now_ms)
 
 
-class FreshLives:
+class UnorderedIncarnations:
     """Unordered incarnations; the one with the latest fresh message is current.
 
     The wall clock may be set back across a restart, so incarnation numbers can't be ordered.
--- a/src/foldloom/peers/messages.py
+++ b/src/foldloom/peers/messages.py
@@ -12,7 +12,7 @@
 import msgspec
 
 _ENCODER = msgspec.msgpack.Encoder()
-_KINDS: dict[int, type] = {}
+_TYPE_BY_KIND: dict[int, type] = {}
 _KIND_BY_TYPE: dict[type, int] = {}
 _METRIC_NAME_BY_TYPE: dict[type, str] = {}
 _DECODER_BY_KIND: dict[int, msgspec.msgpack.Decoder[Any]] = {}
@@ -69,9 +69,9 @@
     Raises:
         ValueError: The number is already registered.
     """
-    if kind in _KINDS:
-        raise ValueError(f"kind {kind} is already registered for {_KINDS[kind].__name__}")
-    _KINDS[kind] = message_type
+    if kind in _TYPE_BY_KIND:
+        raise ValueError(f"kind {kind} is already registered for {_TYPE_BY_KIND[kind].__name__}")
+    _TYPE_BY_KIND[kind] = message_type
     _KIND_BY_TYPE[message_type] = kind
     _METRIC_NAME_BY_TYPE[message_type] = counted_as or message_type.__name__
     _DECODER_BY_KIND[kind] = msgspec.msgpack.Decoder(message_type)
@@ -120,7 +120,7 @@
         return decoder.decode(frame.body)
     except msgspec.ValidationError:
         fields = msgspec.msgpack.decode(frame.body)
-        message_type = _KINDS[frame.kind]
+        message_type = _TYPE_BY_KIND[frame.kind]
         known = len(message_type._fields)  # type: ignore[attr-defined]
         if not isinstance(fields, list) or len(fields) <= known:
             raise
--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -27,7 +27,7 @@
 from foldloom.peers.connection import PeerConnection, SenderIdentity
 from foldloom.peers.curve import Curve
 from foldloom.peers.inbound import InboundSocket
-from foldloom.peers.lives import FreshLives, Lives, OrderedLives
+from foldloom.peers.lives import IncarnationTracker, OrderedIncarnations, UnorderedIncarnations
 from foldloom.peers.messages import (
     Envelope,
     Frame,
@@ -39,7 +39,7 @@
 )
 from foldloom.settings import PeerSettings, Settings
 from foldloom.tasks import TaskSet
-from foldloom.time_limits import TimeLimit
+from foldloom.time_limits import SuspendAwareTimeout
 
 # Bits of the random first request id; leaves room to count up within 64 bits.
 _REQUEST_ID_BITS = 62
@@ -83,7 +83,9 @@
         self._zone_by_box = {peer.box: peer.zone for peer in settings.peers}
         self._handlers: dict[type, Handler] = {}
         self._pending_requests: dict[int, _PendingRequest] = {}
-        self._lives: Lives = FreshLives() if self._uses_discovery else OrderedLives()
+        self._incarnations: IncarnationTracker = (
+            UnorderedIncarnations() if self._uses_discovery else OrderedIncarnations()
+        )
         self._send_tasks: dict[str, asyncio.Task[None]] = {}
         # Random, so that a reply to an earlier incarnation of this box matches no current request:
         # replies carry no incarnation of the requester.
@@ -110,7 +112,7 @@
         """Return the current incarnation of *box*, or 0 if unknown."""
         if box == self._settings.box:
             return self._incarnation
-        return self._lives.current(box)
+        return self._incarnations.current(box)
 
     def zone_of(self, box: str) -> str:
         """Return the availability zone of *box*, or an empty string if unknown."""
@@ -142,7 +144,7 @@
         if self._is_started:
             self._connect(box)
 
-    def drop_peer(self, box: str) -> None:
+    def remove_peer(self, box: str) -> None:
         """Close the connection to a box that has left; no effect without seed discovery."""
         if not self._uses_discovery or box not in self._peers:
             return
@@ -179,7 +181,7 @@
         try:
             self._enqueue(box, message, request_id, 0, int(timeout_ms) + 1)
             # asyncio.wait_for may lose a cancellation that arrives with the reply (Python 3.11).
-            async with TimeLimit(timeout_ms):
+            async with SuspendAwareTimeout(timeout_ms):
                 return await future
         except TimeoutError:
             raise PeerUnreachableError(f"{box} did not answer in {timeout_ms:.0f} ms") from None
@@ -225,7 +227,7 @@
             )
             return
         now_ms = monotonic_ms()
-        age_ms = self._lives.note(
+        age_ms = self._incarnations.note(
             envelope.sender,
             envelope.incarnation,
             envelope.sent_ms,
--- a/src/foldloom/seed_discovery/controller_box.py
+++ b/src/foldloom/seed_discovery/controller_box.py
@@ -12,7 +12,7 @@
 
 from expression import Result
 
-from foldloom.controllers.config import ANY_STORAGE, empty_config
+from foldloom.controllers.config import UNRECORDED_STORAGE_ID, empty_config
 from foldloom.controllers.controller import Callbacks, Controller
 from foldloom.controllers.handover import transfer_leadership
 from foldloom.controllers.state import Publication
@@ -78,7 +78,7 @@
         )
         is_founder = is_first_start and settings.box in settings.seeds
         _format_if_new(settings.data_folder, is_founder)
-        founders = dict.fromkeys(settings.seeds, ANY_STORAGE) if is_founder else {}
+        founders = dict.fromkeys(settings.seeds, UNRECORDED_STORAGE_ID) if is_founder else {}
         self._controller = Controller(
             settings,
             self._network,
@@ -138,11 +138,11 @@
         """Process an endpoint's report; return whether its service is configured."""
         return await self._registry.note_endpoint(record)
 
-    async def note_gone(self, endpoint: str) -> None:
+    async def deregister_endpoint(self, endpoint: str) -> None:
         """Process an endpoint's deregistration."""
-        await self._registry.note_gone(endpoint)
+        await self._registry.deregister_endpoint(endpoint)
 
-    def follow_seeds(self, seeds: list[str]) -> None:
+    def update_seeds(self, seeds: list[str]) -> None:
         """Apply the seeds of reloaded settings."""
         self._view.set_seeds(seeds)
         CONFIG_LOG.event("seeds.followed", seeds=", ".join(seeds))
--- a/src/foldloom/seed_discovery/endpoints/catalog.py
+++ b/src/foldloom/seed_discovery/endpoints/catalog.py
@@ -85,7 +85,7 @@
             return False
         return self._set(record, now_ms)
 
-    def note_farewell(self, endpoint: str, now_ms: float) -> bool:
+    def note_deregistration(self, endpoint: str, now_ms: float) -> bool:
         """Process the deregistration of *endpoint*; return whether it had an effect."""
         known = self.get(endpoint)
         if known is None or not accepts_deregistration(known):
--- a/src/foldloom/seed_discovery/entry_box.py
+++ b/src/foldloom/seed_discovery/entry_box.py
@@ -35,7 +35,7 @@
 from foldloom.seed_discovery.owners.zone_owner import ZoneOwner
 from foldloom.settings import ENTRY, Settings
 from foldloom.tasks import TaskSet
-from foldloom.time_limits import TimeLimit, sleep
+from foldloom.time_limits import SuspendAwareTimeout, sleep
 
 # Without heartbeats from any owner for this long, the box is not ready: three owner failovers.
 _OWNER_LOST_MS = 1_500.0
@@ -121,14 +121,14 @@
     async def wait_configured(self, timeout_ms: float) -> QueueTable | None:
         """Wait for the first configuration; return its queues, or ``None`` after *timeout_ms*."""
         try:
-            async with TimeLimit(timeout_ms):
+            async with SuspendAwareTimeout(timeout_ms):
                 await self._configured.wait()
         except TimeoutError:
             # Not configured yet: the caller answers with a retry delay.
             return None
         return self._queues
 
-    def follow_seeds(self, seeds: list[str]) -> None:
+    def update_seeds(self, seeds: list[str]) -> None:
         """Apply the seeds of reloaded settings."""
         self._view.set_seeds(seeds)
         CONFIG_LOG.event("seeds.followed", seeds=", ".join(seeds))
@@ -146,7 +146,7 @@
         await self._joiner.announce()
         await sleep(self._settings.timings.drain_ms)
 
-    async def give_up_jobs(self) -> None:
+    async def cancel_jobs(self) -> None:
         """Cancel the remaining jobs when the timeout of a planned stop is reached."""
         timings = self._settings.timings
         await sleep(timings.stop_timeout_ms - timings.drain_ms)
@@ -167,7 +167,7 @@
 
     async def _on_endpoints_pushed(self, endpoints: list[EndpointRecord]) -> None:
         if self._elector.owner is not None:
-            await self._elector.owner.follow_endpoints({one.endpoint for one in endpoints})
+            await self._elector.owner.sync_endpoints({one.endpoint for one in endpoints})
 
     def _on_heartbeat(self, heartbeat: OwnerHeartbeat) -> None:
         self._client.handle_heartbeat(heartbeat, self._holder.version)
--- a/src/foldloom/seed_discovery/fleet/cache.py
+++ b/src/foldloom/seed_discovery/fleet/cache.py
@@ -16,7 +16,7 @@
 import xxhash
 
 from foldloom.controllers.state import NO_PUBLICATION, Publication
-from foldloom.controllers.storage import write_whole
+from foldloom.controllers.storage import write_atomically
 from foldloom.logs import CONFIG_LOG
 
 _FILE_NAME = "published"
@@ -73,6 +73,6 @@
             body = _ENCODER.encode(publication)
             data = xxhash.xxh3_64_digest(body) + body
             try:
-                await asyncio.to_thread(write_whole, self._path, data, lambda _fd: None)
+                await asyncio.to_thread(write_atomically, self._path, data, lambda _fd: None)
             except OSError as error:
                 CONFIG_LOG.warning("Cannot write the configuration cache: {}.", error)
--- a/src/foldloom/seed_discovery/fleet/joiner.py
+++ b/src/foldloom/seed_discovery/fleet/joiner.py
@@ -21,7 +21,7 @@
     Join,
     JoinReply,
     Noted,
-    received_endpoints,
+    decode_endpoints,
 )
 from foldloom.seed_discovery.fleet.published import PublishedHolder
 from foldloom.seed_discovery.fleet.view import FleetView
@@ -87,7 +87,7 @@
             self._tasks[box] = asyncio.create_task(self._join_periodically(box))
         for box in set(self._tasks) - wanted:
             self._tasks.pop(box).cancel()
-            self._network.drop_peer(box)
+            self._network.remove_peer(box)
 
     async def _join_periodically(self, box: str) -> None:
         """Join one controller periodically.
@@ -128,14 +128,14 @@
         now_ms = monotonic_ms()
         for expired in self._view.note_controller(box, reply, now_ms):
             PEER_LOG.event("box.gone", gone=expired)
-            self._network.drop_peer(expired)
-        self._merge(received_endpoints(reply))
+            self._network.remove_peer(expired)
+        self._merge(decode_endpoints(reply))
         if reply.published_version > self._holder.version:
             await self._holder.pull_newer(box, reply.published_version)
         return reply
 
     async def _on_endpoints(self, _sender: str, message: EndpointsSeen) -> Noted:
-        endpoints = received_endpoints(message)
+        endpoints = decode_endpoints(message)
         self._merge(endpoints)
         await self._on_push(endpoints)
         return Noted()
--- a/src/foldloom/seed_discovery/fleet/messages.py
+++ b/src/foldloom/seed_discovery/fleet/messages.py
@@ -226,7 +226,7 @@
     owner: OwnerRecord
 
 
-def sent_endpoints(records: Iterable[EndpointRecord]) -> list[WireEndpoint]:
+def encode_endpoints(records: Iterable[EndpointRecord]) -> list[WireEndpoint]:
     """Return the wire form of *records*, without their start times."""
     return [WireEndpoint._make(record[: len(WireEndpoint._fields)]) for record in records]
 
@@ -236,7 +236,7 @@
     return tuple(record.born_ms for record in records)
 
 
-def received_endpoints(message: JoinReply | EndpointsSeen) -> list[EndpointRecord]:
+def decode_endpoints(message: JoinReply | EndpointsSeen) -> list[EndpointRecord]:
     """Return the endpoints in *message*; earlier releases send no start times."""
     start_times = chain(message.born_ms, repeat(0))
     return [
--- a/src/foldloom/seed_discovery/fleet/publisher.py
+++ b/src/foldloom/seed_discovery/fleet/publisher.py
@@ -19,7 +19,7 @@
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.peers.wire import PeerNetwork
 from foldloom.seed_discovery.fleet.messages import ReadPublished, ReadReply
-from foldloom.time_limits import TimeLimit
+from foldloom.time_limits import SuspendAwareTimeout
 from foldloom.verdicts import Problem, may_have_run, not_run
 
 # Small against the default election timeout (600 ms).
@@ -89,7 +89,7 @@
         """
         if self._controller.is_leading:
             try:
-                async with TimeLimit(left_ms):
+                async with SuspendAwareTimeout(left_ms):
                     return await propose(self._controller, payload)
             except TimeoutError:
                 raise PeerUnreachableError("proposal not committed in time") from None
--- a/src/foldloom/seed_discovery/fleet/registry.py
+++ b/src/foldloom/seed_discovery/fleet/registry.py
@@ -35,7 +35,7 @@
     OwnerRecord,
     Published,
     births_of,
-    sent_endpoints,
+    encode_endpoints,
 )
 from foldloom.seed_discovery.fleet.published import PublishedHolder
 from foldloom.settings import CONTROLLER, ENTRY
@@ -113,7 +113,7 @@
             ]:
                 del self._joined_boxes[box]
                 if box not in self._controllers():
-                    self._network.drop_peer(box)
+                    self._network.remove_peer(box)
             for endpoint in self._catalog.silent_since(now_ms - _ENDPOINT_EXPIRY_MS):
                 self._catalog.forget(endpoint)
             for endpoint in [one for one in self._last_dropped if self._catalog.get(one) is None]:
@@ -182,9 +182,9 @@
             known_born_ms=known.born_ms,
         )
 
-    async def note_gone(self, endpoint: str) -> None:
+    async def deregister_endpoint(self, endpoint: str) -> None:
         """Process an endpoint's deregistration."""
-        is_accepted = self._catalog.note_farewell(endpoint, monotonic_ms())
+        is_accepted = self._catalog.note_deregistration(endpoint, monotonic_ms())
         newest = self._catalog.get(endpoint)
         if newest is None:
             return
@@ -201,7 +201,7 @@
 
     async def _notify_zone(self, record: EndpointRecord) -> None:
         notifications = [
-            self._notify(entry.box, EndpointsSeen(sent_endpoints([record]), births_of([record])))
+            self._notify(entry.box, EndpointsSeen(encode_endpoints([record]), births_of([record])))
             for entry in self._live_entry_boxes()
             if entry.zone == record.zone
         ]
@@ -252,7 +252,7 @@
             published_version=self._holder.version,
             catalog_life=incarnation,
             catalog_revision=self._catalog.revision,
-            endpoints=sent_endpoints(endpoints),
+            endpoints=encode_endpoints(endpoints),
             born_ms=births_of(endpoints),
         )
 
--- a/src/foldloom/seed_discovery/fleet/view.py
+++ b/src/foldloom/seed_discovery/fleet/view.py
@@ -54,7 +54,7 @@
         return [box for box in known if box != self._own.box]
 
     @property
-    def is_informed(self) -> bool:
+    def has_controller_reply(self) -> bool:
         """Whether a controller has answered a join."""
         return bool(self._controller_lists)
 
@@ -66,7 +66,7 @@
         """Mark this box as being in a planned stop."""
         self._own = self._own._replace(is_leaving=True)
 
-    def entries_of(self, zone: str) -> list[str]:
+    def entry_boxes_in(self, zone: str) -> list[str]:
         """Return the entry boxes of *zone*, sorted, including this box if it is one."""
         boxes = [
             record.box
--- a/src/foldloom/seed_discovery/job_runner.py
+++ b/src/foldloom/seed_discovery/job_runner.py
@@ -30,7 +30,7 @@
 )
 from foldloom.seed_discovery.owners.open_job import OpenJob
 from foldloom.seed_discovery.scheduling.crashes import is_given_up
-from foldloom.time_limits import TimeLimit
+from foldloom.time_limits import SuspendAwareTimeout
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
 # About the duration of an owner failover.
@@ -134,7 +134,7 @@
 
     async def _run_until_deadline(self) -> JobResult:
         try:
-            async with TimeLimit(self._deadline_ms - monotonic_ms()):
+            async with SuspendAwareTimeout(self._deadline_ms - monotonic_ms()):
                 return await self._run_steps()
         except TimeoutError:
             # The deadline may interrupt any await in _run_steps.
--- a/src/foldloom/seed_discovery/owners/admission.py
+++ b/src/foldloom/seed_discovery/owners/admission.py
@@ -23,7 +23,7 @@
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.groups import RunGroup
 from foldloom.seed_discovery.scheduling.sharing import GroupId
-from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
+from foldloom.seed_discovery.scheduling.waiting import RunQueue
 
 # Time from a term's first job during which no job is rejected: covers two polls of the endpoints
 # with their timeout of 250 ms.
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        waiting: WaitingRuns,
+        waiting: RunQueue,
         stealing: WorkStealing,
         candidates: Mapping[str, ZoneEndpoint],
         all_endpoints: Callable[[], Sequence[EndpointRecord]],
--- a/src/foldloom/seed_discovery/owners/batches.py
+++ b/src/foldloom/seed_discovery/owners/batches.py
@@ -14,11 +14,11 @@
 from foldloom.seed_discovery.jobs.spec import TaskId
 from foldloom.seed_discovery.owners.messages import RunEnd, RunOrder, SubmitRuns
 from foldloom.seed_discovery.owners.open_job import OpenJob
-from foldloom.seed_discovery.owners.started_jobs import REMEMBERED_MS
+from foldloom.seed_discovery.owners.started_jobs import STARTED_JOB_GRACE_MS
 
 # How long after a job's deadline a box accepts an owner's statement that nothing was started.
 # Shorter than the owner's record of starts, to allow for clock skew.
-BELIEVED_MS = REMEMBERED_MS - 100.0
+REPLY_VALID_MS = STARTED_JOB_GRACE_MS - 100.0
 
 
 class _OpenRun(NamedTuple):
@@ -55,12 +55,12 @@
         return [run.order for run in self._open.values()]
 
     @property
-    def believed_until_ms(self) -> float:
+    def reply_valid_until_ms(self) -> float:
         """Until when an owner's statement on starts is valid; own monotonic clock.
 
         The owner's record of a start outlasts it.
         """
-        return self.job.began_ms + self.template.deadline_ms + BELIEVED_MS
+        return self.job.began_ms + self.template.deadline_ms + REPLY_VALID_MS
 
     @property
     def terms(self) -> frozenset[int]:
@@ -93,8 +93,8 @@
             # The end of an earlier delivery; the run has been delivered again since.
             return None
         del self._open[end.run_id.task]
-        is_believed = monotonic_ms() < self.believed_until_ms and not run.terms - {token}
-        self.has_started = self.has_started or end.has_started or not is_believed
+        is_reply_valid = monotonic_ms() < self.reply_valid_until_ms and not run.terms - {token}
+        self.has_started = self.has_started or end.has_started or not is_reply_valid
         return run.order
 
     def clear(self) -> None:
--- a/src/foldloom/seed_discovery/owners/cancels.py
+++ b/src/foldloom/seed_discovery/owners/cancels.py
@@ -30,7 +30,7 @@
         connections: The connections to the owners, by zone; more may be added later.
         home_zone: The own zone.
         network: The peers.
-        gone_after_ms: Longest time that a run can stay on its endpoint after it is cancelled.
+        run_expiry_ms: Longest time that a run can stay on its endpoint after it is cancelled.
     """
 
     def __init__(
@@ -38,12 +38,12 @@
         connections: Mapping[str, OwnerConnection],
         home_zone: str,
         network: PeerNetwork,
-        gone_after_ms: float,
+        run_expiry_ms: float,
     ) -> None:
         self._connections = connections
         self._home_zone = home_zone
         self._network = network
-        self._gone_after_s = gone_after_ms / 1_000
+        self._gone_after_s = run_expiry_ms / 1_000
         self._remote_cancels: dict[str, asyncio.Task[None]] = {}
         self._tasks = TaskSet()
 
@@ -75,7 +75,7 @@
             for zone, cancel in cancels.items()
         }
 
-    async def wait_ended(self, job_id: str) -> None:
+    async def wait_until_gone(self, job_id: str) -> None:
         """Wait until no cancelled run of this id can still run in another zone.
 
         A resubmission of the id starts in the own zone, whose owner tracks runs that are stopping
@@ -111,7 +111,7 @@
                 continue
             if reply.has_started:
                 return Answer.STARTED
-            if monotonic_ms() >= withdrawal.believed_until_ms:
+            if monotonic_ms() >= withdrawal.reply_valid_until_ms:
                 return Answer.NONE_ANY_MORE
             if connection.is_granted(owner, withdrawal.grant):
                 return Answer.NOT_STARTED
--- a/src/foldloom/seed_discovery/owners/client.py
+++ b/src/foldloom/seed_discovery/owners/client.py
@@ -19,7 +19,7 @@
 from foldloom.seed_discovery.owners.batches import Batch
 from foldloom.seed_discovery.owners.cancels import Cancels
 from foldloom.seed_discovery.owners.connection import LostRun, OwnerConnection
-from foldloom.seed_discovery.owners.lease import gone_after_ms
+from foldloom.seed_discovery.owners.lease import run_expiry_ms
 from foldloom.seed_discovery.owners.messages import (
     EndCause,
     EndsNoted,
@@ -64,7 +64,7 @@
         )
         self._connections: dict[str, OwnerConnection] = {view.own.zone: self._own_zone_connection}
         self._cancels = Cancels(
-            self._connections, view.own.zone, network, gone_after_ms(timings.endpoint_lease_ms)
+            self._connections, view.own.zone, network, run_expiry_ms(timings.endpoint_lease_ms)
         )
         self._tasks = TaskSet()
         network.on(RunsEnded, self._on_ends)
@@ -97,7 +97,7 @@
         self, job: OpenJob, template: SubmitRuns, orders: list[RunOrder]
     ) -> SubmitReply:
         """Deliver runs of *job* to an owner, waiting for one if necessary; return its reply."""
-        await self._cancels.wait_ended(job.job_id)
+        await self._cancels.wait_until_gone(job.job_id)
         while (connection := self._select_connection()) is None:
             await asyncio.sleep(_OWNER_CHECK_S)
         return await connection.submit(
--- a/src/foldloom/seed_discovery/owners/crashed_endpoints.py
+++ b/src/foldloom/seed_discovery/owners/crashed_endpoints.py
@@ -47,7 +47,7 @@
             lifecycle.finish(run, EndCause.LAPSED, "", now_ms)
 
 
-def give_up_crashing(lifecycle: RunLifecycle, message: SubmitRuns, now_ms: float) -> None:
+def end_runs_over_crash_limit(lifecycle: RunLifecycle, message: SubmitRuns, now_ms: float) -> None:
     """Merge the crash counts of a submission and end its queued runs at their crash limit."""
     for order in message.orders:
         task = TaskId(message.job_id, message.repeat, order.step, order.position)
--- a/src/foldloom/seed_discovery/owners/deliveries.py
+++ b/src/foldloom/seed_discovery/owners/deliveries.py
@@ -55,7 +55,7 @@
         lifecycle: The runs.
         stealing: The reservations for runs of other zones.
         candidates: The zone's endpoints by id.
-        gone_after_ms: Longest time that a run can outlive its owner's grant.
+        run_expiry_ms: Longest time that a run can outlive its owner's grant.
     """
 
     def __init__(
@@ -63,12 +63,12 @@
         lifecycle: RunLifecycle,
         stealing: WorkStealing,
         candidates: Mapping[str, ZoneEndpoint],
-        gone_after_ms: float,
+        run_expiry_ms: float,
     ) -> None:
         self._lifecycle = lifecycle
         self._stealing = stealing
         self._candidates = candidates
-        self._gone_after_ms = gone_after_ms
+        self._gone_after_ms = run_expiry_ms
         self._cancels: dict[tuple[HolderId, str], _Cancel] = {}
 
     def deliver(self, holder: HolderId, message: SubmitRuns, now_ms: float) -> None:
@@ -77,7 +77,7 @@
         bound = recovery_bound(now_ms, message.old_right_ms, self._gone_after_ms)
         for order in message.orders:
             task = TaskId(message.job_id, message.repeat, order.step, order.position)
-            self._stealing.note_arrived(group_of(task))
+            self._stealing.release_reservation(group_of(task))
             self._accept_run(holder, task, order, spec, bound, now_ms)
 
     def cancel(self, holder: HolderId, job_id: str, delivery: int, now_ms: float) -> bool:
--- a/src/foldloom/seed_discovery/owners/election.py
+++ b/src/foldloom/seed_discovery/owners/election.py
@@ -27,13 +27,13 @@
     Args:
         asked: Number of witnesses queried.
         answered: Number of witnesses that answered.
-        least_silent_ms: Age of the newest heartbeat at any of them; ``None`` without one.
+        newest_heartbeat_age_ms: Age of the newest heartbeat at any of them; ``None`` without one.
         highest_token: Highest token known to this box or any of them.
     """
 
     asked: int
     answered: int
-    least_silent_ms: float | None
+    newest_heartbeat_age_ms: float | None
     highest_token: int
 
 
@@ -42,7 +42,7 @@
     return sorted(candidates).index(box) if box in candidates else len(candidates)
 
 
-def patience_ms(silent_ms: float, rank: int, has_known_owner: bool) -> float:
+def silence_timeout_ms(silent_ms: float, rank: int, has_known_owner: bool) -> float:
     """Return the silence timeout of the candidate at *rank*.
 
     It is short while no owner is known, because witnesses would report one.
@@ -57,8 +57,8 @@
     """
     if witnesses.asked and not witnesses.answered:
         return False
-    least_silent_ms = witnesses.least_silent_ms
-    return least_silent_ms is None or least_silent_ms >= silent_ms
+    newest_heartbeat_age_ms = witnesses.newest_heartbeat_age_ms
+    return newest_heartbeat_age_ms is None or newest_heartbeat_age_ms >= silent_ms
 
 
 def next_token(highest_known: int, time_of_day_s: float, box_bits: int) -> int:
--- a/src/foldloom/seed_discovery/owners/elector.py
+++ b/src/foldloom/seed_discovery/owners/elector.py
@@ -30,7 +30,7 @@
     may_acquire,
     new_box_bits,
     next_token,
-    patience_ms,
+    silence_timeout_ms,
     token_above,
 )
 from foldloom.seed_discovery.owners.zone_owner import ZoneOwner
@@ -95,17 +95,17 @@
         return monotonic_ms() - self._heartbeat_ms
 
     @property
-    def patience_ms(self) -> float:
+    def silence_timeout_ms(self) -> float:
         """Silence timeout after which this box tries to acquire the zone."""
         own = self._view.own.box
         candidates = [
             box
-            for box in self._view.entries_of(self._zone)
+            for box in self._view.entry_boxes_in(self._zone)
             # The silent owner itself gets no rank.
             if box == own or not (box == self._known.box or self._view.is_leaving(box))
         ]
         rank = candidate_rank(own, candidates)
-        return patience_ms(self._timings.owner_silent_ms, rank, bool(self._known.token))
+        return silence_timeout_ms(self._timings.owner_silent_ms, rank, bool(self._known.token))
 
     async def run(self) -> None:
         """Acquire the zone whenever its owner is gone; runs until cancelled."""
@@ -124,7 +124,7 @@
             return ""
         successors = [
             box
-            for box in self._view.entries_of(self._zone)
+            for box in self._view.entry_boxes_in(self._zone)
             if box != self._view.own.box and not self._view.is_leaving(box)
         ]
         successors.sort(key=lambda box: self._network.known_incarnation(box) == 0)
@@ -158,13 +158,17 @@
             self._heartbeat_ms = now_ms - self._timings.owner_silent_ms / 2
 
     def _is_due(self) -> bool:
-        if self._owner is not None or self._view.own.is_leaving or not self._view.is_informed:
+        if (
+            self._owner is not None
+            or self._view.own.is_leaving
+            or not self._view.has_controller_reply
+        ):
             return False
-        return self.silent_ms >= self.patience_ms
+        return self.silent_ms >= self.silence_timeout_ms
 
     async def _query_witnesses(self) -> WitnessAnswers:
         own = self._view.own.box
-        others = [box for box in self._view.entries_of(self._zone) if box != own]
+        others = [box for box in self._view.entry_boxes_in(self._zone) if box != own]
         asked = [*others, *self._view.controllers]
         answers = await asyncio.gather(*(self._request(box) for box in asked))
         received = [answer for answer in answers if answer is not None]
--- a/src/foldloom/seed_discovery/owners/endpoint_link.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_link.py
@@ -49,7 +49,7 @@
     longest_real_ms: float
 
 
-class Answerer(Enum):
+class AnswerSource(Enum):
     """Which incarnation of an endpoint an answer is from."""
 
     THIS = "this"
@@ -57,7 +57,7 @@
     EARLIER = "earlier"
 
 
-def classify_answer(answer_born_ms: int, born_ms: int, has_answered: bool) -> Answerer:
+def classify_answer(answer_born_ms: int, born_ms: int, has_answered: bool) -> AnswerSource:
     """Return which incarnation an answer is from.
 
     Incarnations share the endpoint's id, and an answer may arrive before the first heartbeat of a
@@ -69,13 +69,13 @@
         has_answered: Whether the known incarnation has answered before.
     """
     if not answer_born_ms or answer_born_ms == born_ms:
-        return Answerer.THIS
+        return AnswerSource.THIS
     if not born_ms and not has_answered:
-        return Answerer.THIS
-    return Answerer.NEXT if answer_born_ms > born_ms else Answerer.EARLIER
+        return AnswerSource.THIS
+    return AnswerSource.NEXT if answer_born_ms > born_ms else AnswerSource.EARLIER
 
 
-class LinkOwner(Protocol):
+class LinkListener(Protocol):
     """Receiver of a link's events; also decides on lease renewal."""
 
     def may_renew(self, endpoint: str, now_ms: float) -> bool:
@@ -87,16 +87,16 @@
     def note_overdue(self, endpoint: str, call: str) -> None:
         """Handle an overdue answer of *endpoint* to a *call*."""
 
-    def note_silent(self, endpoint: str) -> None:
+    def handle_unanswered_poll(self, endpoint: str) -> None:
         """Handle a failed poll of *endpoint*."""
 
-    def note_crashed(self, endpoint: str) -> None:
+    def handle_crash(self, endpoint: str) -> None:
         """Handle a crash of *endpoint*: nothing listens at its address any more."""
 
-    def note_life_over(self, endpoint: str, born_ms: int) -> None:
+    def note_incarnation_ended(self, endpoint: str, born_ms: int) -> None:
         """Handle the certain end of the incarnation of *endpoint* born at *born_ms*."""
 
-    def note_next_life(self, endpoint: str, born_ms: int) -> None:
+    def note_next_incarnation(self, endpoint: str, born_ms: int) -> None:
         """Handle an answer of a later incarnation of *endpoint*, born at *born_ms*."""
 
     def note_fenced(self, endpoint: str) -> None:
@@ -122,7 +122,7 @@
         record: EndpointRecord,
         terms: LeaseTerms,
         calls: EndpointCalls,
-        owner: LinkOwner,
+        owner: LinkListener,
         born_ms: int = 0,
         replaces_previous: bool = False,
     ) -> None:
@@ -135,11 +135,11 @@
         self._owner = owner
         # Orders meant for the previous incarnation may have reached this one; their leases last no
         # longer than the longest that the endpoint accepts.
-        self._misled_until_ms = (
+        self._stale_orders_until_ms = (
             self.answered_ms + terms.longest_real_ms if replaces_previous else 0.0
         )
         self._last_sequence = 0
-        self._has_just_answered = False
+        self._last_poll_succeeded = False
         self._is_silent = False
         self._has_lapsed = False
         self._is_over = False
@@ -154,7 +154,7 @@
         """Whether this incarnation has certainly ended: another id answered at its address."""
         return self._is_over
 
-    def answerer(self, answer_born_ms: int) -> Answerer:
+    def answer_source(self, answer_born_ms: int) -> AnswerSource:
         """Return which incarnation an answer with this birth time (0 if none) is from."""
         return classify_answer(answer_born_ms, self.born_ms, self.clock.is_known)
 
@@ -170,7 +170,7 @@
             return False
         if now_ms < self.clock.lapses_by() + LAPSE_MARGIN_MS:
             return False
-        if now_ms < self._misled_until_ms + LAPSE_MARGIN_MS:
+        if now_ms < self._stale_orders_until_ms + LAPSE_MARGIN_MS:
             return False
         # Leases ordered by an earlier owner are not covered by this clock.
         if now_ms < self.answered_ms + self._terms.lease_real_ms + LAPSE_MARGIN_MS:
@@ -186,11 +186,11 @@
             order = self._next_order(sent_ms)
             renews_next = not self.clock.is_known or self._is_silent
             reply = await self._poll(order)
-            answerer = self.answerer(reply.born_ms)
-            if answerer is Answerer.NEXT:
-                self._owner.note_next_life(self.record.endpoint, reply.born_ms)
+            answer_source = self.answer_source(reply.born_ms)
+            if answer_source is AnswerSource.NEXT:
+                self._owner.note_next_incarnation(self.record.endpoint, reply.born_ms)
                 return
-            if reply.outcome is CallOutcome.DONE and answerer is Answerer.THIS:
+            if reply.outcome is CallOutcome.DONE and answer_source is AnswerSource.THIS:
                 backoff_s = _BACKOFF_MIN_S
                 self._handle_reply(reply, sent_ms)
                 if not order.wait_ms and not renews_next:
@@ -200,7 +200,7 @@
                 self._owner.note_fenced(self.record.endpoint)
             elif reply.outcome is CallOutcome.OTHER_LIFE:
                 self._is_over = True
-                self._owner.note_life_over(self.record.endpoint, self.born_ms)
+                self._owner.note_incarnation_ended(self.record.endpoint, self.born_ms)
                 return
             else:
                 self._note_silent(reply)
@@ -208,7 +208,7 @@
             backoff_s = min(backoff_s * 2, _BACKOFF_MAX_S)
 
     async def _pause(self, backoff_s: float) -> None:
-        self._has_just_answered = False
+        self._last_poll_succeeded = False
         await asyncio.sleep(backoff_s)
 
     async def _poll(self, order: PollOrder) -> PollReply:
@@ -239,7 +239,7 @@
         wait_ms = _POLL_WAIT_MS if renews else 0
         # After a failed poll, the next answer may come from a new incarnation, which numbers its
         # ends from 1 again and would drop those up to an acknowledged number.
-        seen = self._last_sequence if self._has_just_answered else 0
+        seen = self._last_sequence if self._last_poll_succeeded else 0
         return PollOrder(self._terms.token, seen, until_ms, wait_ms)
 
     def _handle_reply(self, reply: PollReply, sent_ms: float) -> None:
@@ -247,7 +247,7 @@
         self.clock.note(reply.clock_ms, now_ms)
         self.answered_ms = now_ms
         self.born_ms = self.born_ms or reply.born_ms
-        self._has_just_answered = True
+        self._last_poll_succeeded = True
         if self._is_silent:
             ENDPOINT_LOG.event("endpoint.answers", endpoint=self.record.endpoint)
         self._is_silent = False
@@ -268,6 +268,6 @@
                 heard_ms_ago=int(monotonic_ms() - self.answered_ms),
             )
         self._is_silent = True
-        self._owner.note_silent(self.record.endpoint)
+        self._owner.handle_unanswered_poll(self.record.endpoint)
         if reply.outcome is CallOutcome.NO_LISTENER and self.clock.is_known:
-            self._owner.note_crashed(self.record.endpoint)
+            self._owner.handle_crash(self.record.endpoint)
--- a/src/foldloom/seed_discovery/owners/endpoint_links.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_links.py
@@ -15,10 +15,10 @@
 from foldloom.seed_discovery.endpoints.catalog import EndpointCatalog
 from foldloom.seed_discovery.endpoints.records import EndpointRecord
 from foldloom.seed_discovery.owners.endpoint_link import (
-    Answerer,
+    AnswerSource,
     EndpointLink,
     LeaseTerms,
-    LinkOwner,
+    LinkListener,
 )
 from foldloom.seed_discovery.owners.state import OwnerState
 
@@ -45,7 +45,7 @@
         catalog: EndpointCatalog,
         terms: LeaseTerms,
         calls: EndpointCalls,
-        owner: LinkOwner,
+        owner: LinkListener,
     ) -> None:
         self._zone = zone
         self._state = state
@@ -76,14 +76,14 @@
         for endpoint, record in records.items():
             link = self._links.get(endpoint)
             if link is None:
-                self._state.follow_endpoint(record)
+                self._state.update_endpoint(record)
                 self._open(EndpointLink(record, *self._link_args, record.born_ms))
                 continue
             if record.born_ms > link.born_ms:
                 self._replace(link, record, record.born_ms, "heartbeat")
-                self._state.follow_endpoint(record)
+                self._state.update_endpoint(record)
             elif record.born_ms in (0, link.born_ms):
-                self._state.follow_endpoint(record)
+                self._state.update_endpoint(record)
                 link.record = record
         for endpoint in [name for name in self._links if name not in records]:
             if self._has_ended(endpoint):
@@ -91,17 +91,17 @@
                 continue
             removed = self._catalog.get(endpoint)
             if removed is not None:
-                self._state.follow_endpoint(removed)
+                self._state.update_endpoint(removed)
 
     def _has_ended(self, endpoint: str) -> bool:
         """Return whether an endpoint that the catalog has removed can be dropped."""
         link = self._links[endpoint]
         return not link.born_ms or link.is_over or self._state.candidates[endpoint].is_idle
 
-    def begin_life(self, endpoint: str, born_ms: int) -> None:
+    def begin_incarnation(self, endpoint: str, born_ms: int) -> None:
         """Open a link to an incarnation of *endpoint* that answered before its first heartbeat."""
         link = self._links.get(endpoint)
-        if link is not None and link.answerer(born_ms) is Answerer.NEXT:
+        if link is not None and link.answer_source(born_ms) is AnswerSource.NEXT:
             self._replace(link, link.record, born_ms, "answer")
 
     def check_silent_endpoints(self, now_ms: float) -> None:
@@ -110,7 +110,7 @@
             if link.has_lapsed(now_ms):
                 silent_ms = int(now_ms - link.answered_ms)
                 ENDPOINT_LOG.event("endpoint.lapsed", endpoint=endpoint, silent_ms=silent_ms)
-                self._state.note_lapsed(endpoint, now_ms)
+                self._state.handle_lease_expiry(endpoint, now_ms)
             if link.is_silent and now_ms - link.answered_ms > _SILENT_REMOVAL_MS:
                 self._catalog.forget(endpoint)
 
@@ -125,7 +125,7 @@
             born_before_ms=link.born_ms,
             source=source,
         )
-        self._state.begin_life(record.endpoint, monotonic_ms())
+        self._state.begin_incarnation(record.endpoint, monotonic_ms())
         # If the previous link's task is the caller, it returns by itself.
         if self._tasks[record.endpoint] is not asyncio.current_task():
             self._tasks[record.endpoint].cancel()
@@ -140,4 +140,4 @@
         """Drop a removed endpoint; its runs end with it."""
         del self._links[endpoint]
         self._tasks.pop(endpoint).cancel()
-        self._state.drop_endpoint(endpoint, now_ms)
+        self._state.remove_endpoint(endpoint, now_ms)
--- a/src/foldloom/seed_discovery/owners/grant.py
+++ b/src/foldloom/seed_discovery/owners/grant.py
@@ -13,13 +13,13 @@
 
 from __future__ import annotations
 
-from foldloom.seed_discovery.owners.lease import gone_after_ms
+from foldloom.seed_discovery.owners.lease import run_expiry_ms
 from foldloom.settings import TimingSettings
 
 
 def grant_timeout_ms(timings: TimingSettings) -> float:
     """Return the time without a heartbeat after which a grant has lapsed, in milliseconds."""
-    return timings.session_ms + gone_after_ms(timings.endpoint_lease_ms)
+    return timings.session_ms + run_expiry_ms(timings.endpoint_lease_ms)
 
 
 class Grant:
--- a/src/foldloom/seed_discovery/owners/heartbeats.py
+++ b/src/foldloom/seed_discovery/owners/heartbeats.py
@@ -63,5 +63,5 @@
         view = self._context.view
         entries = view.entries
         if len(entries) > _BROADCAST_ENTRIES_MAX:
-            entries = view.entries_of(self._record.zone)
+            entries = view.entry_boxes_in(self._record.zone)
         return list(dict.fromkeys([*entries, *self._other_owners(), *view.controllers]))
--- a/src/foldloom/seed_discovery/owners/late_starts.py
+++ b/src/foldloom/seed_discovery/owners/late_starts.py
@@ -16,7 +16,7 @@
 from foldloom.seed_discovery.owners.actions import StopAction
 
 # Maximum delay after which an unanswered start order can still be carried out.
-LATE_ORDER_MAX_MS = 12_000.0
+UNANSWERED_ORDER_TTL_MS = 12_000.0
 
 
 class _UnconfirmedStart(NamedTuple):
@@ -33,7 +33,7 @@
     is_stop_confirmed: bool = False
 
 
-class LateStarts:
+class UnansweredStarts:
     """The unanswered start orders of one owner's term.
 
     Kept independently of the endpoint's state, since an endpoint may leave and rejoin meanwhile.
@@ -85,6 +85,6 @@
     def _expire(self, now_ms: float) -> None:
         # Insertion order is time order.
         for stop, unconfirmed in list(self._pending.items()):
-            if now_ms - unconfirmed.noted_ms < LATE_ORDER_MAX_MS:
+            if now_ms - unconfirmed.noted_ms < UNANSWERED_ORDER_TTL_MS:
                 return
             del self._pending[stop]
--- a/src/foldloom/seed_discovery/owners/lease.py
+++ b/src/foldloom/seed_discovery/owners/lease.py
@@ -63,7 +63,7 @@
     return lease_ms / _CLOCK_RATE_MIN
 
 
-def gone_after_ms(lease_ms: float) -> float:
+def run_expiry_ms(lease_ms: float) -> float:
     """Return how long a run may remain on an endpoint after the end of the owner's session.
 
     The owner orders the stop at once and, while it is unconfirmed, renews the endpoint's lease for
--- a/src/foldloom/seed_discovery/owners/lifecycle.py
+++ b/src/foldloom/seed_discovery/owners/lifecycle.py
@@ -41,7 +41,7 @@
 from foldloom.seed_discovery.scheduling.runs import HolderId, Run, RunState
 from foldloom.seed_discovery.scheduling.sharing import group_of
 from foldloom.seed_discovery.scheduling.speeds import EndpointSpeeds
-from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
+from foldloom.seed_discovery.scheduling.waiting import RunQueue
 
 
 class RunLifecycle:
@@ -59,7 +59,7 @@
         # Dicts serve as ordered sets, so that the order of actions is deterministic.
         self._tasks_by_job: dict[str, dict[TaskId, None]] = {}
         self._estimates = Estimates()
-        self.waiting = WaitingRuns(self._estimates)
+        self.waiting = RunQueue(self._estimates)
         self.speeds = EndpointSpeeds()
         self.tombstones = Tombstones()
         self.started = StartedJobs()
@@ -119,7 +119,7 @@
         """Return the unconfirmed stops last sent before *before_ms*, and mark them as sent now."""
         retransmitted = []
         for run in self.in_state(RunState.STOPPING):
-            if run.stop_known_ms or run.stop_sent_ms >= before_ms:
+            if run.stop_confirmed_ms or run.stop_sent_ms >= before_ms:
                 continue
             run.stop_sent_ms = now_ms
             retransmitted.append(StopAction(run.run_id, run.endpoint))
--- a/src/foldloom/seed_discovery/owners/loads.py
+++ b/src/foldloom/seed_discovery/owners/loads.py
@@ -7,10 +7,10 @@
 
 from foldloom.seed_discovery.fleet.messages import ZoneLoad
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
-from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
+from foldloom.seed_discovery.scheduling.waiting import RunQueue
 
 
-def zone_load(candidates: Iterable[ZoneEndpoint], waiting: WaitingRuns, now_ms: float) -> ZoneLoad:
+def zone_load(candidates: Iterable[ZoneEndpoint], waiting: RunQueue, now_ms: float) -> ZoneLoad:
     """Return the load of the endpoints that are eligible for placement now.
 
     Args:
--- a/src/foldloom/seed_discovery/owners/offers.py
+++ b/src/foldloom/seed_discovery/owners/offers.py
@@ -74,4 +74,4 @@
             # Runs granted all the same are submitted here without a reservation.
             self._metrics.count("claims.unanswered")
         self._metrics.count("runs.claimed", granted)
-        self._state.note_stolen(action, granted)
+        self._state.handle_steal_reply(action, granted)
--- a/src/foldloom/seed_discovery/owners/order_sender.py
+++ b/src/foldloom/seed_discovery/owners/order_sender.py
@@ -17,9 +17,9 @@
 from foldloom.seed_discovery.owners.context import OwnerContext
 from foldloom.seed_discovery.owners.endpoint_link import (
     SUSPECT_AFTER_MS,
-    Answerer,
+    AnswerSource,
     EndpointLink,
-    LinkOwner,
+    LinkListener,
 )
 from foldloom.seed_discovery.owners.endpoint_links import EndpointLinks
 from foldloom.seed_discovery.owners.sessions import Sessions
@@ -46,7 +46,7 @@
         sessions: Sessions,
         links: EndpointLinks,
         context: OwnerContext,
-        owner: LinkOwner,
+        owner: LinkListener,
     ) -> None:
         self._token = token
         self._state = state
@@ -128,10 +128,10 @@
 
     def _note_answerer(self, link: EndpointLink, reply: CallReply, now_ms: float) -> None:
         """Update the link's clock, or report that a later incarnation has answered."""
-        answerer = link.answerer(reply.born_ms)
-        if answerer is Answerer.NEXT:
-            self._owner.note_next_life(link.record.endpoint, reply.born_ms)
-        elif answerer is Answerer.THIS and reply.clock_ms:
+        answer_source = link.answer_source(reply.born_ms)
+        if answer_source is AnswerSource.NEXT:
+            self._owner.note_next_incarnation(link.record.endpoint, reply.born_ms)
+        elif answer_source is AnswerSource.THIS and reply.clock_ms:
             link.clock.note(reply.clock_ms, now_ms)
 
     def _may_start(self, action: StartAction, now_ms: float) -> bool:
@@ -140,16 +140,16 @@
         Checked immediately before the call, since grants may have lapsed during a pause of this
         process. A start renews the lease of its whole endpoint.
         """
-        run = self._state.run_of(action.run_id.task)
+        run = self._state.current_run(action.run_id.task)
         has_live_holder = run is not None and any(
-            self._sessions.has_right(holder, now_ms) for holder in run.holders
+            self._sessions.has_session(holder, now_ms) for holder in run.holders
         )
         return has_live_holder and self._owner.may_renew(action.endpoint, now_ms)
 
     def _log_start(
         self, action: StartAction, link: EndpointLink, until_ms: int, now_ms: float
     ) -> None:
-        run = self._state.run_of(action.run_id.task)
+        run = self._state.current_run(action.run_id.task)
         candidate = self._state.candidates.get(action.endpoint)
         if run is None or candidate is None:
             return
--- a/src/foldloom/seed_discovery/owners/orders.py
+++ b/src/foldloom/seed_discovery/owners/orders.py
@@ -64,7 +64,7 @@
     if run is None or run.state is not RunState.STOPPING:
         return
     if outcome is CallOutcome.DONE:
-        run.stop_known_ms = now_ms
+        run.stop_confirmed_ms = now_ms
 
 
 def _current_run(lifecycle: RunLifecycle, run_id: RunId, endpoint: str) -> Run | None:
@@ -86,7 +86,7 @@
     if candidate is None:
         return
     if outcome in (CallOutcome.OTHER_LIFE, CallOutcome.NO_LISTENER):
-        candidate.is_trusted = False
+        candidate.has_current_report = False
         return
     backoff_ms = UNHEALTHY_BACKOFF_MS if outcome is CallOutcome.REFUSED else NO_CAPACITY_BACKOFF_MS
-    candidate.blocked_until_ms = now_ms + backoff_ms
+    candidate.backoff_until_ms = now_ms + backoff_ms
--- a/src/foldloom/seed_discovery/owners/recovery.py
+++ b/src/foldloom/seed_discovery/owners/recovery.py
@@ -12,16 +12,16 @@
 from foldloom.seed_discovery.scheduling.runs import RecoveryBound, Run
 
 
-def recovery_bound(now_ms: float, old_right_ms: float, gone_after_ms: float) -> RecoveryBound:
+def recovery_bound(now_ms: float, old_right_ms: float, run_expiry_ms: float) -> RecoveryBound:
     """Return until when a run of an earlier owner may be on an endpoint.
 
     Args:
         now_ms: Own monotonic clock.
         old_right_ms: Remaining time of the earlier owner's grant.
-        gone_after_ms: Longest time after the end of that grant until the run's lease expires.
+        run_expiry_ms: Longest time after the end of that grant until the run's lease expires.
     """
     grant_ends_ms = now_ms + old_right_ms
-    return RecoveryBound(grant_ends_ms, grant_ends_ms + gone_after_ms)
+    return RecoveryBound(grant_ends_ms, grant_ends_ms + run_expiry_ms)
 
 
 def is_lost(run: Run, polled_ms: Iterable[float], is_catalog_complete: bool, now_ms: float) -> bool:
--- a/src/foldloom/seed_discovery/owners/reports.py
+++ b/src/foldloom/seed_discovery/owners/reports.py
@@ -55,11 +55,11 @@
         asked_ms: When the owner polled for the report. A report polled for before the latest order
             took effect is inconclusive.
     """
-    if max(run.since_ms, run.stop_known_ms) >= asked_ms:
+    if max(run.since_ms, run.stop_confirmed_ms) >= asked_ms:
         return None
     if run.state is RunState.RUNNING:
         return EndCause.LOST
-    if run.state is RunState.STOPPING and run.stop_known_ms:
+    if run.state is RunState.STOPPING and run.stop_confirmed_ms:
         return EndCause.STOPPED
     return None
 
--- a/src/foldloom/seed_discovery/owners/sessions.py
+++ b/src/foldloom/seed_discovery/owners/sessions.py
@@ -101,7 +101,7 @@
         self._tasks: dict[HolderId, asyncio.Task[None]] = {}
         self._lapsed: set[HolderId] = set()
 
-    def has_right(self, holder: HolderId, now_ms: float) -> bool:
+    def has_session(self, holder: HolderId, now_ms: float) -> bool:
         """Return whether the session with *holder* is in force."""
         session = self._sessions.get(holder)
         return session is not None and now_ms < session.expires_ms
--- a/src/foldloom/seed_discovery/owners/started_jobs.py
+++ b/src/foldloom/seed_discovery/owners/started_jobs.py
@@ -3,9 +3,9 @@
 
 The owner's statement that no run of a job has started rests on this list alone. A job counts as
 started before its first start order is sent, when an endpoint reports a run or an end of it, and
-when a box submits a run that an earlier owner may have started. It is kept until ``REMEMBERED_MS``
-after the latest deadline of the boxes that submitted it, independently of its runs, sessions and
-tombstones. Boxes ignore statements that they process later than that.
+when a box submits a run that an earlier owner may have started. It is kept until
+``STARTED_JOB_GRACE_MS`` after the latest deadline of the boxes that submitted it, independently of
+its runs, sessions and tombstones. Boxes ignore statements that they process later than that.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 # How long a job is kept after its deadline, so that a delayed box still gets a valid answer.
-REMEMBERED_MS = 2_000.0
+STARTED_JOB_GRACE_MS = 2_000.0
 # How long a job is kept that no box has submitted and whose deadline is therefore unknown.
 _LISTED_JOB_TTL_MS = 6_000.0
 
@@ -47,11 +47,11 @@
 
     def note_delivered(self, job_id: str, deadline_ms: float) -> None:
         """Record a submission by a box that gives the job up at *deadline_ms*; own clock."""
-        self._extend(job_id, deadline_ms + REMEMBERED_MS, has_started=False)
+        self._extend(job_id, deadline_ms + STARTED_JOB_GRACE_MS, has_started=False)
 
     def note(self, job_id: str, deadline_ms: float) -> None:
         """Record a job with a run that may start; the job is given up at *deadline_ms*."""
-        self._extend(job_id, deadline_ms + REMEMBERED_MS, has_started=True)
+        self._extend(job_id, deadline_ms + STARTED_JOB_GRACE_MS, has_started=True)
 
     def note_listed(self, job_id: str, now_ms: float) -> None:
         """Record a job with a run or end reported by an endpoint."""
--- a/src/foldloom/seed_discovery/owners/state.py
+++ b/src/foldloom/seed_discovery/owners/state.py
@@ -18,12 +18,12 @@
 from foldloom.seed_discovery.owners.actions import Actions, StealAction, StopAction
 from foldloom.seed_discovery.owners.admission import Admission
 from foldloom.seed_discovery.owners.crashed_endpoints import (
-    give_up_crashing,
+    end_runs_over_crash_limit,
     may_have_crashed,
     note_crash,
 )
 from foldloom.seed_discovery.owners.deliveries import Deliveries, newest_delivery
-from foldloom.seed_discovery.owners.late_starts import LateStarts
+from foldloom.seed_discovery.owners.late_starts import UnansweredStarts
 from foldloom.seed_discovery.owners.lifecycle import RunLifecycle
 from foldloom.seed_discovery.owners.loads import zone_load
 from foldloom.seed_discovery.owners.messages import (
@@ -37,13 +37,13 @@
 from foldloom.seed_discovery.owners.recovery import is_lost
 from foldloom.seed_discovery.owners.reports import orphans_to_stop, reconcile
 from foldloom.seed_discovery.owners.stealing import WorkStealing
-from foldloom.seed_discovery.owners.stragglers import judge_running
+from foldloom.seed_discovery.owners.stragglers import handle_stragglers
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.placing import place
 from foldloom.seed_discovery.scheduling.ranking import Tier, tier_of
 from foldloom.seed_discovery.scheduling.runs import HolderId, Run, RunState
 from foldloom.seed_discovery.scheduling.sharing import GroupId, GroupSummary
-from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
+from foldloom.seed_discovery.scheduling.waiting import RunQueue
 
 # Groups of queued runs that one offer to other zones lists, the next in order first.
 OFFERED_GROUPS_MAX = 24
@@ -53,14 +53,14 @@
     """The runs and endpoints of one zone during one term of its owner.
 
     Args:
-        gone_after_ms: Longest time that a run can outlive its owner's grant.
+        run_expiry_ms: Longest time that a run can outlive its owner's grant.
         all_endpoints: Returns the endpoint records of all zones; empty while the catalog may be
             incomplete.
     """
 
     def __init__(
         self,
-        gone_after_ms: float,
+        run_expiry_ms: float,
         all_endpoints: Callable[[], Sequence[EndpointRecord]] = tuple,
     ) -> None:
         self._is_catalog_complete = False
@@ -68,10 +68,10 @@
         self._last_polled_ms: dict[str, float] = {}
         self.actions = Actions()
         self._lifecycle = RunLifecycle(self._candidates, self.actions)
-        self._late_starts = LateStarts()
+        self._late_starts = UnansweredStarts()
         self._stealing = WorkStealing(self._candidates)
         self._deliveries = Deliveries(
-            self._lifecycle, self._stealing, self._candidates, gone_after_ms
+            self._lifecycle, self._stealing, self._candidates, run_expiry_ms
         )
         self._admission = Admission(
             self._lifecycle.waiting, self._stealing, self._candidates, all_endpoints
@@ -83,7 +83,7 @@
         return self._candidates
 
     @property
-    def waiting(self) -> WaitingRuns:
+    def waiting(self) -> RunQueue:
         """The queued runs."""
         return self._lifecycle.waiting
 
@@ -95,7 +95,7 @@
         """Return the estimated speed of *endpoint* relative to the median endpoint."""
         return self._lifecycle.speeds.speed_of(endpoint)
 
-    def run_of(self, task: TaskId) -> Run | None:
+    def current_run(self, task: TaskId) -> Run | None:
         """Return the current run of *task*, if any."""
         return self._lifecycle.get(task)
 
@@ -106,7 +106,7 @@
         if self._deliveries.was_cancelled(holder, message, now_ms):
             return SubmitReply(SubmitStatus.REFUSED, "cancelled")
         self._deliveries.deliver(holder, message, now_ms)
-        give_up_crashing(self._lifecycle, message, now_ms)
+        end_runs_over_crash_limit(self._lifecycle, message, now_ms)
         reply = self._admission.judge(message, now_ms)
         if reply.status is SubmitStatus.REFUSED:
             self.cancel(holder, message.job_id, now_ms, newest_delivery(message))
@@ -143,7 +143,7 @@
         """Return summaries of the queued groups, to be offered to other zones."""
         return self.waiting.summaries(now_ms, OFFERED_GROUPS_MAX)
 
-    def release_stolen(self, key: GroupId, runs: int, zone: str, now_ms: float) -> int:
+    def release_to_zone(self, key: GroupId, runs: int, zone: str, now_ms: float) -> int:
         """Hand up to *runs* queued runs of a group to another zone; return the number handed over.
 
         Their boxes are notified to deliver them to the owner of *zone*.
@@ -159,17 +159,17 @@
             self._lifecycle.retire(run, end, now_ms)
         return len(released)
 
-    def note_stolen(self, action: StealAction, granted: int) -> None:
+    def handle_steal_reply(self, action: StealAction, granted: int) -> None:
         """Record that the owner of the other zone granted *granted* of the requested runs."""
-        self._stealing.note_granted(action, granted)
+        self._stealing.settle_reservations(action, granted)
 
     # Endpoints.
 
-    def trust_catalog(self) -> None:
+    def mark_catalog_complete(self) -> None:
         """Mark the catalog complete: it holds every endpoint that an earlier owner used."""
         self._is_catalog_complete = True
 
-    def follow_endpoint(self, record: EndpointRecord) -> None:
+    def update_endpoint(self, record: EndpointRecord) -> None:
         """Add an endpoint, or update its record."""
         known = self._candidates.get(record.endpoint)
         if known is None:
@@ -177,15 +177,15 @@
             return
         known.follow(record)
 
-    def drop_endpoint(self, endpoint: str, now_ms: float) -> None:
+    def remove_endpoint(self, endpoint: str, now_ms: float) -> None:
         """Remove an endpoint whose incarnation has certainly ended, and finish its runs."""
-        self.note_lapsed(endpoint, now_ms)
+        self.handle_lease_expiry(endpoint, now_ms)
         self._late_starts.end_life(endpoint)
         self._candidates.pop(endpoint, None)
         self._last_polled_ms.pop(endpoint, None)
         self._lifecycle.speeds.forget(endpoint)
 
-    def begin_life(self, endpoint: str, now_ms: float) -> None:
+    def begin_incarnation(self, endpoint: str, now_ms: float) -> None:
         """Handle a new incarnation of *endpoint* under the same id.
 
         Runs of the previous incarnation are not finished yet: the new one has the same id and may
@@ -197,38 +197,38 @@
         if candidate is None:
             return
         note_crash(self._lifecycle, candidate, now_ms)
-        candidate.begin_life()
+        candidate.begin_incarnation()
         self._late_starts.end_life(endpoint)
         for stop in self._late_starts.stops_due((endpoint,), now_ms, now_ms):
             self.actions.stop(stop)
         self._last_polled_ms.pop(endpoint, None)
         self._lifecycle.speeds.forget(endpoint)
 
-    def distrust(self, endpoint: str) -> None:
+    def exclude_from_placement(self, endpoint: str) -> None:
         """Exclude an endpoint from placement until its next report."""
         candidate = self._candidates.get(endpoint)
         if candidate is not None:
-            candidate.is_trusted = False
+            candidate.has_current_report = False
 
-    def note_silent(self, endpoint: str) -> None:
+    def handle_unanswered_poll(self, endpoint: str) -> None:
         """Handle an unanswered poll of an endpoint."""
-        self.distrust(endpoint)
+        self.exclude_from_placement(endpoint)
         candidate = self._candidates.get(endpoint)
         if candidate is not None:
             candidate.is_silent = True
 
-    def note_crashed(self, endpoint: str, now_ms: float) -> None:
+    def handle_crash(self, endpoint: str, now_ms: float) -> None:
         """Handle the crash of the current incarnation of *endpoint*."""
         candidate = self._candidates.get(endpoint)
         if candidate is not None:
             note_crash(self._lifecycle, candidate, now_ms)
 
-    def note_lapsed(self, endpoint: str, now_ms: float) -> None:
+    def handle_lease_expiry(self, endpoint: str, now_ms: float) -> None:
         """Finish the runs on *endpoint*: every lease there has certainly expired."""
         candidate = self._candidates.get(endpoint)
         if candidate is None:
             return
-        candidate.is_trusted = False
+        candidate.has_current_report = False
         candidate.orphans.clear()
         for task in candidate.room.tasks:
             run = self._lifecycle.get(task)
@@ -257,9 +257,9 @@
             return
         reconcile(self._lifecycle, candidate, report, now_ms)
         self._last_polled_ms[report.endpoint] = report.asked_ms
-        candidate.is_trusted = candidate.is_described(report.born_ms)
+        candidate.has_current_report = candidate.has_current_record(report.born_ms)
         candidate.is_silent = False
-        candidate.note_alive()
+        candidate.mark_alive()
 
     def note_start(self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float) -> None:
         """Handle the outcome of a start order."""
@@ -273,7 +273,7 @@
             self._late_starts.note_stopped(run_id, endpoint)
         note_stop(self._lifecycle, run_id, endpoint, outcome, now_ms)
 
-    def stops_to_repeat(self, before_ms: float, now_ms: float) -> list[StopAction]:
+    def stops_to_retransmit(self, before_ms: float, now_ms: float) -> list[StopAction]:
         """Return the unconfirmed stops last sent before *before_ms*, for retransmission."""
         stops = self._lifecycle.retransmit_stops(before_ms, now_ms)
         answering = {
@@ -290,9 +290,9 @@
         for endpoint, run_id in orphans_to_stop(self._candidates, now_ms):
             self.actions.stop(StopAction(run_id, endpoint))
         self._retire_unattainable(now_ms)
-        judge_running(self._lifecycle, now_ms)
+        handle_stragglers(self._lifecycle, now_ms)
         for candidate in self._candidates.values():
-            candidate.room.unreserve_expired(now_ms)
+            candidate.room.expire_reservations(now_ms)
         self._deliveries.expire_cancels(now_ms)
         self._lifecycle.tombstones.expire(now_ms)
         self._lifecycle.started.expire(now_ms)
--- a/src/foldloom/seed_discovery/owners/stealing.py
+++ b/src/foldloom/seed_discovery/owners/stealing.py
@@ -49,13 +49,13 @@
             if now_ms - received.received_ms < REMOTE_VIEW_TTL_MS
         ]
 
-    def note_granted(self, action: StealAction, granted: int) -> None:
+    def settle_reservations(self, action: StealAction, granted: int) -> None:
         """Keep a reservation for each granted run and cancel the rest."""
         self._reservations.setdefault(action.group, []).extend(action.reservations[:granted])
         for reservation in action.reservations[granted:]:
             self._cancel_reservation(reservation)
 
-    def note_arrived(self, group: GroupId) -> None:
+    def release_reservation(self, group: GroupId) -> None:
         """Cancel the reservation for a run of *group* that has been submitted here."""
         reservations = self._reservations.get(group)
         if not reservations:
--- a/src/foldloom/seed_discovery/owners/stragglers.py
+++ b/src/foldloom/seed_discovery/owners/stragglers.py
@@ -15,7 +15,7 @@
 STUCK_MARGIN_MS = 40.0
 # Multiple of the run time at which the task's previous attempt was stopped as stuck. A task that
 # runs far longer than estimated would never end if each attempt were stopped at the same age.
-STOPPED_FACTOR = 2.0
+STUCK_RETRY_FACTOR = 2.0
 
 
 def is_overdue(ran_ms: float, expected_ms: float) -> bool:
@@ -23,19 +23,19 @@
     return ran_ms > OVERDUE_FACTOR * expected_ms
 
 
-def is_stuck(ran_ms: float, longest_ms: float, stopped_after_ms: float = 0.0) -> bool:
+def is_stuck(ran_ms: float, longest_ms: float, stuck_attempt_ms: float = 0.0) -> bool:
     """Return whether a run should be stopped and started elsewhere.
 
     Args:
         ran_ms: Run time so far.
         longest_ms: Plausible duration of the longest task of its step.
-        stopped_after_ms: Run time of the previous attempt if it was stopped as stuck, or 0.
+        stuck_attempt_ms: Run time of the previous attempt if it was stopped as stuck, or 0.
     """
     allowed_ms = STUCK_FACTOR * longest_ms + STUCK_MARGIN_MS
-    return ran_ms > max(allowed_ms, STOPPED_FACTOR * stopped_after_ms)
+    return ran_ms > max(allowed_ms, STUCK_RETRY_FACTOR * stuck_attempt_ms)
 
 
-def judge_running(lifecycle: RunLifecycle, now_ms: float) -> None:
+def handle_stragglers(lifecycle: RunLifecycle, now_ms: float) -> None:
     """Update endpoint speeds from overdue runs and stop stuck runs.
 
     Runs are not stopped once the job's late start deadline has passed.
@@ -50,6 +50,6 @@
         lifecycle.speeds.note_overdue(run.endpoint, ran_ms, group.expected_ms)
         if now_ms >= group.late_start_deadline_ms():
             continue
-        if is_stuck(ran_ms, group.longest_plausible_ms, run.stopped_after_ms):
-            run.stopped_after_ms = ran_ms
+        if is_stuck(ran_ms, group.longest_plausible_ms, run.stuck_attempt_ms):
+            run.stuck_attempt_ms = ran_ms
             lifecycle.stop(run, now_ms)
--- a/src/foldloom/seed_discovery/owners/withdrawal.py
+++ b/src/foldloom/seed_discovery/owners/withdrawal.py
@@ -33,7 +33,7 @@
         job_id: The job.
         owner: The zone's current owner.
         grant: The number of the owner's grant.
-        believed_until_ms: Until when the owner's statement on starts is valid; own monotonic clock.
+        reply_valid_until_ms: Expiry of the owner's statement on starts; own monotonic clock.
         open_runs: Number of runs without an end.
         has_started: Whether a run has started, or may have been started in an earlier term.
         needs_cancel: Whether the owner was sent a run that has no end yet.
@@ -43,7 +43,7 @@
     job_id: str
     owner: OwnerRecord
     grant: int
-    believed_until_ms: float
+    reply_valid_until_ms: float
     open_runs: int
     has_started: bool
     needs_cancel: bool
@@ -70,7 +70,7 @@
         job_id=batches[0].job.job_id,
         owner=owner,
         grant=grant,
-        believed_until_ms=min(batch.believed_until_ms for batch in batches),
+        reply_valid_until_ms=min(batch.reply_valid_until_ms for batch in batches),
         open_runs=len(orders),
         has_started=has_started or bool(terms - {owner.token}),
         needs_cancel=owner.token in terms,
--- a/src/foldloom/seed_discovery/owners/zone_owner.py
+++ b/src/foldloom/seed_discovery/owners/zone_owner.py
@@ -29,8 +29,8 @@
 from foldloom.seed_discovery.owners.heartbeats import HeartbeatSender
 from foldloom.seed_discovery.owners.lease import (
     STOP_OVERDUE_MS,
-    gone_after_ms,
     max_real_duration_ms,
+    run_expiry_ms,
 )
 from foldloom.seed_discovery.owners.messages import (
     CancelJob,
@@ -76,7 +76,7 @@
         self._network = context.network
         self._metrics = context.metrics
         self._on_fenced = on_fenced
-        self._state = OwnerState(gone_after_ms(timings.endpoint_lease_ms), self._all_endpoints)
+        self._state = OwnerState(run_expiry_ms(timings.endpoint_lease_ms), self._all_endpoints)
         self._sessions = Sessions(record.zone, record.token, context.network, timings.session_ms)
         lease_ms = float(timings.endpoint_lease_ms)
         terms = LeaseTerms(
@@ -146,7 +146,7 @@
         now_ms = monotonic_ms()
         if message.token != self.token or self._is_closed:
             return SubmitReply(SubmitStatus.NOT_OWNER, "another token")
-        if not self._sessions.has_right(holder, now_ms):
+        if not self._sessions.has_session(holder, now_ms):
             return SubmitReply(SubmitStatus.NOT_OWNER, "no session")
         reply = self._state.submit(holder, message, now_ms)
         log_delivery(self._record, sender, message, reply, self.load)
@@ -160,14 +160,14 @@
         earlier terms on this box are not recorded here.
         """
         holder = HolderId(sender, self._network.known_incarnation(sender))
-        is_asked = message.token in (0, self.token)
+        is_addressed = message.token in (0, self.token)
         known = self._state.cancel(holder, message.job_id, monotonic_ms(), message.delivery)
-        has_started = known or not is_asked
+        has_started = known or not is_addressed
         log_cancel(self._record, sender, message, has_started)
         self._execute_actions()
         return Cancelled(has_started)
 
-    async def follow_endpoints(self, endpoints: Container[str]) -> None:
+    async def sync_endpoints(self, endpoints: Container[str]) -> None:
         """Apply the catalog at once and wait until no start is in flight to *endpoints*.
 
         A draining endpoint's report is answered after that, so that no task reaches the endpoint
@@ -193,7 +193,7 @@
         """Handle a work-stealing request from another zone's owner."""
         if self._is_closed:
             return StealReply(0)
-        given = self._state.release_stolen(
+        given = self._state.release_to_zone(
             message.group, message.runs, message.zone, monotonic_ms()
         )
         self._execute_actions()
@@ -231,30 +231,30 @@
     def note_overdue(self, endpoint: str, call: str) -> None:
         """Exclude *endpoint*, whose answer is overdue, from placement until it answers."""
         candidate = self._state.candidates.get(endpoint)
-        if candidate is not None and candidate.is_trusted:
+        if candidate is not None and candidate.has_current_report:
             ENDPOINT_LOG.event("endpoint.suspected", endpoint=endpoint, call=call)
-            self._state.distrust(endpoint)
+            self._state.exclude_from_placement(endpoint)
 
-    def note_silent(self, endpoint: str) -> None:
+    def handle_unanswered_poll(self, endpoint: str) -> None:
         """Handle a failed poll of *endpoint*."""
-        self._state.note_silent(endpoint)
+        self._state.handle_unanswered_poll(endpoint)
 
-    def note_crashed(self, endpoint: str) -> None:
+    def handle_crash(self, endpoint: str) -> None:
         """Handle a crash of *endpoint*: nothing listens at its address any more."""
         if not self._is_closed:
-            self._state.note_crashed(endpoint, monotonic_ms())
+            self._state.handle_crash(endpoint, monotonic_ms())
             self._execute_actions()
 
-    def note_life_over(self, endpoint: str, born_ms: int) -> None:
+    def note_incarnation_ended(self, endpoint: str, born_ms: int) -> None:
         """Handle the certain end of the incarnation of *endpoint* born at *born_ms*."""
         ENDPOINT_LOG.event("endpoint.life_over", endpoint=endpoint, born_ms=born_ms)
-        self.note_crashed(endpoint)
+        self.handle_crash(endpoint)
         self._context.catalog.end_life(endpoint, born_ms, monotonic_ms())
 
-    def note_next_life(self, endpoint: str, born_ms: int) -> None:
+    def note_next_incarnation(self, endpoint: str, born_ms: int) -> None:
         """Handle an answer of a later incarnation of *endpoint*, born at *born_ms*."""
         if not self._is_closed:
-            self._links.begin_life(endpoint, born_ms)
+            self._links.begin_incarnation(endpoint, born_ms)
 
     def note_fenced(self, endpoint: str) -> None:
         """Report that *endpoint* has seen a higher token."""
@@ -270,7 +270,7 @@
         while True:
             now_ms = monotonic_ms()
             if self._context.catalog_age_ms() > _CATALOG_COMPLETE_AFTER_MS:
-                self._state.trust_catalog()
+                self._state.mark_catalog_complete()
             self._links.sync_with_catalog(now_ms)
             self._end_lapsed_sessions(now_ms)
             # While isolated, another box may own the zone and renew the leases of endpoints that
@@ -278,7 +278,7 @@
             if not self.is_isolated:
                 self._links.check_silent_endpoints(now_ms)
             self._state.tick(now_ms)
-            for stop in self._state.stops_to_repeat(now_ms - _STOP_RETRANSMISSION_MS, now_ms):
+            for stop in self._state.stops_to_retransmit(now_ms - _STOP_RETRANSMISSION_MS, now_ms):
                 self._tasks.spawn(self._orders.stop(stop))
             self._execute_actions()
             await asyncio.sleep(_TICK_S)
--- a/src/foldloom/seed_discovery/scheduling/crashes.py
+++ b/src/foldloom/seed_discovery/scheduling/crashes.py
@@ -19,7 +19,7 @@
 # Endpoint crashes after which a task is not started again.
 _CRASHES_MAX = 3
 # The same if the task was the only one on at least one of these endpoints.
-_CRASHES_MAX_ALONE = 2
+_SOLE_TASK_CRASHES_MAX = 2
 
 
 class CrashCount(NamedTuple):
@@ -61,7 +61,7 @@
 
 def is_given_up(count: CrashCount) -> bool:
     """Return whether a task has reached its crash limit and must not start again."""
-    if count.alone and count.crashes >= _CRASHES_MAX_ALONE:
+    if count.alone and count.crashes >= _SOLE_TASK_CRASHES_MAX:
         return True
     return count.crashes >= _CRASHES_MAX
 
--- a/src/foldloom/seed_discovery/scheduling/endpoints.py
+++ b/src/foldloom/seed_discovery/scheduling/endpoints.py
@@ -35,9 +35,9 @@
     def __init__(self, record: EndpointRecord) -> None:
         self.record = record
         self.room = EndpointCapacity(record.capacity)
-        self.is_trusted = False
+        self.has_current_report = False
         self.is_silent = False
-        self.blocked_until_ms = 0.0
+        self.backoff_until_ms = 0.0
         self.orphans: dict[TaskId, OrphanedRun] = {}
         self.has_crashed = False
         self.lapsed_tasks: list[TaskId] = []
@@ -50,7 +50,12 @@
     @property
     def is_overdue(self) -> bool:
         """Whether it is ineligible only because its report is overdue."""
-        return self.is_ready and not self.is_trusted and not self.is_silent and not self.has_crashed
+        return (
+            self.is_ready
+            and not self.has_current_report
+            and not self.is_silent
+            and not self.has_crashed
+        )
 
     @property
     def is_idle(self) -> bool:
@@ -62,20 +67,20 @@
         self.record = record
         self.room.set_capacity(record.capacity)
 
-    def begin_life(self) -> None:
+    def begin_incarnation(self) -> None:
         """Reset the state of the previous incarnation; allocations stay until the next report."""
-        self.is_trusted = False
+        self.has_current_report = False
         self.is_silent = False
-        self.blocked_until_ms = 0.0
+        self.backoff_until_ms = 0.0
         self.orphans.clear()
-        self.note_alive()
+        self.mark_alive()
 
-    def note_alive(self) -> None:
+    def mark_alive(self) -> None:
         """Clear the crash state: the present incarnation has answered."""
         self.has_crashed = False
         self.lapsed_tasks = []
 
-    def is_described(self, born_ms: int) -> bool:
+    def has_current_record(self, born_ms: int) -> bool:
         """Return whether the record covers the incarnation started at *born_ms*.
 
         True if the record has no start time. The capacity and state of an incarnation are unknown
@@ -89,10 +94,10 @@
         Its free capacity is unknown while it has orphaned runs.
         """
         return (
-            self.is_trusted
+            self.has_current_report
             and self.is_ready
             and not self.orphans
-            and now_ms >= self.blocked_until_ms
+            and now_ms >= self.backoff_until_ms
         )
 
     def has_capacity_for(self, demand: Demand) -> bool:
--- a/src/foldloom/seed_discovery/scheduling/placing.py
+++ b/src/foldloom/seed_discovery/scheduling/placing.py
@@ -25,7 +25,7 @@
     group_of,
 )
 from foldloom.seed_discovery.scheduling.speeds import EndpointSpeeds
-from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
+from foldloom.seed_discovery.scheduling.waiting import RunQueue
 
 _reservation_numbers = itertools.count(1)
 
@@ -102,7 +102,7 @@
 
 
 def place(
-    waiting: WaitingRuns,
+    waiting: RunQueue,
     remote: RemoteGroups,
     candidates: Mapping[str, ZoneEndpoint],
     speeds: EndpointSpeeds,
@@ -135,7 +135,7 @@
 
 def _place_group(
     group: RunGroup,
-    waiting: WaitingRuns,
+    waiting: RunQueue,
     places: _PlacementContext,
     exhausted: set[_Requirements],
     now_ms: float,
--- a/src/foldloom/seed_discovery/scheduling/rooms.py
+++ b/src/foldloom/seed_discovery/scheduling/rooms.py
@@ -99,7 +99,7 @@
         if reserved is not None:
             self._free = add_demand(self._free, reserved.demand)
 
-    def unreserve_expired(self, now_ms: float) -> None:
+    def expire_reservations(self, now_ms: float) -> None:
         """Cancel expired reservations."""
         for number, reserved in list(self._reservations_by_number.items()):
             if now_ms >= reserved.until_ms:
--- a/src/foldloom/seed_discovery/scheduling/runs.py
+++ b/src/foldloom/seed_discovery/scheduling/runs.py
@@ -66,8 +66,8 @@
     """The present run of a task; an owner has at most one for each task.
 
     ``began_ms`` is when this owner sent the start order (0: an earlier owner did);
-    ``stop_known_ms`` when the endpoint confirmed a stop order (0: not yet);
-    ``stopped_after_ms`` the run time of the previous attempt if it was stopped as stuck (0: it was
+    ``stop_confirmed_ms`` when the endpoint confirmed a stop order (0: not yet);
+    ``stuck_attempt_ms`` the run time of the previous attempt if it was stopped as stuck (0: it was
     not); ``holders`` the boxes that want the run, each with its newest delivery of it.
 
     Args:
@@ -85,9 +85,9 @@
         "since_ms",
         "spec",
         "state",
-        "stop_known_ms",
+        "stop_confirmed_ms",
         "stop_sent_ms",
-        "stopped_after_ms",
+        "stuck_attempt_ms",
         "task",
         "recovery_bound",
         "endpoint",
@@ -103,9 +103,9 @@
         self.since_ms = since_ms
         self.endpoint = ""
         self.began_ms = 0.0
-        self.stop_known_ms = 0.0
+        self.stop_confirmed_ms = 0.0
         self.stop_sent_ms = 0.0
-        self.stopped_after_ms = 0.0
+        self.stuck_attempt_ms = 0.0
         self.holders: dict[HolderId, int] = {}
         self.recovery_bound = RecoveryBound(0.0, 0.0)
 
@@ -120,7 +120,7 @@
             self.began_ms = now_ms
         elif state is RunState.QUEUED:
             self.began_ms = 0.0
-            self.stop_known_ms = 0.0
+            self.stop_confirmed_ms = 0.0
         self.state = state
         self.since_ms = now_ms
         self.endpoint = endpoint
--- a/src/foldloom/seed_discovery/scheduling/waiting.py
+++ b/src/foldloom/seed_discovery/scheduling/waiting.py
@@ -11,7 +11,7 @@
 from foldloom.seed_discovery.scheduling.sharing import GroupId, GroupSummary, group_of
 
 
-class WaitingRuns:
+class RunQueue:
     """The groups with any run at this owner, and their queued runs.
 
     Args:
--- a/src/foldloom/static_peers/box.py
+++ b/src/foldloom/static_peers/box.py
@@ -12,7 +12,7 @@
 
 from foldloom.clock import monotonic_ms
 from foldloom.controllers.client import ControllerClient
-from foldloom.controllers.config import ANY_STORAGE, Config, empty_config
+from foldloom.controllers.config import UNRECORDED_STORAGE_ID, Config, empty_config
 from foldloom.controllers.controller import Callbacks, Controller
 from foldloom.controllers.holder import ConfigHolder
 from foldloom.ids import new_incarnation
@@ -188,7 +188,7 @@
         """Poll for changes of configuration, membership and the platform's list."""
         while True:
             for box, state in self._membership.states.items():
-                self._holder.note_version(box, state.heartbeat.config_version)
+                self._holder.pull_if_newer(box, state.heartbeat.config_version)
             if self._entry is not None:
                 self._entry.propagate_inputs()
             await asyncio.sleep(_INPUT_POLL_S)
@@ -212,5 +212,5 @@
 def _initial_config(settings: Settings) -> Config:
     """Return version 0 of the configuration, derived from the settings."""
     zones = {peer.box: peer.zone for peer in settings.peers if ENTRY in peer.roles}
-    controllers = dict.fromkeys(settings.controller_names, ANY_STORAGE)
+    controllers = dict.fromkeys(settings.controller_names, UNRECORDED_STORAGE_ID)
     return empty_config(zones, controllers)
--- a/src/foldloom/static_peers/claims/acquire.py
+++ b/src/foldloom/static_peers/claims/acquire.py
@@ -111,7 +111,7 @@
             else:
                 self._network.send(box, message)
 
-    def release_held(self, submission: str, claim: Claim) -> None:
+    def notify_withdrawn(self, submission: str, claim: Claim) -> None:
         """Notify the replicas that the coordinator of *claim* has withdrawn it."""
         message = ReleaseHeld(submission, claim.coordinator, claim.incarnation, claim.attempt)
         for box in self._service.replicas_of(submission).boxes:
--- a/src/foldloom/static_peers/claims/votes.py
+++ b/src/foldloom/static_peers/claims/votes.py
@@ -10,18 +10,20 @@
 
 
 def is_won(
-    replicas: ReplicaSets, replies: dict[str, ClaimReply], known_life: Callable[[str], int]
+    replicas: ReplicaSets,
+    replies: dict[str, ClaimReply],
+    known_incarnation_of: Callable[[str], int],
 ) -> bool:
     """Return whether *replies* contain a majority of valid votes.
 
-    A vote is valid unless another voter, or this box (*known_life*), knows a newer incarnation of
-    its voter, which has lost the claims of the earlier one.
+    A vote is valid unless another voter, or this box (*known_incarnation_of*), has a newer
+    incarnation of its voter on record, which has lost the claims of the earlier one.
     """
     granted = {box: reply for box, reply in replies.items() if reply.vote is Vote.GRANTED}
     valid = {
         box
         for box, reply in granted.items()
-        if _newest_incarnation(box, granted, known_life) <= reply.incarnation
+        if _newest_incarnation(box, granted, known_incarnation_of) <= reply.incarnation
     }
     return replicas.is_majority(valid)
 
@@ -33,7 +35,7 @@
 
 
 def _newest_incarnation(
-    box: str, granted: dict[str, ClaimReply], known_life: Callable[[str], int]
+    box: str, granted: dict[str, ClaimReply], known_incarnation_of: Callable[[str], int]
 ) -> int:
     known_by_voters = [reply.known.get(box, 0) for other, reply in granted.items() if other != box]
-    return max(known_life(box), *known_by_voters, 0)
+    return max(known_incarnation_of(box), *known_by_voters, 0)
--- a/src/foldloom/static_peers/entry/bodies.py
+++ b/src/foldloom/static_peers/entry/bodies.py
@@ -5,7 +5,7 @@
 
 from aiohttp import web
 
-from foldloom.time_limits import TimeLimit
+from foldloom.time_limits import SuspendAwareTimeout
 from foldloom.verdicts import Problem, not_run
 
 PROBLEM_TYPE = "application/problem+json"
@@ -14,7 +14,7 @@
 async def read_body(request: web.Request, timeout_ms: int) -> bytes | Problem:
     """Return the complete body, or the problem to respond with."""
     try:
-        async with TimeLimit(timeout_ms):
+        async with SuspendAwareTimeout(timeout_ms):
             return await request.read()
     except TimeoutError:
         # The caller is slow or has disconnected.
--- a/src/foldloom/static_peers/entry/coordinator.py
+++ b/src/foldloom/static_peers/entry/coordinator.py
@@ -85,7 +85,7 @@
         assert job.response is not None
         return job.response
 
-    async def finish_all(self) -> None:
+    async def wait_all_finished(self) -> None:
         """Wait until every job of this box has a response."""
         await self._tasks.wait()
 
@@ -134,7 +134,7 @@
             followed = await self._follow(job, holder, deadline_ms)
             if followed.end is FollowEnd.RESPONSE:
                 return followed.response
-            self._acquirer.release_held(job.submission, holder)
+            self._acquirer.notify_withdrawn(job.submission, holder)
         return None
 
     async def _follow(self, job: Job, holder: Claim, deadline_ms: float) -> Followed:
--- a/src/foldloom/static_peers/entry/follow.py
+++ b/src/foldloom/static_peers/entry/follow.py
@@ -33,7 +33,7 @@
     HandoverReply,
 )
 from foldloom.static_peers.membership import Membership
-from foldloom.time_limits import TimeLimit
+from foldloom.time_limits import SuspendAwareTimeout
 from foldloom.verdicts import Problem, may_have_run, not_run
 
 # How long the coordinator holds one attach request; bounds the delay caused by a lost reply.
@@ -132,7 +132,7 @@
             return self._followed_from(submission, reply)
         return self._ended(submission, DEADLINE)
 
-    async def pass_answers_to(self, successor: str) -> int:
+    async def hand_over_responses(self, successor: str) -> int:
         """Send all retained responses to *successor*; return the number it accepted."""
         completed = self._jobs.completed_responses()
         taken = 0
@@ -195,7 +195,7 @@
     async def _wait(self, job: Job, wait_ms: int) -> None:
         """Wait up to *wait_ms* until *job* has ended or does not run on this box."""
         try:
-            async with TimeLimit(wait_ms):
+            async with SuspendAwareTimeout(wait_ms):
                 await job.wait_claim_outcome()
                 if job.state is JobState.RUNNING:
                     await job.wait_finished()
--- a/src/foldloom/static_peers/entry/operators.py
+++ b/src/foldloom/static_peers/entry/operators.py
@@ -115,10 +115,10 @@
         command = ConfirmCommand(body.command, digest, body.intents)
         result = await self._client.propose(command, _CONFIRM_TIMEOUT_MS)
         if result.is_ok() and result.ok.status == 200:
-            await self._follow_confirmed(result.ok.version)
+            await self._wait_until_in_force(result.ok.version)
         return self._confirm_response(body.command, result)
 
-    async def _follow_confirmed(self, version: int) -> None:
+    async def _wait_until_in_force(self, version: int) -> None:
         """Wait until the confirmed *version* is in force on this box.
 
         The leader replies before this box receives the commit; without the wait, a status request
--- a/src/foldloom/static_peers/entry/run.py
+++ b/src/foldloom/static_peers/entry/run.py
@@ -22,14 +22,14 @@
 from foldloom.metrics import Metrics
 from foldloom.static_peers.endpoints.adapter import EndpointAdapter, TaskAnswer, TaskCall
 from foldloom.static_peers.entry.requests import JobRequest
-from foldloom.static_peers.placement.messages import SlotRefusal, SlotUse
+from foldloom.static_peers.placement.messages import SlotOutcome, SlotRefusal
 from foldloom.static_peers.placement.retries import (
     RetryBudget,
     is_endpoint_death,
     may_retry,
 )
 from foldloom.static_peers.placement.slots import Slot, SlotSource, SlotWaiter
-from foldloom.time_limits import TimeLimit
+from foldloom.time_limits import SuspendAwareTimeout
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
 _RETRY_AFTER_MS = 500
@@ -146,7 +146,7 @@
         if not self._events.empty():
             return self._events.get_nowait()
         try:
-            async with TimeLimit(self._deadline_ms - monotonic_ms()):
+            async with SuspendAwareTimeout(self._deadline_ms - monotonic_ms()):
                 return await self._events.get()
         except TimeoutError:
             # At the deadline, _run_tasks fails the job.
@@ -154,7 +154,7 @@
 
     def _return_unused(self, arrival: Slot | SlotRefusal) -> None:
         if isinstance(arrival, Slot):
-            self._context.slots.give_back(arrival, 0.0, SlotUse.UNUSED)
+            self._context.slots.give_back(arrival, 0.0, SlotOutcome.UNUSED)
 
     def _handle_arrival(self, arrival: Slot | SlotRefusal, waiter: SlotWaiter) -> Problem | None:
         if isinstance(arrival, SlotRefusal):
@@ -220,7 +220,7 @@
         """Return the slot; queue the attempt's result unless it was cancelled."""
         self._attempts.pop(task, None)
         if task.cancelled():
-            self._context.slots.give_back(slot, 0.0, SlotUse.UNUSED)
+            self._context.slots.give_back(slot, 0.0, SlotOutcome.UNUSED)
             return
         result = task.result()
         use, service_ms = _slot_use(result)
@@ -247,7 +247,7 @@
         deaths = self._endpoint_deaths[end.task_index]
         if not may_retry(problem, self._service, self._request.repeatable, deaths):
             return problem
-        if not self._context.budget.spend():
+        if not self._context.budget.consume():
             return problem._replace(detail=f"{problem.detail}; the retry budget is used up")
         PLACE_LOG.info("Task {}/{} again: {}.", self._submission, end.task_index, problem.reason)
         self._context.metrics.count("tasks.retried")
@@ -274,12 +274,12 @@
         return problem._replace(run=Run.MAY_HAVE_RUN if self._possible_starts else Run.NOT_RUN)
 
 
-def _slot_use(result: Result[TaskAnswer, Problem]) -> tuple[SlotUse, float]:
+def _slot_use(result: Result[TaskAnswer, Problem]) -> tuple[SlotOutcome, float]:
     """Return the slot use that an attempt's result implies, and its service time."""
     if result.is_ok():
-        return SlotUse.DONE, result.ok.service_ms
+        return SlotOutcome.DONE, result.ok.service_ms
     if result.error.reason in _NON_ENDPOINT_FAULTS:
-        return SlotUse.UNUSED, 0.0
+        return SlotOutcome.UNUSED, 0.0
     if result.error.run is Run.NOT_RUN:
-        return SlotUse.NOT_RUN, 0.0
-    return SlotUse.FAILED, 0.0
+        return SlotOutcome.NOT_RUN, 0.0
+    return SlotOutcome.FAILED, 0.0
--- a/src/foldloom/static_peers/entry_role.py
+++ b/src/foldloom/static_peers/entry_role.py
@@ -38,10 +38,10 @@
 from foldloom.static_peers.placement.leased_slots import LeasedSlots
 from foldloom.static_peers.placement.policies import POLICIES, SlotLeases
 from foldloom.static_peers.placement.retries import RetryBudget
-from foldloom.static_peers.placement.shards import Managers
+from foldloom.static_peers.placement.shards import ManagerCache
 from foldloom.static_peers.placement.slots import SlotSource
 from foldloom.tasks import TaskSet
-from foldloom.time_limits import TimeLimit
+from foldloom.time_limits import SuspendAwareTimeout
 
 # The manager of a shard is looked up for each lease, and changes only with membership.
 _MANAGER_CACHE_MS = 50.0
@@ -90,7 +90,7 @@
         self._settings = parts.settings
         self._successor = ""
         self._last_inputs: Any = None
-        self._managers = Managers(self._serving_zones, _MANAGER_CACHE_MS)
+        self._managers = ManagerCache(self._serving_zones, _MANAGER_CACHE_MS)
         self._leases: LeaseManager | None = None
         self._claims = self._build_claims()
         limits = self._settings.limits
@@ -150,15 +150,15 @@
         if inputs == self._last_inputs:
             return
         # Each change is handled once, so it must not be hidden by a cached manager.
-        self._managers.look_again()
+        self._managers.invalidate()
         self._leases.follow(config, leaving, zones)
         self._last_inputs = inputs
 
     async def drain(self) -> None:
         """Finish the jobs in flight and hand over retained responses, within the stop timeout."""
         try:
-            async with TimeLimit(self._settings.timings.stop_timeout_ms):
-                await self._coordinator.finish_all()
+            async with SuspendAwareTimeout(self._settings.timings.stop_timeout_ms):
+                await self._coordinator.wait_all_finished()
                 await self._hand_over_responses()
         except TimeoutError:
             ENTRY_LOG.warning("The planned stop timed out; jobs in flight are aborted.")
@@ -177,7 +177,7 @@
         successors.sort(key=lambda box: zone_of(box) != self._settings.zone)
         if not successors:
             return
-        taken = await self._follower.pass_answers_to(successors[0])
+        taken = await self._follower.hand_over_responses(successors[0])
         self._successor = successors[0]
         ENTRY_LOG.info("Handed over {} responses to {}.", taken, successors[0])
 
--- a/src/foldloom/static_peers/placement/direct_slots.py
+++ b/src/foldloom/static_peers/placement/direct_slots.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from foldloom.clock import monotonic_ms
-from foldloom.static_peers.placement.messages import SlotRefusal, SlotUse
+from foldloom.static_peers.placement.messages import SlotOutcome, SlotRefusal
 from foldloom.static_peers.placement.policies import Policy, View, choose
 from foldloom.static_peers.placement.slots import RESEND_INTERVAL_MS, Slot, SlotWaiter
 
@@ -68,8 +68,8 @@
         while not waiter.arrivals.empty():
             arrival = waiter.arrivals.get_nowait()
             if isinstance(arrival, Slot):
-                self.give_back(arrival, 0.0, SlotUse.UNUSED)
+                self.give_back(arrival, 0.0, SlotOutcome.UNUSED)
 
-    def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
+    def give_back(self, slot: Slot, service_ms: float, use: SlotOutcome) -> None:
         """Return a slot."""
         self._local_counts[slot.endpoint] = self._local_counts.get(slot.endpoint, 1) - 1
--- a/src/foldloom/static_peers/placement/leased_slots.py
+++ b/src/foldloom/static_peers/placement/leased_slots.py
@@ -22,10 +22,10 @@
     SlotCancel,
     SlotGrant,
     SlotHold,
+    SlotOutcome,
     SlotRefusal,
     SlotRequest,
     SlotReturn,
-    SlotUse,
 )
 from foldloom.static_peers.placement.shards import shard_names
 from foldloom.static_peers.placement.slots import RESEND_INTERVAL_MS, Slot, SlotWaiter
@@ -107,12 +107,12 @@
         while not waiter.arrivals.empty():
             arrival = waiter.arrivals.get_nowait()
             if isinstance(arrival, Slot):
-                self.give_back(arrival, 0.0, SlotUse.UNUSED)
+                self.give_back(arrival, 0.0, SlotOutcome.UNUSED)
 
-    def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
+    def give_back(self, slot: Slot, service_ms: float, use: SlotOutcome) -> None:
         """Return a slot with the outcome of its task."""
         self._held.pop(slot.lease_id, None)
-        if use is SlotUse.UNUSED:
+        if use is SlotOutcome.UNUSED:
             self._metrics.count("messages.wasted.unused-slot")
         message = SlotReturn(slot.lease_id, slot.endpoint, slot.service, service_ms, use)
         self._send(message, self._manager_of_endpoint(slot.endpoint))
@@ -214,7 +214,7 @@
         waiter = self._waiters.get(message.request_id)
         if waiter is None or waiter.outstanding == 0:
             slot = Slot(message.lease_id, message.endpoint, "", "", now_ms, now_ms)
-            self.give_back(slot, 0.0, SlotUse.UNUSED)
+            self.give_back(slot, 0.0, SlotOutcome.UNUSED)
             return
         waiter.outstanding -= 1
         waiter.last_activity_ms = now_ms
--- a/src/foldloom/static_peers/placement/messages.py
+++ b/src/foldloom/static_peers/placement/messages.py
@@ -64,7 +64,7 @@
     request_id: int
 
 
-class SlotUse(IntEnum):
+class SlotOutcome(IntEnum):
     """Outcome of a slot's use."""
 
     DONE = 0
@@ -88,7 +88,7 @@
     endpoint: str
     service: str
     service_ms: float
-    use: SlotUse
+    use: SlotOutcome
 
 
 class HeldSlot(NamedTuple):
--- a/src/foldloom/static_peers/placement/retries.py
+++ b/src/foldloom/static_peers/placement/retries.py
@@ -35,7 +35,7 @@
         """Count a start."""
         self._tokens = min(_TOKENS_MAX, self._tokens + self._share)
 
-    def spend(self) -> bool:
+    def consume(self) -> bool:
         """Consume one retry; return ``False`` if none is available."""
         if self._tokens < 1.0:
             return False
--- a/src/foldloom/static_peers/placement/shard.py
+++ b/src/foldloom/static_peers/placement/shard.py
@@ -20,10 +20,10 @@
 from foldloom.static_peers.placement.messages import (
     HeldSlot,
     SlotGrant,
+    SlotOutcome,
     SlotRefusal,
     SlotRequest,
     SlotReturn,
-    SlotUse,
 )
 from foldloom.static_peers.placement.policies import Choice, Policy, choose, job_size
 from foldloom.static_peers.placement.queue import PendingRequest, RequestQueue
@@ -146,11 +146,11 @@
         lease = self._leases.get(message.lease_id)
         if lease is not None:
             self._remove_lease(lease)
-        if message.use is SlotUse.DONE:
+        if message.use is SlotOutcome.DONE:
             self._speeds.note(message.service, message.endpoint, message.service_ms, now_ms)
             peer_median_ms = self._views.peer_median_ms(message.service, message.endpoint)
             self._ejection.record_success(message, peer_median_ms, now_ms)
-        elif message.use in (SlotUse.FAILED, SlotUse.NOT_RUN):
+        elif message.use in (SlotOutcome.FAILED, SlotOutcome.NOT_RUN):
             self._ejection.record_failure(message.endpoint, now_ms)
 
     def tick(self, now_ms: float) -> None:
--- a/src/foldloom/static_peers/placement/shards.py
+++ b/src/foldloom/static_peers/placement/shards.py
@@ -45,7 +45,7 @@
     return max(boxes, key=lambda box: (xxhash.xxh3_64_intdigest(f"{shard}|{box}".encode()), box))
 
 
-class Managers:
+class ManagerCache:
     """Cache of the lease manager of each shard.
 
     Args:
@@ -68,7 +68,7 @@
             self._managers[shard] = manager_of(shard, self._serving())
         return self._managers[shard]
 
-    def look_again(self) -> None:
+    def invalidate(self) -> None:
         """Invalidate the cache after a change of the serving boxes."""
         self._managers.clear()
 
--- a/src/foldloom/static_peers/placement/slots.py
+++ b/src/foldloom/static_peers/placement/slots.py
@@ -10,7 +10,7 @@
 import asyncio
 from typing import Any, NamedTuple, Protocol
 
-from foldloom.static_peers.placement.messages import SlotUse
+from foldloom.static_peers.placement.messages import SlotOutcome
 
 # Milliseconds until a job repeats a request that was not granted or had no eligible endpoint.
 # Request ids make the retransmission idempotent.
@@ -79,5 +79,5 @@
     def close(self, waiter: SlotWaiter) -> None:
         """Close the waiter; slots that arrive later are returned unused."""
 
-    def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
+    def give_back(self, slot: Slot, service_ms: float, use: SlotOutcome) -> None:
         """Return a slot with the outcome of its task."""
--- a/src/foldloom/time_limits.py
+++ b/src/foldloom/time_limits.py
@@ -19,7 +19,7 @@
 _deadline_ms_by_timeout: dict[asyncio.Timeout, float] = {}
 
 
-class TimeLimit:
+class SuspendAwareTimeout:
     """A suspension-aware counterpart of :func:`asyncio.timeout`, for ``async with``.
 
     Args:
@@ -30,7 +30,7 @@
         self._limit_ms = limit_ms
         self._timeout = asyncio.timeout(None)
 
-    async def __aenter__(self) -> TimeLimit:
+    async def __aenter__(self) -> SuspendAwareTimeout:
         await self._timeout.__aenter__()
         _deadline_ms_by_timeout[self._timeout] = monotonic_ms() + self._limit_ms
         self._timeout.reschedule(asyncio.get_running_loop().time() + self._limit_ms / 1_000)
@@ -50,7 +50,7 @@
 async def sleep(delay_ms: float) -> None:
     """Sleep for *delay_ms* milliseconds, suspended time included."""
     try:
-        async with TimeLimit(delay_ms):
+        async with SuspendAwareTimeout(delay_ms):
             await asyncio.get_running_loop().create_future()
     except TimeoutError:
         # The delay has elapsed; the future is never resolved.
--- a/tests/models/standing_boxes.py
+++ b/tests/models/standing_boxes.py
@@ -15,7 +15,7 @@
 
 from foldloom.clock import monotonic_ms
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.peers.lives import FreshLives
+from foldloom.peers.lives import UnorderedIncarnations
 from foldloom.seed_discovery.endpoints.calls import (
     CallOutcome,
     CallReply,
@@ -69,7 +69,7 @@
     def __init__(self, world: StandingZonesWorld, box: str, incarnation: int) -> None:
         super().__init__(world, box, incarnation)
         self._standing_world = world
-        self._fresh_lives = FreshLives()
+        self._fresh_lives = UnorderedIncarnations()
         self._outboxes: dict[str, list[Frame]] = {}
         self._pending_requests: dict[int, asyncio.Future[Any]] = {}
         self._next_id = 0
@@ -288,7 +288,7 @@
     def record_start_order(self, box: str, endpoint: str, run_id: RunId) -> None:
         """Record the boxes for which the owner on *box* orders this start."""
         owner = self.boxes[box].elector.owner
-        run = None if owner is None else owner.state.run_of(run_id.task)
+        run = None if owner is None else owner.state.current_run(run_id.task)
         if run is not None:
             waiting_boxes = self.wanted_by.setdefault((run_id, endpoint), set())
             waiting_boxes.update(holder.box for holder in run.holders)
--- a/tests/models/zones_faults.py
+++ b/tests/models/zones_faults.py
@@ -27,7 +27,7 @@
 """Submits a job under an id."""
 
 
-class Trouble:
+class Faults:
     """Random faults, drawn from the world's generator."""
 
     def __init__(self, world: ZonesWorld) -> None:
@@ -112,12 +112,12 @@
             self.world.rng.choice(owners).elector.note_fenced("some-endpoint")
 
 
-async def play_through(
-    world: World, trouble_of: Callable[[World], Trouble], caller: Caller
+async def run_simulation(
+    world: World, faults_of: Callable[[World], Faults], caller: Caller
 ) -> None:
     """Let *world* settle, submit jobs while faults are injected, and wait until all have ended."""
     await asyncio.sleep(_SETTLE_S)
-    trouble = asyncio.create_task(trouble_of(world).run())
+    trouble = asyncio.create_task(faults_of(world).run())
     await submit_jobs(world, caller)
     await trouble
     await asyncio.sleep(_COOLDOWN_S)
@@ -135,7 +135,7 @@
     await asyncio.gather(*calls)
 
 
-async def usual_caller(world: ZonesWorld, job_id: str) -> None:
+async def default_caller(world: ZonesWorld, job_id: str) -> None:
     """Submit one job; some callers disconnect early and resubmit it."""
     rng = world.rng
     box = rng.choice(sorted(world.boxes))
--- a/tests/models/zones_world.py
+++ b/tests/models/zones_world.py
@@ -188,11 +188,11 @@
         self.births: dict[str, int] = {}
         # Time after its start for which a life carries out no late order: owners cannot stop runs
         # on a life that has not been reported to them.
-        self.unheard_ms = 0.0
+        self.undiscovered_ms = 0.0
         # The catalog of a controller, which attributes a farewell to a life of the endpoint.
         self._controller_catalog = EndpointCatalog()
         # Time from which a leaving life may receive no start.
-        self.left_alone_from_ms: dict[str, float] = {}
+        self.no_starts_from_ms: dict[str, float] = {}
         self.late_starts: list[Start] = []
         self._is_late_order = False
         self._durations_ms: dict[str, float] = {}
@@ -305,7 +305,7 @@
         """Restart an endpoint under the same id; return the record that it then reports."""
         self.births[name] = int(monotonic_ms())
         self.endpoints[name] = SimulatedEndpoint(name, 0.98, monotonic_ms())
-        self.left_alone_from_ms.pop(name, None)
+        self.no_starts_from_ms.pop(name, None)
         previous = next(record for record in self.records if record.endpoint == name)
         return previous._replace(sequence=1, born_ms=self.births[name], state=EndpointState.READY)
 
@@ -319,9 +319,9 @@
         self._controller_catalog.merge(record, monotonic_ms())
         self._broadcast(record)
 
-    def bid_farewell(self, name: str) -> None:
+    def send_deregistration(self, name: str) -> None:
         """Deliver a farewell of any life of an endpoint to a controller."""
-        if not self._controller_catalog.note_farewell(name, monotonic_ms()):
+        if not self._controller_catalog.note_deregistration(name, monotonic_ms()):
             return
         removed = self._controller_catalog.get(name)
         assert removed is not None
@@ -335,8 +335,8 @@
     def carry_out_late(self, name: str, carry_out: Callable[[], CallReply]) -> None:
         """Have an endpoint carry out an order whose call has timed out."""
         age_ms = monotonic_ms() - self.births.get(name, float("-inf"))
-        if age_ms < self.unheard_ms:
-            delay_s = (self.unheard_ms - age_ms) / 1_000
+        if age_ms < self.undiscovered_ms:
+            delay_s = (self.undiscovered_ms - age_ms) / 1_000
             self.loop.call_later(delay_s, self.carry_out_late, name, carry_out)
             return
         self._is_late_order = True
@@ -354,7 +354,7 @@
             started = Start(order.run_id, name, now_ms)
             self.starts.setdefault(task.job_id, []).append(started)
             self._check_single_run(started)
-            is_excluded = now_ms > self.left_alone_from_ms.get(name, now_ms)
+            is_excluded = now_ms > self.no_starts_from_ms.get(name, now_ms)
             if is_excluded and not self._is_late_order:
                 self.late_starts.append(started)
             duration_s = self._durations_ms[task.job_id] / 1_000
--- a/tests/standins/wire.py
+++ b/tests/standins/wire.py
@@ -34,7 +34,7 @@
         reply = self.other._handlers[type(message)](self._box, message)
         return await reply if asyncio.iscoroutine(reply) else reply
 
-    def drop_peer(self, _box: str) -> None:
+    def remove_peer(self, _box: str) -> None:
         """Do nothing, as there is no connection."""
 
 
--- a/tests/test_boxes_controllers.py
+++ b/tests/test_boxes_controllers.py
@@ -41,7 +41,7 @@
     )
 
 
-class Core:
+class ControllerGroup:
     """Controllers in one event loop, each with its own sockets and data folder."""
 
     def __init__(self, folder: Path, founders: int = 3) -> None:
@@ -126,11 +126,11 @@
     raise AssertionError(f"not within {_WAIT_S} s: {description}")
 
 
-def play(folder: Path, scenario: Callable[[Core], Awaitable[None]]) -> None:
+def play(folder: Path, scenario: Callable[[ControllerGroup], Awaitable[None]]) -> None:
     """Found a group of three and run *scenario* on it."""
 
     async def run() -> None:
-        group = Core(folder)
+        group = ControllerGroup(folder)
         try:
             await group.start_all(is_first_start=True)
             await group.publish(1)
@@ -141,7 +141,7 @@
     asyncio.run(run())
 
 
-async def wait_for_members(group: Core, ports: set[int]) -> None:
+async def wait_for_members(group: ControllerGroup, ports: set[int]) -> None:
     """Wait until exactly *ports* are voters."""
 
     async def has_members() -> bool:
@@ -156,7 +156,7 @@
     def test_highest_version_holds(self, tmp_path: Path) -> None:
         """A version that is not newer is acknowledged and has no effect."""
 
-        async def scenario(group: Core) -> None:
+        async def scenario(group: ControllerGroup) -> None:
             await group.publish(7)
             await group.publish(3)
             assert await group.read() == b"7"
@@ -166,7 +166,7 @@
     def test_all_killed(self, tmp_path: Path) -> None:
         """An acknowledged document survives a kill of all controllers."""
 
-        async def scenario(group: Core) -> None:
+        async def scenario(group: ControllerGroup) -> None:
             await group.publish(5)
             for port in group.ports:
                 await group.kill(port)
@@ -178,7 +178,7 @@
     def test_wiped_then_another_lost(self, tmp_path: Path) -> None:
         """A wiped controller does not vote; acknowledged data is read once both others are back."""
 
-        async def scenario(group: Core) -> None:
+        async def scenario(group: ControllerGroup) -> None:
             wiped, behind = group.leader(), next(p for p in group.ports if p != group.leader())
             await group.kill(behind)
             await group.publish(9)
@@ -204,7 +204,7 @@
     def test_another_address(self, tmp_path: Path, is_leader: bool) -> None:
         """A new controller at another address replaces a failed one."""
 
-        async def scenario(group: Core) -> None:
+        async def scenario(group: ControllerGroup) -> None:
             leader = group.leader()
             gone = leader if is_leader else next(p for p in group.ports if p != leader)
             fresh = free_port()
@@ -223,7 +223,7 @@
     def test_replaced_one_comes_back(self, tmp_path: Path) -> None:
         """A controller that was replaced in its absence becomes a standby."""
 
-        async def scenario(group: Core) -> None:
+        async def scenario(group: ControllerGroup) -> None:
             away = next(port for port in group.ports if port != group.leader())
             fresh = free_port()
             await group.kill(away)
@@ -244,7 +244,7 @@
     def test_spare_stands_by(self, tmp_path: Path) -> None:
         """A controller added while all voters respond does not become a voter."""
 
-        async def scenario(group: Core) -> None:
+        async def scenario(group: ControllerGroup) -> None:
             await group.start(free_port())
             await asyncio.sleep(1.5)
             assert group.members() == set(group.ports)
@@ -274,7 +274,7 @@
 
         monkeypatch.setattr(LogStorage, "_write", write_or_refuse)
 
-    async def fill(self, group: Core, port: int) -> None:
+    async def fill(self, group: ControllerGroup, port: int) -> None:
         """Keep the disk of the controller at *port* full until a write fails."""
         folder = group.folder_of(port)
         self.folders.add(folder)
@@ -297,7 +297,7 @@
         """Once its disk is writable again, the controller is a voter: another one may fail."""
         disks = FullDisks(monkeypatch)
 
-        async def scenario(group: Core) -> None:
+        async def scenario(group: ControllerGroup) -> None:
             leader = group.leader()
             full = leader if is_leader else next(p for p in group.ports if p != leader)
             await disks.fill(group, full)
@@ -313,7 +313,7 @@
         """With a second controller replaced by an empty one, changes are still acknowledged."""
         disks = FullDisks(monkeypatch)
 
-        async def scenario(group: Core) -> None:
+        async def scenario(group: ControllerGroup) -> None:
             full, gone = [port for port in group.ports if port != group.leader()]
             await disks.fill(group, full)
             await group.kill(gone)
@@ -326,7 +326,7 @@
         play(tmp_path, scenario)
 
 
-async def seconds_until_leader(group: Core) -> float:
+async def seconds_until_leader(group: ControllerGroup) -> float:
     """Wait until there is a leader; return the duration."""
     started_s = asyncio.get_running_loop().time()
 
@@ -343,7 +343,7 @@
     def test_another_leads_at_once(self, tmp_path: Path) -> None:
         """Another controller becomes leader before an election timeout has passed."""
 
-        async def scenario(group: Core) -> None:
+        async def scenario(group: ControllerGroup) -> None:
             leader = group.leader()
             host = group.hosts.pop(leader)
             stopping = asyncio.create_task(host.stop())
@@ -363,7 +363,7 @@
             time.sleep(_SLOW_SYNC_S)
             sync(storage)
 
-        async def scenario(group: Core) -> None:
+        async def scenario(group: ControllerGroup) -> None:
             leader = group.leader()
             host = group.hosts.pop(leader)
             monkeypatch.setattr(LogStorage, "sync", sync_slowly)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -13,7 +13,7 @@
 from foldloom.static_peers.claims.messages import Claim, ClaimReply, ClaimRequest, Vote, Withdraw
 from foldloom.static_peers.claims.table import ClaimTable
 from foldloom.static_peers.membership import Heartbeat, ShardLoad
-from foldloom.static_peers.placement.messages import SlotGrant, SlotRequest, SlotReturn, SlotUse
+from foldloom.static_peers.placement.messages import SlotGrant, SlotOutcome, SlotRequest, SlotReturn
 
 _ID = "0f8fad5b-d9cb-469f-a165-70867728950e"
 _INCARNATION = 1_790_000_000_000
@@ -37,7 +37,7 @@
             (Withdraw(_ID, _INCARNATION, 1), 50),
             (SlotRequest(9_999, "fleet", "sleep", "team-001", 1, 30_000, 1), 40),
             (SlotGrant(9_999, "worker-0001", _LEASE, 2_000), 30),
-            (SlotReturn(_LEASE, "worker-0001", "sleep", 275.5, SlotUse.DONE), 45),
+            (SlotReturn(_LEASE, "worker-0001", "sleep", 275.5, SlotOutcome.DONE), 45),
         ],
     )
     def test_message(self, message: object, most: int) -> None:
--- a/tests/test_controller_box.py
+++ b/tests/test_controller_box.py
@@ -16,13 +16,13 @@
 from cluster import free_port
 from foldloom.controllers import compaction, storage
 from foldloom.controllers.state import Publication
-from foldloom.controllers.storage import write_whole
+from foldloom.controllers.storage import write_atomically
 from foldloom.seed_discovery.controller_box import ControllerHost
 from foldloom.seed_discovery.endpoints.records import EndpointRecord
 from foldloom.seed_discovery.fleet import cache
 from foldloom.seed_discovery.fleet.cache import PublicationCache
 from foldloom.seed_discovery.jobs.spec import Demand
-from test_boxes_controllers import Core, box_settings, play, until
+from test_boxes_controllers import ControllerGroup, box_settings, play, until
 
 _UNREACHABLE_SEEDS = ["127.0.0.1:1"]
 # Duration of a slow write, and of the wait for one that outlives its controller.
@@ -32,7 +32,7 @@
 
 def _write_slowly(path: Path, data: bytes, fsync: Callable[[int], None]) -> None:
     time.sleep(_WRITE_S)
-    write_whole(path, data, fsync)
+    write_atomically(path, data, fsync)
 
 
 def _contents(folder: Path) -> dict[str, bytes]:
@@ -63,9 +63,9 @@
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Stopping waits for a pending write of the configuration cache."""
-        monkeypatch.setattr(cache, "write_whole", _write_slowly)
+        monkeypatch.setattr(cache, "write_atomically", _write_slowly)
 
-        async def scenario(core: Core) -> None:
+        async def scenario(core: ControllerGroup) -> None:
             await core.publish(9)
             for port in core.ports:
                 await core.kill(port)
@@ -87,8 +87,8 @@
         async def has_started() -> bool:
             return bool(started)
 
-        async def scenario(core: Core) -> None:
-            monkeypatch.setattr(storage, "write_whole", write)
+        async def scenario(core: ControllerGroup) -> None:
+            monkeypatch.setattr(storage, "write_atomically", write)
             await core.publish(9)
             await until(has_started, "a snapshot is being written")
             for port in core.ports:
@@ -101,7 +101,7 @@
 
     def test_the_newest_is_kept(self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         """Closing the cache also writes a publication queued behind the current write."""
-        monkeypatch.setattr(cache, "write_whole", _write_slowly)
+        monkeypatch.setattr(cache, "write_atomically", _write_slowly)
 
         async def write() -> None:
             written = PublicationCache(str(tmp_path))
--- a/tests/test_controllers_controller_table.py
+++ b/tests/test_controllers_controller_table.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 
 from foldloom.controllers.commands import (
+    BootstrapCommand,
     Command,
     ControllerJoinCommand,
     ControllerLeaveCommand,
-    FoundCommand,
     encode_command,
 )
 from foldloom.controllers.config import empty_config
@@ -21,7 +21,7 @@
 from foldloom.controllers.storage import LogStorage, format_folder
 
 _EMPTY = empty_config({}, {})
-_FOUND = FoundCommand({}, {"c1": "s1", "c2": "s2"})
+_FOUND = BootstrapCommand({}, {"c1": "s1", "c2": "s2"})
 _JOIN = ControllerJoinCommand("c3", "s3")
 _LEAVE = ControllerLeaveCommand("c1")
 
--- a/tests/test_controllers_members.py
+++ b/tests/test_controllers_members.py
@@ -4,9 +4,9 @@
 from __future__ import annotations
 
 from foldloom.controllers.commands import (
+    BootstrapCommand,
     ControllerJoinCommand,
     ControllerLeaveCommand,
-    FoundCommand,
     PublishCommand,
     VoterReadyCommand,
     encode_command,
@@ -33,8 +33,8 @@
 
     def test_founded_once(self) -> None:
         """Only the first founding entry has an effect."""
-        first = encode_command(FoundCommand({}, {"a": "?"}))
-        again = encode_command(FoundCommand({}, {"z": "?"}))
+        first = encode_command(BootstrapCommand({}, {"a": "?"}))
+        again = encode_command(BootstrapCommand({}, {"z": "?"}))
         assert newest_table({}, False, [first, again]) == {"a": "?"}
         assert newest_table(_TABLE, True, [again]) == _TABLE
 
--- a/tests/test_endpoints_catalog.py
+++ b/tests/test_endpoints_catalog.py
@@ -47,7 +47,7 @@
         """A delayed heartbeat does not restore an endpoint that has deregistered."""
         catalog = EndpointCatalog()
         catalog.merge(_READY, 0.0)
-        assert catalog.note_farewell("w1", 1.0)
+        assert catalog.note_deregistration("w1", 1.0)
         assert not catalog.merge(_READY._replace(sequence=9), 2.0)
         assert catalog.records == []
 
@@ -97,10 +97,10 @@
         """A deregistration has no effect on an incarnation that is not draining."""
         catalog = EndpointCatalog()
         catalog.merge(_SECOND, 0.0)
-        assert not catalog.note_farewell("w1", 1.0)
+        assert not catalog.note_deregistration("w1", 1.0)
         assert catalog.records == [_SECOND]
         catalog.merge(_SECOND._replace(state=_DRAINING), 2.0)
-        assert catalog.note_farewell("w1", 3.0)
+        assert catalog.note_deregistration("w1", 3.0)
         assert catalog.records == []
 
     def test_another_life_has_begun(self) -> None:
@@ -130,7 +130,7 @@
         catalog.merge(_READY, 0.0)
         catalog.merge(_READY._replace(endpoint="w2"), 0.0)
         revision = catalog.revision
-        catalog.note_farewell("w1", 1.0)
+        catalog.note_deregistration("w1", 1.0)
         changed = catalog.changes_since(revision)
         assert [(one.endpoint, one.state) for one in changed] == [("w1", EndpointState.GONE)]
         assert catalog.changes_since(catalog.revision) == []
--- a/tests/test_entry_run.py
+++ b/tests/test_entry_run.py
@@ -15,7 +15,7 @@
 from foldloom.metrics import Metrics
 from foldloom.static_peers.entry.requests import JobRequest
 from foldloom.static_peers.entry.run import JobRun, RunContext
-from foldloom.static_peers.placement.messages import SlotUse
+from foldloom.static_peers.placement.messages import SlotOutcome
 from foldloom.static_peers.placement.retries import RetryBudget
 from foldloom.static_peers.placement.slots import Slot, SlotWaiter
 from foldloom.verdicts import Run, may_have_run
@@ -42,7 +42,7 @@
     def close(self, waiter: SlotWaiter) -> None:
         """Do nothing."""
 
-    def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
+    def give_back(self, slot: Slot, service_ms: float, use: SlotOutcome) -> None:
         """Do nothing."""
 
 
--- a/tests/test_fleet_messages.py
+++ b/tests/test_fleet_messages.py
@@ -13,8 +13,8 @@
     EndpointsSeen,
     WireEndpoint,
     births_of,
-    received_endpoints,
-    sent_endpoints,
+    decode_endpoints,
+    encode_endpoints,
 )
 from foldloom.seed_discovery.jobs.spec import Demand
 
@@ -22,7 +22,7 @@
     EndpointRecord("w1", "svc", "10.0.0.1:1", "a", Demand(1, 2, 3), sequence=4, born_ms=5_000),
     EndpointRecord("w2", "svc", "10.0.0.2:1", "a", Demand(1, 2, 3), labels=("x",)),
 ]
-_MESSAGE = EndpointsSeen(sent_endpoints(_RECORDS), births_of(_RECORDS))
+_MESSAGE = EndpointsSeen(encode_endpoints(_RECORDS), births_of(_RECORDS))
 
 
 def _decode(body: bytes) -> EndpointsSeen:
@@ -41,12 +41,12 @@
 
     def test_they_arrive(self) -> None:
         """Records survive a round trip with their start times."""
-        assert received_endpoints(_decode(bytes(encode_body(_MESSAGE)))) == _RECORDS
+        assert decode_endpoints(_decode(bytes(encode_body(_MESSAGE)))) == _RECORDS
 
     def test_the_release_before_sends_none(self) -> None:
         """Missing start times are decoded as 0."""
         body = msgspec.msgpack.encode(_PreviousEndpointsSeen(_MESSAGE.endpoints))
-        assert [one.born_ms for one in received_endpoints(_decode(body))] == [0, 0]
+        assert [one.born_ms for one in decode_endpoints(_decode(body))] == [0, 0]
 
     def test_the_release_before_reads_the_rest(self) -> None:
         """The previous release can decode the message: the new field is at the end."""
--- a/tests/test_fleet_registry.py
+++ b/tests/test_fleet_registry.py
@@ -12,7 +12,7 @@
     EndpointsSeen,
     Join,
     Noted,
-    received_endpoints,
+    decode_endpoints,
 )
 from foldloom.seed_discovery.fleet.published import PublishedHolder
 from foldloom.seed_discovery.fleet.registry import Registry
@@ -57,7 +57,7 @@
         return is_accepted
 
     def _on_endpoints(self, _sender: str, message: EndpointsSeen) -> Noted:
-        self.forwarded += received_endpoints(message)
+        self.forwarded += decode_endpoints(message)
         return Noted()
 
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -11,7 +11,7 @@
 import logbook
 import msgspec
 
-from foldloom.logs import PLACE_LOG, BatchHandler, EventLimits, start_logging
+from foldloom.logs import PLACE_LOG, BatchHandler, EventRateLimits, start_logging
 from foldloom.settings import LogSettings
 
 
@@ -48,7 +48,7 @@
 
     def test_what_was_left_out_is_told(self) -> None:
         """The next admitted event carries the count of suppressed events of its kind only."""
-        limits = EventLimits(per_s=1.0)
+        limits = EventRateLimits(per_s=1.0)
         assert [limits.admit("a", 0.0) for _ in range(4)] == [0, 0, None, None]
         assert limits.admit("b", 0.0) == 0
         assert limits.admit("a", 1.5) == 2
--- a/tests/test_owners_admission.py
+++ b/tests/test_owners_admission.py
@@ -34,7 +34,7 @@
         """The job is accepted and starts with the next report."""
         state = _warm_owner()
         for name in ("w1", "w2"):
-            state.distrust(name)
+            state.exclude_from_placement(name)
         assert state.submit(_E1, _urgent_job(), _NOW_MS).status is SubmitStatus.TAKEN
         state.report(EndpointReport("w1", (), (), _NOW_MS + 20.0), _NOW_MS + 25.0)
         state.place(_NOW_MS + 25.0)
@@ -44,13 +44,13 @@
         """The job is rejected with a retry delay if every endpoint missed a poll."""
         state = _warm_owner()
         for name in ("w1", "w2"):
-            state.note_silent(name)
+            state.handle_unanswered_poll(name)
         reply = state.submit(_E1, _urgent_job(), _NOW_MS)
         assert (reply.status, reply.retry_after_ms) == (SubmitStatus.REFUSED, 2_000)
 
     def test_one_of_them_is_overdue(self) -> None:
         """The job is accepted if at least one endpoint is only overdue."""
         state = _warm_owner()
-        state.note_silent("w1")
-        state.distrust("w2")
+        state.handle_unanswered_poll("w1")
+        state.exclude_from_placement("w2")
         assert state.submit(_E1, _urgent_job(), _NOW_MS).status is SubmitStatus.TAKEN
--- a/tests/test_owners_crashed_endpoints.py
+++ b/tests/test_owners_crashed_endpoints.py
@@ -55,9 +55,9 @@
 
 def _crash_endpoint(state: OwnerState, name: str, now_ms: float) -> list[RunEnd]:
     """Crash an endpoint and expire its leases; return the run ends by run id."""
-    state.note_silent(name)
-    state.note_crashed(name, now_ms)
-    state.note_lapsed(name, now_ms + 650.0)
+    state.handle_unanswered_poll(name)
+    state.handle_crash(name, now_ms)
+    state.handle_lease_expiry(name, now_ms + 650.0)
     return sorted((end for _, end in ends_of(state)), key=lambda end: end.run_id)
 
 
@@ -68,11 +68,11 @@
         """An endpoint that answers again after its leases expired has not crashed."""
         state = owner_with(endpoint("w1"))
         _submit_and_start(state, 10.0)
-        state.note_silent("w1")
-        state.note_lapsed("w1", 700.0)
+        state.handle_unanswered_poll("w1")
+        state.handle_lease_expiry("w1", 700.0)
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount()]
         state.report(EndpointReport("w1", (), (), 800.0, 1), 801.0)
-        state.begin_life("w1", 5_000.0)
+        state.begin_incarnation("w1", 5_000.0)
         state.report(EndpointReport("w1", (), (), 5_001.0, 2), 5_002.0)
         _deliver_next_attempt(state, RunEnd(RunId(_TASK, 1), EndCause.LAPSED), 5_003.0)
         assert _place_and_start(state, 5_003.0) == ["w1"]
@@ -82,10 +82,10 @@
         """A new incarnation confirms a crash after the leases expired, as after a power failure."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
         _submit_and_start(state, 10.0)
-        state.note_silent("w2")
-        state.note_lapsed("w2", 700.0)
+        state.handle_unanswered_poll("w2")
+        state.handle_lease_expiry("w2", 700.0)
         ((_, end),) = ends_of(state)
-        state.begin_life("w2", 3_000.0)
+        state.begin_incarnation("w2", 3_000.0)
         _deliver_next_attempt(state, end, 3_001.0)
         assert _place_and_start(state, 3_001.0) == ["w1"]
         assert [end.crashes for end in _crash_endpoint(state, "w1", 3_100.0)] == [CrashCount(2, 2)]
@@ -95,16 +95,16 @@
         state = owner_with(endpoint("w1"))
         _submit_and_start(state, 10.0)
         for now_ms in (20.0, 70.0, 170.0):
-            state.note_crashed("w1", now_ms)
-        state.begin_life("w1", 200.0)
-        state.note_lapsed("w1", 700.0)
+            state.handle_crash("w1", now_ms)
+        state.begin_incarnation("w1", 200.0)
+        state.handle_lease_expiry("w1", 700.0)
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount(1, 1)]
 
     def test_an_endpoint_that_leaves(self) -> None:
         """The end of a draining endpoint is no crash."""
         state = owner_with(endpoint("w1"))
         _submit_and_start(state, 10.0)
-        state.follow_endpoint(endpoint("w1", state=EndpointState.DRAINING))
+        state.update_endpoint(endpoint("w1", state=EndpointState.DRAINING))
         assert [end.crashes for end in _crash_endpoint(state, "w1", 20.0)] == [CrashCount()]
 
     def test_a_start_that_found_nobody(self) -> None:
@@ -114,7 +114,7 @@
         state.place(10.0)
         (start,) = state.actions.pop_starts()
         state.note_start(start.run_id, start.endpoint, CallOutcome.NO_LISTENER, 11.0)
-        state.note_crashed(start.endpoint, 12.0)
+        state.handle_crash(start.endpoint, 12.0)
         assert _place_and_start(state, 12.0) == [{"w1": "w2", "w2": "w1"}[start.endpoint]]
         assert not state.actions.pop_stops()
         assert [end.crashes for end in _crash_endpoint(state, "w1", 20.0)] in (
@@ -129,9 +129,9 @@
         state.place(10.0)
         (start,) = state.actions.pop_starts()
         state.note_start(start.run_id, "w1", CallOutcome.UNKNOWN, 11.0)
-        state.note_crashed("w1", 60.0)
-        state.note_lapsed("w1", 700.0)
-        state.begin_life("w1", 3_000.0)
+        state.handle_crash("w1", 60.0)
+        state.handle_lease_expiry("w1", 700.0)
+        state.begin_incarnation("w1", 3_000.0)
         state.report(EndpointReport("w1", (), (), 3_001.0), 3_002.0)
         assert _place_and_start(state, 3_002.0) == ["w1"]
         assert [end.crashes for end in _crash_endpoint(state, "w1", 3_100.0)] == [CrashCount(2, 2)]
@@ -170,7 +170,7 @@
             state.submit(_E1, message._replace(orders=orders), now_ms)
             # Place both on one endpoint: no other is eligible.
             for other in set(state.candidates) - {name}:
-                state.distrust(other)
+                state.exclude_from_placement(other)
             assert _place_and_start(state, now_ms) == [name, name]
             for other in set(state.candidates) - {"w2", "w3"}:
                 state.report(EndpointReport(other, (), (), now_ms), now_ms)
@@ -207,8 +207,8 @@
         first = _crash_endpoint(state, "w2", 20.0)
         _deliver_next_attempt(state, first[0], 700.0)
         assert _place_and_start(state, 700.0) == ["w1"]
-        state.note_silent("w1")
-        state.note_crashed("w1", 750.0)
+        state.handle_unanswered_poll("w1")
+        state.handle_crash("w1", 750.0)
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount(2, 1)]
 
     def test_handed_in_again(self) -> None:
--- a/tests/test_owners_decisions.py
+++ b/tests/test_owners_decisions.py
@@ -69,7 +69,7 @@
         """A stopping run may still start until the endpoint has confirmed the stop."""
         run = run_in(RunState.STOPPING)
         assert classify_absence(run, 500.0) is None
-        run.stop_known_ms = 200.0
+        run.stop_confirmed_ms = 200.0
         assert classify_absence(run, 200.0) is None
         assert classify_absence(run, 201.0) is EndCause.STOPPED
 
--- a/tests/test_owners_election.py
+++ b/tests/test_owners_election.py
@@ -8,7 +8,7 @@
     candidate_rank,
     may_acquire,
     next_token,
-    patience_ms,
+    silence_timeout_ms,
     token_above,
 )
 
@@ -46,11 +46,11 @@
         """The lowest rank has the shortest silence timeout."""
         boxes = ["10.0.0.2:1", "10.0.0.1:1"]
         assert [candidate_rank(box, boxes) for box in sorted(boxes)] == [0, 1]
-        assert patience_ms(_SILENT_MS, 0, True) < patience_ms(_SILENT_MS, 1, True)
+        assert silence_timeout_ms(_SILENT_MS, 0, True) < silence_timeout_ms(_SILENT_MS, 1, True)
 
     def test_first_start(self) -> None:
         """Without a known owner the silence timeout is shorter."""
-        assert patience_ms(_SILENT_MS, 0, False) < _SILENT_MS
+        assert silence_timeout_ms(_SILENT_MS, 0, False) < _SILENT_MS
 
 
 class TestTokens:
--- a/tests/test_owners_elector.py
+++ b/tests/test_owners_elector.py
@@ -114,7 +114,7 @@
     def test_the_owner_is_in_nobodys_way(self) -> None:
         """The silent owner takes no rank among the candidates."""
         rig = _Rig(set(), 1_000)
-        assert rig.elector.patience_ms == _TIMINGS.owner_silent_ms
+        assert rig.elector.silence_timeout_ms == _TIMINGS.owner_silent_ms
 
     def test_somebody_hears_it(self) -> None:
         """A zone whose owner has recent heartbeats at a witness is not acquired."""
--- a/tests/test_owners_endpoint_link.py
+++ b/tests/test_owners_endpoint_link.py
@@ -22,7 +22,7 @@
 from foldloom.seed_discovery.endpoints.records import EndpointRecord, EndpointState
 from foldloom.seed_discovery.jobs.spec import Demand, RunId, TaskId
 from foldloom.seed_discovery.owners.endpoint_link import (
-    Answerer,
+    AnswerSource,
     EndpointLink,
     LeaseTerms,
     classify_answer,
@@ -63,14 +63,14 @@
         """Record the call."""
         self.overdue.append(call)
 
-    def note_silent(self, endpoint: str) -> None:
+    def handle_unanswered_poll(self, endpoint: str) -> None:
         """Count failed polls."""
         self.silent_count += 1
 
-    def note_life_over(self, endpoint: str, born_ms: int) -> None:
+    def note_incarnation_ended(self, endpoint: str, born_ms: int) -> None:
         """Do nothing."""
 
-    def note_next_life(self, endpoint: str, born_ms: int) -> None:
+    def note_next_incarnation(self, endpoint: str, born_ms: int) -> None:
         """Record the later incarnation."""
         self.incarnations.append(born_ms)
 
@@ -129,23 +129,23 @@
         assert owner.silent_count
 
     @pytest.mark.parametrize(
-        ("answer_ms", "born_ms", "has_answered", "answerer"),
+        ("answer_ms", "born_ms", "has_answered", "answer_source"),
         [
-            (0, 0, True, Answerer.THIS),
-            (0, 5, True, Answerer.THIS),
-            (5, 5, True, Answerer.THIS),
-            (5, 0, False, Answerer.THIS),
-            (5, 0, True, Answerer.NEXT),
-            (6, 5, True, Answerer.NEXT),
-            (6, 5, False, Answerer.NEXT),
-            (4, 5, True, Answerer.EARLIER),
+            (0, 0, True, AnswerSource.THIS),
+            (0, 5, True, AnswerSource.THIS),
+            (5, 5, True, AnswerSource.THIS),
+            (5, 0, False, AnswerSource.THIS),
+            (5, 0, True, AnswerSource.NEXT),
+            (6, 5, True, AnswerSource.NEXT),
+            (6, 5, False, AnswerSource.NEXT),
+            (4, 5, True, AnswerSource.EARLIER),
         ],
     )
     def test_which_one_answers(
-        self, answer_ms: int, born_ms: int, has_answered: bool, answerer: Answerer
+        self, answer_ms: int, born_ms: int, has_answered: bool, answer_source: AnswerSource
     ) -> None:
         """Covers each combination of known and answered birth times."""
-        assert classify_answer(answer_ms, born_ms, has_answered) is answerer
+        assert classify_answer(answer_ms, born_ms, has_answered) is answer_source
 
     @pytest.mark.parametrize("born_ms", [_BORN_MS, 0])
     def test_this_one_answers(self, born_ms: int) -> None:
@@ -214,19 +214,19 @@
 
     def note_overdue(self, endpoint: str, call: str) -> None:
         """Exclude the endpoint from placement."""
-        self.state.distrust(endpoint)
+        self.state.exclude_from_placement(endpoint)
 
-    def note_silent(self, endpoint: str) -> None:
+    def handle_unanswered_poll(self, endpoint: str) -> None:
         """Exclude the endpoint from placement."""
-        self.state.distrust(endpoint)
+        self.state.exclude_from_placement(endpoint)
 
-    def note_life_over(self, endpoint: str, born_ms: int) -> None:
+    def note_incarnation_ended(self, endpoint: str, born_ms: int) -> None:
         """End the incarnation in the catalog."""
         self.catalog.end_life(endpoint, born_ms, monotonic_ms())
 
-    def note_next_life(self, endpoint: str, born_ms: int) -> None:
+    def note_next_incarnation(self, endpoint: str, born_ms: int) -> None:
         """Open a link to the new incarnation."""
-        self.links.begin_life(endpoint, born_ms)
+        self.links.begin_incarnation(endpoint, born_ms)
 
     def note_fenced(self, endpoint: str) -> None:
         """Do nothing."""
@@ -249,7 +249,7 @@
     def leave(self) -> None:
         """Handle the endpoint's draining report and a farewell message."""
         self.catalog.merge(self.record._replace(state=EndpointState.DRAINING), monotonic_ms())
-        assert self.catalog.note_farewell("w1", monotonic_ms())
+        assert self.catalog.note_deregistration("w1", monotonic_ms())
 
     @property
     def causes(self) -> list[EndCause]:
--- a/tests/test_owners_late_starts.py
+++ b/tests/test_owners_late_starts.py
@@ -5,15 +5,15 @@
 
 from foldloom.seed_discovery.jobs.spec import RunId, TaskId
 from foldloom.seed_discovery.owners.actions import StopAction
-from foldloom.seed_discovery.owners.late_starts import LATE_ORDER_MAX_MS, LateStarts
+from foldloom.seed_discovery.owners.late_starts import UNANSWERED_ORDER_TTL_MS, UnansweredStarts
 
 _RUN = RunId(TaskId("1" * 16, 0, 0, 0), 1)
 _STOP = StopAction(_RUN, "w1")
 _SENT_MS = 1_000.0
 
 
-def _one_unanswered() -> LateStarts:
-    unanswered = LateStarts()
+def _one_unanswered() -> UnansweredStarts:
+    unanswered = UnansweredStarts()
     unanswered.note(_RUN, "w1", _SENT_MS)
     return unanswered
 
@@ -60,5 +60,5 @@
         unanswered = _one_unanswered()
         other = RunId(TaskId("2" * 16, 0, 0, 0), 1)
         unanswered.note(other, "w1", _SENT_MS + 50)
-        now_ms = _SENT_MS + LATE_ORDER_MAX_MS
+        now_ms = _SENT_MS + UNANSWERED_ORDER_TTL_MS
         assert unanswered.stops_due({"w1"}, now_ms - 100, now_ms) == [StopAction(other, "w1")]
--- a/tests/test_owners_late_words.py
+++ b/tests/test_owners_late_words.py
@@ -163,7 +163,7 @@
         state.cancel(_E1, _JOB, 1_500.0)
         for now_ms in (2_000.0, 3_000.0, 3_600.0, 4_200.0):
             state.tick(now_ms)
-        assert state.run_of(_TASK) is not None
+        assert state.current_run(_TASK) is not None
         assert state.cancel(_E2, _JOB, 4_200.0)
 
     def test_handed_in_again_at_the_same_box(self) -> None:
@@ -177,7 +177,7 @@
         start_waiting(state, 1_450.0)
         for now_ms in (2_000.0, 3_000.0, 3_600.0, 4_200.0):
             state.tick(now_ms)
-        assert state.run_of(_TASK) is not None
+        assert state.current_run(_TASK) is not None
         assert state.cancel(_E1, _JOB, 4_200.0, delivery=2)
 
 
--- a/tests/test_owners_lease.py
+++ b/tests/test_owners_lease.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from foldloom.seed_discovery.owners.lease import CLOCK_DRIFT_MAX, EndpointClock, gone_after_ms
+from foldloom.seed_discovery.owners.lease import CLOCK_DRIFT_MAX, EndpointClock, run_expiry_ms
 
 _rates = st.floats(min_value=1.0 - CLOCK_DRIFT_MAX, max_value=1.0)
 _delays = st.floats(min_value=0.0, max_value=300.0)
@@ -56,4 +56,4 @@
     def test_within_the_time_of_a_resend(self) -> None:
         """With default timings a run has ended before its caller submits the job again."""
         session_ms, lease_ms, resend_ms = 400.0, 600.0, 1_300.0
-        assert session_ms + gone_after_ms(lease_ms) < resend_ms
+        assert session_ms + run_expiry_ms(lease_ms) < resend_ms
--- a/tests/test_owners_machine.py
+++ b/tests/test_owners_machine.py
@@ -18,7 +18,7 @@
     LAPSE_MARGIN_MS,
     STOP_OVERDUE_MS,
     EndpointClock,
-    gone_after_ms,
+    run_expiry_ms,
 )
 from foldloom.seed_discovery.owners.messages import EndCause, RunOrder
 from foldloom.seed_discovery.owners.state import OwnerState
@@ -52,15 +52,15 @@
 
     def __init__(self, token: int, now_ms: float) -> None:
         self.token = token
-        self.state = OwnerState(gone_after_ms(_LEASE_MS))
-        self.state.trust_catalog()
+        self.state = OwnerState(run_expiry_ms(_LEASE_MS))
+        self.state.mark_catalog_complete()
         self.clocks = {name: EndpointClock() for name in _ENDPOINTS}
         self.heard_ms = dict.fromkeys(_ENDPOINTS, now_ms)
         self.seen = dict.fromkeys(_ENDPOINTS, 0)
         self.silent: set[str] = set()
         self.lapsed: set[str] = set()
         for name in _ENDPOINTS:
-            self.state.follow_endpoint(endpoint(name))
+            self.state.update_endpoint(endpoint(name))
 
 
 class OwnersMachine(RuleBasedStateMachine):
@@ -227,7 +227,7 @@
         until = clock.order_until(self.now, _LEASE_MS) if may_renew else 0
         if not self._reaches(term, name):
             term.silent.add(name)
-            term.state.distrust(name)
+            term.state.exclude_from_placement(name)
             return
         sent = self.now
         answer = simulated.look(term.token, term.seen[name], until, self.now)
@@ -285,8 +285,8 @@
             lapse_ms = max(term.clocks[name].lapses_by(), term.heard_ms[name] + _LEASE_MS / 0.98)
             if self.now >= lapse_ms + LAPSE_MARGIN_MS:
                 term.lapsed.add(name)
-                term.state.note_lapsed(name, self.now)
-        for stop in term.state.stops_to_repeat(self.now - 100.0, self.now):
+                term.state.handle_lease_expiry(name, self.now)
+        for stop in term.state.stops_to_retransmit(self.now - 100.0, self.now):
             self._order_stop(term, stop, "done")
         term.state.tick(self.now)
         if term is self.term:
--- a/tests/test_owners_refusals.py
+++ b/tests/test_owners_refusals.py
@@ -23,9 +23,9 @@
 from models.standing_boxes import StandingZonesWorld
 from models.virtual_time import TurnsLoop, VirtualTimeLoop, Waking, run_in_virtual_time
 from models.zones_faults import (
-    Trouble,
-    play_through,
-    usual_caller,
+    Faults,
+    default_caller,
+    run_simulation,
 )
 from models.zones_world import Answer, Start, ZonesWorld
 
@@ -44,7 +44,7 @@
 _RETRY_DELAY_S = (0.3, 2.0)
 
 
-class PauseFaults(Trouble):
+class PauseFaults(Faults):
     """Additional pauses, restarts of all boxes, and endpoint faults."""
 
     def __init__(self, world: StandingZonesWorld) -> None:
@@ -157,7 +157,7 @@
 
     async def play() -> ZonesWorld:
         world = ZonesWorld(seed, loop)
-        await play_through(world, Trouble, usual_caller)
+        await run_simulation(world, Faults, default_caller)
         return world
 
     world: ZonesWorld = run_in_virtual_time(play(), loop)
@@ -170,7 +170,7 @@
 
     async def play() -> StandingZonesWorld:
         world = StandingZonesWorld(seed, loop)
-        await play_through(world, PauseFaults, _retrying_caller)
+        await run_simulation(world, PauseFaults, _retrying_caller)
         return world
 
     world: StandingZonesWorld = run_in_virtual_time(play(), loop)
--- a/tests/test_owners_renewed_session.py
+++ b/tests/test_owners_renewed_session.py
@@ -14,7 +14,7 @@
 import logbook
 import pytest
 
-from foldloom.logs import EventLimits
+from foldloom.logs import EventRateLimits
 from foldloom.seed_discovery.endpoints.calls import CallOutcome, CallReply, EndKind, StartOrder
 from foldloom.seed_discovery.fleet.messages import OwnerHeartbeat
 from foldloom.seed_discovery.jobs.spec import RunId, TaskId
@@ -55,7 +55,7 @@
 @pytest.fixture(autouse=True)
 def _unlimited_log_events(monkeypatch: pytest.MonkeyPatch) -> None:
     """Reset the rate limits of log events, which other tests may have exhausted."""
-    monkeypatch.setattr("foldloom.logs._LIMITS", EventLimits())
+    monkeypatch.setattr("foldloom.logs._LIMITS", EventRateLimits())
 
 
 class EndlessEndpoint(SimulatedEndpoint):
--- a/tests/test_owners_same_id.py
+++ b/tests/test_owners_same_id.py
@@ -16,7 +16,7 @@
 from foldloom.clock import monotonic_ms
 from foldloom.seed_discovery.endpoints.records import EndpointRecord, EndpointState
 from models.virtual_time import VirtualTimeLoop, run_in_virtual_time
-from models.zones_faults import TROUBLE_S, Trouble, play_through, usual_caller
+from models.zones_faults import TROUBLE_S, Faults, default_caller, run_simulation
 from models.zones_world import ZonesWorld
 from test_owners_refusals import broken_promises
 
@@ -38,7 +38,7 @@
 _SEEDS = int(os.environ.get("FOLDLOOM_SEEDS", "16"))
 
 
-class Restarts(Trouble):
+class Restarts(Faults):
     """Box and network faults plus restarts of endpoints."""
 
     def __init__(self, world: ZonesWorld) -> None:
@@ -83,7 +83,7 @@
             # It has crashed in the meantime.
             return
         self.world.tell(ready._replace(sequence=2, state=EndpointState.DRAINING))
-        self.world.left_alone_from_ms[ready.endpoint] = monotonic_ms() + _NO_STARTS_AFTER_MS
+        self.world.no_starts_from_ms[ready.endpoint] = monotonic_ms() + _NO_STARTS_AFTER_MS
 
     def _schedule(self, delay_s: tuple[float, float], act: Callable[[], None]) -> None:
         self.world.loop.call_later(self.world.rng.uniform(*delay_s), act)
@@ -94,7 +94,7 @@
 
     def _leave(self, ready: EndpointRecord) -> None:
         super()._leave(ready)
-        self._schedule(_FAREWELL_DELAY_S, lambda: self.world.bid_farewell(ready.endpoint))
+        self._schedule(_FAREWELL_DELAY_S, lambda: self.world.send_deregistration(ready.endpoint))
 
 
 class LateOrders(Restarts):
@@ -109,7 +109,7 @@
         self.kinds = [self._restart_endpoint]
         self.report_delay_s = _SHORT_REPORT_DELAY_S
         world.conditions.late_orders = _LATE_SHARE
-        world.unheard_ms = _DISCOVERY_MAX_MS
+        world.undiscovered_ms = _DISCOVERY_MAX_MS
         self._faults_end_s = world.loop.time() + TROUBLE_S
 
     def _leave(self, ready: EndpointRecord) -> None:
@@ -121,7 +121,7 @@
         has_ended = self.world.births[ready.endpoint] != ready.born_ms
         if has_ended or self.world.loop.time() > self._faults_end_s:
             return
-        self.world.bid_farewell(ready.endpoint)
+        self.world.send_deregistration(ready.endpoint)
         self._crash_and_restart(ready.endpoint)
 
 
@@ -130,7 +130,7 @@
 
     def __init__(self, world: ZonesWorld) -> None:
         super().__init__(world)
-        world.unheard_ms = 0.0
+        world.undiscovered_ms = 0.0
 
 
 def _stale_records(world: ZonesWorld) -> list[str]:
@@ -146,18 +146,18 @@
             if record.state is EndpointState.GONE:
                 stale += [f"{box.zone}: {record} is followed"] if known else []
                 continue
-            if known is None or known.record != record or not known.is_trusted:
+            if known is None or known.record != record or not known.has_current_report:
                 stale.append(f"{box.zone}: {record} is known as {known and known.record}")
     return stale
 
 
-def _play(seed: int, trouble_of: Callable[[ZonesWorld], Trouble]) -> ZonesWorld:
+def _play(seed: int, faults_of: Callable[[ZonesWorld], Faults]) -> ZonesWorld:
     loop = VirtualTimeLoop()
     random.seed(seed)
 
     async def play() -> ZonesWorld:
         world = ZonesWorld(seed, loop)
-        await play_through(world, trouble_of, usual_caller)
+        await run_simulation(world, faults_of, default_caller)
         assert _stale_records(world) == []
         return world
 
--- a/tests/test_owners_started_jobs.py
+++ b/tests/test_owners_started_jobs.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from foldloom.seed_discovery.owners.batches import BELIEVED_MS
+from foldloom.seed_discovery.owners.batches import REPLY_VALID_MS
 from foldloom.seed_discovery.owners.started_jobs import StartedJobs
 
 _JOB, _OTHER = "a" * 16, "b" * 16
@@ -34,7 +34,7 @@
         """A job is kept as long as a delayed box accepts the owner's statement."""
         known = StartedJobs()
         known.note(_JOB, 0.0)
-        known.expire(BELIEVED_MS)
+        known.expire(REPLY_VALID_MS)
         assert _JOB in known
 
     def test_delivered_and_not_started(self) -> None:
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -15,7 +15,7 @@
 from foldloom.seed_discovery.endpoints.records import EndpointRecord
 from foldloom.seed_discovery.jobs.spec import Demand, Placement, RunId, TaskId
 from foldloom.seed_discovery.owners.actions import StopAction
-from foldloom.seed_discovery.owners.late_starts import LATE_ORDER_MAX_MS
+from foldloom.seed_discovery.owners.late_starts import UNANSWERED_ORDER_TTL_MS
 from foldloom.seed_discovery.owners.messages import (
     EndCause,
     Objective,
@@ -69,7 +69,7 @@
     """Return an owner state to which all of *records* have reported."""
     state = OwnerState(_GONE_AFTER_MS)
     for record in records:
-        state.follow_endpoint(record)
+        state.update_endpoint(record)
         state.report(EndpointReport(record.endpoint, (), (), 0.0), 1.0)
     return state
 
@@ -119,7 +119,7 @@
     def test_untrusted_endpoint_gets_nothing(self) -> None:
         """An endpoint that does not answer gets no work until its next report."""
         state = owner_with(endpoint("w1"))
-        state.distrust("w1")
+        state.exclude_from_placement("w1")
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
         assert state.actions.pop_starts() == []
@@ -157,13 +157,13 @@
         notified = ends_of(state)
         assert [(holder, end.cause) for holder, end in notified] == [(_E1, EndCause.DONE)]
         assert notified[0][1].ran_ms == 100
-        assert state.run_of(run_id.task) is None
+        assert state.current_run(run_id.task) is None
 
     def test_lapsed(self) -> None:
         """Runs end when their endpoint's lease expires."""
         state = owner_with(endpoint("w1"))
         start_one(state)
-        state.note_lapsed("w1", 700.0)
+        state.handle_lease_expiry("w1", 700.0)
         assert [end.cause for _, end in ends_of(state)] == [EndCause.LAPSED]
 
     def test_unanswered_start(self) -> None:
@@ -220,7 +220,7 @@
         """A run stolen by another zone is not queued here again."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, _numbered_submission(1), 1.0)
-        assert state.release_stolen(self._GROUP, 1, "other", 2.0) == 1
+        assert state.release_to_zone(self._GROUP, 1, "other", 2.0) == 1
         state.submit(_E1, _numbered_submission(1), 150.0)
         state.place(150.0)
         assert state.actions.pop_starts() == []
@@ -242,7 +242,7 @@
         """A new delivery of a stolen run is accepted."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, _numbered_submission(1), 1.0)
-        state.release_stolen(self._GROUP, 1, "other", 2.0)
+        state.release_to_zone(self._GROUP, 1, "other", 2.0)
         state.submit(_E1, _numbered_submission(3), 10.0)
         state.place(10.0)
         assert len(state.actions.pop_starts()) == 1
@@ -251,7 +251,7 @@
         """A stolen run that was never started does not count as a start."""
         state = owner_with(endpoint("w1"))
         state.submit(_E1, _numbered_submission(1), 1.0)
-        state.release_stolen(self._GROUP, 1, "other", 2.0)
+        state.release_to_zone(self._GROUP, 1, "other", 2.0)
         assert not state.cancel(_E1, _JOB, 3.0)
 
     def test_each_holder_has_its_own_number(self) -> None:
@@ -317,7 +317,7 @@
         state.place(1.0)
         first = state.actions.pop_starts()[0]
         state.note_start(first.run_id, "w1", CallOutcome.UNKNOWN, 251.0)
-        state.note_lapsed("w1", 900.0)
+        state.handle_lease_expiry("w1", 900.0)
         state.tick(2_000.0)
         ends = ends_of(state)
         assert [(end.cause, end.has_started) for _, end in ends] == [(EndCause.UNATTAINABLE, True)]
@@ -358,7 +358,7 @@
     def test_moved_after_a_run_that_was_not_told(self) -> None:
         """The same, for a run that is then stolen by another zone."""
         state = self._redelivered_after_run()
-        assert state.release_stolen(GroupId(_JOB, 0, 0), 1, "b", 80.0) == 1
+        assert state.release_to_zone(GroupId(_JOB, 0, 0), 1, "b", 80.0) == 1
         assert [end.has_started for _, end in ends_of(state)] == [True]
 
     def test_dropped_while_it_waits_after_a_start(self) -> None:
@@ -369,7 +369,7 @@
         state.place(1.0)
         first = state.actions.pop_starts()[0]
         state.note_start(first.run_id, "w1", CallOutcome.UNKNOWN, 251.0)
-        state.note_lapsed("w1", 900.0)
+        state.handle_lease_expiry("w1", 900.0)
         state.end_session(_E1, 950.0)
         order = RunOrder(0, 0, 1, is_moved=True, delivery=2)
         state.submit(_E1, spec._replace(orders=[order]), 960.0)
@@ -512,7 +512,7 @@
         """Runs missing from its first report end at once, without waiting for a lease."""
         state = owner_with(endpoint("w1"))
         run_id = start_one(state)
-        state.begin_life("w1", 100.0)
+        state.begin_incarnation("w1", 100.0)
         assert ends_of(state) == []
         state.report(EndpointReport("w1", (), (), 101.0), 102.0)
         assert [(end.run_id, end.cause) for _, end in ends_of(state)] == [(run_id, EndCause.LOST)]
@@ -521,7 +521,7 @@
         """A run meant for the previous incarnation continues if the new one lists it."""
         state = owner_with(endpoint("w1"))
         run_id = start_one(state)
-        state.begin_life("w1", 100.0)
+        state.begin_incarnation("w1", 100.0)
         state.report(EndpointReport("w1", (ActiveRun(run_id),), (), 101.0), 102.0)
         assert ends_of(state) == []
         ended = EndedRun(1, run_id, EndKind.DONE)
@@ -534,7 +534,7 @@
         state.submit(_E1, submission(), 10.0)
         state.place(10.0)
         action = state.actions.pop_starts()[0]
-        state.begin_life(action.endpoint, 20.0)
+        state.begin_incarnation(action.endpoint, 20.0)
         state.report(EndpointReport(action.endpoint, (), (), 21.0), 22.0)
         assert ends_of(state) == []
         state.place(23.0)
@@ -544,45 +544,45 @@
         """The next incarnation is ordered to stop an unanswered start, while it may arrive late."""
         state = owner_with(endpoint("w1"))
         run_id = unanswered_start(state)
-        state.begin_life("w1", 1_000.0)
+        state.begin_incarnation("w1", 1_000.0)
         assert [stop.run_id for stop in state.actions.pop_stops()] == [run_id]
-        state.begin_life("w1", 260.0 + LATE_ORDER_MAX_MS)
+        state.begin_incarnation("w1", 260.0 + UNANSWERED_ORDER_TTL_MS)
         assert state.actions.pop_stops() == []
 
     def test_it_is_told_until_it_answers(self) -> None:
         """An unanswered stop of a late start is retransmitted until confirmed."""
         state = owner_with(endpoint("w1"))
         run_id = unanswered_start(state)
-        state.begin_life("w1", 1_000.0)
+        state.begin_incarnation("w1", 1_000.0)
         state.actions.pop_stops()
         state.note_stop(run_id, "w1", CallOutcome.UNKNOWN, 1_250.0)
         stop = StopAction(run_id, "w1")
-        assert state.stops_to_repeat(900.0, 1_000.0) == []
-        assert state.stops_to_repeat(1_100.0, 1_200.0) == [stop]
-        assert state.stops_to_repeat(1_100.0, 1_200.0) == []
+        assert state.stops_to_retransmit(900.0, 1_000.0) == []
+        assert state.stops_to_retransmit(1_100.0, 1_200.0) == [stop]
+        assert state.stops_to_retransmit(1_100.0, 1_200.0) == []
         state.note_stop(run_id, "w1", CallOutcome.DONE, 1_260.0)
-        assert state.stops_to_repeat(1_300.0, 1_400.0) == []
+        assert state.stops_to_retransmit(1_300.0, 1_400.0) == []
 
     def test_nothing_is_told_to_one_that_is_silent(self) -> None:
         """Stops of late starts are not retransmitted to an endpoint that does not answer."""
         state = owner_with(endpoint("w1"))
         run_id = unanswered_start(state)
-        state.begin_life("w1", 1_000.0)
+        state.begin_incarnation("w1", 1_000.0)
         state.actions.pop_stops()
-        state.note_silent("w1")
-        assert not state.candidates["w1"].is_trusted
-        assert state.stops_to_repeat(1_100.0, 1_200.0) == []
+        state.handle_unanswered_poll("w1")
+        assert not state.candidates["w1"].has_current_report
+        assert state.stops_to_retransmit(1_100.0, 1_200.0) == []
         state.report(EndpointReport("w1", (), (), 1_200.0), 1_201.0)
-        assert state.stops_to_repeat(1_110.0, 1_210.0) == [StopAction(run_id, "w1")]
+        assert state.stops_to_retransmit(1_110.0, 1_210.0) == [StopAction(run_id, "w1")]
 
     def test_one_that_follows_a_leave(self) -> None:
         """An endpoint that rejoins after leaving is ordered to stop late starts."""
         state = owner_with(endpoint("w1"))
         run_id = unanswered_start(state)
-        state.drop_endpoint("w1", 900.0)
-        assert state.stops_to_repeat(1_000.0, 1_100.0) == []
-        state.follow_endpoint(endpoint("w1", born_ms=2))
-        assert state.stops_to_repeat(1_100.0, 1_200.0) == [StopAction(run_id, "w1")]
+        state.remove_endpoint("w1", 900.0)
+        assert state.stops_to_retransmit(1_000.0, 1_100.0) == []
+        state.update_endpoint(endpoint("w1", born_ms=2))
+        assert state.stops_to_retransmit(1_100.0, 1_200.0) == [StopAction(run_id, "w1")]
 
     def test_nothing_learned_of_the_life_before(self) -> None:
         """Its speed is reset, and it gets no work before its own record arrives."""
@@ -593,11 +593,11 @@
             ended = EndedRun(number + 1, run_id, EndKind.DONE)
             report = EndpointReport("w1", (), (ended,), 200.0 * number + 150)
             state.report(report, 200.0 * number + 150)
-        state.begin_life("w1", 5_000.0)
+        state.begin_incarnation("w1", 5_000.0)
         assert state.speed_of("w1") == 1.0
         state.report(EndpointReport("w1", (), (), 5_001.0, 2), 5_002.0)
         assert not state.candidates["w1"].is_open(5_003.0)
-        state.follow_endpoint(endpoint("w1", born_ms=2))
+        state.update_endpoint(endpoint("w1", born_ms=2))
         state.report(EndpointReport("w1", (), (), 5_004.0, 2), 5_005.0)
         assert state.candidates["w1"].is_open(5_006.0)
 
@@ -610,7 +610,7 @@
         run_id = RunId(_TASK, 3)
         for is_polled_first in (True, False):
             state = OwnerState(_GONE_AFTER_MS)
-            state.follow_endpoint(endpoint("w1"))
+            state.update_endpoint(endpoint("w1"))
             if is_polled_first:
                 state.report(EndpointReport("w1", (ActiveRun(run_id),), (), 0.0), 1.0)
             state.submit(_E1, submission(run=3, is_resumed=True), 2.0)
@@ -626,9 +626,9 @@
     def test_end_of_an_earlier_run_is_not_the_end(self) -> None:
         """The end of an earlier attempt does not allow a new start while a later one may run."""
         state = OwnerState(_GONE_AFTER_MS)
-        state.trust_catalog()
-        state.follow_endpoint(endpoint("w1"))
-        state.follow_endpoint(endpoint("w2"))
+        state.mark_catalog_complete()
+        state.update_endpoint(endpoint("w1"))
+        state.update_endpoint(endpoint("w2"))
         state.submit(_E1, submission(is_resumed=True), 1.0)
         state.report(
             EndpointReport("w2", (), (EndedRun(4, RunId(_TASK, 2), EndKind.STOPPED),), 2.0), 3.0
@@ -648,7 +648,7 @@
     def test_end_that_came_before_the_box(self) -> None:
         """An end listed before the delivery is notified upon delivery."""
         state = OwnerState(_GONE_AFTER_MS)
-        state.follow_endpoint(endpoint("w1"))
+        state.update_endpoint(endpoint("w1"))
         state.report(
             EndpointReport("w1", (), (EndedRun(4, RunId(_TASK, 1), EndKind.DONE),), 0.0), 1.0
         )
@@ -658,7 +658,7 @@
     def test_nowhere_found_is_lost_only_after_the_lease(self) -> None:
         """A run is not lost before its lease expires while an endpoint has not reported."""
         state = owner_with(endpoint("w1"))
-        state.follow_endpoint(endpoint("w2"))
+        state.update_endpoint(endpoint("w2"))
         state.submit(_E1, submission(is_resumed=True, old_right_ms=200), 1_000.0)
         state.tick(1_900.0)
         assert ends_of(state) == []
@@ -668,7 +668,7 @@
     def test_looked_everywhere_is_lost_at_once(self) -> None:
         """A run is lost once all endpoints were polled after the earlier grant ended."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
-        state.trust_catalog()
+        state.mark_catalog_complete()
         state.submit(_E1, submission(is_resumed=True, old_right_ms=100), 1_000.0)
         state.report(EndpointReport("w1", (), (), 1_101.0), 1_102.0)
         state.report(EndpointReport("w2", (), (), 1_050.0), 1_101.0)
@@ -681,7 +681,7 @@
     def test_unclaimed_run_is_stopped(self) -> None:
         """An orphaned run keeps work off its endpoint, and is stopped after the grace period."""
         state = OwnerState(_GONE_AFTER_MS)
-        state.follow_endpoint(endpoint("w1"))
+        state.update_endpoint(endpoint("w1"))
         orphan = RunId(TaskId("f" * 16, 0, 0, 0), 1)
         state.report(EndpointReport("w1", (ActiveRun(orphan),), (), 0.0), 1.0)
         state.submit(_E1, submission(), 10.0)
--- a/tests/test_owners_zone_owner.py
+++ b/tests/test_owners_zone_owner.py
@@ -139,7 +139,7 @@
             assert calls.starts == 1
             draining = _ENDPOINT._replace(state=EndpointState.DRAINING, sequence=2)
             catalog.merge(draining, monotonic_ms())
-            following = asyncio.create_task(owner.follow_endpoints({"w1"}))
+            following = asyncio.create_task(owner.sync_endpoints({"w1"}))
             await asyncio.sleep(0)
             await _submit_job(owner, 2)
             assert calls.starts == 1
@@ -202,7 +202,7 @@
             _acknowledge(owner, 2, now_ms)
             network.incarnation = 1
             _acknowledge(owner, 2, now_ms - 20)
-            assert owner._sessions.has_right(HolderId(_record(2).box, 2), now_ms + 1)
+            assert owner._sessions.has_session(HolderId(_record(2).box, 2), now_ms + 1)
             owner.close()
 
         _run(play())
@@ -217,8 +217,8 @@
             _acknowledge(owner, 2, now_ms)
             network.incarnation = 2
             _acknowledge(owner, 2, now_ms + 20)
-            assert not owner._sessions.has_right(HolderId(_record(2).box, 1), now_ms + 1)
-            assert owner._sessions.has_right(HolderId(_record(2).box, 2), now_ms + 1)
+            assert not owner._sessions.has_session(HolderId(_record(2).box, 1), now_ms + 1)
+            assert owner._sessions.has_session(HolderId(_record(2).box, 2), now_ms + 1)
             owner.close()
 
         _run(play())
--- a/tests/test_peers_lives.py
+++ b/tests/test_peers_lives.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from foldloom.peers.lives import FreshLives, Lives, OrderedLives
+from foldloom.peers.lives import IncarnationTracker, OrderedIncarnations, UnorderedIncarnations
 
 _DAY_MS = 86_400_000.0
 # Message interval, and drift of the sender's clock: 50 ppm.
@@ -18,7 +18,7 @@
 
     def test_older_life_is_not_heard(self) -> None:
         """A message of a lower incarnation is rejected."""
-        lives = OrderedLives()
+        lives = OrderedIncarnations()
         assert lives.note("a", 2, 0.0, 10.0) == 0.0
         assert lives.note("a", 1, 5.0, 15.0) is None
         assert lives.current("a") == 2
@@ -29,14 +29,14 @@
 
     def test_clock_went_back_over_a_restart(self) -> None:
         """A new incarnation becomes current at once, even with a lower number."""
-        lives = FreshLives()
+        lives = UnorderedIncarnations()
         lives.note("a", 9, 0.0, 10.0)
         assert lives.note("a", 3, 0.0, 500.0) == 0.0
         assert lives.current("a") == 3
 
     def test_held_up_message_of_an_earlier_life(self) -> None:
         """A message delayed by a partition does not make its incarnation current again."""
-        lives = FreshLives()
+        lives = UnorderedIncarnations()
         lives.note("a", 9, 0.0, 10.0)
         lives.note("a", 3, 0.0, 5_000.0)
         age = lives.note("a", 9, 100.0, 6_000.0)
@@ -46,7 +46,7 @@
 
     def test_age_by_the_least_offset(self) -> None:
         """The age is relative to the smallest clock offset observed."""
-        lives = FreshLives()
+        lives = UnorderedIncarnations()
         lives.note("a", 1, 0.0, 50.0)
         lives.note("a", 1, 100.0, 110.0)
         age = lives.note("a", 1, 200.0, 300.0)
@@ -54,11 +54,11 @@
         assert 85.0 < age <= 90.0
 
 
-@pytest.mark.parametrize("kind", [OrderedLives, FreshLives])
+@pytest.mark.parametrize("kind", [OrderedIncarnations, UnorderedIncarnations])
 class TestSendersClock:
     """Guards against messages misjudged because the sender's clock deviates."""
 
-    def test_it_drifts(self, kind: type[Lives]) -> None:
+    def test_it_drifts(self, kind: type[IncarnationTracker]) -> None:
         """Messages stay fresh while the clocks drift apart for a day."""
         lives = kind()
         for minute in range(int(_DAY_MS / _MESSAGE_INTERVAL_MS)):
@@ -66,7 +66,7 @@
             sent_ms = now_ms * (1 - _DRIFT_RATIO)
             assert lives.note("a", 1, sent_ms, now_ms) == pytest.approx(0.0, abs=100.0)
 
-    def test_it_fell_back(self, kind: type[Lives]) -> None:
+    def test_it_fell_back(self, kind: type[IncarnationTracker]) -> None:
         """Messages look old until a reply bounds their age and corrects the offset."""
         lives = kind()
         lives.note("a", 1, 1_000.0, 1_000.0)
@@ -74,7 +74,7 @@
         assert lives.note("a", 1, 2_100.0, 5_100.0, age_max_ms=4.0) == pytest.approx(4.0, abs=1.0)
         assert lives.note("a", 1, 2_200.0, 5_200.0) == pytest.approx(4.0, abs=1.0)
 
-    def test_a_slow_reply_proves_little(self, kind: type[Lives]) -> None:
+    def test_a_slow_reply_proves_little(self, kind: type[IncarnationTracker]) -> None:
         """A delayed reply does not make delayed messages look fresh."""
         lives = kind()
         lives.note("a", 1, 1_000.0, 1_000.0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -22,7 +22,7 @@
 from foldloom.settings_file import settings_from
 from foldloom.static_peers.placement.health import Health
 from foldloom.static_peers.placement.leased_slots import LeasedSlots
-from foldloom.static_peers.placement.messages import HeldSlot, SlotRequest, SlotReturn, SlotUse
+from foldloom.static_peers.placement.messages import HeldSlot, SlotOutcome, SlotRequest, SlotReturn
 from foldloom.static_peers.placement.policies import (
     POLICIES,
     Choice,
@@ -33,7 +33,7 @@
 )
 from foldloom.static_peers.placement.retries import RetryBudget, may_retry
 from foldloom.static_peers.placement.shard import Grant, Shard
-from foldloom.static_peers.placement.shards import FLEET, Managers, manager_of, shard_names
+from foldloom.static_peers.placement.shards import FLEET, ManagerCache, manager_of, shard_names
 from foldloom.static_peers.placement.speeds import SpeedTable
 from foldloom.verdicts import may_have_run, not_run
 
@@ -78,7 +78,7 @@
     return SlotRequest(number, FLEET, "s", customer, tasks, left, tasks)
 
 
-def _give_back(shard: Shard, grant: Grant, ms: float, use: SlotUse = SlotUse.DONE) -> None:
+def _give_back(shard: Shard, grant: Grant, ms: float, use: SlotOutcome = SlotOutcome.DONE) -> None:
     message = grant.message
     shard.give_back(SlotReturn(message.lease_id, message.endpoint, "s", ms, use), 0.0)
 
@@ -342,7 +342,7 @@
             endpoint = f"w{number % 4}"
             shard.hold("a1", HeldSlot(number, endpoint, "s", "m1", 0), 0.0)
             ms = 1_000.0 if endpoint == "w3" and number > 40 else 100.0
-            shard.give_back(SlotReturn(number, endpoint, "s", ms, SlotUse.DONE), 0.0)
+            shard.give_back(SlotReturn(number, endpoint, "s", ms, SlotOutcome.DONE), 0.0)
             shard.tick(0.0)
         shard.add("a1", _request(2, 8))
         assert "w3" not in {grant.message.endpoint for grant in shard.match(0.0)}
@@ -398,12 +398,12 @@
     def test_budget_is_a_share_of_starts(self) -> None:
         """Beyond the initial budget, retries are a share of the starts."""
         budget = RetryBudget(0.1)
-        while budget.spend():
+        while budget.consume():
             pass
         for _ in range(100):
             budget.note_start()
         allowed = 0
-        while budget.spend():
+        while budget.consume():
             allowed += 1
         assert allowed in (9, 10)
 
@@ -482,7 +482,7 @@
             lookups.append(1)
             return {"a1": "a"}
 
-        managers = Managers(serving, self._CACHE_TTL_MS)
+        managers = ManagerCache(serving, self._CACHE_TTL_MS)
         assert [managers.manager_of("a/0", at_ms) for at_ms in (1_000.0, 1_050.0)] == ["a1", "a1"]
         assert len(lookups) == 1
         managers.manager_of("a/0", 1_101.0)
@@ -491,8 +491,8 @@
     def test_a_change_is_seen_at_once(self) -> None:
         """A shard whose manager is gone gets a new one before the cached entry expires."""
         zones = {"a1": "a", "a2": "a"}
-        managers = Managers(lambda: dict(zones), self._CACHE_TTL_MS)
+        managers = ManagerCache(lambda: dict(zones), self._CACHE_TTL_MS)
         first = managers.manager_of("a/0", 1_000.0)
         del zones[first]
-        managers.look_again()
+        managers.invalidate()
         assert managers.manager_of("a/0", 1_001.0) == next(iter(zones))
