--- a/tests/test_placement_ejection.py
+++ b/tests/test_placement_ejection.py
@@ -7,7 +7,7 @@
 from foldloom.static_peers.placement.bounds import Bounds
 from foldloom.static_peers.placement.ejection import Ejection
 from foldloom.static_peers.placement.health import Health
-from foldloom.static_peers.placement.messages import SlotReturn, SlotUse
+from foldloom.static_peers.placement.messages import SlotOutcome, SlotReturn
 from foldloom.static_peers.placement.speeds import SpeedTable
 
 _EJECTION_MS = 1_000
@@ -15,7 +15,7 @@
 
 
 def _slot_return(service_ms: float) -> SlotReturn:
-    return SlotReturn(1, "w1", "sign", service_ms, SlotUse.DONE)
+    return SlotReturn(1, "w1", "sign", service_ms, SlotOutcome.DONE)
 
 
 class TestEjection:
--- a/tests/test_platform_bodies.py
+++ b/tests/test_platform_bodies.py
@@ -19,8 +19,8 @@
 from foldloom.seed_discovery.fleet.messages import (
     EndpointsSeen,
     births_of,
-    received_endpoints,
-    sent_endpoints,
+    decode_endpoints,
+    encode_endpoints,
 )
 from foldloom.seed_discovery.jobs.spec import RunId, TaskId
 from job_bodies import parse_job
@@ -235,9 +235,9 @@
         if read.is_error():
             assert read.error
             return
-        sent = EndpointsSeen(sent_endpoints([read.ok]), births_of([read.ok]))
+        sent = EndpointsSeen(encode_endpoints([read.ok]), births_of([read.ok]))
         frame = Frame(kind_of(sent), 0, 0, 0, msgspec.Raw(encode_body(sent)))
-        assert received_endpoints(decode_body(frame)) == [read.ok]
+        assert decode_endpoints(decode_body(frame)) == [read.ok]
 
     def test_nested_without_end(self) -> None:
         """A body nested beyond the decoder's recursion limit is rejected."""
--- a/tests/test_resized_endpoints.py
+++ b/tests/test_resized_endpoints.py
@@ -109,7 +109,7 @@
     def test_other_zones(self, known: list[Any], label: str, expected: SubmitStatus) -> None:
         """Endpoints of other zones count by service, capacity and label."""
         state = OwnerState(750.0, lambda: known)
-        state.follow_endpoint(endpoint("w1", 3_000))
+        state.update_endpoint(endpoint("w1", 3_000))
         state.report(EndpointReport("w1", (), (), 0.0), 1.0)
         # Starts the warm-up, which is over before the next submission.
         state.submit(_E1, submission(job_id="1" * 16, demand=Demand(1, 1, 0)), 1.0)
@@ -126,7 +126,7 @@
         state.submit(_E1, submission(2), 10.0)
         state.place(10.0)
         assert len(state.actions.pop_starts()) == 2
-        state.follow_endpoint(endpoint("w1", 7_000))
+        state.update_endpoint(endpoint("w1", 7_000))
         state.cancel(_E1, "0" * 16, 20.0)
         state.submit(_E1, submission(job_id="1" * 16), 30.0)
         state.place(30.0)
@@ -138,7 +138,7 @@
         room = state.candidates["w1"].room
         room.reserve(1, Demand(6_800, 64, 0), 1_000.0)
         room.reserve(2, Demand(6_800, 64, 0), 1_000.0)
-        state.follow_endpoint(endpoint("w1", 7_000))
+        state.update_endpoint(endpoint("w1", 7_000))
         room.cancel_reservation(1)
         assert not state.candidates["w1"].has_capacity_for(Demand(6_800, 64, 0))
         room.cancel_reservation(2)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -10,9 +10,9 @@
 import pytest
 
 from foldloom.controllers.commands import (
+    BootstrapCommand,
     BoxesSettledCommand,
     ConfirmCommand,
-    FoundCommand,
     IncarnationCommand,
     VoterReadyCommand,
     encode_command,
@@ -43,7 +43,7 @@
     def test_founding_makes_settings_not_matter(self) -> None:
         """Controllers with different settings reach the same state from the same entries."""
         entries = [
-            encode_command(FoundCommand({"a1": "a"}, {"a1": "?"})),
+            encode_command(BootstrapCommand({"a1": "a"}, {"a1": "?"})),
             encode_command(VoterReadyCommand("a1", "x1")),
         ]
         states = [_state(), ReplicatedState(empty_config({"z": "z"}, {"z": "?"}))]
@@ -133,7 +133,7 @@
             source.adopt(state.config, state.changes_since(state.config.version - 1))
 
         async def pull() -> None:
-            puller.note_version("a1", source.config.version)
+            puller.pull_if_newer("a1", source.config.version)
             while puller.config.version < source.config.version:
                 await asyncio.sleep(0)
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -17,8 +17,8 @@
 
 from foldloom.controllers.log import ReplicatedLog
 from foldloom.controllers.records import EMPTY_SNAPSHOT, Entry, Snapshot, TermVote
-from foldloom.controllers.storage import LogStorage, format_folder, set_aside
-from foldloom.exceptions import LostMemoryError
+from foldloom.controllers.storage import LogStorage, format_folder, quarantine_files
+from foldloom.exceptions import DataLossError
 from strategies import payloads, shares
 
 
@@ -118,7 +118,7 @@
         """Drop a tail, without a sync."""
         held = self.history[-1]
         kept = held.entries[: int(len(held.entries) * share)]
-        self.storage.cut_from(held.entries[len(kept)].log_index)
+        self.storage.truncate_from(held.entries[len(kept)].log_index)
         self.note(kept, held.term_vote)
 
     @precondition(lambda self: not self.is_damaged)
@@ -171,7 +171,7 @@
         expected = [held for held in self.history if held.size <= intact][-1]
         try:
             self.open()
-        except LostMemoryError:
+        except DataLossError:
             # Only a truncated and padded record is indistinguishable from damage.
             assert zeros
             assert any(left[expected.size :])
@@ -195,7 +195,7 @@
         data[int(len(data) * share)] ^= 1 << bit
         overwrite(log, data)
         self.is_damaged = True
-        with pytest.raises(LostMemoryError):
+        with pytest.raises(DataLossError):
             self.open()
 
     @precondition(lambda self: self.is_damaged)
@@ -203,7 +203,7 @@
     def replace(self) -> None:
         """Set the damaged folder aside and format a new one."""
         self.storage.close()
-        set_aside(str(self.folder))
+        quarantine_files(str(self.folder))
         self.begin()
 
     def teardown(self) -> None:
@@ -234,7 +234,7 @@
 
     def test_emptied(self, tmp_path: Path) -> None:
         """An emptied folder is reported as data loss, not opened as a new controller."""
-        with pytest.raises(LostMemoryError):
+        with pytest.raises(DataLossError):
             LogStorage(str(tmp_path)).open()
 
     @pytest.mark.parametrize("name", ["identity", "log", "snapshot"])
@@ -249,7 +249,7 @@
         path = tmp_path / name
         data = path.read_bytes()
         path.write_bytes(data[:5] + bytes([data[5] ^ 1]) + data[6:])
-        with pytest.raises(LostMemoryError):
+        with pytest.raises(DataLossError):
             LogStorage(str(tmp_path)).open()
 
     def test_never_formatted_twice(self, tmp_path: Path) -> None:
--- a/tests/test_time_limits.py
+++ b/tests/test_time_limits.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from foldloom.time_limits import TimeLimit, catch_up, sleep
+from foldloom.time_limits import SuspendAwareTimeout, catch_up, sleep
 
 _LONG_MS = 60_000.0
 
@@ -45,7 +45,7 @@
         async def run() -> float:
             began_s = time.monotonic()
             with pytest.raises(TimeoutError):
-                async with TimeLimit(50.0):
+                async with SuspendAwareTimeout(50.0):
                     await asyncio.sleep(_LONG_MS)
             return time.monotonic() - began_s
 
@@ -56,7 +56,7 @@
 
         async def run() -> None:
             with pytest.raises(TimeoutError):
-                async with TimeLimit(-1.0):
+                async with SuspendAwareTimeout(-1.0):
                     await asyncio.sleep(_LONG_MS)
 
         asyncio.run(run())
@@ -65,7 +65,7 @@
         """A body that ends in time returns its result, and a later suspension has no effect."""
 
         async def run() -> str:
-            async with TimeLimit(_LONG_MS):
+            async with SuspendAwareTimeout(_LONG_MS):
                 result = "done"
             catch_up()
             await asyncio.sleep(0)
@@ -78,7 +78,7 @@
 
         async def wait() -> None:
             with pytest.raises(TimeoutError):
-                async with TimeLimit(_LONG_MS):
+                async with SuspendAwareTimeout(_LONG_MS):
                     await asyncio.sleep(_LONG_MS)
 
         assert _wait_across_suspension(wait) < 5.0
@@ -88,7 +88,7 @@
 
         async def run() -> None:
             async def wait() -> None:
-                async with TimeLimit(_LONG_MS):
+                async with SuspendAwareTimeout(_LONG_MS):
                     await asyncio.sleep(_LONG_MS)
 
             waiting = asyncio.ensure_future(wait())
--- a/tests/test_unchanged.py
+++ b/tests/test_unchanged.py
@@ -65,7 +65,7 @@
     commands.ControllerJoinCommand,
     commands.ControllerLeaveCommand,
     commands.BoxesSettledCommand,
-    commands.FoundCommand,
+    commands.BootstrapCommand,
     commands.PublishCommand,
 )
 
@@ -103,7 +103,7 @@
 def _payloads(replicated: ReplicatedState) -> Iterator[bytes]:
     """Yield commands for both kinds of state; later ones depend on the earlier ones."""
     yield b""
-    yield commands.encode_command(commands.FoundCommand({"a1": "a"}, {"c1": "*", "c2": "*"}))
+    yield commands.encode_command(commands.BootstrapCommand({"a1": "a"}, {"c1": "*", "c2": "*"}))
     yield commands.encode_command(commands.IncarnationCommand("a1", 41))
     yield commands.encode_command(commands.VoterReadyCommand("c1", "disk-1"))
     yield _confirm("first", INTENTS, replicated)
@@ -120,7 +120,7 @@
         "config": list(replicated.config),
         "publication": [replicated.publication.version, replicated.publication.document.decode()],
         "changes": [list(changes) for changes in replicated.changes_since(1)],
-        "founders": replicated.founder_count,
+        "founders": replicated.target_voter_count,
         "resent": list(
             replicated.apply(commands.encode_command(commands.IncarnationCommand("a1", 41)))
         ),
@@ -188,7 +188,7 @@
     def test_set_aside(self, tmp_path: Path) -> None:
         """Files of a damaged folder are renamed with the suffix ``.lost`` and a time."""
         _write_folder(tmp_path)
-        storage.set_aside(str(tmp_path))
+        storage.quarantine_files(str(tmp_path))
         names = sorted(path.name.rpartition("-")[0] for path in tmp_path.iterdir())
         assert names == ["identity.lost", "log.lost", "snapshot.lost"]
 
@@ -210,7 +210,7 @@
             snapshot = records.Snapshot(6, 3, replicated.dump())
             log.save_snapshot(snapshot, records.TermVote(3, "c1"), [])
     log.append(entries[6:])
-    log.cut_from(9)
+    log.truncate_from(9)
     log.append(entries[8:])
     log.save_term_vote(records.TermVote(4, "c2"))
     log.sync()
--- a/tests/test_unchanged_platform.py
+++ b/tests/test_unchanged_platform.py
@@ -134,7 +134,7 @@
         self.received.append(list(record))
         return True
 
-    async def note_gone(self, endpoint: str) -> None:
+    async def deregister_endpoint(self, endpoint: str) -> None:
         self.received.append(endpoint)
 
     async def publish(self, version: int, document: bytes, timeout_ms: float) -> Any:
--- a/tests/unchanged/describe_messages.py
+++ b/tests/unchanged/describe_messages.py
@@ -98,7 +98,7 @@
     """Print the messages registered by the modules on the command line."""
     for module in sys.argv[1:]:
         importlib.import_module(module)
-    rows = [describe(number, kind) for number, kind in sorted(messages._KINDS.items())]
+    rows = [describe(number, kind) for number, kind in sorted(messages._TYPE_BY_KIND.items())]
     print(json.dumps(rows))
 
 
