--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -188,7 +188,7 @@
     Mutation(
         "older lives are not heard",
         "peers/lives.py",
-        "if known is not None and life < known.life:",
+        "if known is not None and incarnation < known.incarnation:",
         "if False:",
         "tests/test_wire.py::TestLateMessages::test_older_life_is_dropped",
     ),
@@ -286,7 +286,7 @@
     Mutation(
         "a report from before an order says nothing of it",
         "seed_discovery/owners/reports.py",
-        "if max(run.since_ms, run.stop_confirmed_ms) >= asked_ms:",
+        "if max(run.since_ms, run.stop_confirmed_ms) >= polled_ms:",
         "if False:",
         _OWNERS_DECISIONS + "TestJudgeAbsence::test_running_is_lost",
     ),
@@ -307,15 +307,15 @@
     Mutation(
         "an isolated owner waits",
         "seed_discovery/owners/zone_owner.py",
-        "return not self._sessions.has_other(own, monotonic_ms())",
+        "return not self._sessions.has_session_with_other_box(own, monotonic_ms())",
         "return False",
         "tests/test_owners_zone_owner.py::TestIsolation::test_own_grant_does_not_count",
     ),
     Mutation(
         "a lapsed session is announced",
         "seed_discovery/owners/sessions.py",
-        "is_renewed = holder in self._lapsed",
-        "is_renewed = False",
+        "is_renewed_session = holder in self._lapsed",
+        "is_renewed_session = False",
         "tests/test_owners_sessions.py::TestLapsedRights::test_told_before_any_end",
     ),
     Mutation(
@@ -349,22 +349,22 @@
     Mutation(
         "a job that ran at a silent owner is remembered",
         "seed_discovery/owners/connection.py",
-        "if batch.has_started or batch.terms:",
-        "if batch.terms:",
+        "if batch.has_started or batch.tokens:",
+        "if batch.tokens:",
         _OWNERS_CLIENT + "TestGivingUp::test_done_at_an_owner_that_fell_silent_afterwards",
     ),
     Mutation(
         "a new owner's word covers its own term only",
         "seed_discovery/owners/withdrawal.py",
-        "has_started=has_started or bool(terms - {owner.token})",
+        "has_started=has_started or bool(tokens - {owner.token})",
         "has_started=has_started",
         _OWNERS_CLIENT + "TestGivingUp::test_a_new_owner_knows_nothing_of_the_one_before",
     ),
     Mutation(
         "a cancel without a reply is no proof",
         "seed_discovery/owners/withdrawal.py",
-        "any(answer is not Answer.NOT_STARTED",
-        "any(answer is Answer.STARTED",
+        "any(answer is not CancelAnswer.NOT_STARTED",
+        "any(answer is CancelAnswer.STARTED",
         _OWNERS_CLIENT + "TestGivingUp::test_no_answer",
     ),
     Mutation(
@@ -405,8 +405,8 @@
     Mutation(
         "nor an end that it handles late",
         "seed_discovery/owners/batches.py",
-        "is_reply_valid = monotonic_ms() < self.reply_valid_until_ms and not run.terms - {token}",
-        "is_reply_valid = not run.terms - {token}",
+        "is_reply_valid = monotonic_ms() < self.reply_valid_until_ms and not run.tokens - {token}",
+        "is_reply_valid = not run.tokens - {token}",
         _OWNERS_CLIENT + "TestGivingUp::test_an_end_that_is_handled_too_late",
     ),
     Mutation(
@@ -461,8 +461,8 @@
     Mutation(
         "a stopped task's next run goes on for longer",
         "seed_discovery/owners/stragglers.py",
-        "return ran_ms > max(allowed_ms, STUCK_RETRY_FACTOR * stuck_attempt_ms)",
-        "return ran_ms > allowed_ms",
+        "return ran_ms > max(run_time_limit_ms, STUCK_RETRY_FACTOR * stuck_attempt_ms)",
+        "return ran_ms > run_time_limit_ms",
         _OWNERS_STATE + "TestStragglers::test_longer_than_anybody_expected",
     ),
     Mutation(
@@ -482,7 +482,7 @@
     Mutation(
         "an election ends with a majority",
         "controllers/election.py",
-        "if votes >= self._controller.majority:\n                return True",
+        "if votes >= self._controller.quorum_size:\n                return True",
         "pass",
         "tests/test_controllers_election.py::TestOneIsGone::test_a_majority_is_enough",
     ),
@@ -569,7 +569,7 @@
         "late orders outlive the endpoint that left",
         "seed_discovery/owners/state.py",
         """        self.handle_lease_expiry(endpoint, now_ms)
-        self._late_starts.end_life(endpoint)
+        self._late_starts.end_incarnation(endpoint)
 """,
         """        self.handle_lease_expiry(endpoint, now_ms)
 """,
@@ -578,7 +578,7 @@
     Mutation(
         "a box that has forgotten an endpoint asks for all",
         "seed_discovery/fleet/joiner.py",
-        "            if self._catalog.forgotten != forgotten:",
+        "            if self._catalog.eviction_count != eviction_count:",
         "            if False:",
         "tests/test_fleet_joiner.py::TestForgottenEndpoint::test_it_is_told_again",
     ),
@@ -671,7 +671,7 @@
     Mutation(
         "a task whose endpoint crashed starts by itself",
         "seed_discovery/scheduling/placing.py",
-        "candidate.is_idle if is_isolated else not places.isolation_on(candidate)",
+        "candidate.is_idle if needs_isolation else not context.isolation_on(candidate)",
         "True",
         _CRASHED_ENDPOINTS + "TestNeighbours::test_each_starts_by_itself",
     ),
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -82,7 +82,7 @@
         table = ClaimTable(10**9, 10**7)
         for number in range(count):
             claim = Claim("ab" * 16, f"box{number % 9}", 1_790_000_000_000 + number % 9, 1)
-            table.judge(f"0f8fad5b-d9cb-469f-a165-{number:012d}", claim, number)
+            table.decide_vote(f"0f8fad5b-d9cb-469f-a165-{number:012d}", claim, number)
         rows.append([count, tracemalloc.get_traced_memory()[0]])
         tracemalloc.stop()
     return rows
@@ -95,7 +95,7 @@
         table = ClaimTable(10**9, 10**7)
         start_s = time.process_time()
         for number in range(count):
-            table.judge(f"s-{number}", Claim("ab" * 16, "box1", 1, 1), number)
+            table.decide_vote(f"s-{number}", Claim("ab" * 16, "box1", 1, 1), number)
         rows.append([count, time.process_time() - start_s])
     return rows
 
@@ -117,7 +117,7 @@
                 slot_return = SlotReturn(
                     message.lease_id, message.endpoint, "sleep", 100.0, SlotOutcome.DONE
                 )
-                shard.give_back(slot_return, number)
+                shard.release(slot_return, number)
         rows.append([endpoints, (time.process_time() - start_s) / _DECISIONS * 1e6])
     return rows
 
@@ -137,7 +137,7 @@
         start_s = time.process_time()
         for number in range(_DECISIONS):
             message = grants.pop(0)
-            shard.give_back(
+            shard.release(
                 SlotReturn(message.lease_id, message.endpoint, "sleep", 100.0, SlotOutcome.DONE), 0
             )
             name = f"team-{number % customers:03d}"
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -43,12 +43,12 @@
     Args:
         on_config: Called with each newer confirmed configuration and the changes since the last.
         on_publication: Called with each newer published document.
-        contacts: Returns the controllers to contact when no leader is known.
+        known_controllers: Returns the controllers to contact when no leader is known.
     """
 
     on_config: Callable[[Config, list[ChangeSet]], None] = lambda _config, _changes: None
     on_publication: Callable[[Publication], None] = lambda _publication: None
-    contacts: Callable[[], list[str]] = list
+    known_controllers: Callable[[], list[str]] = list
 
 
 class Controller:
@@ -128,7 +128,7 @@
         return self.applied.controllers
 
     @property
-    def majority(self) -> int:
+    def quorum_size(self) -> int:
         """The number of voters in a majority."""
         return quorum_size_of(self.controllers)
 
@@ -174,7 +174,7 @@
 
     async def run(self) -> None:
         """Run elections and request readmission when needed, until cancelled."""
-        self._tasks.spawn(request_readmission(self, self._callbacks.contacts))
+        self._tasks.spawn(request_readmission(self, self._callbacks.known_controllers))
         while True:
             if self._is_failed:
                 await asyncio.sleep(_REOPEN_INTERVAL_S)
--- a/src/foldloom/controllers/election.py
+++ b/src/foldloom/controllers/election.py
@@ -81,9 +81,9 @@
                 box, reply.storage_id, reply.is_first
             ):
                 votes += 1
-            if votes >= self._controller.majority:
+            if votes >= self._controller.quorum_size:
                 return True
-        return votes >= self._controller.majority
+        return votes >= self._controller.quorum_size
 
     async def _request_vote(self, box: str, request: RequestVote) -> _VoteResponse:
         timeout_ms = self._controller.election_timeout_ms / 2
--- a/src/foldloom/controllers/followers.py
+++ b/src/foldloom/controllers/followers.py
@@ -101,7 +101,7 @@
             if self.is_voter(box)
             and (box == self._controller.box or self._followers[box].replied_ms >= since_ms)
         ]
-        return len(responsive) >= self._controller.majority
+        return len(responsive) >= self._controller.quorum_size
 
     def unresponsive_since(self, since_ms: float) -> list[str]:
         """Return the followers without a reply to an append sent at *since_ms* or later."""
@@ -126,7 +126,7 @@
             for box in self._controller.controllers
             if self.is_voter(box)
         ]
-        if len(matches) < self._controller.majority:
+        if len(matches) < self._controller.quorum_size:
             return 0
         matches.sort(reverse=True)
-        return matches[self._controller.majority - 1]
+        return matches[self._controller.quorum_size - 1]
--- a/src/foldloom/controllers/handover.py
+++ b/src/foldloom/controllers/handover.py
@@ -36,7 +36,7 @@
 
 async def _await_successor(controller: StoppingLeader, deadline_ms: float) -> str:
     """Return a voter that holds the whole log, or '' if there is none by *deadline_ms*."""
-    while controller.is_leading and controller.majority > 1:
+    while controller.is_leading and controller.quorum_size > 1:
         successor = controller.successor()
         if successor or monotonic_ms() >= deadline_ms:
             return successor
--- a/src/foldloom/controllers/participant.py
+++ b/src/foldloom/controllers/participant.py
@@ -25,7 +25,7 @@
         """The voters, with their storage ids."""
 
     @property
-    def majority(self) -> int:
+    def quorum_size(self) -> int:
         """The number of voters in a majority."""
 
     @property
--- a/src/foldloom/controllers/plans.py
+++ b/src/foldloom/controllers/plans.py
@@ -61,7 +61,7 @@
     digest: str
 
     @property
-    def words(self) -> list[str]:
+    def descriptions(self) -> list[str]:
         """One sentence per change."""
         return [_describe(change) for change in self.changes]
 
--- a/src/foldloom/logs.py
+++ b/src/foldloom/logs.py
@@ -54,7 +54,7 @@
         self._burst = per_s * _BURST_EVENTS / EVENTS_PER_S
         self._buckets: dict[str, _TokenBucket] = {}
 
-    def admit(self, kind: str, now_s: float) -> int | None:
+    def try_acquire(self, kind: str, now_s: float) -> int | None:
         """Take a token for an event of *kind*.
 
         Returns:
@@ -71,7 +71,7 @@
         return bucket.suppressed
 
 
-_LIMITS = EventRateLimits()
+_RATE_LIMITS = EventRateLimits()
 
 
 class ComponentLogger(logbook.Logger):  # type: ignore[misc]
@@ -86,7 +86,7 @@
         """
         if self.disabled:
             return
-        suppressed = _LIMITS.admit(kind, time.monotonic())
+        suppressed = _RATE_LIMITS.try_acquire(kind, time.monotonic())
         if suppressed is None:
             return
         if suppressed:
--- a/src/foldloom/pauses.py
+++ b/src/foldloom/pauses.py
@@ -15,7 +15,7 @@
 
 from foldloom.clock import monotonic_ms, running_ms
 from foldloom.logs import PROCESS_LOG
-from foldloom.time_limits import catch_up
+from foldloom.time_limits import reschedule_open_timeouts
 
 # Milliseconds between two samples of the clocks.
 _SAMPLE_INTERVAL_MS = 100.0
@@ -52,7 +52,7 @@
         elapsed_ms = monotonic_ms() - began_ms
         suspended_ms = elapsed_ms - (running_ms() - began_running_ms)
         if suspended_ms >= _SUSPENDED_MIN_MS:
-            catch_up()
+            reschedule_open_timeouts()
         paused_ms = max(elapsed_ms - _SAMPLE_INTERVAL_MS, suspended_ms)
         if paused_ms < PAUSE_MIN_MS:
             continue
--- a/src/foldloom/peers/lives.py
+++ b/src/foldloom/peers/lives.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: MIT
 """Current incarnation of each peer, and age of its messages.
 
-In this module a life is an incarnation: one run of a process. The age of a message is computed from
-the smallest offset observed between the receiver's and the sender's monotonic clocks, so no
-synchronized clocks are needed. If the sender's clock falls back relative to the receiver's, for
-example during a suspension, all its messages would look late; a reply corrects the offset, since it
-can't be older than its request.
+An incarnation is one run of a process. The age of a message is computed from the smallest offset
+observed between the receiver's and the sender's monotonic clocks, so no synchronized clocks are
+needed. If the sender's clock falls back relative to the receiver's, for example during a
+suspension, all its messages would look late; a reply corrects the offset, since it can't be older
+than its request.
 """
 
 from __future__ import annotations
@@ -27,14 +27,19 @@
     def current(self, sender: str) -> int:
         """Return the current incarnation of *sender*, or 0 if unknown."""
 
-    def note(
-        self, sender: str, life: int, sent_ms: float, now_ms: float, age_max_ms: float = math.inf
+    def record(
+        self,
+        sender: str,
+        incarnation: int,
+        sent_ms: float,
+        now_ms: float,
+        age_max_ms: float = math.inf,
     ) -> float | None:
         """Record a message and return its age in milliseconds.
 
         Args:
             sender: Name of the sending box.
-            life: Incarnation of the sender.
+            incarnation: Incarnation of the sender.
             sent_ms: Send time by the sender's clock.
             now_ms: Receive time by the receiver's clock.
             age_max_ms: Upper bound on the age, known if the message is a reply to a request of
@@ -49,12 +54,12 @@
     """The smallest clock offset observed for one incarnation.
 
     Args:
-        life: The incarnation.
+        incarnation: The incarnation.
         offset_ms: Receiver's clock minus sender's clock.
         observed_ms: Time of the observation by the receiver's clock.
     """
 
-    life: int
+    incarnation: int
     offset_ms: float
     observed_ms: float
 
@@ -67,15 +72,15 @@
 
 
 def _updated_offset(
-    known: _ClockOffset | None, life: int, sent_ms: float, now_ms: float, age_max_ms: float
+    known: _ClockOffset | None, incarnation: int, sent_ms: float, now_ms: float, age_max_ms: float
 ) -> _ClockOffset:
     """Return the clock offset of an incarnation, updated with one more message."""
     offset_ms = now_ms - sent_ms
     if known is None or offset_ms <= known.min_offset_at(now_ms):
-        return _ClockOffset(life, offset_ms, now_ms)
+        return _ClockOffset(incarnation, offset_ms, now_ms)
     min_offset_ms = offset_ms - age_max_ms
     if min_offset_ms > known.min_offset_at(now_ms):
-        return _ClockOffset(life, min_offset_ms, now_ms)
+        return _ClockOffset(incarnation, min_offset_ms, now_ms)
     return known
 
 
@@ -92,18 +97,23 @@
     def current(self, sender: str) -> int:
         """Return the highest incarnation seen of *sender*, or 0 if unknown."""
         known = self._known.get(sender)
-        return 0 if known is None else known.life
-
-    def note(
-        self, sender: str, life: int, sent_ms: float, now_ms: float, age_max_ms: float = math.inf
+        return 0 if known is None else known.incarnation
+
+    def record(
+        self,
+        sender: str,
+        incarnation: int,
+        sent_ms: float,
+        now_ms: float,
+        age_max_ms: float = math.inf,
     ) -> float | None:
         """Return the age of a message, or ``None`` if it is of an older incarnation."""
         known = self._known.get(sender)
-        if known is not None and life < known.life:
+        if known is not None and incarnation < known.incarnation:
             return None
-        if known is not None and life > known.life:
+        if known is not None and incarnation > known.incarnation:
             known = None
-        offset = _updated_offset(known, life, sent_ms, now_ms, age_max_ms)
+        offset = _updated_offset(known, incarnation, sent_ms, now_ms, age_max_ms)
         self._known[sender] = offset
         return _age_ms(offset, sent_ms, now_ms)
 
@@ -123,15 +133,22 @@
         """Return the incarnation of *sender* with the latest fresh message, or 0 if unknown."""
         return self._current.get(sender, 0)
 
-    def note(
-        self, sender: str, life: int, sent_ms: float, now_ms: float, age_max_ms: float = math.inf
+    def record(
+        self,
+        sender: str,
+        incarnation: int,
+        sent_ms: float,
+        now_ms: float,
+        age_max_ms: float = math.inf,
     ) -> float | None:
         """Return the age of a message; its incarnation becomes current if it is fresh."""
-        lives = self._known.setdefault(sender, {})
-        lives[life] = _updated_offset(lives.get(life), life, sent_ms, now_ms, age_max_ms)
-        while len(lives) > _INCARNATIONS_KEPT_MAX:
-            del lives[next(iter(lives))]
-        age_ms = _age_ms(lives[life], sent_ms, now_ms)
+        offsets = self._known.setdefault(sender, {})
+        offsets[incarnation] = _updated_offset(
+            offsets.get(incarnation), incarnation, sent_ms, now_ms, age_max_ms
+        )
+        while len(offsets) > _INCARNATIONS_KEPT_MAX:
+            del offsets[next(iter(offsets))]
+        age_ms = _age_ms(offsets[incarnation], sent_ms, now_ms)
         if age_ms <= _FRESH_AGE_MAX_MS:
-            self._current[sender] = life
+            self._current[sender] = incarnation
         return age_ms
--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -227,7 +227,7 @@
             )
             return
         now_ms = monotonic_ms()
-        age_ms = self._incarnations.note(
+        age_ms = self._incarnations.record(
             envelope.sender,
             envelope.incarnation,
             envelope.sent_ms,
--- a/src/foldloom/seed_discovery/controller_box.py
+++ b/src/foldloom/seed_discovery/controller_box.py
@@ -84,7 +84,9 @@
             self._network,
             self._metrics,
             empty_config({}, founders),
-            Callbacks(on_publication=self._holder.adopt, contacts=lambda: self._view.controllers),
+            Callbacks(
+                on_publication=self._holder.adopt, known_controllers=lambda: self._view.controllers
+            ),
         )
         self._publisher = Publisher(self._controller, self._network)
         self._joiner = Joiner(
@@ -134,9 +136,9 @@
         """Return the current publication by a linearizable read."""
         return await self._publisher.newest(timeout_ms)
 
-    async def note_endpoint(self, record: EndpointRecord) -> bool:
+    async def handle_report(self, record: EndpointRecord) -> bool:
         """Process an endpoint's report; return whether its service is configured."""
-        return await self._registry.note_endpoint(record)
+        return await self._registry.handle_report(record)
 
     async def deregister_endpoint(self, endpoint: str) -> None:
         """Process an endpoint's deregistration."""
--- a/src/foldloom/seed_discovery/endpoints/calls.py
+++ b/src/foldloom/seed_discovery/endpoints/calls.py
@@ -58,7 +58,7 @@
 
     sequence: int
     run_id: RunId
-    how: EndKind
+    kind: EndKind
     checkpoint: str = ""
 
 
@@ -69,14 +69,14 @@
         endpoint: The endpoint's id.
         active: The active runs.
         ended: The ended runs that the owner has not received before.
-        asked_ms: When the owner sent the poll, by its monotonic clock: later events may be missing.
+        polled_ms: When the owner sent the poll; own monotonic clock. Later events may be missing.
         born_ms: Start time of the replying incarnation; 0 if not reported.
     """
 
     endpoint: str
     active: tuple[ActiveRun, ...]
     ended: tuple[EndedRun, ...]
-    asked_ms: float
+    polled_ms: float
     born_ms: int = 0
 
 
--- a/src/foldloom/seed_discovery/endpoints/catalog.py
+++ b/src/foldloom/seed_discovery/endpoints/catalog.py
@@ -43,12 +43,12 @@
     def __init__(self) -> None:
         self._entries: dict[str, CatalogEntry] = {}
         self._revision = 0
-        self._forgotten = 0
+        self._eviction_count = 0
 
     @property
-    def forgotten(self) -> int:
-        """The number of endpoints evicted by :meth:`forget` so far."""
-        return self._forgotten
+    def eviction_count(self) -> int:
+        """The number of endpoints evicted by :meth:`evict` so far."""
+        return self._eviction_count
 
     @property
     def revision(self) -> int:
@@ -90,9 +90,9 @@
         known = self.get(endpoint)
         if known is None or not accepts_deregistration(known):
             return False
-        return self.end_life(endpoint, known.born_ms, now_ms)
+        return self.end_incarnation(endpoint, known.born_ms, now_ms)
 
-    def end_life(self, endpoint: str, born_ms: int, now_ms: float) -> bool:
+    def end_incarnation(self, endpoint: str, born_ms: int, now_ms: float) -> bool:
         """Mark the incarnation of *endpoint* that started at *born_ms* as gone.
 
         Return whether it had an effect: a later incarnation may have replaced it.
@@ -110,10 +110,10 @@
             if entry.received_ms < before_ms and entry.record.state is not EndpointState.GONE
         ]
 
-    def forget(self, endpoint: str) -> None:
+    def evict(self, endpoint: str) -> None:
         """Evict *endpoint* without a new revision: it may still report to another controller."""
         self._entries.pop(endpoint, None)
-        self._forgotten += 1
+        self._eviction_count += 1
 
     def _set(self, record: EndpointRecord, now_ms: float) -> bool:
         self._revision += 1
--- a/src/foldloom/seed_discovery/fleet/joiner.py
+++ b/src/foldloom/seed_discovery/fleet/joiner.py
@@ -97,13 +97,13 @@
         does not appear as a change there, so incremental joins would never restore it.
         """
         incarnation, revision = 0, 0
-        forgotten = 0
+        eviction_count = 0
         failures = 0
         while True:
             began_ms = monotonic_ms()
-            if self._catalog.forgotten != forgotten:
+            if self._catalog.eviction_count != eviction_count:
                 incarnation, revision = 0, 0
-            forgotten_before = self._catalog.forgotten
+            eviction_count_before = self._catalog.eviction_count
             reply = await self._join(box, incarnation, revision)
             if reply is None:
                 failures += 1
@@ -114,7 +114,7 @@
                     PEER_LOG.event("controller.back", controller=box, unanswered=failures)
                 failures = 0
                 incarnation, revision = reply.catalog_life, reply.catalog_revision
-                forgotten = forgotten_before
+                eviction_count = eviction_count_before
             spent_ms = monotonic_ms() - began_ms
             await asyncio.sleep(max(0.0, self._interval_ms - spent_ms) / 1_000)
 
--- a/src/foldloom/seed_discovery/fleet/messages.py
+++ b/src/foldloom/seed_discovery/fleet/messages.py
@@ -21,7 +21,7 @@
 
     Args:
         box: Its name: the address of its peer socket.
-        life: Its incarnation.
+        incarnation: Its incarnation.
         zone: Its availability zone.
         role: ``entry`` or ``controller``.
         label: A display name.
@@ -29,7 +29,7 @@
     """
 
     box: str
-    life: int
+    incarnation: int
     zone: str
     role: str
     label: str = ""
@@ -63,13 +63,13 @@
         zone: The zone.
         token: The fencing token; the highest one is valid. 0 if no owner is known.
         box: The owner.
-        life: The owner's incarnation.
+        incarnation: The owner's incarnation.
     """
 
     zone: str
     token: int = 0
     box: str = ""
-    life: int = 0
+    incarnation: int = 0
 
 
 class Join(NamedTuple):
--- a/src/foldloom/seed_discovery/fleet/registry.py
+++ b/src/foldloom/seed_discovery/fleet/registry.py
@@ -115,7 +115,7 @@
                 if box not in self._controllers():
                     self._network.remove_peer(box)
             for endpoint in self._catalog.silent_since(now_ms - _ENDPOINT_EXPIRY_MS):
-                self._catalog.forget(endpoint)
+                self._catalog.evict(endpoint)
             for endpoint in [one for one in self._last_dropped if self._catalog.get(one) is None]:
                 del self._last_dropped[endpoint]
 
@@ -124,7 +124,7 @@
         for record in self._live_entry_boxes():
             self._tasks.spawn(self._notify(record.box, Published(publication)))
 
-    async def note_endpoint(self, record: EndpointRecord) -> bool:
+    async def handle_report(self, record: EndpointRecord) -> bool:
         """Merge an endpoint's report into the catalog, and push a change to the endpoint's zone.
 
         Return whether the report's service is configured; an unchanged report counts too.
--- a/src/foldloom/seed_discovery/fleet/view.py
+++ b/src/foldloom/seed_discovery/fleet/view.py
@@ -107,7 +107,7 @@
         if record.box == self._own.box:
             return
         known = self._boxes.get(record.box)
-        if known is not None and known.life == record.life and known.is_leaving:
+        if known is not None and known.incarnation == record.incarnation and known.is_leaving:
             record = record._replace(is_leaving=True)
         self._boxes[record.box] = record
         self._boxes_received_ms[record.box] = now_ms
--- a/src/foldloom/seed_discovery/job_runner.py
+++ b/src/foldloom/seed_discovery/job_runner.py
@@ -29,7 +29,7 @@
     SubmitStatus,
 )
 from foldloom.seed_discovery.owners.open_job import OpenJob
-from foldloom.seed_discovery.scheduling.crashes import is_given_up
+from foldloom.seed_discovery.scheduling.crashes import exceeds_crash_limit
 from foldloom.time_limits import SuspendAwareTimeout
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
@@ -175,7 +175,7 @@
     async def _on_run_failed(self, end: RunEnd) -> JobResult | None:
         """Retry the task of a failed or lost run, or fail the job."""
         task = end.run_id.task
-        if is_given_up(end.crashes):
+        if exceeds_crash_limit(end.crashes):
             return Ok(JobEnd(JobState.FAILED, "a task crashes its endpoints"))
         attempts = self._attempts.setdefault(task, _TaskAttempts())
         if end.cause in (EndCause.FAILED, EndCause.REFUSED):
@@ -224,7 +224,7 @@
             objective=Objective(
                 stretch=self._queue.stretch,
                 slack_ms=self._queue.slack_ms,
-                other_ms=int(self._critical_path_ms() - step.estimate_ms),
+                other_steps_ms=int(self._critical_path_ms() - step.estimate_ms),
             ),
             deadline_ms=int(self._deadline_ms - self._open_job.began_ms),
             old_right_ms=0,
--- a/src/foldloom/seed_discovery/owners/admission.py
+++ b/src/foldloom/seed_discovery/owners/admission.py
@@ -55,7 +55,7 @@
         self._all_endpoints = all_endpoints
         self._first_submission_ms = 0.0
 
-    def judge(self, message: SubmitRuns, now_ms: float) -> SubmitReply:
+    def decide(self, message: SubmitRuns, now_ms: float) -> SubmitReply:
         """Accept or reject a submission whose runs are queued already.
 
         Only the first delivery of a job's first step can be rejected for overload, and nothing is
@@ -107,7 +107,9 @@
             total_milli=sum(load.total_milli for load in loads),
             free_milli=sum(load.free_milli for load in loads),
             overdue_milli=sum(
-                one.room.capacity.cpu_milli for one in self._candidates.values() if one.is_overdue
+                one.resources.capacity.cpu_milli
+                for one in self._candidates.values()
+                if one.is_overdue
             ),
         )
 
--- a/src/foldloom/seed_discovery/owners/batches.py
+++ b/src/foldloom/seed_discovery/owners/batches.py
@@ -26,11 +26,11 @@
 
     Args:
         order: Its latest delivery.
-        terms: Fencing tokens of the owners that it was sent to.
+        tokens: Fencing tokens of the owners that it was sent to.
     """
 
     order: RunOrder
-    terms: frozenset[int] = frozenset()
+    tokens: frozenset[int] = frozenset()
 
 
 class Batch:
@@ -63,9 +63,9 @@
         return self.job.began_ms + self.template.deadline_ms + REPLY_VALID_MS
 
     @property
-    def terms(self) -> frozenset[int]:
+    def tokens(self) -> frozenset[int]:
         """Fencing tokens of the owners that may have started an open run."""
-        return frozenset[int]().union(*(run.terms for run in self._open.values()))
+        return frozenset[int]().union(*(run.tokens for run in self._open.values()))
 
     def add(self, orders: Iterable[RunOrder]) -> None:
         """Add open runs, or update the orders of those delivered again."""
@@ -78,7 +78,7 @@
         """Record that *orders* are sent to the owner with *token*, which may start them."""
         for order in orders:
             known = self._open[self.task(order)]
-            self._open[self.task(order)] = known._replace(terms=known.terms | {token})
+            self._open[self.task(order)] = known._replace(tokens=known.tokens | {token})
 
     def close(self, end: RunEnd, token: int) -> RunOrder | None:
         """Close the open run that *end* belongs to, and return its order, if there is one.
@@ -93,7 +93,7 @@
             # The end of an earlier delivery; the run has been delivered again since.
             return None
         del self._open[end.run_id.task]
-        is_reply_valid = monotonic_ms() < self.reply_valid_until_ms and not run.terms - {token}
+        is_reply_valid = monotonic_ms() < self.reply_valid_until_ms and not run.tokens - {token}
         self.has_started = self.has_started or end.has_started or not is_reply_valid
         return run.order
 
--- a/src/foldloom/seed_discovery/owners/cancels.py
+++ b/src/foldloom/seed_discovery/owners/cancels.py
@@ -15,7 +15,7 @@
 from foldloom.peers.wire import PeerNetwork
 from foldloom.seed_discovery.owners.connection import REPLY_TIMEOUT_MS, OwnerConnection
 from foldloom.seed_discovery.owners.messages import CancelJob, Cancelled
-from foldloom.seed_discovery.owners.withdrawal import Answer, Withdrawal
+from foldloom.seed_discovery.owners.withdrawal import CancelAnswer, Withdrawal
 from foldloom.tasks import TaskSet
 
 # Covers two transmissions of a cancel. A job whose owners have not answered by then is reported as
@@ -47,7 +47,7 @@
         self._remote_cancels: dict[str, asyncio.Task[None]] = {}
         self._tasks = TaskSet()
 
-    def begin(self, withdrawals: list[Withdrawal]) -> dict[str, asyncio.Task[Answer]]:
+    def begin(self, withdrawals: list[Withdrawal]) -> dict[str, asyncio.Task[CancelAnswer]]:
         """Start cancelling one job's withdrawn runs; return the pending answers by zone."""
         cancels = {
             withdrawal.owner.zone: self._tasks.spawn(self._cancel(withdrawal))
@@ -62,7 +62,7 @@
             )
         return cancels
 
-    async def ask(self, withdrawals: list[Withdrawal]) -> dict[str, Answer]:
+    async def cancel_and_wait(self, withdrawals: list[Withdrawal]) -> dict[str, CancelAnswer]:
         """Cancel one job's withdrawn runs; return the answers by zone.
 
         An owner that does not answer within ``CANCEL_REPLY_WAIT_MS`` counts as ``NONE_YET``.
@@ -71,7 +71,7 @@
         if cancels:
             await asyncio.wait(cancels.values(), timeout=CANCEL_REPLY_WAIT_MS / 1_000)
         return {
-            zone: cancel.result() if cancel.done() else Answer.NONE_YET
+            zone: cancel.result() if cancel.done() else CancelAnswer.NONE_YET
             for zone, cancel in cancels.items()
         }
 
@@ -85,14 +85,16 @@
         if remote_cancels is not None:
             await asyncio.shield(remote_cancels)
 
-    async def _await_remote_cancels(self, job_id: str, cancels: list[asyncio.Task[Answer]]) -> None:
+    async def _await_remote_cancels(
+        self, job_id: str, cancels: list[asyncio.Task[CancelAnswer]]
+    ) -> None:
         answers = await asyncio.gather(*cancels)
-        if any(answer is not Answer.NOT_STARTED for answer in answers):
+        if any(answer is not CancelAnswer.NOT_STARTED for answer in answers):
             await asyncio.sleep(self._gone_after_s)
         if self._remote_cancels.get(job_id) is asyncio.current_task():
             del self._remote_cancels[job_id]
 
-    async def _cancel(self, withdrawal: Withdrawal) -> Answer:
+    async def _cancel(self, withdrawal: Withdrawal) -> CancelAnswer:
         """Cancel the withdrawn runs at their owner; return its answer.
 
         Retransmits until the owner answers or its grant ends; otherwise the owner would continue
@@ -110,9 +112,9 @@
                 # Retransmitted; a caller that stops waiting is told that the job may have run.
                 continue
             if reply.has_started:
-                return Answer.STARTED
+                return CancelAnswer.STARTED
             if monotonic_ms() >= withdrawal.reply_valid_until_ms:
-                return Answer.NONE_ANY_MORE
+                return CancelAnswer.NONE_ANY_MORE
             if connection.is_granted(owner, withdrawal.grant):
-                return Answer.NOT_STARTED
-        return Answer.NONE_ANY_MORE
+                return CancelAnswer.NOT_STARTED
+        return CancelAnswer.NONE_ANY_MORE
--- a/src/foldloom/seed_discovery/owners/client.py
+++ b/src/foldloom/seed_discovery/owners/client.py
@@ -110,7 +110,7 @@
         is_known = job.may_have_started
         # Assumed until the owners have answered, since a deadline may cancel the wait.
         job.may_have_started = True
-        answers = await self._cancels.ask(withdrawals)
+        answers = await self._cancels.cancel_and_wait(withdrawals)
         log_verdict(withdrawals, answers)
         job.may_have_started = is_known or may_have_started(withdrawals, answers)
         return job.may_have_started
@@ -125,7 +125,7 @@
         This must not await: the batches of a lost owner may be dropped at any suspension point, and
         the record of a start would be missed.
         """
-        job.is_wanted = False
+        job.is_active = False
         withdrawn = (connection.withdraw(job) for connection in self._connections.values())
         return [withdrawal for withdrawal in withdrawn if withdrawal is not None]
 
@@ -209,10 +209,10 @@
         connection = self._connections.get(zone)
         if connection is None or connection.silent_ms >= self._timings.owner_silent_ms:
             connection = None
-        while connection is None and batch.job.is_wanted:
+        while connection is None and batch.job.is_active:
             connection = self._select_connection()
             await asyncio.sleep(_OWNER_CHECK_S)
-        if connection is None or not batch.job.is_wanted:
+        if connection is None or not batch.job.is_active:
             return
         PLACE_LOG.event(
             "run.moved",
--- a/src/foldloom/seed_discovery/owners/connection.py
+++ b/src/foldloom/seed_discovery/owners/connection.py
@@ -175,7 +175,7 @@
         for batch in batches:
             # Its owner can no longer be queried. This includes batches without open runs, since a
             # run that has ended may have started.
-            if batch.has_started or batch.terms:
+            if batch.has_started or batch.tokens:
                 batch.job.may_have_started = True
             self._lost.extend(LostRun(batch, order) for order in batch.orders)
             # A delivery still being retransmitted must not reach the owner when it is back.
--- a/src/foldloom/seed_discovery/owners/crash_records.py
+++ b/src/foldloom/seed_discovery/owners/crash_records.py
@@ -49,7 +49,7 @@
         for task in tasks:
             self._store(task, self.count_of(task).incremented(ran_alone), now_ms)
 
-    def learn(self, task: TaskId, count: CrashCount, now_ms: float) -> None:
+    def merge(self, task: TaskId, count: CrashCount, now_ms: float) -> None:
         """Merge the count that the job's entry box received from another owner."""
         if count.crashes:
             self._store(task, self.count_of(task).merged(count), now_ms)
--- a/src/foldloom/seed_discovery/owners/crashed_endpoints.py
+++ b/src/foldloom/seed_discovery/owners/crashed_endpoints.py
@@ -13,7 +13,7 @@
 from foldloom.seed_discovery.jobs.spec import TaskId
 from foldloom.seed_discovery.owners.lifecycle import RunLifecycle
 from foldloom.seed_discovery.owners.messages import EndCause, SubmitRuns
-from foldloom.seed_discovery.scheduling.crashes import CrashCount, is_given_up
+from foldloom.seed_discovery.scheduling.crashes import CrashCount, exceeds_crash_limit
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.runs import Run, RunState
 
@@ -36,14 +36,14 @@
         return
     candidate.has_crashed = True
     endpoint = candidate.record.endpoint
-    allocated_runs = [lifecycle.get(task) for task in candidate.room.tasks]
+    allocated_runs = [lifecycle.get(task) for task in candidate.resources.tasks]
     runs = [run for run in allocated_runs if run is not None and may_have_crashed(run, endpoint)]
     tasks = [run.task for run in runs] + candidate.lapsed_tasks
     candidate.lapsed_tasks = []
     lifecycle.crashes.note_crash(tasks, bool(candidate.orphans), now_ms)
     _log_crash(endpoint, [(task, lifecycle.crashes.count_of(task)) for task in tasks])
     for run in runs:
-        if is_given_up(lifecycle.crashes.count_of(run.task)):
+        if exceeds_crash_limit(lifecycle.crashes.count_of(run.task)):
             lifecycle.finish(run, EndCause.LAPSED, "", now_ms)
 
 
@@ -51,11 +51,11 @@
     """Merge the crash counts of a submission and end its queued runs at their crash limit."""
     for order in message.orders:
         task = TaskId(message.job_id, message.repeat, order.step, order.position)
-        lifecycle.crashes.learn(task, order.crashes, now_ms)
+        lifecycle.crashes.merge(task, order.crashes, now_ms)
         run = lifecycle.get(task)
         if run is None or run.state is not RunState.QUEUED:
             continue
-        if is_given_up(lifecycle.crashes.count_of(task)):
+        if exceeds_crash_limit(lifecycle.crashes.count_of(task)):
             lifecycle.finish(run, EndCause.LAPSED, "", now_ms)
 
 
@@ -70,5 +70,5 @@
             position=task.position,
             crashes=count.crashes,
             alone=count.alone,
-            is_given_up=is_given_up(count),
+            is_given_up=exceeds_crash_limit(count),
         )
--- a/src/foldloom/seed_discovery/owners/deliveries.py
+++ b/src/foldloom/seed_discovery/owners/deliveries.py
@@ -128,7 +128,7 @@
             known.holders[holder] = max(order.delivery, known.holders.get(holder, 0))
             return
         tombstone = self._lifecycle.tombstones.get(task)
-        if tombstone is not None and tombstone.covers(holder, order.delivery):
+        if tombstone is not None and tombstone.is_duplicate(holder, order.delivery):
             # Late copy of a delivery whose runs are over here; they may run in another zone now.
             return
         end = None if tombstone is None else tombstone.end
@@ -169,7 +169,7 @@
         began_ms=now_ms - objective.elapsed_ms,
         stretch=objective.stretch,
         slack_ms=objective.slack_ms,
-        other_ms=objective.other_ms,
+        other_steps_ms=objective.other_steps_ms,
         tasks=message.tasks,
         deadline_ms=now_ms + message.deadline_ms,
     )
--- a/src/foldloom/seed_discovery/owners/elector.py
+++ b/src/foldloom/seed_discovery/owners/elector.py
@@ -198,7 +198,7 @@
         highest = max(highest_token, self._known.token, self._view.owner_of(self._zone).token)
         token = next_token(highest, time.time(), self._box_bits)
         own = self._view.own
-        record = OwnerRecord(self._zone, token, own.box, own.life)
+        record = OwnerRecord(self._zone, token, own.box, own.incarnation)
         PLACE_LOG.event(
             "owner.claimed",
             zone=self._zone,
--- a/src/foldloom/seed_discovery/owners/endpoint_links.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_links.py
@@ -112,7 +112,7 @@
                 ENDPOINT_LOG.event("endpoint.lapsed", endpoint=endpoint, silent_ms=silent_ms)
                 self._state.handle_lease_expiry(endpoint, now_ms)
             if link.is_silent and now_ms - link.answered_ms > _SILENT_REMOVAL_MS:
-                self._catalog.forget(endpoint)
+                self._catalog.evict(endpoint)
 
     def _replace(
         self, link: EndpointLink, record: EndpointRecord, born_ms: int, source: str
--- a/src/foldloom/seed_discovery/owners/late_starts.py
+++ b/src/foldloom/seed_discovery/owners/late_starts.py
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self._pending: dict[StopAction, _UnconfirmedStart] = {}
 
-    def note(self, run_id: RunId, endpoint: str, now_ms: float) -> None:
+    def add(self, run_id: RunId, endpoint: str, now_ms: float) -> None:
         """Record an unanswered start order whose run is being stopped."""
         self._expire(now_ms)
         self._pending[StopAction(run_id, endpoint)] = _UnconfirmedStart(now_ms, now_ms)
@@ -54,7 +54,7 @@
         if unconfirmed is not None:
             self._pending[stop] = unconfirmed._replace(is_stop_confirmed=True)
 
-    def end_life(self, endpoint: str) -> None:
+    def end_incarnation(self, endpoint: str) -> None:
         """Reset the stop orders to *endpoint*: its next incarnation has received none."""
         for stop, unconfirmed in self._pending.items():
             if stop.endpoint == endpoint:
--- a/src/foldloom/seed_discovery/owners/lifecycle.py
+++ b/src/foldloom/seed_discovery/owners/lifecycle.py
@@ -35,7 +35,7 @@
 from foldloom.seed_discovery.owners.messages import EndCause, RunEnd
 from foldloom.seed_discovery.owners.started_jobs import StartedJobs
 from foldloom.seed_discovery.owners.tombstones import Tombstones
-from foldloom.seed_discovery.scheduling.crashes import is_given_up
+from foldloom.seed_discovery.scheduling.crashes import exceeds_crash_limit
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.estimates import Estimates
 from foldloom.seed_discovery.scheduling.runs import HolderId, Run, RunState
@@ -103,10 +103,10 @@
         self.started.note(run.task.job_id, run.spec.deadline_ms)
         self.waiting.remove(run.task)
         run.attempt = attempt
-        room = self._candidates[endpoint].room
+        resources = self._candidates[endpoint].resources
         # Releases a stale charge, so that the task is not charged twice.
-        room.release(run.task)
-        room.charge(run.task, run.spec.demand)
+        resources.release(run.task)
+        resources.allocate(run.task, run.spec.demand)
         run.enter(RunState.RUNNING, now_ms, endpoint)
 
     def stop(self, run: Run, now_ms: float) -> None:
@@ -152,7 +152,9 @@
         if cause in (EndCause.DONE, EndCause.FAILED):
             self.crashes.clear(run.task)
         crashes = self.crashes.count_of(run.task)
-        is_retried = was_stopping and cause is not EndCause.DONE and not is_given_up(crashes)
+        is_retried = (
+            was_stopping and cause is not EndCause.DONE and not exceeds_crash_limit(crashes)
+        )
         if is_retried and run.holders:
             run.attempt += 1
             self.queue(run, now_ms)
@@ -175,7 +177,7 @@
         """Release the capacity charged to *run*."""
         candidate = self._candidates.get(run.endpoint)
         if candidate is not None:
-            candidate.room.release(run.task)
+            candidate.resources.release(run.task)
 
     def _drop(self, run: Run) -> None:
         self.waiting.remove(run.task)
@@ -186,14 +188,14 @@
         tasks.pop(run.task, None)
         key = group_of(run.task)
         if not any(group_of(task) == key for task in tasks):
-            self.waiting.forget(key)
+            self.waiting.remove_group(key)
         if not tasks:
             del self._tasks_by_job[run.task.job_id]
 
     def _update_estimates(self, run: Run, ran_ms: float) -> None:
         """Update the endpoint's speed and the duration estimates of the group and the queue."""
         group = self.waiting.group(run)
-        self.speeds.note(run.endpoint, ran_ms, group.expected_ms)
+        self.speeds.record(run.endpoint, ran_ms, group.expected_ms)
         work_ms = ran_ms * self.speeds.speed_of(run.endpoint)
         group.note_done(work_ms)
-        self._estimates.note(run.spec.queue, run.spec.estimate_ms, work_ms)
+        self._estimates.record(run.spec.queue, run.spec.estimate_ms, work_ms)
--- a/src/foldloom/seed_discovery/owners/loads.py
+++ b/src/foldloom/seed_discovery/owners/loads.py
@@ -18,7 +18,7 @@
         waiting: The queued runs of the zone.
         now_ms: Own monotonic clock.
     """
-    eligible_capacities = [one.room for one in candidates if one.is_open(now_ms)]
+    eligible_capacities = [one.resources for one in candidates if one.is_eligible(now_ms)]
     return ZoneLoad(
         free_milli=sum(max(0, capacity.free.cpu_milli) for capacity in eligible_capacities),
         total_milli=sum(capacity.capacity.cpu_milli for capacity in eligible_capacities),
--- a/src/foldloom/seed_discovery/owners/messages.py
+++ b/src/foldloom/seed_discovery/owners/messages.py
@@ -47,13 +47,13 @@
         elapsed_ms: Time since the job's arrival.
         stretch: Factor on the longest chain.
         slack_ms: Constant part.
-        other_ms: Duration of the other steps of the chain.
+        other_steps_ms: Duration of the other steps of the chain.
     """
 
     elapsed_ms: int = 0
     stretch: float = 1.0
     slack_ms: int = 0
-    other_ms: int = 0
+    other_steps_ms: int = 0
 
 
 class SubmitRuns(NamedTuple):
--- a/src/foldloom/seed_discovery/owners/open_job.py
+++ b/src/foldloom/seed_discovery/owners/open_job.py
@@ -16,7 +16,7 @@
 class OpenJob:
     """One submission of a job, until it is abandoned or answered.
 
-    ``ends`` receives the ends of its runs, ``is_wanted`` is whether its runs may still be
+    ``ends`` receives the ends of its runs, ``is_active`` is whether its runs may still be
     delivered, and ``may_have_started`` whether an owner that can no longer be queried may have
     started one of them.
 
@@ -28,5 +28,5 @@
         self.job_id = job_id
         self.began_ms = monotonic_ms()
         self.ends: asyncio.Queue[RunEnd] = asyncio.Queue()
-        self.is_wanted = True
+        self.is_active = True
         self.may_have_started = False
--- a/src/foldloom/seed_discovery/owners/order_sender.py
+++ b/src/foldloom/seed_discovery/owners/order_sender.py
@@ -85,7 +85,9 @@
         may_start = self._may_start(action, now_ms)
         until_ms = 0 if link is None or not may_start else link.order_until(now_ms)
         if link is None or until_ms == 0 or self._is_closed:
-            self._state.note_start(action.run_id, action.endpoint, CallOutcome.LATE, now_ms)
+            self._state.handle_start_outcome(
+                action.run_id, action.endpoint, CallOutcome.LATE, now_ms
+            )
             return
         self._log_start(action, link, until_ms, now_ms)
         self._metrics.count("runs.started")
@@ -102,7 +104,7 @@
             self._log_refusal(action, reply)
         if reply.outcome is CallOutcome.FENCED:
             self._owner.note_fenced(action.endpoint)
-        self._state.note_start(action.run_id, action.endpoint, reply.outcome, now_ms)
+        self._state.handle_start_outcome(action.run_id, action.endpoint, reply.outcome, now_ms)
         on_answer()
 
     async def stop(self, action: StopAction) -> None:
@@ -124,7 +126,9 @@
         if self._links.get(action.endpoint) is not link:
             # A new incarnation began during the call; either one may have answered.
             return
-        self._state.note_stop(action.run_id, action.endpoint, reply.outcome, monotonic_ms())
+        self._state.handle_stop_outcome(
+            action.run_id, action.endpoint, reply.outcome, monotonic_ms()
+        )
 
     def _note_answerer(self, link: EndpointLink, reply: CallReply, now_ms: float) -> None:
         """Update the link's clock, or report that a later incarnation has answered."""
@@ -164,7 +168,7 @@
             until_ms=until_ms,
             job_age_ms=int(now_ms - run.spec.began_ms),
             speed=round(self._state.speed_of(action.endpoint), 2),
-            free_milli=candidate.room.free.cpu_milli,
+            free_milli=candidate.resources.free.cpu_milli,
         )
 
     def _log_refusal(self, action: StartAction, reply: CallReply) -> None:
--- a/src/foldloom/seed_discovery/owners/orders.py
+++ b/src/foldloom/seed_discovery/owners/orders.py
@@ -21,7 +21,7 @@
 UNHEALTHY_BACKOFF_MS = 300.0
 
 
-def note_start(
+def handle_start_outcome(
     lifecycle: RunLifecycle,
     candidates: Mapping[str, ZoneEndpoint],
     run_id: RunId,
@@ -56,7 +56,7 @@
     lifecycle.queue(run, now_ms)
 
 
-def note_stop(
+def handle_stop_outcome(
     lifecycle: RunLifecycle, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float
 ) -> None:
     """Handle the outcome of a stop order."""
--- a/src/foldloom/seed_discovery/owners/reports.py
+++ b/src/foldloom/seed_discovery/owners/reports.py
@@ -39,7 +39,7 @@
     """Return the effect of *end*, listed by *endpoint*, on its task's current run."""
     if run.attempt > end.run_id.attempt:
         return ListedEnd.OUTDATED
-    if run.state is RunState.RECOVERING and end.how is not EndKind.DONE:
+    if run.state is RunState.RECOVERING and end.kind is not EndKind.DONE:
         # An earlier owner may have started a later attempt on another endpoint.
         return ListedEnd.ADVANCES
     if run.state is RunState.RECOVERING or run.endpoint == endpoint:
@@ -47,15 +47,15 @@
     return ListedEnd.OUTDATED
 
 
-def classify_absence(run: Run, asked_ms: float) -> EndCause | None:
+def classify_absence(run: Run, polled_ms: float) -> EndCause | None:
     """Return how a run that a report does not list has ended; ``None`` if it may be present.
 
     Args:
         run: A run that is expected on the endpoint.
-        asked_ms: When the owner polled for the report. A report polled for before the latest order
+        polled_ms: When the owner polled for the report. A report polled for before the latest order
             took effect is inconclusive.
     """
-    if max(run.since_ms, run.stop_confirmed_ms) >= asked_ms:
+    if max(run.since_ms, run.stop_confirmed_ms) >= polled_ms:
         return None
     if run.state is RunState.RUNNING:
         return EndCause.LOST
@@ -78,7 +78,7 @@
     # A dict keeps the report's order, in which runs are adopted.
     present = {active.run_id: None for active in report.active}
     _reconcile_present(lifecycle, candidate, present, now_ms)
-    _reconcile_absent(lifecycle, candidate, present, report.asked_ms, now_ms)
+    _reconcile_absent(lifecycle, candidate, present, report.polled_ms, now_ms)
 
 
 def orphans_to_stop(
@@ -126,7 +126,7 @@
     run.attempt = attempt
     if listed_end is ListedEnd.FINISHES:
         run.endpoint = endpoint
-        lifecycle.finish(run, CAUSE_OF_KIND[end.how], end.checkpoint, now_ms)
+        lifecycle.finish(run, CAUSE_OF_KIND[end.kind], end.checkpoint, now_ms)
 
 
 def _reconcile_present(
@@ -146,7 +146,7 @@
     lifecycle: RunLifecycle,
     candidate: ZoneEndpoint,
     present: Collection[RunId],
-    asked_ms: float,
+    polled_ms: float,
     now_ms: float,
 ) -> None:
     endpoint = candidate.record.endpoint
@@ -154,11 +154,11 @@
     for task in list(candidate.orphans):
         if task not in listed:
             del candidate.orphans[task]
-    for task in candidate.room.tasks:
+    for task in candidate.resources.tasks:
         run = lifecycle.get(task)
         if run is None or run.endpoint != endpoint:
-            candidate.room.release(task)
+            candidate.resources.release(task)
             continue
-        cause = None if run.run_id in present else classify_absence(run, asked_ms)
+        cause = None if run.run_id in present else classify_absence(run, polled_ms)
         if cause is not None:
             lifecycle.finish(run, cause, "", now_ms)
--- a/src/foldloom/seed_discovery/owners/sessions.py
+++ b/src/foldloom/seed_discovery/owners/sessions.py
@@ -31,18 +31,23 @@
         zone: The owner's zone.
         token: The owner's token.
         network: Connections to the other boxes.
-        is_renewed: Whether an earlier session with the same incarnation has lapsed.
+        is_renewed_session: Whether an earlier session with the same incarnation has lapsed.
     """
 
     def __init__(
-        self, holder: HolderId, zone: str, token: int, network: PeerNetwork, is_renewed: bool
+        self,
+        holder: HolderId,
+        zone: str,
+        token: int,
+        network: PeerNetwork,
+        is_renewed_session: bool,
     ) -> None:
         self.holder = holder
         self.expires_ms = 0.0
         self._zone = zone
         self._token = token
         self._network = network
-        self._must_announce = is_renewed
+        self._must_announce = is_renewed_session
         self._ends: list[RunEnd] = []
         self._has_ends = asyncio.Event()
 
@@ -106,7 +111,7 @@
         session = self._sessions.get(holder)
         return session is not None and now_ms < session.expires_ms
 
-    def has_other(self, box: str, now_ms: float) -> bool:
+    def has_session_with_other_box(self, box: str, now_ms: float) -> bool:
         """Return whether a session with any box other than *box* is in force."""
         return any(
             holder.box != box and now_ms < session.expires_ms
@@ -128,8 +133,8 @@
         """Begin or renew the session for the heartbeat sent at *heartbeat_sent_ms*."""
         session = self._sessions.get(holder)
         if session is None:
-            is_renewed = holder in self._lapsed
-            session = Session(holder, self._zone, self._token, self._network, is_renewed)
+            is_renewed_session = holder in self._lapsed
+            session = Session(holder, self._zone, self._token, self._network, is_renewed_session)
             self._sessions[holder] = session
             self._tasks[holder] = asyncio.create_task(session.run())
         session.expires_ms = max(session.expires_ms, heartbeat_sent_ms + self._session_ms)
--- a/src/foldloom/seed_discovery/owners/state.py
+++ b/src/foldloom/seed_discovery/owners/state.py
@@ -33,7 +33,7 @@
     SubmitRuns,
     SubmitStatus,
 )
-from foldloom.seed_discovery.owners.orders import note_start, note_stop
+from foldloom.seed_discovery.owners.orders import handle_start_outcome, handle_stop_outcome
 from foldloom.seed_discovery.owners.recovery import is_lost
 from foldloom.seed_discovery.owners.reports import orphans_to_stop, reconcile
 from foldloom.seed_discovery.owners.stealing import WorkStealing
@@ -107,7 +107,7 @@
             return SubmitReply(SubmitStatus.REFUSED, "cancelled")
         self._deliveries.deliver(holder, message, now_ms)
         end_runs_over_crash_limit(self._lifecycle, message, now_ms)
-        reply = self._admission.judge(message, now_ms)
+        reply = self._admission.decide(message, now_ms)
         if reply.status is SubmitStatus.REFUSED:
             self.cancel(holder, message.job_id, now_ms, newest_delivery(message))
         return reply
@@ -175,15 +175,15 @@
         if known is None:
             self._candidates[record.endpoint] = ZoneEndpoint(record)
             return
-        known.follow(record)
+        known.update_record(record)
 
     def remove_endpoint(self, endpoint: str, now_ms: float) -> None:
         """Remove an endpoint whose incarnation has certainly ended, and finish its runs."""
         self.handle_lease_expiry(endpoint, now_ms)
-        self._late_starts.end_life(endpoint)
+        self._late_starts.end_incarnation(endpoint)
         self._candidates.pop(endpoint, None)
         self._last_polled_ms.pop(endpoint, None)
-        self._lifecycle.speeds.forget(endpoint)
+        self._lifecycle.speeds.remove(endpoint)
 
     def begin_incarnation(self, endpoint: str, now_ms: float) -> None:
         """Handle a new incarnation of *endpoint* under the same id.
@@ -198,11 +198,11 @@
             return
         note_crash(self._lifecycle, candidate, now_ms)
         candidate.begin_incarnation()
-        self._late_starts.end_life(endpoint)
+        self._late_starts.end_incarnation(endpoint)
         for stop in self._late_starts.stops_due((endpoint,), now_ms, now_ms):
             self.actions.stop(stop)
         self._last_polled_ms.pop(endpoint, None)
-        self._lifecycle.speeds.forget(endpoint)
+        self._lifecycle.speeds.remove(endpoint)
 
     def exclude_from_placement(self, endpoint: str) -> None:
         """Exclude an endpoint from placement until its next report."""
@@ -230,10 +230,10 @@
             return
         candidate.has_current_report = False
         candidate.orphans.clear()
-        for task in candidate.room.tasks:
+        for task in candidate.resources.tasks:
             run = self._lifecycle.get(task)
             if run is None or run.endpoint != endpoint:
-                candidate.room.release(task)
+                candidate.resources.release(task)
                 continue
             if not candidate.has_crashed and may_have_crashed(run, endpoint):
                 candidate.lapsed_tasks.append(task)
@@ -244,7 +244,7 @@
         candidate = self._candidates.get(endpoint)
         if candidate is None:
             return False
-        runs = (self._lifecycle.get(task) for task in candidate.room.tasks)
+        runs = (self._lifecycle.get(task) for task in candidate.resources.tasks)
         return any(
             run is not None and run.state is RunState.STOPPING and run.since_ms < before_ms
             for run in runs
@@ -256,22 +256,26 @@
         if candidate is None:
             return
         reconcile(self._lifecycle, candidate, report, now_ms)
-        self._last_polled_ms[report.endpoint] = report.asked_ms
+        self._last_polled_ms[report.endpoint] = report.polled_ms
         candidate.has_current_report = candidate.has_current_record(report.born_ms)
         candidate.is_silent = False
         candidate.mark_alive()
 
-    def note_start(self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float) -> None:
+    def handle_start_outcome(
+        self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float
+    ) -> None:
         """Handle the outcome of a start order."""
         if outcome is CallOutcome.UNKNOWN:
-            self._late_starts.note(run_id, endpoint, now_ms)
-        note_start(self._lifecycle, self._candidates, run_id, endpoint, outcome, now_ms)
+            self._late_starts.add(run_id, endpoint, now_ms)
+        handle_start_outcome(self._lifecycle, self._candidates, run_id, endpoint, outcome, now_ms)
 
-    def note_stop(self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float) -> None:
+    def handle_stop_outcome(
+        self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float
+    ) -> None:
         """Handle the outcome of a stop order."""
         if outcome is CallOutcome.DONE:
             self._late_starts.note_stopped(run_id, endpoint)
-        note_stop(self._lifecycle, run_id, endpoint, outcome, now_ms)
+        handle_stop_outcome(self._lifecycle, run_id, endpoint, outcome, now_ms)
 
     def stops_to_retransmit(self, before_ms: float, now_ms: float) -> list[StopAction]:
         """Return the unconfirmed stops last sent before *before_ms*, for retransmission."""
@@ -292,7 +296,7 @@
         self._retire_unattainable(now_ms)
         handle_stragglers(self._lifecycle, now_ms)
         for candidate in self._candidates.values():
-            candidate.room.expire_reservations(now_ms)
+            candidate.resources.expire_reservations(now_ms)
         self._deliveries.expire_cancels(now_ms)
         self._lifecycle.tombstones.expire(now_ms)
         self._lifecycle.started.expire(now_ms)
--- a/src/foldloom/seed_discovery/owners/stealing.py
+++ b/src/foldloom/seed_discovery/owners/stealing.py
@@ -67,4 +67,4 @@
     def _cancel_reservation(self, reservation: Reservation) -> None:
         candidate = self._candidates.get(reservation.endpoint)
         if candidate is not None:
-            candidate.room.cancel_reservation(reservation.number)
+            candidate.resources.cancel_reservation(reservation.number)
--- a/src/foldloom/seed_discovery/owners/stragglers.py
+++ b/src/foldloom/seed_discovery/owners/stragglers.py
@@ -31,8 +31,8 @@
         longest_ms: Plausible duration of the longest task of its step.
         stuck_attempt_ms: Run time of the previous attempt if it was stopped as stuck, or 0.
     """
-    allowed_ms = STUCK_FACTOR * longest_ms + STUCK_MARGIN_MS
-    return ran_ms > max(allowed_ms, STUCK_RETRY_FACTOR * stuck_attempt_ms)
+    run_time_limit_ms = STUCK_FACTOR * longest_ms + STUCK_MARGIN_MS
+    return ran_ms > max(run_time_limit_ms, STUCK_RETRY_FACTOR * stuck_attempt_ms)
 
 
 def handle_stragglers(lifecycle: RunLifecycle, now_ms: float) -> None:
--- a/src/foldloom/seed_discovery/owners/tombstones.py
+++ b/src/foldloom/seed_discovery/owners/tombstones.py
@@ -42,7 +42,7 @@
     end: RunEnd | None
     deliveries: dict[HolderId, int]
 
-    def covers(self, holder: HolderId, delivery: int) -> bool:
+    def is_duplicate(self, holder: HolderId, delivery: int) -> bool:
         """Return whether *delivery* is a duplicate of one whose runs have ended."""
         return 0 < delivery <= self.deliveries.get(holder, 0)
 
@@ -69,7 +69,7 @@
         tombstone = self._by_task.get(task)
         if tombstone is not None and tombstone.attempt >= attempt:
             return
-        run_end = RunEnd(end.run_id, CAUSE_OF_KIND[end.how], endpoint, 0, end.checkpoint)
+        run_end = RunEnd(end.run_id, CAUSE_OF_KIND[end.kind], endpoint, 0, end.checkpoint)
         self._by_task.pop(task, None)
         self._by_task[task] = Tombstone(attempt, now_ms, run_end, {})
 
--- a/src/foldloom/seed_discovery/owners/withdrawal.py
+++ b/src/foldloom/seed_discovery/owners/withdrawal.py
@@ -16,7 +16,7 @@
 from foldloom.seed_discovery.owners.batches import Batch
 
 
-class Answer(Enum):
+class CancelAnswer(Enum):
     """An owner's answer on whether runs of a job were started; the values appear in logs."""
 
     STARTED = "started"
@@ -62,7 +62,7 @@
         grant: The number of the owner's grant.
     """
     orders = [order for batch in batches for order in batch.orders]
-    terms = frozenset[int]().union(*(batch.terms for batch in batches))
+    tokens = frozenset[int]().union(*(batch.tokens for batch in batches))
     has_started = any(batch.has_started for batch in batches)
     for batch in batches:
         batch.clear()
@@ -72,13 +72,15 @@
         grant=grant,
         reply_valid_until_ms=min(batch.reply_valid_until_ms for batch in batches),
         open_runs=len(orders),
-        has_started=has_started or bool(terms - {owner.token}),
-        needs_cancel=owner.token in terms,
+        has_started=has_started or bool(tokens - {owner.token}),
+        needs_cancel=owner.token in tokens,
         delivery=max((order.delivery for order in orders), default=0),
     )
 
 
-def may_have_started(withdrawals: Iterable[Withdrawal], answers: Mapping[str, Answer]) -> bool:
+def may_have_started(
+    withdrawals: Iterable[Withdrawal], answers: Mapping[str, CancelAnswer]
+) -> bool:
     """Return whether any run of a job may have been started in any zone.
 
     Args:
@@ -86,10 +88,10 @@
         answers: The answers to its cancels, by zone.
     """
     any_started = any(withdrawal.has_started for withdrawal in withdrawals)
-    return any_started or any(answer is not Answer.NOT_STARTED for answer in answers.values())
+    return any_started or any(answer is not CancelAnswer.NOT_STARTED for answer in answers.values())
 
 
-def log_verdict(withdrawals: Iterable[Withdrawal], answers: Mapping[str, Answer]) -> None:
+def log_verdict(withdrawals: Iterable[Withdrawal], answers: Mapping[str, CancelAnswer]) -> None:
     """Log the grounds of the verdict, one line per zone."""
     for withdrawal in withdrawals:
         answer = answers.get(withdrawal.owner.zone)
--- a/src/foldloom/seed_discovery/owners/zone_owner.py
+++ b/src/foldloom/seed_discovery/owners/zone_owner.py
@@ -124,7 +124,7 @@
         own = self._view.own.box
         if self._view.entries == [own]:
             return False
-        return not self._sessions.has_other(own, monotonic_ms())
+        return not self._sessions.has_session_with_other_box(own, monotonic_ms())
 
     def start(self) -> None:
         """Start polling endpoints and sending heartbeats and offers."""
@@ -249,7 +249,7 @@
         """Handle the certain end of the incarnation of *endpoint* born at *born_ms*."""
         ENDPOINT_LOG.event("endpoint.life_over", endpoint=endpoint, born_ms=born_ms)
         self.handle_crash(endpoint)
-        self._context.catalog.end_life(endpoint, born_ms, monotonic_ms())
+        self._context.catalog.end_incarnation(endpoint, born_ms, monotonic_ms())
 
     def note_next_incarnation(self, endpoint: str, born_ms: int) -> None:
         """Handle an answer of a later incarnation of *endpoint*, born at *born_ms*."""
--- a/src/foldloom/seed_discovery/scheduling/crashes.py
+++ b/src/foldloom/seed_discovery/scheduling/crashes.py
@@ -59,7 +59,7 @@
 """No task is isolated."""
 
 
-def is_given_up(count: CrashCount) -> bool:
+def exceeds_crash_limit(count: CrashCount) -> bool:
     """Return whether a task has reached its crash limit and must not start again."""
     if count.alone and count.crashes >= _SOLE_TASK_CRASHES_MAX:
         return True
--- a/src/foldloom/seed_discovery/scheduling/endpoints.py
+++ b/src/foldloom/seed_discovery/scheduling/endpoints.py
@@ -34,7 +34,7 @@
 
     def __init__(self, record: EndpointRecord) -> None:
         self.record = record
-        self.room = EndpointCapacity(record.capacity)
+        self.resources = EndpointCapacity(record.capacity)
         self.has_current_report = False
         self.is_silent = False
         self.backoff_until_ms = 0.0
@@ -60,12 +60,12 @@
     @property
     def is_idle(self) -> bool:
         """Whether it has no known runs."""
-        return not self.room.tasks and not self.orphans
+        return not self.resources.tasks and not self.orphans
 
-    def follow(self, record: EndpointRecord) -> None:
+    def update_record(self, record: EndpointRecord) -> None:
         """Apply a newer record of the same incarnation."""
         self.record = record
-        self.room.set_capacity(record.capacity)
+        self.resources.set_capacity(record.capacity)
 
     def begin_incarnation(self) -> None:
         """Reset the state of the previous incarnation; allocations stay until the next report."""
@@ -88,7 +88,7 @@
         """
         return not self.record.born_ms or self.record.born_ms >= born_ms
 
-    def is_open(self, now_ms: float) -> bool:
+    def is_eligible(self, now_ms: float) -> bool:
         """Return whether runs may be placed on it now.
 
         Its free capacity is unknown while it has orphaned runs.
@@ -102,4 +102,4 @@
 
     def has_capacity_for(self, demand: Demand) -> bool:
         """Return whether its free capacity covers *demand*."""
-        return fits(demand, self.room.free)
+        return fits(demand, self.resources.free)
--- a/src/foldloom/seed_discovery/scheduling/estimates.py
+++ b/src/foldloom/seed_discovery/scheduling/estimates.py
@@ -54,7 +54,7 @@
             / total
         )
 
-    def note(self, queue: str, caller_estimate_ms: float, work_ms: float) -> None:
+    def record(self, queue: str, caller_estimate_ms: float, work_ms: float) -> None:
         """Update the statistics with a finished task that took *work_ms*."""
         if work_ms <= 0:
             return
--- a/src/foldloom/seed_discovery/scheduling/groups.py
+++ b/src/foldloom/seed_discovery/scheduling/groups.py
@@ -63,7 +63,7 @@
         return self._objective_ms(self.longest_ms)
 
     def _objective_ms(self, longest_ms: float) -> float:
-        critical_path_ms = self.spec.other_ms + longest_ms
+        critical_path_ms = self.spec.other_steps_ms + longest_ms
         return self.spec.stretch * critical_path_ms + self.spec.slack_ms
 
     @property
--- a/src/foldloom/seed_discovery/scheduling/placing.py
+++ b/src/foldloom/seed_discovery/scheduling/placing.py
@@ -89,7 +89,7 @@
         """Return the strictest isolation among the tasks on an endpoint."""
         if not self.isolations:
             return Isolation.NONE
-        levels = [self.isolations.get(task, Isolation.NONE) for task in candidate.room.tasks]
+        levels = [self.isolations.get(task, Isolation.NONE) for task in candidate.resources.tasks]
         return max(levels, default=Isolation.NONE)
 
 
@@ -112,11 +112,11 @@
     """Place queued runs, allocate their capacity and remove them from the queue."""
     result = PlacementRound([], [])
     eligible_endpoints = [
-        candidate for candidate in candidates.values() if candidate.is_open(now_ms)
+        candidate for candidate in candidates.values() if candidate.is_eligible(now_ms)
     ]
     if not eligible_endpoints:
         return result
-    places = _PlacementContext(eligible_endpoints, speeds, isolations)
+    context = _PlacementContext(eligible_endpoints, speeds, isolations)
     own_groups, remote_groups = waiting.groups, remote.stealable(now_ms)
     queued_groups = [
         _QueuedGroup(rank(group, now_ms), False, index) for index, group in enumerate(own_groups)
@@ -127,16 +127,16 @@
     exhausted: set[_Requirements] = set()
     for _, is_remote, position in sorted(queued_groups):
         if is_remote:
-            _steal_group(remote_groups[position], places, exhausted, now_ms, result.stolen)
+            _steal_group(remote_groups[position], context, exhausted, now_ms, result.stolen)
         else:
-            _place_group(own_groups[position], waiting, places, exhausted, now_ms, result.placed)
+            _place_group(own_groups[position], waiting, context, exhausted, now_ms, result.placed)
     return result
 
 
 def _place_group(
     group: RunGroup,
     waiting: RunQueue,
-    places: _PlacementContext,
+    context: _PlacementContext,
     exhausted: set[_Requirements],
     now_ms: float,
     placed: list[PlacedRun],
@@ -148,9 +148,9 @@
     if requirements in exhausted:
         return
     for run in list(group.waiting.values()):
-        isolation = places.isolations.get(run.task, Isolation.NONE)
+        isolation = context.isolations.get(run.task, Isolation.NONE)
         chosen = choose_endpoint(
-            requirements._replace(isolation=isolation), group_of(run.task), places
+            requirements._replace(isolation=isolation), group_of(run.task), context
         )
         if chosen is None and isolation is Isolation.REQUIRED:
             # Other runs of the step may not need an idle endpoint.
@@ -159,14 +159,14 @@
             if not spec.placement.per_endpoint_max:
                 exhausted.add(requirements)
             return
-        chosen.room.charge(run.task, spec.demand)
+        chosen.resources.allocate(run.task, spec.demand)
         waiting.remove(run.task)
         placed.append(PlacedRun(run, chosen.record.endpoint))
 
 
 def _steal_group(
     group: RemoteGroup,
-    places: _PlacementContext,
+    context: _PlacementContext,
     exhausted: set[_Requirements],
     now_ms: float,
     stolen: list[StolenRuns],
@@ -184,12 +184,12 @@
         return
     reservations: list[Reservation] = []
     while group.remaining > 0:
-        chosen = choose_endpoint(requirements, summary.group, places)
+        chosen = choose_endpoint(requirements, summary.group, context)
         if chosen is None:
             exhausted.add(requirements)
             break
         number = next(_reservation_numbers)
-        chosen.room.reserve(number, summary.demand, now_ms + RESERVATION_TTL_MS)
+        chosen.resources.reserve(number, summary.demand, now_ms + RESERVATION_TTL_MS)
         reservations.append(Reservation(chosen.record.endpoint, number))
         group.remaining -= 1
     if reservations:
@@ -197,7 +197,7 @@
 
 
 def choose_endpoint(
-    requirements: _Requirements, group: GroupId, places: _PlacementContext
+    requirements: _Requirements, group: GroupId, context: _PlacementContext
 ) -> ZoneEndpoint | None:
     """Return the best endpoint with free capacity, if any.
 
@@ -205,21 +205,21 @@
     """
     eligible = [
         candidate
-        for candidate in places.endpoints
-        if _is_eligible(requirements, group, candidate, places)
+        for candidate in context.endpoints
+        if _is_eligible(requirements, group, candidate, context)
     ]
     if not eligible:
         return None
-    return max(eligible, key=lambda candidate: _score(requirements, candidate, places))
+    return max(eligible, key=lambda candidate: _score(requirements, candidate, context))
 
 
 def _is_eligible(
-    requirements: _Requirements, group: GroupId, candidate: ZoneEndpoint, places: _PlacementContext
+    requirements: _Requirements, group: GroupId, candidate: ZoneEndpoint, context: _PlacementContext
 ) -> bool:
-    record, speeds = candidate.record, places.speeds
+    record, speeds = candidate.record, context.speeds
     if requirements.isolation is Isolation.REQUIRED and not candidate.is_idle:
         return False
-    if places.isolation_on(candidate) is Isolation.REQUIRED:
+    if context.isolation_on(candidate) is Isolation.REQUIRED:
         return False
     if record.service != requirements.service or not candidate.has_capacity_for(
         requirements.demand
@@ -232,17 +232,19 @@
         return False
     if not placement.per_endpoint_max:
         return True
-    return candidate.room.count_of(group.job_id, group.step) < placement.per_endpoint_max
+    return (
+        candidate.resources.allocated_count(group.job_id, group.step) < placement.per_endpoint_max
+    )
 
 
 def _score(
-    requirements: _Requirements, candidate: ZoneEndpoint, places: _PlacementContext
+    requirements: _Requirements, candidate: ZoneEndpoint, context: _PlacementContext
 ) -> tuple[bool, bool, float, int, str]:
-    is_isolated = requirements.isolation is not Isolation.NONE
-    meets_isolation = candidate.is_idle if is_isolated else not places.isolation_on(candidate)
+    needs_isolation = requirements.isolation is not Isolation.NONE
+    meets_isolation = candidate.is_idle if needs_isolation else not context.isolation_on(candidate)
     rack = requirements.placement.rack
     is_rack_local = not rack or rack in candidate.record.labels
-    cpu_left_milli = candidate.room.free.cpu_milli - requirements.demand.cpu_milli
+    cpu_left_milli = candidate.resources.free.cpu_milli - requirements.demand.cpu_milli
     endpoint = candidate.record.endpoint
-    speed = round(places.speeds.speed_of(endpoint), 1)
+    speed = round(context.speeds.speed_of(endpoint), 1)
     return (meets_isolation, is_rack_local, speed, -cpu_left_milli, endpoint)
--- a/src/foldloom/seed_discovery/scheduling/rooms.py
+++ b/src/foldloom/seed_discovery/scheduling/rooms.py
@@ -77,7 +77,7 @@
         self._free = add_demand(subtract_demand(self._free, self._capacity), capacity)
         self._capacity = capacity
 
-    def charge(self, task: TaskId, demand: Demand) -> None:
+    def allocate(self, task: TaskId, demand: Demand) -> None:
         """Allocate capacity to *task*; no effect if it already has an allocation."""
         if task in self._allocated:
             return
@@ -105,6 +105,6 @@
             if now_ms >= reserved.until_ms:
                 self.cancel_reservation(number)
 
-    def count_of(self, job_id: str, step: int) -> int:
+    def allocated_count(self, job_id: str, step: int) -> int:
         """Return the number of a step's tasks with an allocation."""
         return sum(1 for task in self._allocated if task.job_id == job_id and task.step == step)
--- a/src/foldloom/seed_discovery/scheduling/runs.py
+++ b/src/foldloom/seed_discovery/scheduling/runs.py
@@ -13,7 +13,7 @@
     """An incarnation of a box with a session; it is notified when its runs end."""
 
     box: str
-    life: int
+    incarnation: int
 
 
 class RunState(Enum):
@@ -41,7 +41,7 @@
         began_ms: Arrival of the job; the owner's own clock.
         stretch: The job's objective is this factor times its critical path, ...
         slack_ms: ... plus this.
-        other_ms: Estimated duration of the other steps on the critical path.
+        other_steps_ms: Estimated duration of the other steps on the critical path.
         tasks: Number of tasks of the step.
         deadline_ms: When the job is given up.
     """
@@ -57,7 +57,7 @@
     began_ms: float
     stretch: float
     slack_ms: float
-    other_ms: float
+    other_steps_ms: float
     tasks: int
     deadline_ms: float
 
--- a/src/foldloom/seed_discovery/scheduling/speeds.py
+++ b/src/foldloom/seed_discovery/scheduling/speeds.py
@@ -34,7 +34,7 @@
         mean = self._mean_log_ratios.get(endpoint)
         return 1.0 if mean is None else math.exp(self._median - mean)
 
-    def note(self, endpoint: str, ran_ms: float, expected_ms: float) -> None:
+    def record(self, endpoint: str, ran_ms: float, expected_ms: float) -> None:
         """Update the speed with a finished run."""
         if ran_ms <= 0 or expected_ms <= 0:
             return
@@ -53,6 +53,6 @@
         if lower_bound > self._mean_log_ratios.get(endpoint, self._median):
             self._mean_log_ratios[endpoint] = lower_bound
 
-    def forget(self, endpoint: str) -> None:
+    def remove(self, endpoint: str) -> None:
         """Remove an endpoint."""
         self._mean_log_ratios.pop(endpoint, None)
--- a/src/foldloom/seed_discovery/scheduling/waiting.py
+++ b/src/foldloom/seed_discovery/scheduling/waiting.py
@@ -67,7 +67,7 @@
         if group is not None and group.waiting.pop(task, None) is not None:
             self._waiting_count -= 1
 
-    def forget(self, key: GroupId) -> None:
+    def remove_group(self, key: GroupId) -> None:
         """Remove a group that has no runs left."""
         group = self._groups.pop(key, None)
         if group is not None:
--- a/src/foldloom/static_peers/claims/acquire.py
+++ b/src/foldloom/static_peers/claims/acquire.py
@@ -35,12 +35,12 @@
     """Result of an attempt to acquire a claim.
 
     Args:
-        how: The outcome.
+        outcome: Whether the claim was won, is held by others, or lacked a quorum.
         holders: Conflicting claims of other coordinators.
         detail: Each replica's vote, as text.
     """
 
-    how: Acquisition
+    outcome: Acquisition
     holders: list[Claim]
     detail: str
 
@@ -166,8 +166,8 @@
             f"{box} {replies[box].vote.name.lower() if box in replies else 'silent'}"
             for box in replicas.boxes
         ]
-        how = Acquisition.HELD if holders else Acquisition.NO_QUORUM
-        return AcquireResult(how, holders, ", ".join(vote_texts))
+        outcome = Acquisition.HELD if holders else Acquisition.NO_QUORUM
+        return AcquireResult(outcome, holders, ", ".join(vote_texts))
 
 
 def _cancel_all(pending: set[asyncio.Task[tuple[str, ClaimReply | None]]]) -> None:
--- a/src/foldloom/static_peers/claims/service.py
+++ b/src/foldloom/static_peers/claims/service.py
@@ -88,7 +88,7 @@
             holders = self._table.holders(request.submission)
             return self._reply(Vote.NOT_VOTING, replicas, holders)
         claim = Claim(request.digest, sender, request.incarnation, request.attempt)
-        decision = self._table.judge(request.submission, claim, int(monotonic_ms()))
+        decision = self._table.decide_vote(request.submission, claim, int(monotonic_ms()))
         self._metrics.count(f"claims.{decision.vote.name.lower()}")
         return self._reply(decision.vote, replicas, decision.holders)
 
--- a/src/foldloom/static_peers/claims/table.py
+++ b/src/foldloom/static_peers/claims/table.py
@@ -57,7 +57,7 @@
             return []
         return [_claim(held), *map(_claim, self._conflicting.get(submission, ()))]
 
-    def judge(self, submission: str, claim: Claim, now_ms: int) -> VoteDecision:
+    def decide_vote(self, submission: str, claim: Claim, now_ms: int) -> VoteDecision:
         """Vote on *claim*, and store it if granted.
 
         With conflicting copies no claim is granted until the coordinators of all but one have
--- a/src/foldloom/static_peers/entry/coordinator.py
+++ b/src/foldloom/static_peers/entry/coordinator.py
@@ -104,12 +104,12 @@
         result = None
         for _ in range(_CLAIM_ATTEMPTS_MAX):
             result = await self._acquirer.acquire(job.submission, job.digest, job.attempt)
-            if result.how is Acquisition.WON:
+            if result.outcome is Acquisition.WON:
                 self._metrics.timing("claim_ms", monotonic_ms() - started_ms)
                 await self._run(job, request, started_ms, deadline_ms)
                 return
             CLAIM_LOG.info(
-                "Job {}: claim {} ({}).", job.submission, result.how.value, result.detail
+                "Job {}: claim {} ({}).", job.submission, result.outcome.value, result.detail
             )
             job.enter_state(JobState.FOLLOWING)
             self._acquirer.withdraw(job.submission, job.attempt)
--- a/src/foldloom/static_peers/entry/operators.py
+++ b/src/foldloom/static_peers/entry/operators.py
@@ -194,7 +194,7 @@
 def plan_fields(plan: Plan) -> dict[str, Any]:
     """Return the JSON fields of *plan*."""
     return {
-        "plan": plan.words,
+        "plan": plan.descriptions,
         "base_version": plan.base_version,
         "changes": plan.changes,
         "digest": plan.digest,
--- a/src/foldloom/static_peers/entry/run.py
+++ b/src/foldloom/static_peers/entry/run.py
@@ -154,7 +154,7 @@
 
     def _return_unused(self, arrival: Slot | SlotRefusal) -> None:
         if isinstance(arrival, Slot):
-            self._context.slots.give_back(arrival, 0.0, SlotOutcome.UNUSED)
+            self._context.slots.release(arrival, 0.0, SlotOutcome.UNUSED)
 
     def _handle_arrival(self, arrival: Slot | SlotRefusal, waiter: SlotWaiter) -> Problem | None:
         if isinstance(arrival, SlotRefusal):
@@ -210,7 +210,7 @@
             slot.lease_id,
         )
         self._possible_starts += 1
-        context.budget.note_start()
+        context.budget.record_start()
         context.metrics.count("tasks.started")
         return await context.adapter.start_task(url, self._submission, index, call, remaining_ms)
 
@@ -220,11 +220,11 @@
         """Return the slot; queue the attempt's result unless it was cancelled."""
         self._attempts.pop(task, None)
         if task.cancelled():
-            self._context.slots.give_back(slot, 0.0, SlotOutcome.UNUSED)
+            self._context.slots.release(slot, 0.0, SlotOutcome.UNUSED)
             return
         result = task.result()
         use, service_ms = _slot_use(result)
-        self._context.slots.give_back(slot, service_ms, use)
+        self._context.slots.release(slot, service_ms, use)
         self._events.put_nowait(AttemptEnd(index, result))
 
     async def _handle_end(self, end: AttemptEnd, waiter: SlotWaiter) -> Problem | None:
--- a/src/foldloom/static_peers/entry_role.py
+++ b/src/foldloom/static_peers/entry_role.py
@@ -151,7 +151,7 @@
             return
         # Each change is handled once, so it must not be hidden by a cached manager.
         self._managers.invalidate()
-        self._leases.follow(config, leaving, zones)
+        self._leases.apply_config(config, leaving, zones)
         self._last_inputs = inputs
 
     async def drain(self) -> None:
--- a/src/foldloom/static_peers/placement/bounds.py
+++ b/src/foldloom/static_peers/placement/bounds.py
@@ -10,13 +10,13 @@
 from foldloom.controllers.config import Config
 
 
-class Bounds:
+class ConfigLimits:
     """Limits of the configuration in force; without a configuration no service has capacity."""
 
     def __init__(self) -> None:
         self._config: Config | None = None
 
-    def follow(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         """Apply a configuration."""
         self._config = config
 
--- a/src/foldloom/static_peers/placement/direct_slots.py
+++ b/src/foldloom/static_peers/placement/direct_slots.py
@@ -68,8 +68,8 @@
         while not waiter.arrivals.empty():
             arrival = waiter.arrivals.get_nowait()
             if isinstance(arrival, Slot):
-                self.give_back(arrival, 0.0, SlotOutcome.UNUSED)
+                self.release(arrival, 0.0, SlotOutcome.UNUSED)
 
-    def give_back(self, slot: Slot, service_ms: float, use: SlotOutcome) -> None:
+    def release(self, slot: Slot, service_ms: float, use: SlotOutcome) -> None:
         """Return a slot."""
         self._local_counts[slot.endpoint] = self._local_counts.get(slot.endpoint, 1) - 1
--- a/src/foldloom/static_peers/placement/ejection.py
+++ b/src/foldloom/static_peers/placement/ejection.py
@@ -41,7 +41,7 @@
         """The ejected endpoints that passed a liveness check."""
         return self._responsive
 
-    def follow(self, usable: set[str]) -> None:
+    def set_endpoints(self, usable: set[str]) -> None:
         """Set the endpoints that are eligible for placement."""
         self._usable = usable
 
--- a/src/foldloom/static_peers/placement/lease_manager.py
+++ b/src/foldloom/static_peers/placement/lease_manager.py
@@ -104,7 +104,7 @@
         """The managed shards by name."""
         return dict(self._shards)
 
-    def follow(self, config: Config, leaving: set[str], reachable_zones: set[str]) -> None:
+    def apply_config(self, config: Config, leaving: set[str], reachable_zones: set[str]) -> None:
         """Apply a configuration: take over or release shards and update their endpoints."""
         names = shard_names(config, self._settings.limits.lease_shard_endpoints)
         self._shard_of_endpoint = {
@@ -184,7 +184,7 @@
         if shard is None:
             self._metrics.count("messages.wasted.return")
             return
-        shard.give_back(message, monotonic_ms())
+        shard.release(message, monotonic_ms())
         self._send_grants(name, shard)
 
     def _on_hold(self, sender: str, message: SlotHold) -> None:
--- a/src/foldloom/static_peers/placement/leased_slots.py
+++ b/src/foldloom/static_peers/placement/leased_slots.py
@@ -107,9 +107,9 @@
         while not waiter.arrivals.empty():
             arrival = waiter.arrivals.get_nowait()
             if isinstance(arrival, Slot):
-                self.give_back(arrival, 0.0, SlotOutcome.UNUSED)
+                self.release(arrival, 0.0, SlotOutcome.UNUSED)
 
-    def give_back(self, slot: Slot, service_ms: float, use: SlotOutcome) -> None:
+    def release(self, slot: Slot, service_ms: float, use: SlotOutcome) -> None:
         """Return a slot with the outcome of its task."""
         self._held.pop(slot.lease_id, None)
         if use is SlotOutcome.UNUSED:
@@ -214,7 +214,7 @@
         waiter = self._waiters.get(message.request_id)
         if waiter is None or waiter.outstanding == 0:
             slot = Slot(message.lease_id, message.endpoint, "", "", now_ms, now_ms)
-            self.give_back(slot, 0.0, SlotOutcome.UNUSED)
+            self.release(slot, 0.0, SlotOutcome.UNUSED)
             return
         waiter.outstanding -= 1
         waiter.last_activity_ms = now_ms
--- a/src/foldloom/static_peers/placement/retries.py
+++ b/src/foldloom/static_peers/placement/retries.py
@@ -31,7 +31,7 @@
         """Retries available now."""
         return self._tokens
 
-    def note_start(self) -> None:
+    def record_start(self) -> None:
         """Count a start."""
         self._tokens = min(_TOKENS_MAX, self._tokens + self._share)
 
--- a/src/foldloom/static_peers/placement/shard.py
+++ b/src/foldloom/static_peers/placement/shard.py
@@ -13,7 +13,7 @@
 from foldloom.controllers.config import Config, endpoints_of
 from foldloom.settings import Settings
 from foldloom.static_peers.placement.admission import RETRY_MAX_MS, AdmissionLoad, check_admission
-from foldloom.static_peers.placement.bounds import Bounds
+from foldloom.static_peers.placement.bounds import ConfigLimits
 from foldloom.static_peers.placement.ejection import Ejection
 from foldloom.static_peers.placement.health import Health
 from foldloom.static_peers.placement.leases import Lease, LeaseTable, reported_lease
@@ -61,17 +61,17 @@
         self._settings = settings
         self._policy = policy
         self._lease_ids = lease_ids
-        self._bounds = Bounds()
+        self._config_limits = ConfigLimits()
         self._usable: set[str] = set()
         self._endpoints_of: dict[str, list[str]] = {}
         self._leases = LeaseTable()
-        self._queue = RequestQueue(self._bounds.quota_of)
+        self._queue = RequestQueue(self._config_limits.quota_of)
         self._grant_rates = GrantRates()
         self._speeds = SpeedTable()
         self._events: list[str] = []
         health = Health(settings.timings.ejection_ms, settings.limits.ejected_share_max)
         self._ejection = Ejection(health, self._speeds, self._add_event)
-        self._views = ViewTable(self._bounds, self._leases, self._speeds, self._ejection)
+        self._views = ViewTable(self._config_limits, self._leases, self._speeds, self._ejection)
 
     @property
     def ejection(self) -> Ejection:
@@ -106,15 +106,15 @@
             names: The endpoints of this shard.
             usable: The endpoints eligible for placement, of any shard.
         """
-        self._bounds.follow(config)
+        self._config_limits.apply_config(config)
         self._usable = usable.intersection(names)
-        self._ejection.follow(self._usable)
+        self._ejection.set_endpoints(self._usable)
         own = set(names)
         self._endpoints_of = {
             service: [name for name in endpoints_of(config, service) if name in own]
             for service in config.services
         }
-        self._views.follow(self._endpoints_of, self._usable)
+        self._views.set_endpoints(self._endpoints_of, self._usable)
 
     def add(self, coordinator: str, request: SlotRequest) -> SlotRefusal | None:
         """Queue *request*, or return a refusal. A retransmission has no effect."""
@@ -141,13 +141,13 @@
             return
         self._add_lease(reported_lease(held, coordinator, now_ms))
 
-    def give_back(self, message: SlotReturn, now_ms: float) -> None:
+    def release(self, message: SlotReturn, now_ms: float) -> None:
         """End the lease of a returned slot and record the outcome of its task."""
         lease = self._leases.get(message.lease_id)
         if lease is not None:
             self._remove_lease(lease)
         if message.use is SlotOutcome.DONE:
-            self._speeds.note(message.service, message.endpoint, message.service_ms, now_ms)
+            self._speeds.record(message.service, message.endpoint, message.service_ms, now_ms)
             peer_median_ms = self._views.peer_median_ms(message.service, message.endpoint)
             self._ejection.record_success(message, peer_median_ms, now_ms)
         elif message.use in (SlotOutcome.FAILED, SlotOutcome.NOT_RUN):
@@ -259,7 +259,7 @@
             )
         )
         self._queue.grant_one(pending)
-        self._grant_rates.note(request.customer)
+        self._grant_rates.record(request.customer)
         ttl = self._settings.timings.lease_ttl_ms
         message = SlotGrant(request.request_id, endpoint, lease_id, ttl)
         return Grant(pending.coordinator, message)
@@ -275,17 +275,22 @@
             self._queue.tasks_of_customer(request.customer),
             self.free_slots,
             self._views.rate_of(request.service),
-            self._bounds.quota_of(request.customer) / sum(map(self._bounds.quota_of, active)),
+            self._config_limits.quota_of(request.customer)
+            / sum(map(self._config_limits.quota_of, active)),
             self._grant_rates.rate_of(request.customer),
             self._speeds.service_mean_ms(request.service),
         )
         return check_admission(request, load, self._settings.limits)
 
     def _is_customer_full(self, customer: str) -> bool:
-        return self._bounds.is_customer_full(customer, self._leases.running_of_customer(customer))
+        return self._config_limits.is_customer_full(
+            customer, self._leases.running_of_customer(customer)
+        )
 
     def _is_service_full(self, service: str) -> bool:
-        return self._bounds.is_service_full(service, self._leases.running_of_service(service))
+        return self._config_limits.is_service_full(
+            service, self._leases.running_of_service(service)
+        )
 
     def _add_event(self, sentence: str) -> None:
         self._events.append(sentence)
--- a/src/foldloom/static_peers/placement/shares.py
+++ b/src/foldloom/static_peers/placement/shares.py
@@ -71,7 +71,7 @@
         """Return the customer's grants per millisecond."""
         return self._rates.get(customer, 0.0)
 
-    def note(self, customer: str) -> None:
+    def record(self, customer: str) -> None:
         """Count one grant."""
         self._counts[customer] += 1
 
--- a/src/foldloom/static_peers/placement/slots.py
+++ b/src/foldloom/static_peers/placement/slots.py
@@ -79,5 +79,5 @@
     def close(self, waiter: SlotWaiter) -> None:
         """Close the waiter; slots that arrive later are returned unused."""
 
-    def give_back(self, slot: Slot, service_ms: float, use: SlotOutcome) -> None:
+    def release(self, slot: Slot, service_ms: float, use: SlotOutcome) -> None:
         """Return a slot with the outcome of its task."""
--- a/src/foldloom/static_peers/placement/speeds.py
+++ b/src/foldloom/static_peers/placement/speeds.py
@@ -42,7 +42,7 @@
         self._by_service: dict[str, Speed] = {}
         self._sizes: dict[str, deque[float]] = {}
 
-    def note(
+    def record(
         self,
         service: str,
         endpoint: str,
--- a/src/foldloom/static_peers/placement/views.py
+++ b/src/foldloom/static_peers/placement/views.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Sequence
 
-from foldloom.static_peers.placement.bounds import Bounds
+from foldloom.static_peers.placement.bounds import ConfigLimits
 from foldloom.static_peers.placement.ejection import Ejection
 from foldloom.static_peers.placement.leases import LeaseTable
 from foldloom.static_peers.placement.policies import View
@@ -19,16 +19,20 @@
     """The views of one shard.
 
     Args:
-        bounds: Limits of the configuration.
+        config_limits: Limits of the configuration.
         leases: The active leases.
         speeds: Learned service times.
         ejection: Ejection state of the endpoints.
     """
 
     def __init__(
-        self, bounds: Bounds, leases: LeaseTable, speeds: SpeedTable, ejection: Ejection
+        self,
+        config_limits: ConfigLimits,
+        leases: LeaseTable,
+        speeds: SpeedTable,
+        ejection: Ejection,
     ) -> None:
-        self._bounds = bounds
+        self._config_limits = config_limits
         self._leases = leases
         self._speeds = speeds
         self._ejection = ejection
@@ -66,7 +70,7 @@
             return self._speeds.mean_ms(service, endpoint)
         return view.mean_ms[view.endpoints[len(view.endpoints) // 2]]
 
-    def follow(self, endpoints_of: dict[str, list[str]], usable: set[str]) -> None:
+    def set_endpoints(self, endpoints_of: dict[str, list[str]], usable: set[str]) -> None:
         """Set the endpoints.
 
         Args:
@@ -101,7 +105,7 @@
 
     def _free_slots_of(self, endpoint: str, now_ms: float) -> int:
         """Return the free slots of *endpoint*; an ejected endpoint has at most one, for a probe."""
-        slots = self._bounds.slots_of(endpoint)
+        slots = self._config_limits.slots_of(endpoint)
         busy = self._leases.busy.get(endpoint, 0)
         if self._ejection.is_ejected(endpoint):
             may_probe = bool(slots) and self._ejection.may_probe(endpoint, now_ms)
@@ -110,7 +114,7 @@
 
     def _service_rate(self, service: str) -> float:
         return sum(
-            self._bounds.slots_of(endpoint) / mean_ms
+            self._config_limits.slots_of(endpoint) / mean_ms
             for endpoint, mean_ms in self._views[service].mean_ms.items()
             if not self._ejection.is_ejected(endpoint)
         )
--- a/src/foldloom/time_limits.py
+++ b/src/foldloom/time_limits.py
@@ -3,7 +3,7 @@
 
 The clock of the event loop's timers stops during a suspension, so a plain ``asyncio`` timeout ends
 late by its length: a deadline would be missed, and a planned stop would overrun its bound. After a
-suspension, :func:`catch_up` must be called to reschedule the open timeouts.
+suspension, :func:`reschedule_open_timeouts` must be called to reschedule the open timeouts.
 
 Periodic timers, timers of some tens of milliseconds and timers that may fire late without harm use
 plain ``asyncio`` timers.
@@ -57,7 +57,7 @@
         return
 
 
-def catch_up() -> None:
+def reschedule_open_timeouts() -> None:
     """Reschedule the open timeouts after a suspension of the box."""
     now_ms = monotonic_ms()
     loop_s = asyncio.get_running_loop().time()
--- a/tests/models/standing_boxes.py
+++ b/tests/models/standing_boxes.py
@@ -106,7 +106,7 @@
         """Handle the frames of a received envelope that have not expired."""
         if not self.is_alive:
             return
-        age_ms = self._fresh_lives.note(
+        age_ms = self._fresh_lives.record(
             envelope.sender, envelope.incarnation, envelope.sent_ms, monotonic_ms()
         )
         for frame in envelope.frames:
--- a/tests/standins/run_endpoint.py
+++ b/tests/standins/run_endpoint.py
@@ -364,7 +364,7 @@
             return self._answer(409, reason=_REASONS[view.outcome])
         active = [[task_text(one.run_id.task), one.run_id.attempt, "", 100] for one in view.active]
         ended = [
-            [end.sequence, task_text(end.run_id.task), end.run_id.attempt, end.how.value, ""]
+            [end.sequence, task_text(end.run_id.task), end.run_id.attempt, end.kind.value, ""]
             for end in view.ended
         ]
         return self._answer(200, active=active, finished=ended, **self._incarnation_field)
--- a/tests/test_boxes_controllers.py
+++ b/tests/test_boxes_controllers.py
@@ -83,7 +83,7 @@
                     return True
             return False
 
-        await until(publish_once, f"version {version} is acknowledged")
+        await wait_until(publish_once, f"version {version} is acknowledged")
 
     async def read(self) -> bytes:
         """Read the newest document through any controller."""
@@ -97,7 +97,7 @@
                     return True
             return False
 
-        await until(read_once, "the newest is read")
+        await wait_until(read_once, "the newest is read")
         return documents[0]
 
     def leader(self) -> int:
@@ -116,7 +116,7 @@
             await self.kill(port)
 
 
-async def until(condition: Callable[[], Awaitable[Any]], description: str) -> None:
+async def wait_until(condition: Callable[[], Awaitable[Any]], description: str) -> None:
     """Wait for *condition*; fail if it is not met in time."""
     deadline = asyncio.get_running_loop().time() + _WAIT_S
     while asyncio.get_running_loop().time() < deadline:
@@ -126,7 +126,7 @@
     raise AssertionError(f"not within {_WAIT_S} s: {description}")
 
 
-def play(folder: Path, scenario: Callable[[ControllerGroup], Awaitable[None]]) -> None:
+def run_scenario(folder: Path, scenario: Callable[[ControllerGroup], Awaitable[None]]) -> None:
     """Found a group of three and run *scenario* on it."""
 
     async def run() -> None:
@@ -147,7 +147,7 @@
     async def has_members() -> bool:
         return group.members() == ports
 
-    await until(has_members, f"members {ports}, now {group.members()}")
+    await wait_until(has_members, f"members {ports}, now {group.members()}")
 
 
 class TestPublishing:
@@ -161,7 +161,7 @@
             await group.publish(3)
             assert await group.read() == b"7"
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_all_killed(self, tmp_path: Path) -> None:
         """An acknowledged document survives a kill of all controllers."""
@@ -173,7 +173,7 @@
             await group.start_all()
             assert await group.read() == b"5"
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_wiped_then_another_lost(self, tmp_path: Path) -> None:
         """A wiped controller does not vote; acknowledged data is read once both others are back."""
@@ -194,7 +194,7 @@
             assert await group.read() == b"9"
             await wait_for_members(group, set(group.ports))
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
 
 class TestReplacing:
@@ -218,7 +218,7 @@
             await group.publish(6)
             assert await group.read() == b"6"
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_replaced_one_comes_back(self, tmp_path: Path) -> None:
         """A controller that was replaced in its absence becomes a standby."""
@@ -239,7 +239,7 @@
             await group.kill(fresh)
             await wait_for_members(group, set(group.ports))
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_spare_stands_by(self, tmp_path: Path) -> None:
         """A controller added while all voters respond does not become a voter."""
@@ -249,7 +249,7 @@
             await asyncio.sleep(1.5)
             assert group.members() == set(group.ports)
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
 
 class FullDisks:
@@ -305,7 +305,7 @@
             await group.publish(90)
             assert await group.read() == b"90"
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_another_replaced_afterwards(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
@@ -323,7 +323,7 @@
             await wait_for_members(group, {*group.ports, fresh} - {gone})
             assert await group.read() == b"90"
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
 
 async def seconds_until_leader(group: ControllerGroup) -> float:
@@ -333,7 +333,7 @@
     async def has_leader() -> bool:
         return group.leader() != 0
 
-    await until(has_leader, "another leads")
+    await wait_until(has_leader, "another leads")
     return asyncio.get_running_loop().time() - started_s
 
 
@@ -351,7 +351,7 @@
             await stopping
             await group.publish(2)
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_another_leads_at_once_though_an_entry_is_on_its_way(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
@@ -374,4 +374,4 @@
             await asyncio.gather(publishing, stopping)
             assert await group.read() == b"2"
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -58,7 +58,9 @@
         table = ClaimTable(10**9, 10**7)
         for number in range(count):
             submission = f"0f8fad5b-d9cb-469f-a165-{number:012d}"
-            table.judge(submission, Claim("ab" * 16, f"box{number % 9}", _INCARNATION, 1), number)
+            table.decide_vote(
+                submission, Claim("ab" * 16, f"box{number % 9}", _INCARNATION, 1), number
+            )
         traced_bytes = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
         assert traced_bytes / count < 500
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -28,9 +28,9 @@
     def test_first_claim_is_granted_and_held(self) -> None:
         """The first claim is granted, also on retransmission; a second one is refused."""
         table = _table()
-        assert table.judge("s", _X, 0).vote is Vote.GRANTED
-        assert table.judge("s", _X, 0).vote is Vote.GRANTED
-        other = table.judge("s", _Y, 0)
+        assert table.decide_vote("s", _X, 0).vote is Vote.GRANTED
+        assert table.decide_vote("s", _X, 0).vote is Vote.GRANTED
+        other = table.decide_vote("s", _Y, 0)
         assert (other.vote, other.holders) == (Vote.HELD, [_X])
 
     def test_differing_copies_are_all_kept(self) -> None:
@@ -38,26 +38,26 @@
         table = _table()
         for claim in (_X, _Y):
             table.merge(CopiedClaim("s", claim, 900), 0)
-        assert table.judge("s", _X, 0).vote is Vote.HELD
-        assert table.judge("s", _Y, 0).vote is Vote.HELD
+        assert table.decide_vote("s", _X, 0).vote is Vote.HELD
+        assert table.decide_vote("s", _Y, 0).vote is Vote.HELD
         table.release("s", _Y, 0)
-        assert table.judge("s", _X, 0).vote is Vote.GRANTED
+        assert table.decide_vote("s", _X, 0).vote is Vote.GRANTED
 
     def test_late_withdrawal_leaves_the_newer_attempt(self) -> None:
         """Withdrawal of an earlier attempt does not release a later one."""
         table = _table()
         newer = _X._replace(attempt=2)
-        table.judge("s", newer, 0)
+        table.decide_vote("s", newer, 0)
         table.release("s", _X, 0)
         assert table.holders("s") == [newer]
-        assert table.judge("s", _Y, 0).vote is Vote.HELD
+        assert table.decide_vote("s", _Y, 0).vote is Vote.HELD
 
     def test_request_after_its_own_withdrawal(self) -> None:
         """A claim request that arrives after its withdrawal is refused."""
         table = _table()
         table.release("s", _X, 0)
-        assert table.judge("s", _X, 0).vote is Vote.WITHDRAWN
-        assert table.judge("s", _X._replace(attempt=2), 0).vote is Vote.GRANTED
+        assert table.decide_vote("s", _X, 0).vote is Vote.WITHDRAWN
+        assert table.decide_vote("s", _X._replace(attempt=2), 0).vote is Vote.GRANTED
 
     def test_copy_of_a_withdrawn_claim_is_not_taken(self) -> None:
         """A copy does not restore a withdrawn claim."""
@@ -69,11 +69,11 @@
     def test_expiry_and_bound(self) -> None:
         """A claim expires at its retention time, not before; a full table refuses new claims."""
         table = _table(claims_max=1)
-        table.judge("s", _X, 0)
-        assert table.judge("t", _X, 0).vote is Vote.FULL
+        table.decide_vote("s", _X, 0)
+        assert table.decide_vote("t", _X, 0).vote is Vote.FULL
         assert table.expire(999) == 0
         assert table.expire(1_000) == 1
-        assert table.judge("t", _X, 1_000).vote is Vote.GRANTED
+        assert table.decide_vote("t", _X, 1_000).vote is Vote.GRANTED
 
 
 class TestVotes:
--- a/tests/test_claims_forgotten.py
+++ b/tests/test_claims_forgotten.py
@@ -141,10 +141,10 @@
         """Expiry of one claim does not drop a conflicting copy that expires later."""
         table = ClaimTable(100, 10)
         withdrawn, held = Claim(_DIGEST, "x1", 1, 1), Claim(_DIGEST, "y1", 1, 1)
-        table.judge("s", withdrawn, 0)
+        table.decide_vote("s", withdrawn, 0)
         table.merge(CopiedClaim("s", held, 90), 50)
         table.expire(100)
         assert table.holders("s") == [held]
-        assert table.judge("s", Claim(_DIGEST, "z1", 1, 1), 101).vote is Vote.HELD
+        assert table.decide_vote("s", Claim(_DIGEST, "z1", 1, 1), 101).vote is Vote.HELD
         table.expire(140)
         assert not table.holders("s")
--- a/tests/test_controller_box.py
+++ b/tests/test_controller_box.py
@@ -22,7 +22,7 @@
 from foldloom.seed_discovery.fleet import cache
 from foldloom.seed_discovery.fleet.cache import PublicationCache
 from foldloom.seed_discovery.jobs.spec import Demand
-from test_boxes_controllers import ControllerGroup, box_settings, play, until
+from test_boxes_controllers import ControllerGroup, box_settings, run_scenario, wait_until
 
 _UNREACHABLE_SEEDS = ["127.0.0.1:1"]
 # Duration of a slow write, and of the wait for one that outlives its controller.
@@ -53,7 +53,7 @@
         """All are accepted at the first start, none after a loss of the configuration."""
         report = EndpointRecord("w1", "svc", "127.0.0.1:9", "a", Demand())
         host = _host(tmp_path, is_first_start)
-        assert asyncio.run(host.note_endpoint(report)) is is_first_start
+        assert asyncio.run(host.handle_report(report)) is is_first_start
 
 
 class TestEnd:
@@ -73,7 +73,7 @@
             await asyncio.sleep(_OBSERVATION_S)
             assert [_contents(core.folder_of(port)) for port in core.ports] == contents_at_stop
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_nor_is_a_snapshot(self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         """Stopping waits for a pending snapshot of the replicated log."""
@@ -90,14 +90,14 @@
         async def scenario(core: ControllerGroup) -> None:
             monkeypatch.setattr(storage, "write_atomically", write)
             await core.publish(9)
-            await until(has_started, "a snapshot is being written")
+            await wait_until(has_started, "a snapshot is being written")
             for port in core.ports:
                 await core.kill(port)
             contents_at_stop = [_contents(core.folder_of(port)) for port in core.ports]
             await asyncio.sleep(_OBSERVATION_S)
             assert [_contents(core.folder_of(port)) for port in core.ports] == contents_at_stop
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_the_newest_is_kept(self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         """Closing the cache also writes a publication queued behind the current write."""
--- a/tests/test_controllers_election.py
+++ b/tests/test_controllers_election.py
@@ -48,7 +48,7 @@
             log=SimpleNamespace(term=1, last_index=3, last_term=1, save_term_vote=self._save),
             state_lock=asyncio.Lock(),
             controllers={"a": "?", "b": "?", "c": "?"},
-            majority=2,
+            quorum_size=2,
             leader="",
             contact=SimpleNamespace(silent_ms=1e9, clear_leader=lambda: None),
             is_leader=False,
--- a/tests/test_controllers_followers.py
+++ b/tests/test_controllers_followers.py
@@ -19,7 +19,7 @@
     controller: Any = SimpleNamespace(
         box="c1",
         may_vote=True,
-        majority=2,
+        quorum_size=2,
         controllers=_FOLDERS,
         is_voter=lambda box, storage_id, _is_first: _FOLDERS.get(box) == storage_id,
         log=SimpleNamespace(last_index=9, durable_index=durable_index),
--- a/tests/test_endpoints_catalog.py
+++ b/tests/test_endpoints_catalog.py
@@ -56,7 +56,7 @@
         catalog = EndpointCatalog()
         catalog.merge(_READY, 0.0)
         assert catalog.silent_since(1.0) == ["w1"]
-        catalog.forget("w1")
+        catalog.evict("w1")
         assert catalog.merge(_READY._replace(sequence=9), 2.0)
 
 
@@ -107,8 +107,8 @@
         """Ending the first incarnation does not end the second."""
         catalog = EndpointCatalog()
         catalog.merge(_SECOND, 0.0)
-        assert not catalog.end_life("w1", _FIRST.born_ms, 1.0)
-        assert catalog.end_life("w1", _SECOND.born_ms, 2.0)
+        assert not catalog.end_incarnation("w1", _FIRST.born_ms, 1.0)
+        assert catalog.end_incarnation("w1", _SECOND.born_ms, 2.0)
 
     @given(st.permutations(list(itertools.product([0, 1_000, 2_000], EndpointState, [1, 5]))))
     def test_whoever_told_it_last(self, told: list[tuple[int, EndpointState, int]]) -> None:
--- a/tests/test_entry_run.py
+++ b/tests/test_entry_run.py
@@ -42,7 +42,7 @@
     def close(self, waiter: SlotWaiter) -> None:
         """Do nothing."""
 
-    def give_back(self, slot: Slot, service_ms: float, use: SlotOutcome) -> None:
+    def release(self, slot: Slot, service_ms: float, use: SlotOutcome) -> None:
         """Do nothing."""
 
 
--- a/tests/test_fleet_joiner.py
+++ b/tests/test_fleet_joiner.py
@@ -69,11 +69,11 @@
         boxes = _Boxes()
 
         async def scenario() -> None:
-            await boxes.registry.note_endpoint(_ENDPOINT)
+            await boxes.registry.handle_report(_ENDPOINT)
             await boxes.wait_for_joins()
             assert boxes.catalog.get("w1") == _ENDPOINT
-            boxes.catalog.forget("w1")
-            await boxes.registry.note_endpoint(_ENDPOINT._replace(sequence=2))
+            boxes.catalog.evict("w1")
+            await boxes.registry.handle_report(_ENDPOINT._replace(sequence=2))
             await boxes.wait_for_joins()
             known = boxes.catalog.get("w1")
             assert known is not None
@@ -86,10 +86,10 @@
         boxes = _Boxes()
 
         async def scenario() -> None:
-            await boxes.registry.note_endpoint(_ENDPOINT)
+            await boxes.registry.handle_report(_ENDPOINT)
             await boxes.wait_for_joins()
-            boxes.registry.catalog.forget("w1")
-            boxes.catalog.forget("w1")
+            boxes.registry.catalog.evict("w1")
+            boxes.catalog.evict("w1")
             await boxes.wait_for_joins()
             assert boxes.catalog.get("w1") is None
 
--- a/tests/test_fleet_registry.py
+++ b/tests/test_fleet_registry.py
@@ -50,7 +50,7 @@
     async def note(self, record: EndpointRecord) -> bool:
         """Send an endpoint's report; return whether it is accepted."""
         await self._box.request(_CONTROLLER, Join(BoxRecord(_ENTRY, 1, "a", ENTRY), 0, 0, 0), 1)
-        is_accepted = await self.registry.note_endpoint(record)
+        is_accepted = await self.registry.handle_report(record)
         # Reports of ready endpoints are pushed by separate tasks.
         await asyncio.sleep(0)
         await asyncio.sleep(0)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -49,10 +49,10 @@
     def test_what_was_left_out_is_told(self) -> None:
         """The next admitted event carries the count of suppressed events of its kind only."""
         limits = EventRateLimits(per_s=1.0)
-        assert [limits.admit("a", 0.0) for _ in range(4)] == [0, 0, None, None]
-        assert limits.admit("b", 0.0) == 0
-        assert limits.admit("a", 1.5) == 2
-        assert limits.admit("a", 3.0) == 0
+        assert [limits.try_acquire("a", 0.0) for _ in range(4)] == [0, 0, None, None]
+        assert limits.try_acquire("b", 0.0) == 0
+        assert limits.try_acquire("a", 1.5) == 2
+        assert limits.try_acquire("a", 3.0) == 0
 
     def test_a_reader_that_does_not_read(self) -> None:
         """Logging does not block while the pipe is full; dropped lines are counted."""
--- a/tests/test_owners_crashed_endpoints.py
+++ b/tests/test_owners_crashed_endpoints.py
@@ -38,7 +38,7 @@
     state.place(now_ms)
     starts = state.actions.pop_starts()
     for start in starts:
-        state.note_start(start.run_id, start.endpoint, CallOutcome.DONE, now_ms)
+        state.handle_start_outcome(start.run_id, start.endpoint, CallOutcome.DONE, now_ms)
     return [start.endpoint for start in starts]
 
 
@@ -113,7 +113,7 @@
         state.submit(_E1, submission(), 10.0)
         state.place(10.0)
         (start,) = state.actions.pop_starts()
-        state.note_start(start.run_id, start.endpoint, CallOutcome.NO_LISTENER, 11.0)
+        state.handle_start_outcome(start.run_id, start.endpoint, CallOutcome.NO_LISTENER, 11.0)
         state.handle_crash(start.endpoint, 12.0)
         assert _place_and_start(state, 12.0) == [{"w1": "w2", "w2": "w1"}[start.endpoint]]
         assert not state.actions.pop_stops()
@@ -128,7 +128,7 @@
         state.submit(_E1, submission(), 10.0)
         state.place(10.0)
         (start,) = state.actions.pop_starts()
-        state.note_start(start.run_id, "w1", CallOutcome.UNKNOWN, 11.0)
+        state.handle_start_outcome(start.run_id, "w1", CallOutcome.UNKNOWN, 11.0)
         state.handle_crash("w1", 60.0)
         state.handle_lease_expiry("w1", 700.0)
         state.begin_incarnation("w1", 3_000.0)
--- a/tests/test_owners_decisions.py
+++ b/tests/test_owners_decisions.py
@@ -136,8 +136,8 @@
         known.add(run, 0.0)
         tombstone = known.get(_TASK)
         assert tombstone is not None
-        assert tombstone.covers(_BOX, 7)
-        assert tombstone.covers(_BOX, 6)
-        assert not tombstone.covers(_BOX, 8)
-        assert not tombstone.covers(_BOX, 0)
-        assert not tombstone.covers(HolderId("e2", 1), 7)
+        assert tombstone.is_duplicate(_BOX, 7)
+        assert tombstone.is_duplicate(_BOX, 6)
+        assert not tombstone.is_duplicate(_BOX, 8)
+        assert not tombstone.is_duplicate(_BOX, 0)
+        assert not tombstone.is_duplicate(HolderId("e2", 1), 7)
--- a/tests/test_owners_endpoint_link.py
+++ b/tests/test_owners_endpoint_link.py
@@ -222,7 +222,7 @@
 
     def note_incarnation_ended(self, endpoint: str, born_ms: int) -> None:
         """End the incarnation in the catalog."""
-        self.catalog.end_life(endpoint, born_ms, monotonic_ms())
+        self.catalog.end_incarnation(endpoint, born_ms, monotonic_ms())
 
     def note_next_incarnation(self, endpoint: str, born_ms: int) -> None:
         """Open a link to the new incarnation."""
@@ -259,7 +259,7 @@
     @property
     def is_open(self) -> bool:
         """Whether the endpoint is eligible for placement."""
-        return self.state.candidates["w1"].is_open(monotonic_ms())
+        return self.state.candidates["w1"].is_eligible(monotonic_ms())
 
 
 class TestNextLife:
--- a/tests/test_owners_late_starts.py
+++ b/tests/test_owners_late_starts.py
@@ -14,7 +14,7 @@
 
 def _one_unanswered() -> UnansweredStarts:
     unanswered = UnansweredStarts()
-    unanswered.note(_RUN, "w1", _SENT_MS)
+    unanswered.add(_RUN, "w1", _SENT_MS)
     return unanswered
 
 
@@ -41,14 +41,14 @@
         """A confirmation by the previous incarnation is void, and the stop order is due at once."""
         unanswered = _one_unanswered()
         unanswered.note_stopped(_RUN, "w1")
-        unanswered.end_life("w1")
+        unanswered.end_incarnation("w1")
         assert unanswered.stops_due({"w1"}, _SENT_MS, _SENT_MS + 10) == [_STOP]
 
     def test_not_that_of_another_endpoint(self) -> None:
         """A new incarnation of one endpoint does not affect other endpoints."""
         unanswered = _one_unanswered()
         unanswered.note_stopped(_RUN, "w1")
-        unanswered.end_life("w2")
+        unanswered.end_incarnation("w2")
         assert unanswered.stops_due({"w1"}, _SENT_MS + 1, _SENT_MS + 101) == []
 
 
@@ -59,6 +59,6 @@
         """An expired order is removed, a later one is kept."""
         unanswered = _one_unanswered()
         other = RunId(TaskId("2" * 16, 0, 0, 0), 1)
-        unanswered.note(other, "w1", _SENT_MS + 50)
+        unanswered.add(other, "w1", _SENT_MS + 50)
         now_ms = _SENT_MS + UNANSWERED_ORDER_TTL_MS
         assert unanswered.stops_due({"w1"}, now_ms - 100, now_ms) == [StopAction(other, "w1")]
--- a/tests/test_owners_late_words.py
+++ b/tests/test_owners_late_words.py
@@ -75,7 +75,9 @@
         reply = self.state.submit(_E1, message, now_ms)
         self.state.place(now_ms)
         for action in self.state.actions.pop_starts():
-            self.state.note_start(action.run_id, action.endpoint, CallOutcome.DONE, now_ms)
+            self.state.handle_start_outcome(
+                action.run_id, action.endpoint, CallOutcome.DONE, now_ms
+            )
         return reply
 
     def cancel(self, message: CancelJob) -> Cancelled:
@@ -90,7 +92,9 @@
         """End the box's session at a time during the box's pause, and its run with it."""
         self.state.end_session(_E1, now_ms - 1_500.0)
         for stop in self.state.actions.pop_stops():
-            self.state.note_stop(stop.run_id, stop.endpoint, CallOutcome.DONE, now_ms - 1_400.0)
+            self.state.handle_stop_outcome(
+                stop.run_id, stop.endpoint, CallOutcome.DONE, now_ms - 1_400.0
+            )
         self.state.report(EndpointReport("w1", (), (), now_ms - 1_300.0), now_ms - 1_300.0)
 
 
--- a/tests/test_owners_machine.py
+++ b/tests/test_owners_machine.py
@@ -255,7 +255,7 @@
             fate = "lost"
         if fate == "done":
             outcome = simulated.start(action.run_id, term.token, until, self.now)
-            term.state.note_start(action.run_id, action.endpoint, outcome, self.now)
+            term.state.handle_start_outcome(action.run_id, action.endpoint, outcome, self.now)
             return
         order = Late(0.0, "start", action.endpoint, action.run_id, term.token, until)
         if fate == "late":
@@ -270,7 +270,7 @@
             return
         outcome = simulated.stop(action.run_id, term.token, self.now)
         if fate == "done":
-            term.state.note_stop(action.run_id, action.endpoint, outcome, self.now)
+            term.state.handle_stop_outcome(action.run_id, action.endpoint, outcome, self.now)
 
     def _pass(self, span: float) -> None:
         """Advance the time in steps of an owner's tick."""
@@ -300,7 +300,7 @@
                 simulated = self.endpoints[order.endpoint]
                 simulated.start(order.run_id, order.token, order.until, self.now)
             elif order.token == self.term.token:
-                self.term.state.note_start(
+                self.term.state.handle_start_outcome(
                     order.run_id, order.endpoint, CallOutcome.UNKNOWN, self.now
                 )
 
--- a/tests/test_owners_renewed_session.py
+++ b/tests/test_owners_renewed_session.py
@@ -55,7 +55,7 @@
 @pytest.fixture(autouse=True)
 def _unlimited_log_events(monkeypatch: pytest.MonkeyPatch) -> None:
     """Reset the rate limits of log events, which other tests may have exhausted."""
-    monkeypatch.setattr("foldloom.logs._LIMITS", EventRateLimits())
+    monkeypatch.setattr("foldloom.logs._RATE_LIMITS", EventRateLimits())
 
 
 class EndlessEndpoint(SimulatedEndpoint):
--- a/tests/test_owners_sessions.py
+++ b/tests/test_owners_sessions.py
@@ -89,7 +89,7 @@
             sessions = _sessions(network)
             sessions.grant(_HOLDER, 0.0)
             sessions.end_lapsed(_SESSION_MS)
-            sessions.grant(_HOLDER._replace(life=2), 1_000.0)
+            sessions.grant(_HOLDER._replace(incarnation=2), 1_000.0)
             await asyncio.sleep(0)
             sessions.close()
             assert network.received == []
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -84,7 +84,7 @@
     state.submit(_E1, submission(), now_ms)
     state.place(now_ms)
     action = state.actions.pop_starts()[0]
-    state.note_start(action.run_id, action.endpoint, CallOutcome.DONE, now_ms + 1)
+    state.handle_start_outcome(action.run_id, action.endpoint, CallOutcome.DONE, now_ms + 1)
     return action.run_id
 
 
@@ -92,7 +92,7 @@
     """Start the only queued run; return its id."""
     state.place(now_ms)
     action = state.actions.pop_starts()[0]
-    state.note_start(action.run_id, action.endpoint, CallOutcome.DONE, now_ms)
+    state.handle_start_outcome(action.run_id, action.endpoint, CallOutcome.DONE, now_ms)
     return action.run_id
 
 
@@ -172,11 +172,11 @@
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
         first = state.actions.pop_starts()[0]
-        state.note_start(first.run_id, first.endpoint, CallOutcome.UNKNOWN, 200.0)
+        state.handle_start_outcome(first.run_id, first.endpoint, CallOutcome.UNKNOWN, 200.0)
         state.place(200.0)
         assert [action.run_id for action in state.actions.pop_stops()] == [first.run_id]
         assert state.actions.pop_starts() == []
-        state.note_stop(first.run_id, first.endpoint, CallOutcome.DONE, 210.0)
+        state.handle_stop_outcome(first.run_id, first.endpoint, CallOutcome.DONE, 210.0)
         state.report(EndpointReport(first.endpoint, (), (), 205.0), 212.0)
         state.place(212.0)
         assert state.actions.pop_starts() == []
@@ -190,7 +190,7 @@
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
         first = state.actions.pop_starts()[0]
-        state.note_start(first.run_id, "w1", CallOutcome.OLD_RUN, 2.0)
+        state.handle_start_outcome(first.run_id, "w1", CallOutcome.OLD_RUN, 2.0)
         state.place(50.0)
         assert state.actions.pop_starts()[0].run_id == RunId(_TASK, 2)
 
@@ -200,7 +200,7 @@
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
         first = state.actions.pop_starts()[0]
-        state.note_start(first.run_id, "w1", CallOutcome.NO_ROOM, 2.0)
+        state.handle_start_outcome(first.run_id, "w1", CallOutcome.NO_ROOM, 2.0)
         state.place(3.0)
         assert state.actions.pop_starts() == []
         state.place(50.0)
@@ -231,7 +231,7 @@
         state.submit(_E1, _numbered_submission(1), 1.0)
         state.place(1.0)
         run_id = state.actions.pop_starts()[0].run_id
-        state.note_start(run_id, "w1", CallOutcome.DONE, 2.0)
+        state.handle_start_outcome(run_id, "w1", CallOutcome.DONE, 2.0)
         state.report(EndpointReport("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 3.0), 3.0)
         assert [end.delivery for _, end in ends_of(state)] == [1]
         state.submit(_E1, _numbered_submission(1), 150.0)
@@ -261,7 +261,7 @@
         state.submit(_E2, _numbered_submission(3), 1.0)
         state.place(1.0)
         run_id = state.actions.pop_starts()[0].run_id
-        state.note_start(run_id, "w1", CallOutcome.DONE, 2.0)
+        state.handle_start_outcome(run_id, "w1", CallOutcome.DONE, 2.0)
         state.report(EndpointReport("w1", (), (EndedRun(1, run_id, EndKind.DONE),), 3.0), 3.0)
         assert {holder: end.delivery for holder, end in ends_of(state)} == {_E1: 7, _E2: 3}
 
@@ -286,8 +286,8 @@
         first = start_waiting(state, 10.0)
         state.tick(10.0 + 345.0)
         assert [stop.run_id for stop in state.actions.pop_stops()] == [first]
-        state.note_stop(first, "w1", CallOutcome.DONE, 356.0)
-        state.note_stop(first, "w2", CallOutcome.DONE, 356.0)
+        state.handle_stop_outcome(first, "w1", CallOutcome.DONE, 356.0)
+        state.handle_stop_outcome(first, "w2", CallOutcome.DONE, 356.0)
         for name in ("w1", "w2"):
             state.report(EndpointReport(name, (), (), 357.0), 358.0)
         second = start_waiting(state, 400.0)
@@ -316,7 +316,7 @@
         state.submit(_E1, submission(objective=Objective(0, 1.6, 60, 0)), 1.0)
         state.place(1.0)
         first = state.actions.pop_starts()[0]
-        state.note_start(first.run_id, "w1", CallOutcome.UNKNOWN, 251.0)
+        state.handle_start_outcome(first.run_id, "w1", CallOutcome.UNKNOWN, 251.0)
         state.handle_lease_expiry("w1", 900.0)
         state.tick(2_000.0)
         ends = ends_of(state)
@@ -328,7 +328,7 @@
         state.submit(_E1, submission(), 1.0)
         state.place(1.0)
         first = state.actions.pop_starts()[0]
-        state.note_start(first.run_id, "w1", CallOutcome.NO_ROOM, 2.0)
+        state.handle_start_outcome(first.run_id, "w1", CallOutcome.NO_ROOM, 2.0)
         assert state.cancel(_E1, _JOB, 3.0)
 
     def _redelivered_after_run(self) -> OwnerState:
@@ -338,7 +338,7 @@
         state.submit(_E1, spec, 10.0)
         state.place(10.0)
         action = state.actions.pop_starts()[0]
-        state.note_start(action.run_id, action.endpoint, CallOutcome.DONE, 11.0)
+        state.handle_start_outcome(action.run_id, action.endpoint, CallOutcome.DONE, 11.0)
         state.end_session(_E1, 50.0)
         state.report(
             EndpointReport("w1", (), (EndedRun(1, action.run_id, EndKind.DONE),), 60.0), 61.0
@@ -368,7 +368,7 @@
         state.submit(_E1, spec, 1.0)
         state.place(1.0)
         first = state.actions.pop_starts()[0]
-        state.note_start(first.run_id, "w1", CallOutcome.UNKNOWN, 251.0)
+        state.handle_start_outcome(first.run_id, "w1", CallOutcome.UNKNOWN, 251.0)
         state.handle_lease_expiry("w1", 900.0)
         state.end_session(_E1, 950.0)
         order = RunOrder(0, 0, 1, is_moved=True, delivery=2)
@@ -384,7 +384,7 @@
         state.submit(_E1, submission(deadline_ms=20_000), 1.0)
         state.place(1.0)
         run_id = state.actions.pop_starts()[0].run_id
-        state.note_start(run_id, "w1", CallOutcome.DONE, 2.0)
+        state.handle_start_outcome(run_id, "w1", CallOutcome.DONE, 2.0)
         state.end_session(_E1, 400.0)
         ended = EndedRun(1, run_id, EndKind.STOPPED)
         state.report(EndpointReport("w1", (), (ended,), 410.0), 411.0)
@@ -498,9 +498,9 @@
     state.submit(_E1, submission(), 10.0)
     state.place(10.0)
     run_id = state.actions.pop_starts()[0].run_id
-    state.note_start(run_id, "w1", CallOutcome.UNKNOWN, 260.0)
+    state.handle_start_outcome(run_id, "w1", CallOutcome.UNKNOWN, 260.0)
     state.actions.pop_stops()
-    state.note_stop(run_id, "w1", CallOutcome.DONE, 270.0)
+    state.handle_stop_outcome(run_id, "w1", CallOutcome.DONE, 270.0)
     state.report(EndpointReport("w1", (), (), 280.0), 281.0)
     return run_id
 
@@ -555,12 +555,12 @@
         run_id = unanswered_start(state)
         state.begin_incarnation("w1", 1_000.0)
         state.actions.pop_stops()
-        state.note_stop(run_id, "w1", CallOutcome.UNKNOWN, 1_250.0)
+        state.handle_stop_outcome(run_id, "w1", CallOutcome.UNKNOWN, 1_250.0)
         stop = StopAction(run_id, "w1")
         assert state.stops_to_retransmit(900.0, 1_000.0) == []
         assert state.stops_to_retransmit(1_100.0, 1_200.0) == [stop]
         assert state.stops_to_retransmit(1_100.0, 1_200.0) == []
-        state.note_stop(run_id, "w1", CallOutcome.DONE, 1_260.0)
+        state.handle_stop_outcome(run_id, "w1", CallOutcome.DONE, 1_260.0)
         assert state.stops_to_retransmit(1_300.0, 1_400.0) == []
 
     def test_nothing_is_told_to_one_that_is_silent(self) -> None:
@@ -596,10 +596,10 @@
         state.begin_incarnation("w1", 5_000.0)
         assert state.speed_of("w1") == 1.0
         state.report(EndpointReport("w1", (), (), 5_001.0, 2), 5_002.0)
-        assert not state.candidates["w1"].is_open(5_003.0)
+        assert not state.candidates["w1"].is_eligible(5_003.0)
         state.update_endpoint(endpoint("w1", born_ms=2))
         state.report(EndpointReport("w1", (), (), 5_004.0, 2), 5_005.0)
-        assert state.candidates["w1"].is_open(5_006.0)
+        assert state.candidates["w1"].is_eligible(5_006.0)
 
 
 class TestTakeOver:
--- a/tests/test_owners_zone_owner.py
+++ b/tests/test_owners_zone_owner.py
@@ -81,7 +81,7 @@
         published_version=lambda: 0,
         catalog_age_ms=lambda: 0.0,
     )
-    record = OwnerRecord(_ZONE, OWNER_TOKEN, own.box, own.life)
+    record = OwnerRecord(_ZONE, OWNER_TOKEN, own.box, own.incarnation)
     return ZoneOwner(record, context, lambda _endpoint: None)
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -80,7 +80,7 @@
 
 def _give_back(shard: Shard, grant: Grant, ms: float, use: SlotOutcome = SlotOutcome.DONE) -> None:
     message = grant.message
-    shard.give_back(SlotReturn(message.lease_id, message.endpoint, "s", ms, use), 0.0)
+    shard.release(SlotReturn(message.lease_id, message.endpoint, "s", ms, use), 0.0)
 
 
 class TestPolicies:
@@ -342,7 +342,7 @@
             endpoint = f"w{number % 4}"
             shard.hold("a1", HeldSlot(number, endpoint, "s", "m1", 0), 0.0)
             ms = 1_000.0 if endpoint == "w3" and number > 40 else 100.0
-            shard.give_back(SlotReturn(number, endpoint, "s", ms, SlotOutcome.DONE), 0.0)
+            shard.release(SlotReturn(number, endpoint, "s", ms, SlotOutcome.DONE), 0.0)
             shard.tick(0.0)
         shard.add("a1", _request(2, 8))
         assert "w3" not in {grant.message.endpoint for grant in shard.match(0.0)}
@@ -360,10 +360,10 @@
         """An average without recent samples falls back to the service's mean."""
         speeds = SpeedTable()
         for _ in range(10):
-            speeds.note("s", "slow", 500.0, 0.0)
-            speeds.note("s", "fast", 100.0, 0.0)
+            speeds.record("s", "slow", 500.0, 0.0)
+            speeds.record("s", "fast", 100.0, 0.0)
         assert speeds.mean_ms("s", "slow") > 2 * speeds.mean_ms("s", "fast")
-        speeds.note("s", "fast", 100.0, 40_000.0)
+        speeds.record("s", "fast", 100.0, 40_000.0)
         speeds.mark_stale(40_000.0)
         assert speeds.mean_ms("s", "slow") == speeds.service_mean_ms("s")
         assert speeds.mean_ms("s", "fast") == pytest.approx(100.0)
@@ -401,7 +401,7 @@
         while budget.consume():
             pass
         for _ in range(100):
-            budget.note_start()
+            budget.record_start()
         allowed = 0
         while budget.consume():
             allowed += 1
--- a/tests/test_placement_ejection.py
+++ b/tests/test_placement_ejection.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 from foldloom.controllers.config import Customer, empty_config
-from foldloom.static_peers.placement.bounds import Bounds
+from foldloom.static_peers.placement.bounds import ConfigLimits
 from foldloom.static_peers.placement.ejection import Ejection
 from foldloom.static_peers.placement.health import Health
 from foldloom.static_peers.placement.messages import SlotOutcome, SlotReturn
@@ -25,7 +25,7 @@
         sentences: list[str] = []
         health = Health(_EJECTION_MS, 0.5)
         ejection = Ejection(health, SpeedTable(), sentences.append)
-        ejection.follow(_ENDPOINTS)
+        ejection.set_endpoints(_ENDPOINTS)
         return ejection, sentences
 
     def test_overdue_tasks(self) -> None:
@@ -90,21 +90,21 @@
 
     def test_before_a_configuration(self) -> None:
         """Without a configuration no service has capacity, and all customers have a quota of 1."""
-        bounds = Bounds()
-        assert bounds.is_service_full("sign", 0)
-        assert bounds.slots_of("w1") == 0
-        assert bounds.quota_of("x") == 1
+        config_limits = ConfigLimits()
+        assert config_limits.is_service_full("sign", 0)
+        assert config_limits.slots_of("w1") == 0
+        assert config_limits.quota_of("x") == 1
 
     def test_a_customers_tasks_at_a_time(self) -> None:
         """A concurrency limit of 0 means no limit."""
-        bounds = Bounds()
+        config_limits = ConfigLimits()
         customers = {
             "calm": Customer(quota=3, concurrency_max=2),
             "free": Customer(quota=1, concurrency_max=0),
         }
-        bounds.follow(empty_config({}, {})._replace(customers=customers))
-        assert not bounds.is_customer_full("calm", 1)
-        assert bounds.is_customer_full("calm", 2)
-        assert not bounds.is_customer_full("free", 1_000)
-        assert not bounds.is_customer_full("unknown", 1_000)
-        assert bounds.quota_of("calm") == 3
+        config_limits.apply_config(empty_config({}, {})._replace(customers=customers))
+        assert not config_limits.is_customer_full("calm", 1)
+        assert config_limits.is_customer_full("calm", 2)
+        assert not config_limits.is_customer_full("free", 1_000)
+        assert not config_limits.is_customer_full("unknown", 1_000)
+        assert config_limits.quota_of("calm") == 3
--- a/tests/test_platform_bodies.py
+++ b/tests/test_platform_bodies.py
@@ -264,4 +264,4 @@
         active = decode_active_runs([[f"{_ID}.0.1.9", 2, "", 100, 12.5]])
         assert active[0].run_id == run_id
         ended = decode_ended_runs([[58, f"{_ID}.0.1.9", 2, "done", ""]])
-        assert (ended[0].sequence, ended[0].run_id, ended[0].how) == (58, run_id, EndKind.DONE)
+        assert (ended[0].sequence, ended[0].run_id, ended[0].kind) == (58, run_id, EndKind.DONE)
--- a/tests/test_resized_endpoints.py
+++ b/tests/test_resized_endpoints.py
@@ -135,12 +135,12 @@
     def test_room_kept_for_other_zones_runs(self) -> None:
         """A reservation made before a shrink is counted once and not given to other runs."""
         state = owner_with(endpoint("w1", 14_000))
-        room = state.candidates["w1"].room
-        room.reserve(1, Demand(6_800, 64, 0), 1_000.0)
-        room.reserve(2, Demand(6_800, 64, 0), 1_000.0)
+        resources = state.candidates["w1"].resources
+        resources.reserve(1, Demand(6_800, 64, 0), 1_000.0)
+        resources.reserve(2, Demand(6_800, 64, 0), 1_000.0)
         state.update_endpoint(endpoint("w1", 7_000))
-        room.cancel_reservation(1)
+        resources.cancel_reservation(1)
         assert not state.candidates["w1"].has_capacity_for(Demand(6_800, 64, 0))
-        room.cancel_reservation(2)
+        resources.cancel_reservation(2)
         assert state.candidates["w1"].has_capacity_for(Demand(6_800, 64, 0))
-        assert room.free == Demand(7_000, 32_000, 0)
+        assert resources.free == Demand(7_000, 32_000, 0)
--- a/tests/test_scheduling_crashes.py
+++ b/tests/test_scheduling_crashes.py
@@ -8,7 +8,7 @@
 from foldloom.seed_discovery.scheduling.crashes import (
     CrashCount,
     Isolation,
-    is_given_up,
+    exceeds_crash_limit,
     isolation_for,
 )
 
@@ -31,7 +31,7 @@
     )
     def test_by_crashes(self, count: CrashCount, expected: bool) -> None:
         """Two crashes reach the limit if the task was alone in one of them."""
-        assert is_given_up(count) is expected
+        assert exceeds_crash_limit(count) is expected
 
 
 class TestIsolationBy:
--- a/tests/test_scheduling_groups.py
+++ b/tests/test_scheduling_groups.py
@@ -22,7 +22,7 @@
         began_ms=0.0,
         stretch=1.6,
         slack_ms=60.0,
-        other_ms=0.0,
+        other_steps_ms=0.0,
         tasks=1,
         deadline_ms=10_000.0,
     )
--- a/tests/test_time_limits.py
+++ b/tests/test_time_limits.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from foldloom.time_limits import SuspendAwareTimeout, catch_up, sleep
+from foldloom.time_limits import SuspendAwareTimeout, reschedule_open_timeouts, sleep
 
 _LONG_MS = 60_000.0
 
@@ -28,7 +28,7 @@
         await asyncio.sleep(0)
         suspended_ms = _LONG_MS
         began_s = time.monotonic()
-        catch_up()
+        reschedule_open_timeouts()
         await waiting
         return time.monotonic() - began_s
 
@@ -67,7 +67,7 @@
         async def run() -> str:
             async with SuspendAwareTimeout(_LONG_MS):
                 result = "done"
-            catch_up()
+            reschedule_open_timeouts()
             await asyncio.sleep(0)
             return result
 
--- a/tests/test_unchanged_platform.py
+++ b/tests/test_unchanged_platform.py
@@ -130,7 +130,7 @@
         self.received: list[Any] = []
         self._is_leading = is_leading
 
-    async def note_endpoint(self, record: EndpointRecord) -> bool:
+    async def handle_report(self, record: EndpointRecord) -> bool:
         self.received.append(list(record))
         return True
 
