--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -400,7 +400,7 @@
         "seed_discovery/owners/cancels.py",
         "if monotonic_ms() >= withdrawal.reply_valid_until_ms:",
         "if reply.has_started:",
-        "tests/test_owners_late_words.py::TestAskedLate::test_two_pauses_with_a_heartbeat_between",
+        "tests/test_owners_late_replies.py::TestAskedLate::test_two_pauses_with_a_heartbeat_between",
     ),
     Mutation(
         "nor an end that it handles late",
@@ -414,7 +414,7 @@
         "seed_discovery/owners/deliveries.py",
         "cancel.joined(known)",
         "cancel",
-        "tests/test_owners_late_words.py::TestCancelled::test_an_older_cancel_arrives_later",
+        "tests/test_owners_late_replies.py::TestCancelled::test_an_older_cancel_arrives_later",
     ),
     Mutation(
         "deliveries of two lives have other numbers",
@@ -428,7 +428,7 @@
         "peers/wire.py",
         "self._next_id = secrets.randbits(_REQUEST_ID_BITS)",
         "self._next_id = 0",
-        "tests/test_owners_late_words.py::TestReplies::test_a_reply_to_an_earlier_life",
+        "tests/test_owners_late_replies.py::TestReplies::test_a_reply_to_an_earlier_life",
     ),
     Mutation(
         "a lost run is sent no more",
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -18,13 +18,13 @@
 from foldloom.controllers.compaction import Compaction
 from foldloom.controllers.config import UNRECORDED_STORAGE_ID, Config
 from foldloom.controllers.election import Elections
-from foldloom.controllers.following import ReplicationHandlers
 from foldloom.controllers.leader_contact import LeaderContact
 from foldloom.controllers.leadership import Leadership
 from foldloom.controllers.log import ReplicatedLog, open_storage
 from foldloom.controllers.members import quorum_size_of
 from foldloom.controllers.readmission import request_readmission
-from foldloom.controllers.requests import RequestHandlers
+from foldloom.controllers.replication_handlers import ReplicationHandlers
+from foldloom.controllers.request_handlers import RequestHandlers
 from foldloom.controllers.state import ChangeSet, Publication, ReplicatedState
 from foldloom.controllers.storage import LogStorage
 from foldloom.logs import CONTROLLER_LOG
--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -27,7 +27,11 @@
 from foldloom.peers.connection import PeerConnection, SenderIdentity
 from foldloom.peers.curve import Curve
 from foldloom.peers.inbound import InboundSocket
-from foldloom.peers.lives import IncarnationTracker, OrderedIncarnations, UnorderedIncarnations
+from foldloom.peers.lives import (
+    IncarnationTracker,
+    OrderedIncarnations,
+    UnorderedIncarnations,
+)
 from foldloom.peers.messages import (
     Envelope,
     Frame,
--- a/src/foldloom/seed_discovery/owners/actions.py
+++ b/src/foldloom/seed_discovery/owners/actions.py
@@ -11,8 +11,8 @@
 from foldloom.seed_discovery.jobs.spec import RunId
 from foldloom.seed_discovery.owners.messages import RunEnd
 from foldloom.seed_discovery.scheduling.placing import Reservation
+from foldloom.seed_discovery.scheduling.remote_groups import GroupId
 from foldloom.seed_discovery.scheduling.runs import HolderId
-from foldloom.seed_discovery.scheduling.sharing import GroupId
 
 
 class StartAction(NamedTuple):
--- a/src/foldloom/seed_discovery/owners/admission.py
+++ b/src/foldloom/seed_discovery/owners/admission.py
@@ -22,8 +22,8 @@
 )
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.groups import RunGroup
-from foldloom.seed_discovery.scheduling.sharing import GroupId
-from foldloom.seed_discovery.scheduling.waiting import RunQueue
+from foldloom.seed_discovery.scheduling.remote_groups import GroupId
+from foldloom.seed_discovery.scheduling.run_queue import RunQueue
 
 # Time from a term's first job during which no job is rejected: covers two polls of the endpoints
 # with their timeout of 250 ms.
--- a/src/foldloom/seed_discovery/owners/deliveries.py
+++ b/src/foldloom/seed_discovery/owners/deliveries.py
@@ -18,8 +18,8 @@
 from foldloom.seed_discovery.owners.reports import adopt_orphan
 from foldloom.seed_discovery.owners.stealing import WorkStealing
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
+from foldloom.seed_discovery.scheduling.remote_groups import group_of
 from foldloom.seed_discovery.scheduling.runs import HolderId, RecoveryBound, Run, RunSpec, RunState
-from foldloom.seed_discovery.scheduling.sharing import group_of
 
 # How long a cancel rejects deliveries that it overtook. Exceeds a delivery's time-to-live plus the
 # clock skew plus the longest pause of an owner that still holds its grant.
--- a/src/foldloom/seed_discovery/owners/lifecycle.py
+++ b/src/foldloom/seed_discovery/owners/lifecycle.py
@@ -38,10 +38,10 @@
 from foldloom.seed_discovery.scheduling.crashes import exceeds_crash_limit
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.estimates import Estimates
+from foldloom.seed_discovery.scheduling.remote_groups import group_of
+from foldloom.seed_discovery.scheduling.run_queue import RunQueue
 from foldloom.seed_discovery.scheduling.runs import HolderId, Run, RunState
-from foldloom.seed_discovery.scheduling.sharing import group_of
 from foldloom.seed_discovery.scheduling.speeds import EndpointSpeeds
-from foldloom.seed_discovery.scheduling.waiting import RunQueue
 
 
 class RunLifecycle:
--- a/src/foldloom/seed_discovery/owners/loads.py
+++ b/src/foldloom/seed_discovery/owners/loads.py
@@ -7,7 +7,7 @@
 
 from foldloom.seed_discovery.fleet.messages import ZoneLoad
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
-from foldloom.seed_discovery.scheduling.waiting import RunQueue
+from foldloom.seed_discovery.scheduling.run_queue import RunQueue
 
 
 def zone_load(candidates: Iterable[ZoneEndpoint], waiting: RunQueue, now_ms: float) -> ZoneLoad:
--- a/src/foldloom/seed_discovery/owners/messages.py
+++ b/src/foldloom/seed_discovery/owners/messages.py
@@ -14,7 +14,7 @@
 from foldloom.seed_discovery.fleet.messages import OwnerRecord
 from foldloom.seed_discovery.jobs.spec import Demand, Placement, RunId
 from foldloom.seed_discovery.scheduling.crashes import CrashCount
-from foldloom.seed_discovery.scheduling.sharing import GroupId, GroupSummary
+from foldloom.seed_discovery.scheduling.remote_groups import GroupId, GroupSummary
 
 
 class RunOrder(NamedTuple):
--- a/src/foldloom/seed_discovery/owners/state.py
+++ b/src/foldloom/seed_discovery/owners/state.py
@@ -41,9 +41,9 @@
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.placing import place
 from foldloom.seed_discovery.scheduling.ranking import Tier, tier_of
+from foldloom.seed_discovery.scheduling.remote_groups import GroupId, GroupSummary
+from foldloom.seed_discovery.scheduling.run_queue import RunQueue
 from foldloom.seed_discovery.scheduling.runs import HolderId, Run, RunState
-from foldloom.seed_discovery.scheduling.sharing import GroupId, GroupSummary
-from foldloom.seed_discovery.scheduling.waiting import RunQueue
 
 # Groups of queued runs that one offer to other zones lists, the next in order first.
 OFFERED_GROUPS_MAX = 24
--- a/src/foldloom/seed_discovery/owners/stealing.py
+++ b/src/foldloom/seed_discovery/owners/stealing.py
@@ -14,7 +14,11 @@
 from foldloom.seed_discovery.owners.actions import StealAction
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.placing import Reservation
-from foldloom.seed_discovery.scheduling.sharing import REMOTE_VIEW_TTL_MS, GroupId, RemoteGroups
+from foldloom.seed_discovery.scheduling.remote_groups import (
+    REMOTE_VIEW_TTL_MS,
+    GroupId,
+    RemoteGroups,
+)
 
 
 class _ReceivedLoad(NamedTuple):
--- a/src/foldloom/seed_discovery/scheduling/admission.py
+++ b/src/foldloom/seed_discovery/scheduling/admission.py
@@ -11,10 +11,10 @@
 
 from foldloom.seed_discovery.endpoints.records import EndpointRecord, EndpointState
 from foldloom.seed_discovery.jobs.spec import Demand
+from foldloom.seed_discovery.scheduling.endpoint_capacity import fits
 from foldloom.seed_discovery.scheduling.groups import RunGroup
 from foldloom.seed_discovery.scheduling.ranking import rank
-from foldloom.seed_discovery.scheduling.rooms import fits
-from foldloom.seed_discovery.scheduling.sharing import RemoteGroup
+from foldloom.seed_discovery.scheduling.remote_groups import RemoteGroup
 
 # Share of total CPU that placements can fill; the rest is lost to fragmentation.
 _USABLE_CPU_SHARE = 0.85
--- a/src/foldloom/seed_discovery/scheduling/endpoints.py
+++ b/src/foldloom/seed_discovery/scheduling/endpoints.py
@@ -7,7 +7,7 @@
 
 from foldloom.seed_discovery.endpoints.records import EndpointRecord, EndpointState
 from foldloom.seed_discovery.jobs.spec import Demand, TaskId
-from foldloom.seed_discovery.scheduling.rooms import EndpointCapacity, fits
+from foldloom.seed_discovery.scheduling.endpoint_capacity import EndpointCapacity, fits
 
 
 class OrphanedRun(NamedTuple):
--- a/src/foldloom/seed_discovery/scheduling/placing.py
+++ b/src/foldloom/seed_discovery/scheduling/placing.py
@@ -16,16 +16,16 @@
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.groups import RunGroup
 from foldloom.seed_discovery.scheduling.ranking import Rank, Tier, rank, speed_min
-from foldloom.seed_discovery.scheduling.runs import Run
-from foldloom.seed_discovery.scheduling.sharing import (
+from foldloom.seed_discovery.scheduling.remote_groups import (
     RESERVATION_TTL_MS,
     GroupId,
     RemoteGroup,
     RemoteGroups,
     group_of,
 )
+from foldloom.seed_discovery.scheduling.run_queue import RunQueue
+from foldloom.seed_discovery.scheduling.runs import Run
 from foldloom.seed_discovery.scheduling.speeds import EndpointSpeeds
-from foldloom.seed_discovery.scheduling.waiting import RunQueue
 
 _reservation_numbers = itertools.count(1)
 
--- a/src/foldloom/seed_discovery/scheduling/waiting.py
+++ b/src/foldloom/seed_discovery/scheduling/run_queue.py
@@ -7,8 +7,8 @@
 from foldloom.seed_discovery.scheduling.estimates import Estimates
 from foldloom.seed_discovery.scheduling.groups import RunGroup
 from foldloom.seed_discovery.scheduling.ranking import rank, speed_min
+from foldloom.seed_discovery.scheduling.remote_groups import GroupId, GroupSummary, group_of
 from foldloom.seed_discovery.scheduling.runs import Run
-from foldloom.seed_discovery.scheduling.sharing import GroupId, GroupSummary, group_of
 
 
 class RunQueue:
--- a/src/foldloom/static_peers/placement/ejection.py
+++ b/src/foldloom/static_peers/placement/ejection.py
@@ -11,7 +11,7 @@
 
 from foldloom.static_peers.placement.health import Health
 from foldloom.static_peers.placement.messages import SlotReturn
-from foldloom.static_peers.placement.speeds import SpeedTable
+from foldloom.static_peers.placement.service_times import SpeedTable
 
 # Multiple of the peers' median service time above which an endpoint is ejected or a probe fails.
 # It exceeds the speed ratio of old and new boxes.
--- a/src/foldloom/static_peers/placement/shard.py
+++ b/src/foldloom/static_peers/placement/shard.py
@@ -13,7 +13,7 @@
 from foldloom.controllers.config import Config, endpoints_of
 from foldloom.settings import Settings
 from foldloom.static_peers.placement.admission import RETRY_MAX_MS, AdmissionLoad, check_admission
-from foldloom.static_peers.placement.bounds import ConfigLimits
+from foldloom.static_peers.placement.config_limits import ConfigLimits
 from foldloom.static_peers.placement.ejection import Ejection
 from foldloom.static_peers.placement.health import Health
 from foldloom.static_peers.placement.leases import Lease, LeaseTable, reported_lease
@@ -27,8 +27,8 @@
 )
 from foldloom.static_peers.placement.policies import Choice, Policy, choose, job_size
 from foldloom.static_peers.placement.queue import PendingRequest, RequestQueue
+from foldloom.static_peers.placement.service_times import SpeedTable
 from foldloom.static_peers.placement.shares import GrantRates
-from foldloom.static_peers.placement.speeds import SpeedTable
 from foldloom.static_peers.placement.views import ViewTable
 
 # Multiple of the endpoint's mean service time after which a task is overdue.
--- a/src/foldloom/static_peers/placement/views.py
+++ b/src/foldloom/static_peers/placement/views.py
@@ -8,11 +8,11 @@
 
 from collections.abc import Sequence
 
-from foldloom.static_peers.placement.bounds import ConfigLimits
+from foldloom.static_peers.placement.config_limits import ConfigLimits
 from foldloom.static_peers.placement.ejection import Ejection
 from foldloom.static_peers.placement.leases import LeaseTable
 from foldloom.static_peers.placement.policies import View
-from foldloom.static_peers.placement.speeds import SpeedTable
+from foldloom.static_peers.placement.service_times import SpeedTable
 
 
 class ViewTable:
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -25,8 +25,8 @@
     SubmitStatus,
 )
 from foldloom.seed_discovery.owners.state import OwnerState
+from foldloom.seed_discovery.scheduling.remote_groups import GroupId
 from foldloom.seed_discovery.scheduling.runs import HolderId
-from foldloom.seed_discovery.scheduling.sharing import GroupId
 
 _GONE_AFTER_MS = 750.0
 _E1 = HolderId("e1", 1)
--- a/tests/test_owners_late_starts.py
+++ b/tests/test_owners_unanswered_starts.py
@@ -5,7 +5,10 @@
 
 from foldloom.seed_discovery.jobs.spec import RunId, TaskId
 from foldloom.seed_discovery.owners.actions import StopAction
-from foldloom.seed_discovery.owners.late_starts import UNANSWERED_ORDER_TTL_MS, UnansweredStarts
+from foldloom.seed_discovery.owners.late_starts import (
+    UNANSWERED_ORDER_TTL_MS,
+    UnansweredStarts,
+)
 
 _RUN = RunId(TaskId("1" * 16, 0, 0, 0), 1)
 _STOP = StopAction(_RUN, "w1")
--- a/tests/test_peers_lives.py
+++ b/tests/test_peers_lives.py
@@ -5,7 +5,11 @@
 
 import pytest
 
-from foldloom.peers.lives import IncarnationTracker, OrderedIncarnations, UnorderedIncarnations
+from foldloom.peers.lives import (
+    IncarnationTracker,
+    OrderedIncarnations,
+    UnorderedIncarnations,
+)
 
 _DAY_MS = 86_400_000.0
 # Message interval, and drift of the sender's clock: 50 ppm.
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -32,9 +32,9 @@
     job_size,
 )
 from foldloom.static_peers.placement.retries import RetryBudget, may_retry
+from foldloom.static_peers.placement.service_times import SpeedTable
 from foldloom.static_peers.placement.shard import Grant, Shard
 from foldloom.static_peers.placement.shards import FLEET, ManagerCache, manager_of, shard_names
-from foldloom.static_peers.placement.speeds import SpeedTable
 from foldloom.verdicts import may_have_run, not_run
 
 _FAR_DEADLINE_MS = 10**7
--- a/tests/test_placement_ejection.py
+++ b/tests/test_placement_ejection.py
@@ -4,11 +4,11 @@
 from __future__ import annotations
 
 from foldloom.controllers.config import Customer, empty_config
-from foldloom.static_peers.placement.bounds import ConfigLimits
+from foldloom.static_peers.placement.config_limits import ConfigLimits
 from foldloom.static_peers.placement.ejection import Ejection
 from foldloom.static_peers.placement.health import Health
 from foldloom.static_peers.placement.messages import SlotOutcome, SlotReturn
-from foldloom.static_peers.placement.speeds import SpeedTable
+from foldloom.static_peers.placement.service_times import SpeedTable
 
 _EJECTION_MS = 1_000
 _ENDPOINTS = {"w1", "w2", "w3", "w4"}
