--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -187,7 +187,7 @@
     ),
     Mutation(
         "older lives are not heard",
-        "peers/lives.py",
+        "peers/incarnations.py",
         "if known is not None and incarnation < known.incarnation:",
         "if False:",
         "tests/test_wire.py::TestLateMessages::test_older_life_is_dropped",
@@ -554,14 +554,14 @@
     Mutation(
         "unanswered orders are stopped in the next life",
         "seed_discovery/owners/state.py",
-        "        for stop in self._late_starts.stops_due((endpoint,), now_ms, now_ms):",
+        "        for stop in self._unanswered_starts.stops_due((endpoint,), now_ms, now_ms):",
         "        for stop in ():",
         _OWNERS_STATE + "TestNextLife::test_an_order_that_got_no_answer",
     ),
     Mutation(
         "a next life is told until it answers",
         "seed_discovery/owners/state.py",
-        "        stops += self._late_starts.stops_due(answering, before_ms, now_ms)\n",
+        "        stops += self._unanswered_starts.stops_due(answering, before_ms, now_ms)\n",
         "",
         _OWNERS_STATE + "TestNextLife::test_it_is_told_until_it_answers",
     ),
@@ -569,7 +569,7 @@
         "late orders outlive the endpoint that left",
         "seed_discovery/owners/state.py",
         """        self.handle_lease_expiry(endpoint, now_ms)
-        self._late_starts.end_incarnation(endpoint)
+        self._unanswered_starts.end_incarnation(endpoint)
 """,
         """        self.handle_lease_expiry(endpoint, now_ms)
 """,
@@ -656,10 +656,10 @@
     ),
     Mutation(
         "a reply bounds the age of its sender's messages",
-        "peers/lives.py",
+        "peers/incarnations.py",
         "if min_offset_ms > known.min_offset_at(now_ms):",
         "if False:",
-        "tests/test_peers_lives.py::TestSendersClock",
+        "tests/test_peers_incarnations.py::TestSendersClock",
     ),
     Mutation(
         "a task that crashes its endpoints is given up",
--- a/src/foldloom/peers/clock_probes.py
+++ b/src/foldloom/peers/clock_probes.py
@@ -4,7 +4,7 @@
 A message looks expired if it was delayed, or if the sender's clock has fallen back relative to this
 box's clock, for example during a suspension. In the second case all later messages would be
 dropped. A probe corrects this: its reply can't be older than the probe, which bounds the sender's
-clock offset (:mod:`foldloom.peers.lives`).
+clock offset (:mod:`foldloom.peers.incarnations`).
 """
 
 from __future__ import annotations
--- a/src/foldloom/peers/wire.py
+++ b/src/foldloom/peers/wire.py
@@ -27,7 +27,7 @@
 from foldloom.peers.connection import PeerConnection, SenderIdentity
 from foldloom.peers.curve import Curve
 from foldloom.peers.inbound import InboundSocket
-from foldloom.peers.lives import (
+from foldloom.peers.incarnations import (
     IncarnationTracker,
     OrderedIncarnations,
     UnorderedIncarnations,
--- a/src/foldloom/seed_discovery/owners/state.py
+++ b/src/foldloom/seed_discovery/owners/state.py
@@ -23,7 +23,6 @@
     note_crash,
 )
 from foldloom.seed_discovery.owners.deliveries import Deliveries, newest_delivery
-from foldloom.seed_discovery.owners.late_starts import UnansweredStarts
 from foldloom.seed_discovery.owners.lifecycle import RunLifecycle
 from foldloom.seed_discovery.owners.loads import zone_load
 from foldloom.seed_discovery.owners.messages import (
@@ -38,6 +37,7 @@
 from foldloom.seed_discovery.owners.reports import orphans_to_stop, reconcile
 from foldloom.seed_discovery.owners.stealing import WorkStealing
 from foldloom.seed_discovery.owners.stragglers import handle_stragglers
+from foldloom.seed_discovery.owners.unanswered_starts import UnansweredStarts
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.placing import place
 from foldloom.seed_discovery.scheduling.ranking import Tier, tier_of
@@ -68,7 +68,7 @@
         self._last_polled_ms: dict[str, float] = {}
         self.actions = Actions()
         self._lifecycle = RunLifecycle(self._candidates, self.actions)
-        self._late_starts = UnansweredStarts()
+        self._unanswered_starts = UnansweredStarts()
         self._stealing = WorkStealing(self._candidates)
         self._deliveries = Deliveries(
             self._lifecycle, self._stealing, self._candidates, run_expiry_ms
@@ -180,7 +180,7 @@
     def remove_endpoint(self, endpoint: str, now_ms: float) -> None:
         """Remove an endpoint whose incarnation has certainly ended, and finish its runs."""
         self.handle_lease_expiry(endpoint, now_ms)
-        self._late_starts.end_incarnation(endpoint)
+        self._unanswered_starts.end_incarnation(endpoint)
         self._candidates.pop(endpoint, None)
         self._last_polled_ms.pop(endpoint, None)
         self._lifecycle.speeds.remove(endpoint)
@@ -198,8 +198,8 @@
             return
         note_crash(self._lifecycle, candidate, now_ms)
         candidate.begin_incarnation()
-        self._late_starts.end_incarnation(endpoint)
-        for stop in self._late_starts.stops_due((endpoint,), now_ms, now_ms):
+        self._unanswered_starts.end_incarnation(endpoint)
+        for stop in self._unanswered_starts.stops_due((endpoint,), now_ms, now_ms):
             self.actions.stop(stop)
         self._last_polled_ms.pop(endpoint, None)
         self._lifecycle.speeds.remove(endpoint)
@@ -266,7 +266,7 @@
     ) -> None:
         """Handle the outcome of a start order."""
         if outcome is CallOutcome.UNKNOWN:
-            self._late_starts.add(run_id, endpoint, now_ms)
+            self._unanswered_starts.add(run_id, endpoint, now_ms)
         handle_start_outcome(self._lifecycle, self._candidates, run_id, endpoint, outcome, now_ms)
 
     def handle_stop_outcome(
@@ -274,7 +274,7 @@
     ) -> None:
         """Handle the outcome of a stop order."""
         if outcome is CallOutcome.DONE:
-            self._late_starts.note_stopped(run_id, endpoint)
+            self._unanswered_starts.note_stopped(run_id, endpoint)
         handle_stop_outcome(self._lifecycle, run_id, endpoint, outcome, now_ms)
 
     def stops_to_retransmit(self, before_ms: float, now_ms: float) -> list[StopAction]:
@@ -283,7 +283,7 @@
         answering = {
             name for name, candidate in self._candidates.items() if not candidate.is_silent
         }
-        stops += self._late_starts.stops_due(answering, before_ms, now_ms)
+        stops += self._unanswered_starts.stops_due(answering, before_ms, now_ms)
         return list(dict.fromkeys(stops))
 
     # Time.
--- a/tests/models/standing_boxes.py
+++ b/tests/models/standing_boxes.py
@@ -15,7 +15,7 @@
 
 from foldloom.clock import monotonic_ms
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.peers.lives import UnorderedIncarnations
+from foldloom.peers.incarnations import UnorderedIncarnations
 from foldloom.seed_discovery.endpoints.calls import (
     CallOutcome,
     CallReply,
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -15,7 +15,6 @@
 from foldloom.seed_discovery.endpoints.records import EndpointRecord
 from foldloom.seed_discovery.jobs.spec import Demand, Placement, RunId, TaskId
 from foldloom.seed_discovery.owners.actions import StopAction
-from foldloom.seed_discovery.owners.late_starts import UNANSWERED_ORDER_TTL_MS
 from foldloom.seed_discovery.owners.messages import (
     EndCause,
     Objective,
@@ -25,6 +24,7 @@
     SubmitStatus,
 )
 from foldloom.seed_discovery.owners.state import OwnerState
+from foldloom.seed_discovery.owners.unanswered_starts import UNANSWERED_ORDER_TTL_MS
 from foldloom.seed_discovery.scheduling.remote_groups import GroupId
 from foldloom.seed_discovery.scheduling.runs import HolderId
 
--- a/tests/test_owners_unanswered_starts.py
+++ b/tests/test_owners_unanswered_starts.py
@@ -5,7 +5,7 @@
 
 from foldloom.seed_discovery.jobs.spec import RunId, TaskId
 from foldloom.seed_discovery.owners.actions import StopAction
-from foldloom.seed_discovery.owners.late_starts import (
+from foldloom.seed_discovery.owners.unanswered_starts import (
     UNANSWERED_ORDER_TTL_MS,
     UnansweredStarts,
 )
--- a/tests/test_peers_lives.py
+++ b/tests/test_peers_incarnations.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from foldloom.peers.lives import (
+from foldloom.peers.incarnations import (
     IncarnationTracker,
     OrderedIncarnations,
     UnorderedIncarnations,
