--- a/tests/own_entry_refusals.py
+++ b/tests/own_entry_refusals.py
@@ -141,7 +141,7 @@
 class TestFollowing:
     """Following a job that another box refuses."""
 
-    def test_a_refusal_from_before_the_question(self) -> None:
+    def test_earlier_refusal(self) -> None:
         """An earlier refusal ends as released: another box may have run the job since."""
 
         async def scenario() -> None:
@@ -151,7 +151,7 @@
 
         asyncio.run(scenario())
 
-    def test_a_refusal_while_it_is_followed(self) -> None:
+    def test_refusal_during_following(self) -> None:
         """A refusal during following ends as released too."""
 
         async def scenario() -> None:
@@ -165,7 +165,7 @@
         asyncio.run(scenario())
 
 
-class TestLookingUp:
+class TestLookup:
     """Looking up a job after a refusal."""
 
     @pytest.mark.parametrize("asked", ["a1", "c1"])
@@ -206,11 +206,11 @@
         return b""
 
 
-class TestUnread:
+class TestUnreadBody:
     """A job that this box could not read may have run on another box."""
 
     @pytest.mark.parametrize("has_entry", [True, False])
-    def test_says_that_it_may_have_run(self, has_entry: bool) -> None:
+    def test_may_have_run(self, has_entry: bool) -> None:
         """A body timeout, or a box without the entry role, is reported as "may have run"."""
 
         async def scenario() -> None:
--- a/tests/test_boxes_controllers.py
+++ b/tests/test_boxes_controllers.py
@@ -241,7 +241,7 @@
 
         run_scenario(tmp_path, scenario)
 
-    def test_spare_stands_by(self, tmp_path: Path) -> None:
+    def test_additional_controller_is_standby(self, tmp_path: Path) -> None:
         """A controller added while all voters respond does not become a voter."""
 
         async def scenario(group: ControllerGroup) -> None:
@@ -291,7 +291,7 @@
     """A disk that temporarily rejects writes."""
 
     @pytest.mark.parametrize("is_leader", [True, False])
-    def test_takes_part_again(
+    def test_voter_after_disk_recovers(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, is_leader: bool
     ) -> None:
         """Once its disk is writable again, the controller is a voter: another one may fail."""
@@ -353,7 +353,7 @@
 
         run_scenario(tmp_path, scenario)
 
-    def test_another_leads_at_once_though_an_entry_is_on_its_way(
+    def test_handover_with_entry_in_flight(
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """The leader waits for its newest entry to reach another controller before it stops."""
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -33,7 +33,7 @@
         other = table.decide_vote("s", _Y, 0)
         assert (other.vote, other.holders) == (Vote.HELD, [_X])
 
-    def test_differing_copies_are_all_kept(self) -> None:
+    def test_conflicting_copies_are_all_kept(self) -> None:
         """With two conflicting copies neither claim is granted until the other is withdrawn."""
         table = _table()
         for claim in (_X, _Y):
@@ -85,14 +85,14 @@
         assert is_won(_SETS, votes, lambda _box: 0)
         assert not is_won(_SETS, {"a1": votes["a1"]}, lambda _box: 0)
 
-    def test_vote_dies_with_its_voters_memory(self) -> None:
+    def test_vote_of_earlier_incarnation_is_invalid(self) -> None:
         """A vote is invalid once another voter or this box knows a newer incarnation of it."""
         votes = {"a1": _vote(1, {"b1": 1}), "b1": _vote(1, {"a1": 2})}
         assert not is_won(_SETS, votes, lambda _box: 0)
         fresh = {"a1": _vote(1, {}), "b1": _vote(1, {})}
         assert not is_won(_SETS, fresh, {"a1": 2, "b1": 0}.__getitem__)
 
-    def test_may_still_win(self) -> None:
+    def test_can_still_win(self) -> None:
         """Two refusals of three rule out a majority."""
         refused = _vote(1, {}, Vote.HELD)
         assert can_still_win(_SETS, {"a1": refused})
--- a/tests/test_claims_faults.py
+++ b/tests/test_claims_faults.py
@@ -126,7 +126,7 @@
         assert rig.started("lost") == [1]
 
 
-class TestDelaysAndFreezes:
+class TestDelayedAndFrozenBoxes:
     """Delayed messages and frozen boxes."""
 
     def test_delayed_links(self, rig: Rig) -> None:
@@ -165,7 +165,7 @@
         assert max(rig.started(submission)) == 1
 
 
-class TestCutZones:
+class TestPartitions:
     """Network partitions between zones."""
 
     @pytest.mark.parametrize("zone", ["a", "b", "c"])
@@ -239,7 +239,7 @@
     return _live_pairs(rig, zone) == {True}
 
 
-class TestLostMemory:
+class TestKilledBoxes:
     """Boxes killed with SIGKILL, which lose their in-memory claims."""
 
     def test_killed_coordinator(self, own_rig: Rig) -> None:
--- a/tests/test_claims_incarnations.py
+++ b/tests/test_claims_incarnations.py
@@ -74,10 +74,10 @@
     return recovery
 
 
-class TestLivesOnRecord:
+class TestRecordedIncarnations:
     """No incarnation takes itself for the first one after another has voted."""
 
-    def test_no_vote_by_a_life_that_is_not_on_record(self) -> None:
+    def test_unrecorded_incarnation_does_not_vote(self) -> None:
         """An unrecorded incarnation must not vote, even after copying from all replicas."""
 
         async def play() -> None:
@@ -90,7 +90,7 @@
 
         asyncio.run(play())
 
-    def test_a_life_on_record_votes_after_its_copies(self) -> None:
+    def test_recorded_incarnation_votes_after_copies(self) -> None:
         """A recorded incarnation votes after copying, if the previous one is recorded too."""
 
         async def play() -> None:
@@ -106,7 +106,7 @@
 class TestCopying:
     """Replicas that can't copy."""
 
-    def test_a_copy_that_fails_unforeseen(self) -> None:
+    def test_unexpected_exception_while_copying(self) -> None:
         """An unexpected exception while copying neither stops the recovery nor permits a vote."""
 
         async def play() -> None:
@@ -118,7 +118,7 @@
 
         asyncio.run(play())
 
-    def test_alone_nobody_has_a_copy(self) -> None:
+    def test_sole_replica_waits_for_retention(self) -> None:
         """The sole replica of a submission votes only after its lost claims have expired."""
 
         async def play() -> None:
--- a/tests/test_claims_recovery.py
+++ b/tests/test_claims_recovery.py
@@ -64,7 +64,7 @@
     return recovery
 
 
-class TestVotingAgain:
+class TestVotingAfterRestart:
     """A replica votes only after recovering the claims that it may have granted."""
 
     def test_first_life(self) -> None:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -22,7 +22,7 @@
 class TestIntents:
     """Guards the intent, plan, confirm and status commands."""
 
-    def test_whole_way(self, cluster: Cluster, tmp_path: Path) -> None:
+    def test_plan_and_confirm(self, cluster: Cluster, tmp_path: Path) -> None:
         """A confirmed plan takes effect; confirming it again is a conflict."""
         file, url = str(tmp_path / "intents.json"), cluster.url("a1")
         created = cluster.cli("intent", "member", "m7", "--quota", "3", "--file", file)
--- a/tests/test_cli_explain.py
+++ b/tests/test_cli_explain.py
@@ -65,7 +65,7 @@
         assert life.cause == "resumed at owner o2; too late"
         assert life_text(life).endswith("outcome: expired\ncause: resumed at owner o2; too late")
 
-    def test_words_of_the_release_before(self, tmp_path: Path) -> None:
+    def test_previous_release_names(self, tmp_path: Path) -> None:
         """Events of the previous release, with "worker" for "endpoint", get current names."""
         run = f"{_JOB}.0.0.0#1"
         lines = [
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -30,10 +30,10 @@
     return float(boot_ms), float(running_ms)
 
 
-class TestSuspended:
+class TestSuspension:
     """Guards against a clock that misses suspended time, which would keep leases too long."""
 
-    def test_it_counts(self, tmp_path: Path) -> None:
+    def test_suspended_time_is_included(self, tmp_path: Path) -> None:
         """``monotonic_ms`` includes suspended time; ``running_ms`` does not."""
         clock = SuspendableClock(tmp_path / "suspended")
         with subprocess.Popen(
--- a/tests/test_controller_box.py
+++ b/tests/test_controller_box.py
@@ -49,7 +49,7 @@
     """Endpoint reports at a controller without a configuration."""
 
     @pytest.mark.parametrize("is_first_start", [True, False])
-    def test_which_are_taken(self, tmp_path: Path, is_first_start: bool) -> None:
+    def test_accepted_reports(self, tmp_path: Path, is_first_start: bool) -> None:
         """All are accepted at the first start, none after a loss of the configuration."""
         report = EndpointRecord("w1", "svc", "127.0.0.1:9", "a", Demand())
         host = _host(tmp_path, is_first_start)
@@ -75,7 +75,9 @@
 
         run_scenario(tmp_path, scenario)
 
-    def test_nor_is_a_snapshot(self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_no_snapshot_is_written_afterwards(
+        self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
         """Stopping waits for a pending snapshot of the replicated log."""
         monkeypatch.setattr(compaction, "_SNAPSHOT_ENTRIES", 1)
         started: list[Path] = []
--- a/tests/test_controllers_election.py
+++ b/tests/test_controllers_election.py
@@ -83,7 +83,7 @@
     return candidate
 
 
-class TestOneIsGone:
+class TestUnreachableVoter:
     """Two of three controllers are reachable."""
 
     def test_a_majority_is_enough(self) -> None:
@@ -97,7 +97,7 @@
             ("c", True),
         ]
 
-    def test_one_that_votes_for_nobody(self) -> None:
+    def test_vote_denied(self) -> None:
         """Without the reachable peer's vote, no leader is elected."""
         assert not _run_election(False, 1, 1.0).is_leader
 
--- a/tests/test_controllers_faults.py
+++ b/tests/test_controllers_faults.py
@@ -94,7 +94,7 @@
         rig.cluster.wait_version(later)
         assert rig.quota(leader) == 6
 
-    def test_frozen_and_woken(self, rig: Rig) -> None:
+    def test_paused_and_resumed(self, rig: Rig) -> None:
         """A paused leader that resumes confirms nothing on outdated state."""
         leader = rig.leader()
         others = [box for box in rig.cluster.boxes if box != leader]
@@ -108,7 +108,7 @@
         assert late.status == 200
         assert all(rig.quota(box) == 7 for box in rig.cluster.boxes)
 
-    def test_cut_off_for_long(self, rig: Rig) -> None:
+    def test_partitioned(self, rig: Rig) -> None:
         """A partitioned leader confirms nothing and reports whether it may have taken effect."""
         leader = rig.leader()
         others = [box for box in rig.cluster.boxes if box != leader]
@@ -202,7 +202,7 @@
 class TestLostDisks:
     """Emptied or damaged data folders."""
 
-    def test_wiped_controller_is_taken_in_again(self, rig: Rig) -> None:
+    def test_wiped_controller_is_readmitted(self, rig: Rig) -> None:
         """A wiped controller does not vote until the others have readmitted it."""
         version = rig.set_quota(50)
         wiped = next(box for box in rig.cluster.boxes if box != rig.leader())
@@ -304,7 +304,7 @@
         assert log_bytes < 500_000
 
 
-class TestCutOffEntry:
+class TestPartitionedEntry:
     """An entry box restarted inside a partitioned zone."""
 
     def test_serves_and_takes_no_older_version(self, tmp_path: Path) -> None:
--- a/tests/test_controllers_followers.py
+++ b/tests/test_controllers_followers.py
@@ -35,7 +35,7 @@
     return AppendReply(1, is_ok, match_index, storage_id, False)
 
 
-class TestAgreedIndex:
+class TestQuorumMatchIndex:
     """The index up to which a majority holds the log durably."""
 
     @pytest.mark.parametrize(
--- a/tests/test_controllers_members.py
+++ b/tests/test_controllers_members.py
@@ -65,7 +65,7 @@
         joint = {**_TABLE, "d": "4"}
         assert next_change(joint, 3, ["c"], [], "a") == ControllerLeaveCommand("c")
 
-    def test_silent_one_came_back(self) -> None:
+    def test_replacement_completes_after_recovery(self) -> None:
         """A replacement in progress is completed if all voters respond again; the leader stays."""
         joint = {**_TABLE, "d": "4"}
         change = next_change(joint, 3, [], [], "d")
--- a/tests/test_crashing_task.py
+++ b/tests/test_crashing_task.py
@@ -70,7 +70,7 @@
 
         play(scenario, tmp_path, endpoints=6)
 
-    def test_handed_in_again(self, tmp_path: Path, crash_ms: int) -> None:
+    def test_submitted_again(self, tmp_path: Path, crash_ms: int) -> None:
         """Submitting the job again to another box of the zone causes no more crashes."""
 
         async def scenario(system: PlatformSystem) -> None:
--- a/tests/test_endpoints_catalog.py
+++ b/tests/test_endpoints_catalog.py
@@ -36,7 +36,7 @@
         assert catalog.revision == revision
         assert catalog.silent_since(0.5) == []
 
-    def test_leave_is_not_taken_back(self) -> None:
+    def test_draining_is_final(self) -> None:
         """A draining endpoint never becomes ready again."""
         catalog = EndpointCatalog()
         catalog.merge(_READY._replace(sequence=7, state=EndpointState.DRAINING), 0.0)
@@ -51,7 +51,7 @@
         assert not catalog.merge(_READY._replace(sequence=9), 2.0)
         assert catalog.records == []
 
-    def test_silent_is_forgotten_without_a_word(self) -> None:
+    def test_evicted_is_accepted_again(self) -> None:
         """An evicted endpoint is accepted again, unlike one that is gone."""
         catalog = EndpointCatalog()
         catalog.merge(_READY, 0.0)
@@ -68,7 +68,7 @@
 class TestLives:
     """Incarnations with the same id, each with its own sequence."""
 
-    def test_the_leave_of_a_second_life(self) -> None:
+    def test_second_incarnation_drains(self) -> None:
         """A second incarnation's draining is accepted despite its lower sequence."""
         catalog = EndpointCatalog()
         catalog.merge(_FIRST, 0.0)
@@ -85,7 +85,7 @@
         assert catalog.records == [_SECOND]
 
     @pytest.mark.parametrize("born_ms", [1_000, 0])
-    def test_a_report_that_was_held_up(self, born_ms: int) -> None:
+    def test_delayed_report(self, born_ms: int) -> None:
         """Reports of the first incarnation, or without a start time, do not affect the second."""
         catalog = EndpointCatalog()
         catalog.merge(_SECOND, 0.0)
@@ -93,7 +93,7 @@
         assert catalog.records == [_SECOND]
         assert catalog.silent_since(0.5) == ["w1"]
 
-    def test_a_farewell_that_was_held_up(self) -> None:
+    def test_delayed_deregistration(self) -> None:
         """A deregistration has no effect on an incarnation that is not draining."""
         catalog = EndpointCatalog()
         catalog.merge(_SECOND, 0.0)
@@ -103,7 +103,7 @@
         assert catalog.note_deregistration("w1", 3.0)
         assert catalog.records == []
 
-    def test_another_life_has_begun(self) -> None:
+    def test_end_of_earlier_incarnation(self) -> None:
         """Ending the first incarnation does not end the second."""
         catalog = EndpointCatalog()
         catalog.merge(_SECOND, 0.0)
--- a/tests/test_entry_operators.py
+++ b/tests/test_entry_operators.py
@@ -79,10 +79,10 @@
 class TestConfirm:
     """The response to a confirm."""
 
-    def test_its_operator_finds_it_here(self, tmp_path: Path) -> None:
+    def test_version_in_force_after_confirm(self, tmp_path: Path) -> None:
         """A confirmed version is in force on the box when it responds."""
         assert asyncio.run(_confirm_and_get_status(tmp_path, _COMMIT_DELAY_S)) == (1, 1)
 
-    def test_answered_though_this_box_hears_nothing(self, tmp_path: Path) -> None:
+    def test_response_without_commit(self, tmp_path: Path) -> None:
         """A box that does not receive the commit still responds to the confirm."""
         assert asyncio.run(_confirm_and_get_status(tmp_path, None)) == (1, 0)
--- a/tests/test_entry_refusals.py
+++ b/tests/test_entry_refusals.py
@@ -16,11 +16,11 @@
 _COMMAND = [sys.executable, "-m", "pytest", "-q", "-p", "no:xdist", "-p", "no:cacheprovider"]
 
 
-@pytest.mark.parametrize("subject", ["TestFollowing", "TestLookingUp", "TestUnread"])
+@pytest.mark.parametrize("subject", ["TestFollowing", "TestLookup", "TestUnreadBody"])
 class TestRefusals:
     """Each test class of the module."""
 
-    def test_in_a_process_of_its_own(self, subject: str) -> None:
+    def test_in_separate_process(self, subject: str) -> None:
         """All tests of the class pass."""
         command = [*_COMMAND, "-o", "addopts=", f"{_TESTS}::{subject}"]
         result = subprocess.run(command, capture_output=True, text=True, check=False, timeout=60)
--- a/tests/test_entry_run.py
+++ b/tests/test_entry_run.py
@@ -102,7 +102,7 @@
 class TestDeadline:
     """Attempts share the job's deadline; either timer may fire first."""
 
-    def test_an_attempt_notices_it_first(self) -> None:
+    def test_attempt_times_out_first(self) -> None:
         """An attempt that times out first still fails the job with 504, not 502."""
         result = _execute(_TimeoutAdapter(), _TIMEOUT_MS)
         assert result.is_error()
@@ -110,10 +110,10 @@
         assert (problem.status, problem.run, problem.reason) == (504, Run.MAY_HAVE_RUN, "deadline")
 
 
-class TestEndpointDeaths:
+class TestEndpointFailures:
     """Retries of a task whose endpoints fail, for a service that allows such retries."""
 
-    def test_it_is_given_up(self) -> None:
+    def test_fails_after_two_endpoint_failures(self) -> None:
         """The job fails after two endpoint failures, before its deadline or retry budget ends."""
         adapter = _LostEndpointAdapter()
         result = _execute(adapter, 60_000.0, "after-worker-death", repeatable=True)
--- a/tests/test_fleet_joiner.py
+++ b/tests/test_fleet_joiner.py
@@ -58,13 +58,13 @@
             await asyncio.sleep(0)
 
 
-class TestForgottenEndpoint:
+class TestEvictedEndpoint:
     """An endpoint evicted by an owner after a partition between the two, but not by controllers.
 
     Guards against incremental joins that never restore it, since it has not changed there.
     """
 
-    def test_it_is_told_again(self) -> None:
+    def test_restored_by_next_join(self) -> None:
         """The next join restores the endpoint."""
         boxes = _Boxes()
 
@@ -81,7 +81,7 @@
 
         asyncio.run(boxes.run_scenario(scenario))
 
-    def test_one_that_nobody_hears_stays_forgotten(self) -> None:
+    def test_evicted_everywhere(self) -> None:
         """Joins do not restore an endpoint that the controller has evicted too."""
         boxes = _Boxes()
 
--- a/tests/test_fleet_messages.py
+++ b/tests/test_fleet_messages.py
@@ -36,19 +36,19 @@
     endpoints: list[WireEndpoint]
 
 
-class TestBirths:
+class TestIncarnationBirths:
     """Start times of endpoints, sent at the end of a message."""
 
-    def test_they_arrive(self) -> None:
+    def test_round_trip(self) -> None:
         """Records survive a round trip with their start times."""
         assert decode_endpoints(_decode(bytes(encode_body(_MESSAGE)))) == _RECORDS
 
-    def test_the_release_before_sends_none(self) -> None:
+    def test_missing_births(self) -> None:
         """Missing start times are decoded as 0."""
         body = msgspec.msgpack.encode(_PreviousEndpointsSeen(_MESSAGE.endpoints))
         assert [one.born_ms for one in decode_endpoints(_decode(body))] == [0, 0]
 
-    def test_the_release_before_reads_the_rest(self) -> None:
+    def test_previous_release_decodes(self) -> None:
         """The previous release can decode the message: the new field is at the end."""
         fields = msgspec.msgpack.decode(encode_body(_MESSAGE))
         read = msgspec.convert(
--- a/tests/test_fleet_registry.py
+++ b/tests/test_fleet_registry.py
@@ -64,7 +64,7 @@
 class TestServices:
     """Reports of services that are not in the configuration."""
 
-    def test_another_writers_report(self) -> None:
+    def test_unknown_service(self) -> None:
         """A report of an unknown service must not replace the record of an endpoint with its id."""
 
         async def scenario() -> None:
@@ -90,7 +90,7 @@
 
         asyncio.run(scenario())
 
-    def test_one_that_is_named_later(self) -> None:
+    def test_service_configured_later(self) -> None:
         """Once the service is configured, the endpoint's next report is accepted."""
 
         async def scenario() -> None:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -60,7 +60,7 @@
                 connection.close()
         wait_until(lambda: cluster.submit("a1", "room", [{"ms": 1}]).status == 200, "room again")
 
-    def test_cut_caller_does_not_stop_the_job(self, cluster: Cluster) -> None:
+    def test_disconnect_does_not_stop_the_job(self, cluster: Cluster) -> None:
         """A job goes on after its caller disconnects; a resubmission gets the answer."""
         body = b'{"service":"sleep","member":"m1","tasks":[{"payload":{"ms":300}}]}'
         head = f"PUT /v1/jobs/cut HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
--- a/tests/test_job_runner.py
+++ b/tests/test_job_runner.py
@@ -21,7 +21,7 @@
 class TestPlannedStop:
     """Cancellation of all jobs when a planned stop times out."""
 
-    def test_while_the_owner_is_asked(self) -> None:
+    def test_while_cancelling(self) -> None:
         """A job waiting for its owner's reply to a cancellation is reported as may-have-run."""
 
         async def scenario() -> JobResult:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -46,7 +46,7 @@
 class TestLimits:
     """Guards against log floods and slow readers that block the caller."""
 
-    def test_what_was_left_out_is_told(self) -> None:
+    def test_suppressed_events_are_counted(self) -> None:
         """The next admitted event carries the count of suppressed events of its kind only."""
         limits = EventRateLimits(per_s=1.0)
         assert [limits.try_acquire("a", 0.0) for _ in range(4)] == [0, 0, None, None]
@@ -54,7 +54,7 @@
         assert limits.try_acquire("a", 1.5) == 2
         assert limits.try_acquire("a", 3.0) == 0
 
-    def test_a_reader_that_does_not_read(self) -> None:
+    def test_slow_reader(self) -> None:
         """Logging does not block while the pipe is full; dropped lines are counted."""
         reading, writing = os.pipe()
         os.set_blocking(reading, False)
--- a/tests/test_owners_admission.py
+++ b/tests/test_owners_admission.py
@@ -40,7 +40,7 @@
         state.place(_NOW_MS + 25.0)
         assert [start.endpoint for start in state.actions.pop_starts()] == ["w1"]
 
-    def test_silent_ones_are_not_waited_for(self) -> None:
+    def test_unresponsive_endpoints(self) -> None:
         """The job is rejected with a retry delay if every endpoint missed a poll."""
         state = _warm_owner()
         for name in ("w1", "w2"):
--- a/tests/test_owners_client.py
+++ b/tests/test_owners_client.py
@@ -154,7 +154,7 @@
         _run(play())
 
 
-class TestLapsedRights:
+class TestLapsedSessions:
     """An owner whose session lapsed has dropped the delivered runs."""
 
     def test_what_is_open_is_handed_over_again(self) -> None:
--- a/tests/test_owners_crashed_endpoints.py
+++ b/tests/test_owners_crashed_endpoints.py
@@ -61,10 +61,10 @@
     return sorted((end for _, end in ends_of(state)), key=lambda end: end.run_id)
 
 
-class TestWhatCounts:
+class TestCrashCounting:
     """Only confirmed crashes count."""
 
-    def test_a_silent_lapse_does_not(self) -> None:
+    def test_expired_leases_are_no_crash(self) -> None:
         """An endpoint that answers again after its leases expired has not crashed."""
         state = owner_with(endpoint("w1"))
         _submit_and_start(state, 10.0)
@@ -78,7 +78,7 @@
         assert _place_and_start(state, 5_003.0) == ["w1"]
         assert [end.crashes for end in _crash_endpoint(state, "w1", 5_100.0)] == [CrashCount(1, 1)]
 
-    def test_a_lapse_before_the_next_life_does(self) -> None:
+    def test_next_incarnation_confirms_crash(self) -> None:
         """A new incarnation confirms a crash after the leases expired, as after a power failure."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
         _submit_and_start(state, 10.0)
@@ -90,7 +90,7 @@
         assert _place_and_start(state, 3_001.0) == ["w1"]
         assert [end.crashes for end in _crash_endpoint(state, "w1", 3_100.0)] == [CrashCount(2, 2)]
 
-    def test_once_a_life(self) -> None:
+    def test_one_crash_per_incarnation(self) -> None:
         """Repeated refused connections and the next incarnation are one crash."""
         state = owner_with(endpoint("w1"))
         _submit_and_start(state, 10.0)
@@ -100,14 +100,14 @@
         state.handle_lease_expiry("w1", 700.0)
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount(1, 1)]
 
-    def test_an_endpoint_that_leaves(self) -> None:
+    def test_draining_endpoint_counts_no_crash(self) -> None:
         """The end of a draining endpoint is no crash."""
         state = owner_with(endpoint("w1"))
         _submit_and_start(state, 10.0)
         state.update_endpoint(endpoint("w1", state=EndpointState.DRAINING))
         assert [end.crashes for end in _crash_endpoint(state, "w1", 20.0)] == [CrashCount()]
 
-    def test_a_start_that_found_nobody(self) -> None:
+    def test_start_without_listener(self) -> None:
         """A run whose start order met no listener starts elsewhere at once and is not counted."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
         state.submit(_E1, submission(), 10.0)
@@ -137,10 +137,10 @@
         assert [end.crashes for end in _crash_endpoint(state, "w1", 3_100.0)] == [CrashCount(2, 2)]
 
 
-class TestNeighbours:
+class TestIsolationAfterCrash:
     """Isolation of the tasks that ran on a crashed endpoint."""
 
-    def test_each_starts_by_itself(self) -> None:
+    def test_each_starts_isolated(self) -> None:
         """Three tasks of one endpoint start on three others, and a new job on none of these."""
         state = owner_with(*(endpoint(f"w{n}") for n in range(1, 6)))
         assert set(_submit_and_start(state, 10.0, tasks=3)) == {"w5"}
@@ -200,7 +200,7 @@
 class TestGivenUp:
     """Tasks at their crash limit."""
 
-    def test_at_once(self) -> None:
+    def test_ends_before_leases_expire(self) -> None:
         """A task alone on a second crashed endpoint ends before the leases there expire."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
         _submit_and_start(state, 10.0, tasks=2)
@@ -211,7 +211,7 @@
         state.handle_crash("w1", 750.0)
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount(2, 1)]
 
-    def test_handed_in_again(self) -> None:
+    def test_submitted_again(self) -> None:
         """A task at its limit does not start; the crash count is returned to its box."""
         state = owner_with(endpoint("w1"))
         order = submission().orders[0]._replace(crashes=CrashCount(2, 1))
--- a/tests/test_owners_decisions.py
+++ b/tests/test_owners_decisions.py
@@ -33,7 +33,7 @@
     return run
 
 
-class TestJudgeEnd:
+class TestClassifyEnd:
     """Only matching ends finish a run."""
 
     @pytest.mark.parametrize(
@@ -56,7 +56,7 @@
         assert classify_end(run_in(state), end, endpoint) is expected
 
 
-class TestJudgeAbsence:
+class TestClassifyAbsence:
     """A run missing from a report has ended only if the report is conclusive."""
 
     def test_running_is_lost(self) -> None:
--- a/tests/test_owners_election.py
+++ b/tests/test_owners_election.py
@@ -15,7 +15,7 @@
 _SILENT_MS = 400.0
 
 
-class TestMayClaim:
+class TestMayAcquire:
     """A dead owner is replaced, a live one is not."""
 
     def test_nobody_hears_the_owner(self) -> None:
--- a/tests/test_owners_elector.py
+++ b/tests/test_owners_elector.py
@@ -95,7 +95,7 @@
     asyncio.run(test)
 
 
-class TestStepIn:
+class TestFailover:
     """The known owner is silent."""
 
     def test_the_owner_is_not_waited_for_as_long_as_the_others(self) -> None:
@@ -111,12 +111,12 @@
 
         _run(play())
 
-    def test_the_owner_is_in_nobodys_way(self) -> None:
+    def test_silent_owner_takes_no_rank(self) -> None:
         """The silent owner takes no rank among the candidates."""
         rig = _Rig(set(), 1_000)
         assert rig.elector.silence_timeout_ms == _TIMINGS.owner_silent_ms
 
-    def test_somebody_hears_it(self) -> None:
+    def test_recent_heartbeat_prevents_acquisition(self) -> None:
         """A zone whose owner has recent heartbeats at a witness is not acquired."""
 
         async def play() -> None:
--- a/tests/test_owners_endpoint_link.py
+++ b/tests/test_owners_endpoint_link.py
@@ -262,7 +262,7 @@
         return self.state.candidates["w1"].is_eligible(monotonic_ms())
 
 
-class TestNextLife:
+class TestNextIncarnation:
     """A new incarnation of a known endpoint."""
 
     def test_its_answer_comes_first(self) -> None:
--- a/tests/test_owners_late_replies.py
+++ b/tests/test_owners_late_replies.py
@@ -98,7 +98,7 @@
         self.state.report(EndpointReport("w1", (), (), now_ms - 1_300.0), now_ms - 1_300.0)
 
 
-class TestAskedLate:
+class TestLateCancel:
     """A box that cancels too late must not trust the answer, even with an unbroken grant."""
 
     def test_two_pauses_with_a_heartbeat_between(self) -> None:
--- a/tests/test_owners_refusals.py
+++ b/tests/test_owners_refusals.py
@@ -306,7 +306,7 @@
 
 
 @pytest.mark.parametrize("seed", [*_KEPT_STANDING_SEEDS, *range(_FIRST_SEED, _FIRST_SEED + _SEEDS)])
-class TestRefusalsOfStandingBoxes:
+class TestRefusalsOfPausedBoxes:
     """Pauses of single boxes, restarts of all boxes, and callers that retry at several boxes."""
 
     def test_the_promises_hold(self, seed: int) -> None:
--- a/tests/test_owners_renewed_session.py
+++ b/tests/test_owners_renewed_session.py
@@ -330,7 +330,7 @@
         _run(scenario)
 
 
-class TestAllIsDueAtOnce:
+class TestPausePastDeadline:
     """The box is the owner and pauses past its job's deadline until the record of starts expires.
 
     Its own heartbeat, the check for lapsed grants, the owner's tick and the deadline are then due
--- a/tests/test_owners_sessions.py
+++ b/tests/test_owners_sessions.py
@@ -48,10 +48,10 @@
     asyncio.run(test)
 
 
-class TestLapsedRights:
+class TestLapsedSessions:
     """A session that lapsed and was renewed with the same owner."""
 
-    def test_first_grant_tells_nothing(self) -> None:
+    def test_first_session_is_not_announced(self) -> None:
         """The first session with a box is not announced."""
 
         async def play() -> None:
@@ -64,7 +64,7 @@
 
         _run(play())
 
-    def test_told_before_any_end(self) -> None:
+    def test_announced_before_any_end(self) -> None:
         """A renewed session is announced before any end, also after a lost message."""
 
         async def play() -> None:
--- a/tests/test_owners_started_jobs.py
+++ b/tests/test_owners_started_jobs.py
@@ -30,7 +30,7 @@
         known.expire(2 * _LONG_MS)
         assert _JOB not in known
 
-    def test_for_as_long_as_a_box_believes_it(self) -> None:
+    def test_kept_while_box_accepts_statement(self) -> None:
         """A job is kept as long as a delayed box accepts the owner's statement."""
         known = StartedJobs()
         known.note(_JOB, 0.0)
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -211,7 +211,7 @@
     return submission(orders=[RunOrder(0, 0, 1, delivery=delivery)])
 
 
-class TestHandOvers:
+class TestDuplicateDeliveries:
     """Late copies of a delivery do not start its runs again."""
 
     _GROUP = GroupId(_JOB, 0, 0)
@@ -505,7 +505,7 @@
     return run_id
 
 
-class TestNextLife:
+class TestNextIncarnation:
     """An endpoint restarts under the same id while it has runs."""
 
     def test_its_first_report_ends_what_the_life_before_ran(self) -> None:
@@ -602,7 +602,7 @@
         assert state.candidates["w1"].is_eligible(5_006.0)
 
 
-class TestTakeOver:
+class TestOwnerTakeover:
     """A new owner recovers the runs of an earlier one."""
 
     def test_running_run_is_adopted(self) -> None:
--- a/tests/test_owners_two_pauses.py
+++ b/tests/test_owners_two_pauses.py
@@ -79,7 +79,7 @@
     return outcome
 
 
-class TestTwoStops:
+class TestTwoPauses:
     """The grant stays unbroken, since a heartbeat is handled between the two pauses."""
 
     @pytest.mark.parametrize("waking", list(Waking))
--- a/tests/test_owners_unanswered_starts.py
+++ b/tests/test_owners_unanswered_starts.py
@@ -37,10 +37,10 @@
         assert _one_unanswered().stops_due({"w2"}, _SENT_MS + 1, _SENT_MS + 101) == []
 
 
-class TestNextLife:
+class TestNextIncarnation:
     """The next incarnation under the endpoint's id."""
 
-    def test_it_is_told_at_once(self) -> None:
+    def test_next_incarnation_gets_stop(self) -> None:
         """A confirmation by the previous incarnation is void, and the stop order is due at once."""
         unanswered = _one_unanswered()
         unanswered.note_stopped(_RUN, "w1")
@@ -55,7 +55,7 @@
         assert unanswered.stops_due({"w1"}, _SENT_MS + 1, _SENT_MS + 101) == []
 
 
-class TestTooLate:
+class TestExpiry:
     """A start order that can no longer be carried out."""
 
     def test_is_forgotten(self) -> None:
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -40,13 +40,13 @@
 class TestWatchPauses:
     """Guards the distinction between a computing process and one that is not scheduled."""
 
-    def test_not_run_by_the_machine(self) -> None:
+    def test_not_scheduled(self) -> None:
         """A process that is not running uses little processor time during the pause."""
         detected = _detected_pauses(lambda: time.sleep(_PAUSE_S))[0]
         assert detected.paused_ms >= PAUSE_MIN_MS
         assert detected.processor_ms < detected.paused_ms / 2
 
-    def test_at_work_on_one_thing(self) -> None:
+    def test_blocked_by_computation(self) -> None:
         """A computing process uses processor time for the length of the pause."""
         detected = _detected_pauses(_compute)[0]
         assert detected.processor_ms >= PAUSE_MIN_MS
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -335,7 +335,7 @@
         shard.tick(2_000.0)
         assert "Ejected w0" in " ".join(shard.take_events())
 
-    def test_far_slower_is_ejected_and_probed_only_after_a_sign_of_life(self) -> None:
+    def test_slow_endpoint_is_probed_only_after_liveness_check(self) -> None:
         """An endpoint ten times slower than its peers gets a probe only after a liveness check."""
         shard = _shard(_config(4))
         for number in range(160):
@@ -389,7 +389,7 @@
         assert may_retry(problem, service, repeatable) is expected
 
     @pytest.mark.parametrize(("deaths", "expected"), [(1, True), (2, False), (3, False)])
-    def test_a_task_that_kills_its_endpoints(self, deaths: int, expected: bool) -> None:
+    def test_no_retry_after_two_endpoint_crashes(self, deaths: int, expected: bool) -> None:
         """A task is not retried after it has crashed two endpoints."""
         service = Service(workers=["*"], concurrency_max=0, restart="after-worker-death")
         assert may_retry(may_have_run("worker-lost"), service, True, deaths) is expected
@@ -426,7 +426,7 @@
 class TestLeasedSlots:
     """The coordinator's side of leases."""
 
-    def test_asks_a_new_manager_until_it_must_know(self) -> None:
+    def test_fast_retransmission_after_manager_change(self) -> None:
         """After a change of lease manager, requests are retransmitted quickly, later slowly."""
         network: Any = RecordingNetwork()
         config = _config(1)
--- a/tests/test_placement_ejection.py
+++ b/tests/test_placement_ejection.py
@@ -45,7 +45,7 @@
         ejection.record_failure("w1", 2.0)
         assert sentences == ["Ejected w1: consecutive failures."]
 
-    def test_no_probe_without_a_sign_of_life(self) -> None:
+    def test_no_probe_without_liveness_check(self) -> None:
         """An ejected endpoint is probed only after its ejection time and a liveness check."""
         ejection, _ = self._ejection()
         ejection.note_overdue("w1", 0.0)
@@ -56,7 +56,7 @@
         assert ejection.due_for_liveness_check(_EJECTION_MS) == []
         assert ejection.may_probe("w1", _EJECTION_MS)
 
-    def test_a_probe_uses_the_sign_of_life_up(self) -> None:
+    def test_probe_uses_up_liveness_check(self) -> None:
         """A probe needs a new liveness check if the previous one has been used."""
         ejection, sentences = self._ejection()
         ejection.note_overdue("w1", 0.0)
--- a/tests/test_placement_faults.py
+++ b/tests/test_placement_faults.py
@@ -89,7 +89,7 @@
     return _starts_on(cluster, endpoint) == before
 
 
-class TestSickEndpoints:
+class TestFaultyEndpoints:
     """Endpoints that hang, slow down or crash."""
 
     @pytest.fixture
--- a/tests/test_resized_endpoints.py
+++ b/tests/test_resized_endpoints.py
@@ -71,7 +71,7 @@
         play(scenario, tmp_path)
 
 
-class TestFitsNowhere:
+class TestUnplaceable:
     """A job whose tasks exceed the present capacity of every endpoint."""
 
     def test_refused_at_once(self, tmp_path: Path) -> None:
--- a/tests/test_scheduling_groups.py
+++ b/tests/test_scheduling_groups.py
@@ -41,7 +41,7 @@
         assert tier_of(group, 800.0) == Tier.LATE
         assert tier_of(group, 1_700.0) == Tier.UNATTAINABLE
 
-    def test_a_guess_that_is_too_short(self) -> None:
+    def test_caller_estimate_too_short(self) -> None:
         """The queue's estimate applies if it exceeds the caller's."""
         group = RunGroup(_spec(estimate_ms=10), expected_ms=300.0)
         assert group.late_ms == LATE_FACTOR * (1.6 * 300 + 60)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -82,7 +82,7 @@
             ([{"kind": "controller-replace", "old": "a1", "new": "a1"}], "already"),
         ],
     )
-    def test_intents_that_mean_nothing(self, raw: list[Any], reason: str) -> None:
+    def test_invalid_intents(self, raw: list[Any], reason: str) -> None:
         """Intents that can't be applied are refused with a reason."""
         planned = make_plan(_state().config, parse_intents(raw).ok)
         assert reason in planned.error
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -133,7 +133,7 @@
         assert not [str(one.message) for one in caught if one.category is RuntimeWarning]
 
 
-class TestStrangers:
+class TestUnknownSenders:
     """Guards against messages of unknown senders and malformed messages."""
 
     def test_unknown_sender_is_counted(self) -> None:
@@ -223,7 +223,7 @@
         asyncio.run(run())
 
 
-class TestDoubledClaims:
+class TestDuplicateClaims:
     """Guards a real daemon against duplicate claim requests."""
 
     @pytest.fixture
