--- a/tests/test_platform_signals.py
+++ b/tests/test_platform_signals.py
@@ -34,15 +34,15 @@
             await system.kill(name)
             await system.start(name)
             process = system.processes[name]
-            until_s = time.monotonic() + _START_TIMEOUT_S
+            deadline_s = time.monotonic() + _START_TIMEOUT_S
             while not _read_signal_mask(process.pid, "SigIgn:") & _SIGHUP_BIT:
                 assert not _read_signal_mask(process.pid, "SigCgt:") & _SIGHUP_BIT, (
                     "the handler came first"
                 )
-                assert time.monotonic() < until_s
+                assert time.monotonic() < deadline_s
                 await asyncio.sleep(0.001)
             while not await system.is_up(name):
-                assert time.monotonic() < until_s
+                assert time.monotonic() < deadline_s
                 process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.005)
             assert process.returncode is None
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -42,7 +42,7 @@
 
         async def scenario(system: PlatformSystem) -> None:
             owner = system.owner()
-            name = owner if is_owner else next(one for one in system.entries if one != owner)
+            name = owner if is_owner else next(other for other in system.entries if other != owner)
             await _suspend(system, name)
             await asyncio.sleep(_RECOVERY_S)
             for first_job, entry in enumerate(system.entries):
--- a/tests/test_unchanged.py
+++ b/tests/test_unchanged.py
@@ -86,13 +86,13 @@
     def test_bytes(self, name: str, modules: list[str]) -> None:
         """Each message keeps its number, encoding and counter."""
         program = [sys.executable, str(_ROOT / "tests/unchanged/describe_messages.py"), *modules]
-        printed = subprocess.run(program, capture_output=True, text=True, check=True)
-        check(name, json.loads(printed.stdout))
+        process = subprocess.run(program, capture_output=True, text=True, check=True)
+        check(name, json.loads(process.stdout))
 
 
 def _command_of(kind: Any) -> Any:
     hints = [(field.name, field.type) for field in msgspec.structs.fields(kind)]
-    return kind(*(sample(hint, "f" + "x" * place) for place, (_, hint) in enumerate(hints)))
+    return kind(*(sample(hint, "f" + "x" * position) for position, (_, hint) in enumerate(hints)))
 
 
 def _confirm(command: str, intents: list[dict[str, Any]], replicated: ReplicatedState) -> bytes:
@@ -224,10 +224,10 @@
     def test_answers(self) -> None:
         """Every route keeps its status, headers and body."""
         program = [sys.executable, "-m", "unchanged.own_http"]
-        printed = subprocess.run(
+        process = subprocess.run(
             program, capture_output=True, text=True, check=True, cwd=_ROOT / "tests"
         )
-        check("own_http", json.loads(printed.stdout))
+        check("own_http", json.loads(process.stdout))
 
 
 class TestSettings:
@@ -250,8 +250,10 @@
         elif field.default is not msgspec.NODEFAULT:
             found[field.encode_name] = field.default
         else:
-            is_made = field.default_factory is not msgspec.NODEFAULT
-            found[field.encode_name] = field.default_factory() if is_made else "(required)"
+            has_default_factory = field.default_factory is not msgspec.NODEFAULT
+            found[field.encode_name] = (
+                field.default_factory() if has_default_factory else "(required)"
+            )
     return found
 
 
@@ -312,7 +314,7 @@
     def test_verbs(self) -> None:
         """Every command keeps its flags and their defaults."""
         verbs = {
-            name: [str(one) for one in inspect.signature(verb).parameters.values()][1:]
+            name: [str(parameter) for parameter in inspect.signature(verb).parameters.values()][1:]
             for name, verb in vars(Commands).items()
             if inspect.isfunction(verb) and not name.startswith("_")
         }
--- a/tests/test_unchanged_platform.py
+++ b/tests/test_unchanged_platform.py
@@ -213,7 +213,7 @@
     """An endpoint that records requests and returns the configured response."""
 
     def __init__(self) -> None:
-        self.orders: list[Any] = []
+        self.requests: list[Any] = []
         self.answer: tuple[int, Any] = (200, {})
 
     async def handle(self, request: web.Request) -> web.Response:
@@ -222,7 +222,7 @@
             for key in ("Content-Type", "X-Foldloom-Expected-Instance")
             if key in request.headers
         }
-        self.orders.append(
+        self.requests.append(
             [request.method, request.path, kept_headers, (await request.read()).decode()]
         )
         status, body = self.answer
@@ -267,10 +267,11 @@
             unreachable = await calls.stop_run(record, _RUN, 7)
             await calls.stop()
             replies.append([unreachable.outcome.value])
-            distinct = [
-                json.loads(text) for text in sorted({json.dumps(o) for o in endpoint.orders})
+            distinct_requests = [
+                json.loads(text)
+                for text in sorted({json.dumps(request) for request in endpoint.requests})
             ]
-            return {"orders": distinct, "replies": replies}
+            return {"orders": distinct_requests, "replies": replies}
 
         check("platform_orders", asyncio.run(collect_answers()))
 
--- a/tests/unchanged/describe_messages.py
+++ b/tests/unchanged/describe_messages.py
@@ -58,8 +58,8 @@
     hints = typing.get_type_hints(message_type)
     return message_type(
         *(
-            sample(hints[name], f"f{place}" + "x" * place)
-            for place, name in enumerate(message_type._fields)
+            sample(hints[name], f"f{position}" + "x" * position)
+            for position, name in enumerate(message_type._fields)
         )
     )
 
--- a/tests/unchanged/http_answers.py
+++ b/tests/unchanged/http_answers.py
@@ -18,7 +18,9 @@
         for method, path, body in calls:
             data = body if isinstance(body, bytes | None) else json.dumps(body).encode()
             async with client.request(method, path, data=data, headers=headers) as answer:
-                kept = {key: answer.headers[key] for key in _KEPT_HEADERS if key in answer.headers}
+                kept_headers = {
+                    key: answer.headers[key] for key in _KEPT_HEADERS if key in answer.headers
+                }
                 text = await answer.text()
-            answers[f"{method} {path}"] = [answer.status, kept, text]
+            answers[f"{method} {path}"] = [answer.status, kept_headers, text]
     return answers
--- a/tests/unchanged/own_http.py
+++ b/tests/unchanged/own_http.py
@@ -45,7 +45,7 @@
 
 
 _JOB = {"service": "s", "member": "m", "tasks": [{"payload": {"ms": 1}}]}
-_OWN_CALLS: list[tuple[str, str, Any]] = [
+_REQUESTS: list[tuple[str, str, Any]] = [
     ("GET", "/healthz", None),
     ("GET", "/readyz", None),
     ("PUT", "/v1/jobs/complete", _JOB),
@@ -84,8 +84,8 @@
     token = {"Authorization": "Bearer secret"}
     status = box.status()
     answers = {
-        "callers": await answers_of(callers._app, _OWN_CALLS[:15], {}),
-        "unauthorized": await answers_of(unauthorized._http._app, _OWN_CALLS[15:], {}),
+        "callers": await answers_of(callers._app, _REQUESTS[:15], {}),
+        "unauthorized": await answers_of(unauthorized._http._app, _REQUESTS[15:], {}),
         "operators": await answers_of(box._http._app, [("GET", "/v1/config", None)], token),
         "status": [sorted(status), sorted(status["boxes"]["a1"])],
     }
