--- a/src/foldloom/settings.py
+++ b/src/foldloom/settings.py
@@ -33,16 +33,15 @@
     port: Port
     # Certificate chain in PEM; with the key, HTTP is served over TLS.
     tls_certificate_file: str = ""
-    # Its private key in PEM.
+    # Private key of the certificate, in PEM.
     tls_key_file: str = ""
-    # Bytes of a request's body; larger ones get 413.
+    # Maximum size of a request body, in bytes; larger ones get 413.
     body_max_bytes: PositiveInt = 8 * 1024 * 1024
-    # Milliseconds for the first request head of a connection.
+    # Timeout for the first request head of a connection, in milliseconds.
     header_timeout_ms: PositiveInt = 10_000
-    # Milliseconds for a body; slower ones get 408.
+    # Timeout for a request body, in milliseconds; slower ones get 408.
     body_timeout_ms: PositiveInt = 30_000
-    # Connections at a time; more are closed at once: below the 4,096 descriptors of the users'
-    # boxes.
+    # Maximum number of open connections; further ones are closed at once.
     connections_max: PositiveInt = 2_000
 
 
@@ -52,7 +51,7 @@
     ``http_url`` is unused and accepted so that older files still load.
     """
 
-    # The box's name.
+    # Name of the box.
     box: Name
     # Its availability zone.
     zone: Name
@@ -60,113 +59,109 @@
     roles: list[str]
     # `IP:port` of its peer socket, as seen from this box.
     address: str
-    # Accepted and ignored.
+    # Deprecated and ignored.
     http_url: str = ""
-    # Its CURVE key, Z85; required off loopback.
+    # Its public CURVE key, in Z85; required off loopback.
     public_key: str = ""
 
 
 class LimitSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Limits on jobs, queues, retries and memory."""
 
-    # Tasks of a job; more get 413: above the 1,700 of the size to design for.
+    # Maximum number of tasks per job; larger jobs get 413.
     tasks_per_job_max: PositiveInt = 2_000
-    # Jobs that run on a box at a time.
+    # Maximum number of jobs in flight on a box.
     jobs_in_flight_max: PositiveInt = 4_000
-    # Tasks that wait at one lease manager.
+    # Maximum number of tasks queued at one lease manager.
     queued_tasks_max: PositiveInt = 4_000
-    # The same of one customer.
+    # The same for each customer.
     queued_tasks_per_customer_max: PositiveInt = msgspec.field(
         default=4_000, name="queued_tasks_per_member_max"
     )
-    # Connections to one endpoint: what the users' endpoints take.
+    # Maximum number of connections to one endpoint.
     connections_per_endpoint: PositiveInt = msgspec.field(default=64, name="connections_per_worker")
-    # Bytes of a task's answer.
+    # Maximum size of a task's answer, in bytes.
     answer_max_bytes: PositiveInt = 1024 * 1024
-    # Answers that are kept for resubmissions.
+    # Maximum number of jobs whose answers are retained for resubmissions.
     retained_jobs_max: PositiveInt = 200_000
-    # Bytes of these answers.
+    # Maximum total size of retained answers, in bytes.
     retained_bytes_max: PositiveInt = 256 * 1024 * 1024
-    # Claims that a replica holds; at some 280 bytes each (docs/CAPACITY.md).
+    # Maximum number of claims on a replica; about 280 bytes each (docs/CAPACITY.md).
     claims_max: PositiveInt = 1_000_000
-    # Share of recent starts that may be retries, so that a failing zone makes no storm.
+    # Maximum share of retries among recent starts; prevents retry storms.
     retry_share: Share = 0.1
-    # Share of a shard's endpoints that may be left out as sick at a time: one of three.
+    # Maximum share of a shard's endpoints that may be ejected at a time.
     ejected_share_max: Share = 0.34
-    # Endpoints above which a zone's slots are shared between lease managers.
+    # Number of endpoints above which a zone is sharded between lease managers.
     lease_shard_endpoints: PositiveInt = msgspec.field(default=64, name="lease_shard_workers")
 
 
 class TimingSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Intervals and timeouts, in milliseconds."""
 
-    # Between two heartbeats to each box, so that several may be lost before a box counts as silent.
+    # Heartbeat interval between boxes.
     heartbeat_ms: PositiveInt = 250
-    # Silence after which a box counts as gone: four heartbeats.
+    # Silence after which a box counts as unreachable.
     peer_silent_ms: PositiveInt = 1_000
-    # A job's deadline if it names none.
+    # Default deadline of a job.
     deadline_default_ms: PositiveInt = 30_000
-    # The longest deadline; longer ones are cut to it.
+    # Maximum deadline of a job; longer ones are reduced to it.
     deadline_max_ms: PositiveInt = 60_000
-    # For how long after its deadline a submission is remembered.
+    # Retention of a submission after its deadline, for resubmissions.
     resubmission_window_ms: PositiveInt = 120_000
-    # For all votes of a claim: far above a round trip between zones.
+    # Timeout for the votes on a claim.
     claim_timeout_ms: PositiveInt = 300
-    # Until the third replica is asked as well: above the usual vote, which takes some milliseconds
-    # under load.
+    # Delay before the claim request is also sent to the third replica.
     claim_hedge_ms: PositiveInt = 15
-    # A slot's lease without a renewal.
+    # Time-to-live of a slot lease without renewal.
     lease_ttl_ms: PositiveInt = 2_000
-    # Silence of the leader after which a controller stands; drawn up to twice that: far above a
-    # sync of the users' disks (9 ms) and a round trip.
+    # Minimum election timeout of controllers; randomized up to twice this value.
     election_timeout_ms: PositiveInt = 600
-    # Added to each sync, to stand for a slower disk in benchmarks.
+    # Delay added to each disk sync, to simulate slower disks in benchmarks.
     sync_delay_ms: NonNegativeInt = 0
-    # Bound of a planned stop: above the longest deadline.
+    # Timeout of a planned stop; should exceed the maximum deadline.
     stop_timeout_ms: PositiveInt = 70_000
-    # Between two polls of the platform's list of boxes.
+    # Interval between polls of the platform's list of boxes.
     platform_poll_ms: PositiveInt = 500
-    # For how long a sick endpoint is left out before it is probed.
+    # Duration of an ejection before the endpoint is probed.
     ejection_ms: PositiveInt = 2_000
-    # Between two joins of each controller (seed discovery).
+    # Interval between joins of each controller (seed discovery).
     join_ms: PositiveInt = 250
-    # Between two heartbeats of a zone's owner.
+    # Heartbeat interval of a zone's owner.
     owner_heartbeat_ms: PositiveInt = msgspec.field(default=100, name="owner_beat_ms")
-    # Silence after which an owner is replaced: four of its heartbeats; on loopback a zone was
-    # without an owner for 444 to 527 ms.
+    # Silence after which an owner is replaced.
     owner_silent_ms: PositiveInt = 400
-    # For how long an acknowledged heartbeat lets an owner run a box's tasks: as an owner's silence,
-    # so that a new owner need not wait for the old one's right.
+    # Duration of an owner's session with a box after an acknowledged heartbeat; at most
+    # owner_silent_ms, so that a new owner need not wait for the previous session to expire.
     session_ms: PositiveInt = 400
-    # Lease of what runs on an endpoint, so that two polls (200 ms) may be lost.
+    # Lease of a run on an endpoint; tolerates the loss of two polls.
     endpoint_lease_ms: PositiveInt = msgspec.field(default=600, name="worker_lease_ms")
-    # The longest lease that an endpoint gives, whatever it is asked for: the bound of the users'
-    # platform.
+    # Maximum lease granted by an endpoint, whatever is requested.
     endpoint_lease_max_ms: PositiveInt = 1_000
-    # From a planned stop to the end of new connections: above the two seconds after which the
-    # users' balancer leaves a box that is not ready.
+    # Drain time of a planned stop, during which new connections are still accepted; must exceed the
+    # time in which the load balancer removes a box that is not ready.
     drain_ms: PositiveInt = 2_500
 
 
 class LogSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Destination, format and level of log lines."""
 
-    # The least level that is written.
+    # Minimum level of log lines.
     level: str = "INFO"
     # `text` or `json`.
     format: str = "text"
-    # A file; standard output if empty.
+    # Log file; standard output if empty.
     file: str = ""
 
 
 class StatsdSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Address of the statsd server; no metrics are sent while ``host`` is empty."""
 
-    # The statsd server; empty sends nothing.
+    # Host of the statsd server; no metrics are sent if empty.
     host: str = ""
-    # Its port.
+    # Port of the statsd server.
     port: Port = 8125
-    # In front of every name.
+    # Prefix of every metric name.
     prefix: str = "foldloom"
 
 
@@ -185,37 +180,37 @@
     zone: Name
     # `entry`, `controller` or both.
     roles: list[str]
-    # Where callers and operators reach this box.
+    # HTTP interface for callers and operators.
     http: HttpSettings
     # `IP:port` of the peer socket.
     listen: str
-    # All boxes, this one included; or none, with seeds.
+    # All boxes, including this one; empty with seeds.
     peers: list[PeerSettings] = []
-    # `IP:port` of some controllers, through which the others are found.
+    # `IP:port` of some controllers, for seed discovery.
     seeds: list[str] = []
-    # Must be true to run with seeds, which know no keys, off the loopback address.
+    # Must be true to use seeds, which do not support CURVE keys, off the loopback address.
     plaintext_peers: bool = False
-    # A controller's data folder; on other boxes where the configuration is cached.
+    # Data folder of a controller; on other boxes, cache of the configuration.
     data_folder: str = ""
-    # This box's CURVE key; required off loopback with peers.
+    # Secret CURVE key of this box; required off loopback with peers.
     secret_key_file: str = ""
-    # Bearer tokens of operators, one a line; without it no operator is let in.
+    # Bearer tokens of operators, one per line; if empty, operator requests are rejected.
     operator_tokens_file: str = ""
-    # Certificates that endpoints over HTTPS are checked against.
+    # CA certificates for verifying endpoints over HTTPS.
     endpoint_ca_file: str = msgspec.field(default="", name="worker_ca_file")
-    # Where the platform lists boxes that are leaving; empty for none.
+    # URL of the platform's list of leaving boxes; empty if there is none.
     platform_url: str = ""
-    # `IP:port` where metrics are served as text; empty serves none.
+    # `IP:port` for metrics in the Prometheus text format; empty disables it.
     metrics_address: str = ""
-    # How slots are chosen; all but `slot-leases` are baselines to measure against.
+    # Placement policy; all but `slot-leases` are baselines for benchmarks.
     policy: str = "slot-leases"
-    # Bounds on jobs, queues, retries and memory.
+    # Limits on jobs, queues, retries and memory.
     limits: LimitSettings = LimitSettings()
-    # Intervals and time-outs.
+    # Intervals and timeouts.
     timings: TimingSettings = TimingSettings()
-    # Where log lines go.
+    # Log output.
     logs: LogSettings = LogSettings()
-    # Where metrics are sent.
+    # Metrics over statsd.
     statsd: StatsdSettings = StatsdSettings()
 
     @property
