--- a/src/foldloom/seed_discovery/controller_box.py
+++ b/src/foldloom/seed_discovery/controller_box.py
@@ -129,7 +129,7 @@
     async def publish(
         self, version: int, document: bytes, timeout_ms: float
     ) -> Result[int, Problem]:
-        """Commit *document* as *version*; return the version in force afterwards."""
+        """Commit *document* as *version*; return the version in effect afterwards."""
         return await self._publisher.publish(version, document, timeout_ms)
 
     async def newest(self, timeout_ms: float) -> Result[Publication, Problem]:
@@ -178,8 +178,9 @@
     def _services_of(self, publication: Publication) -> Container[str] | None:
         """Return the services whose reports are accepted, ``None`` for all.
 
-        A controller that has lost its data accepts none until it has pulled the configuration,
-        within a join or two: it would push reports of unknown services to entry boxes.
+        A controller that has lost its data accepts no reports until it has pulled the
+        configuration, within a join or two. Otherwise it would push reports of unknown services to
+        entry boxes.
         """
         if publication.version:
             return self._read_services(publication)
@@ -187,6 +188,6 @@
 
 
 def _format_if_new(folder: str, is_founder: bool) -> None:
-    """Format the data folder if it is new; only a founder's counts as never having lost data."""
+    """Format the data folder if it is new; only a founder's is marked as never having lost data."""
     if not (Path(folder) / "identity").exists():
         format_folder(folder, is_first=is_founder)
--- a/src/foldloom/seed_discovery/endpoints/calls.py
+++ b/src/foldloom/seed_discovery/endpoints/calls.py
@@ -115,7 +115,7 @@
 
 
 class CallReply(NamedTuple):
-    """The reply to an order.
+    """The reply to a start or stop call.
 
     Args:
         outcome: The outcome of the call.
--- a/src/foldloom/seed_discovery/endpoints/records.py
+++ b/src/foldloom/seed_discovery/endpoints/records.py
@@ -85,7 +85,7 @@
 
     An incarnation with an earlier start time is taken for a delayed report, even if the endpoint's
     wall clock was set back: the two cannot be distinguished. Such an endpoint gets no work until
-    the known incarnation is evicted, after 15 s of silence.
+    the known incarnation is evicted for silence.
     """
     if known is None:
         return ReportVerdict.FIRST
@@ -113,6 +113,6 @@
     An incarnation reports that it is draining before it deregisters. While it is ready, the
     deregistration is from the previous incarnation, or the draining report went to another
     controller. Accepting a delayed one would restart all runs of the next incarnation elsewhere;
-    the owner's polls detect within 0.7 s whether the endpoint is alive.
+    the owner's polls soon detect whether the endpoint is alive.
     """
     return not known.born_ms or known.state is EndpointState.DRAINING
--- a/src/foldloom/seed_discovery/entry_box.py
+++ b/src/foldloom/seed_discovery/entry_box.py
@@ -37,7 +37,7 @@
 from foldloom.tasks import TaskSet
 from foldloom.time_limits import SuspendAwareTimeout, sleep
 
-# Without heartbeats from any owner for this long, the box is not ready: three owner failovers.
+# Without heartbeats from any owner for this long, the box is not ready; several owner failovers.
 _OWNER_LOST_MS = 1_500.0
 
 ReadQueues = Callable[[Publication], QueueTable]
--- a/src/foldloom/seed_discovery/fleet/joiner.py
+++ b/src/foldloom/seed_discovery/fleet/joiner.py
@@ -28,7 +28,7 @@
 
 # Consecutive joins without a reply before a controller is logged as lost.
 _LOST_AFTER_FAILURES = 3
-# Below the default join interval (250 ms).
+# Below the default join interval.
 _CONTROLLER_CHECK_INTERVAL_S = 0.1
 
 
@@ -37,7 +37,7 @@
 
 
 class Joiner:
-    """Join every controller periodically and apply the replies.
+    """Joins every controller periodically and applies the replies.
 
     Args:
         network: The peer network.
--- a/src/foldloom/seed_discovery/fleet/messages.py
+++ b/src/foldloom/seed_discovery/fleet/messages.py
@@ -77,7 +77,7 @@
 
     Args:
         record: The sender.
-        published_version: The published configuration version active at the sender.
+        published_version: The published configuration version in effect at the sender.
         catalog_life: The controller incarnation that ``catalog_revision`` refers to.
         catalog_revision: The last catalog revision received; 0 requests the whole catalog.
     """
@@ -172,7 +172,7 @@
         owner: The owner.
         record: The owner's box.
         sent_ms: Its monotonic clock at sending, returned in the acknowledgement.
-        published_version: The published configuration version active at the owner.
+        published_version: The published configuration version in effect at the owner.
         load: The load of its zone.
     """
 
@@ -184,15 +184,15 @@
 
 
 class HeartbeatAck(NamedTuple):
-    """A box's acknowledgement of an owner's heartbeat: a grant to run the box's tasks.
+    """A box's acknowledgement of an owner's heartbeat, which begins or renews the owner's session.
 
-    The grant is valid for the session time from ``heartbeat_sent_ms`` on, by the owner's clock.
+    The session ends one session time after ``heartbeat_sent_ms``, by the owner's clock.
 
     Args:
-        token: The highest fencing token known to the box.
+        token: The owner's fencing token, from the acknowledged heartbeat.
         heartbeat_sent_ms: When the acknowledged heartbeat was sent, by the owner's clock.
         record: The box.
-        published_version: The published configuration version active at the box.
+        published_version: The published configuration version in effect at the box.
     """
 
     token: int
--- a/src/foldloom/seed_discovery/fleet/published.py
+++ b/src/foldloom/seed_discovery/fleet/published.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""The published configuration active on this box; its version only increases.
+"""The published configuration in effect on this box; its version only increases.
 
 Controllers push new versions; a missed one is pulled from a peer that has it.
 """
@@ -15,16 +15,16 @@
 from foldloom.seed_discovery.fleet.cache import PublicationCache
 from foldloom.seed_discovery.fleet.messages import Noted, Published, PullPublished
 
-# Allows for documents of some megabytes on a slow link.
+# Timeout of a pull; allows for documents of some megabytes on a slow link.
 _PULL_TIMEOUT_MS = 800
 
 
 class PublishedHolder:
-    """Hold the newest committed publication received by this box.
+    """Holds the newest committed publication received by this box.
 
     Args:
         network: The peer network.
-        on_change: Called with each newer publication, after it becomes active.
+        on_change: Called with each newer publication, after it takes effect.
         cache: Cache that survives a restart; ``None`` on a box without a disk.
     """
 
@@ -44,12 +44,12 @@
 
     @property
     def publication(self) -> Publication:
-        """The active publication."""
+        """The publication in effect."""
         return self._publication
 
     @property
     def version(self) -> int:
-        """The active version; 0 before the first publication."""
+        """The version in effect; 0 before the first publication."""
         return self._publication.version
 
     def adopt(self, publication: Publication) -> None:
@@ -63,7 +63,7 @@
             self._cache.write_soon(publication)
 
     async def pull_newer(self, box: str, version: int) -> None:
-        """Pull the publication from *box* if its *version* is newer than the active one."""
+        """Pull the publication from *box* if its *version* is newer than the one in effect."""
         if version <= self.version or box in self._pulling_from:
             return
         self._pulling_from.add(box)
--- a/src/foldloom/seed_discovery/fleet/publisher.py
+++ b/src/foldloom/seed_discovery/fleet/publisher.py
@@ -22,16 +22,16 @@
 from foldloom.time_limits import SuspendAwareTimeout
 from foldloom.verdicts import Problem, may_have_run, not_run
 
-# Small against the default election timeout (600 ms).
+# Small against the default election timeout.
 _RETRY_INTERVAL_S = 0.03
-# Half of the caller's usual timeout (800 ms), so that a read can be retried at a second leader.
+# At most half of the caller's usual timeout, so that a read can be retried at a second leader.
 _READ_TIMEOUT_MS = 400.0
 # About the duration of an election.
 _RETRY_AFTER_MS = 500
 
 
 class Publisher:
-    """Forward publications and reads to the leader.
+    """Forwards publications and reads to the leader.
 
     Args:
         controller: This controller.
@@ -46,7 +46,7 @@
     async def publish(
         self, version: int, document: bytes, timeout_ms: float
     ) -> Result[int, Problem]:
-        """Commit *document* as *version*; return the version in force afterwards.
+        """Commit *document* as *version*; return the version in effect afterwards.
 
         A problem states whether the document may still be committed.
         """
--- a/src/foldloom/seed_discovery/fleet/registry.py
+++ b/src/foldloom/seed_discovery/fleet/registry.py
@@ -41,11 +41,11 @@
 from foldloom.settings import CONTROLLER, ENTRY
 from foldloom.tasks import TaskSet
 
-# Without a join for this long, a box gets no pushes: six default join intervals.
+# Time without a join after which a box gets no pushes; several default join intervals.
 _LIVENESS_TIMEOUT_MS = 1_500.0
-# Far above the duration of a restart.
+# Time without a join after which a box is removed; far longer than a restart.
 _BOX_EXPIRY_MS = 10_000.0
-# Eight endpoint heartbeats (1,500 ms); the endpoint may be reporting to another controller.
+# Several endpoint heartbeats; the endpoint may be reporting to another controller.
 _ENDPOINT_EXPIRY_MS = 12_000.0
 # An endpoint's report must be answered within 1 s, even if a box does not acknowledge the push.
 _NOTIFY_TIMEOUT_MS = 350
@@ -67,7 +67,7 @@
 
 
 class Registry:
-    """Answer joins, maintain the endpoint catalog, and push changes to entry boxes.
+    """Answers joins, maintains the endpoint catalog, and pushes changes to entry boxes.
 
     Args:
         network: The peer network.
@@ -127,10 +127,10 @@
     async def handle_report(self, record: EndpointRecord) -> bool:
         """Merge an endpoint's report into the catalog, and push a change to the endpoint's zone.
 
-        Return whether the report's service is configured; an unchanged report counts too.
+        Return whether the report's service is configured, even if the report changes nothing.
         A report of an unknown service is rejected: it would replace the record of an endpoint with
-        the same id, and its address would be polled. If the service is configured later, or so far
-        only at another controller, the endpoint's next report is accepted.
+        the same id, and its address would be polled. Later reports are accepted once this
+        controller has a configuration with the service.
 
         A change to a state other than ready has been pushed when this returns. Boxes that do not
         acknowledge the push receive the change with their next join.
--- a/src/foldloom/seed_discovery/fleet/view.py
+++ b/src/foldloom/seed_discovery/fleet/view.py
@@ -12,9 +12,10 @@
 from foldloom.seed_discovery.fleet.messages import BoxRecord, JoinReply, OwnerRecord
 from foldloom.settings import ENTRY
 
-# Above the longest partition to survive (10 s): a zone keeps working without controllers.
+# Time without news after which a box is removed. Longer than any partition from the controllers
+# that a zone must survive (10 s).
 _BOX_EXPIRY_MS = 20_000.0
-# Far above the join interval (250 ms), below the time until an address is reused.
+# Far above the default join interval, below the time until an address is reused.
 _CONTROLLER_LIST_TTL_MS = 10_000.0
 
 
--- a/src/foldloom/seed_discovery/job_runner.py
+++ b/src/foldloom/seed_discovery/job_runner.py
@@ -78,7 +78,7 @@
 
 
 class JobRunner:
-    """Run one job.
+    """Runs one job.
 
     Args:
         job: The job.
--- a/src/foldloom/seed_discovery/owners/admission.py
+++ b/src/foldloom/seed_discovery/owners/admission.py
@@ -25,8 +25,8 @@
 from foldloom.seed_discovery.scheduling.remote_groups import GroupId
 from foldloom.seed_discovery.scheduling.run_queue import RunQueue
 
-# Time from a term's first job during which no job is rejected: covers two polls of the endpoints
-# with their timeout of 250 ms.
+# Time from a term's first job during which no job is rejected; covers two polls of the endpoints
+# with their timeouts.
 WARM_UP_MS = 500.0
 
 _TAKEN = SubmitReply(SubmitStatus.TAKEN)
--- a/src/foldloom/seed_discovery/owners/batches.py
+++ b/src/foldloom/seed_discovery/owners/batches.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
 """Batches of runs that an entry box has delivered to an owner. Owns the open runs.
 
-An open run records the fencing token of each owner that it was sent to. It is certain not to have
-started only once every one of these owners has confirmed so.
+An open run records the fencing token of each owner that it was sent to. The run counts as not
+started only if every one of these owners has confirmed it.
 """
 
 from __future__ import annotations
--- a/src/foldloom/seed_discovery/owners/client.py
+++ b/src/foldloom/seed_discovery/owners/client.py
@@ -36,7 +36,7 @@
 from foldloom.settings import TimingSettings
 from foldloom.tasks import TaskSet
 
-# Interval of checks for lapsed grants; small against the time after which a grant lapses.
+# Interval of checks for expired grants; small against the time after which a grant expires.
 _LOST_CHECK_S = 0.05
 # Random bits of the first delivery number, so that incarnations do not share numbers; fits 64 bits.
 _DELIVERY_BITS = 48
@@ -86,7 +86,7 @@
         connection.handle_heartbeat(heartbeat, published_version)
 
     async def run(self) -> None:
-        """Report the runs of owners whose grant has lapsed as lost; runs until cancelled."""
+        """Report as lost the runs of owners whose grant has expired; runs until cancelled."""
         while True:
             await asyncio.sleep(_LOST_CHECK_S)
             for connection in self._connections.values():
@@ -116,7 +116,7 @@
         return job.may_have_started
 
     def forget(self, job: OpenJob) -> None:
-        """Cancel a job without waiting for the owners."""
+        """Cancel a job in all zones without waiting for the owners' answers."""
         self._cancels.begin(self._withdraw(job))
 
     def _withdraw(self, job: OpenJob) -> list[Withdrawal]:
@@ -130,7 +130,7 @@
         return [withdrawal for withdrawal in withdrawn if withdrawal is not None]
 
     def _report_lost(self, connection: OwnerConnection, run: LostRun) -> None:
-        """Report a run as lost whose owner's grant has lapsed."""
+        """Report as lost a run of an owner whose grant has expired."""
         batch, order = run
         PLACE_LOG.event(
             "run.lost",
--- a/src/foldloom/seed_discovery/owners/connection.py
+++ b/src/foldloom/seed_discovery/owners/connection.py
@@ -2,7 +2,7 @@
 """An entry box's connection to the owner of one zone.
 
 Holds the batches delivered to the owner and the grant given to it. When the owner's heartbeats
-stop, its runs count as ended only after the grant has lapsed.
+stop, its runs count as ended only after the grant has expired.
 """
 
 from __future__ import annotations
@@ -113,7 +113,7 @@
         return [batch for batch in self.batches_by_id(job.job_id) if batch.job is job]
 
     def pop_lost(self) -> list[LostRun]:
-        """Return and drop the runs that ended with a lapsed grant."""
+        """Return and drop the runs that ended with an expired grant."""
         self._end_lapsed_grant(monotonic_ms())
         lost, self._lost = self._lost, []
         return lost
@@ -136,13 +136,13 @@
         return withdraw(batches, self._owner, self._grant.number)
 
     def is_granted(self, owner: OwnerRecord, grant: int) -> bool:
-        """Return whether *owner* is still the owner and *grant* is in force."""
+        """Return whether *owner* is still the owner and *grant* is valid."""
         if owner != self._owner or grant != self._grant.number:
             return False
         return not self._grant.has_lapsed(monotonic_ms())
 
     def redeliver_all(self) -> None:
-        """Deliver all open runs again to an owner that dropped them with the lapsed session."""
+        """Deliver all open runs again to an owner that dropped them with the expired session."""
         for batches in self._batches.values():
             for batch in batches:
                 # Marked as moved, so that runs accepted before are not refused now.
@@ -154,7 +154,7 @@
                 self._tasks.spawn(self._redeliver(batch, orders, 0.0, "renewed session"))
 
     def _end_lapsed_grant(self, now_ms: float) -> None:
-        """Turn all open runs into lost ones if the grant has lapsed."""
+        """Turn all open runs into lost ones if the grant has expired."""
         if not self._grant.has_lapsed(now_ms):
             return
         silent_ms = self._grant.silent_ms(now_ms)
--- a/src/foldloom/seed_discovery/owners/context.py
+++ b/src/foldloom/seed_discovery/owners/context.py
@@ -24,7 +24,7 @@
         catalog: The endpoints of all zones.
         timings: Intervals and timeouts.
         metrics: Counters.
-        published_version: Returns the published version in force here.
+        published_version: Returns the published version in effect here.
         catalog_age_ms: Returns for how long the catalog has been maintained.
     """
 
--- a/src/foldloom/seed_discovery/owners/crashed_endpoints.py
+++ b/src/foldloom/seed_discovery/owners/crashed_endpoints.py
@@ -19,9 +19,9 @@
 
 
 def may_have_crashed(run: Run, endpoint: str) -> bool:
-    """Return whether *run* was on *endpoint* or its start order there is unconfirmed.
+    """Return whether *run* may have been on *endpoint* when it crashed: running or being stopped.
 
-    A run whose start order still awaits its answer most likely never reached the endpoint.
+    A starting run is excluded, because its start order most likely never reached the endpoint.
     """
     return run.endpoint == endpoint and run.state in (RunState.RUNNING, RunState.STOPPING)
 
--- a/src/foldloom/seed_discovery/owners/deliveries.py
+++ b/src/foldloom/seed_discovery/owners/deliveries.py
@@ -22,7 +22,7 @@
 from foldloom.seed_discovery.scheduling.runs import HolderId, RecoveryBound, Run, RunSpec, RunState
 
 # How long a cancel rejects deliveries that it overtook. Exceeds a delivery's time-to-live plus the
-# clock skew plus the longest pause of an owner that still holds its grant.
+# clock skew plus the longest pause of an owner whose session is still valid.
 CANCEL_TTL_MS = 1_000.0
 
 
@@ -42,7 +42,7 @@
         return not self.delivery or delivery <= self.delivery
 
     def joined(self, other: _Cancel) -> _Cancel:
-        """Return a cancel that covers everything that either of the two covers."""
+        """Return the union of the two cancels."""
         covers_all = not self.delivery or not other.delivery
         delivery = 0 if covers_all else max(self.delivery, other.delivery)
         return _Cancel(max(self.received_ms, other.received_ms), delivery)
@@ -55,7 +55,7 @@
         lifecycle: The runs.
         stealing: The reservations for runs of other zones.
         candidates: The zone's endpoints by id.
-        run_expiry_ms: Longest time that a run can outlive its owner's grant.
+        run_expiry_ms: Longest time that a run can outlast its owner's session.
     """
 
     def __init__(
--- a/src/foldloom/seed_discovery/owners/dispatch.py
+++ b/src/foldloom/seed_discovery/owners/dispatch.py
@@ -1,7 +1,8 @@
 # SPDX-License-Identifier: MIT
 """Dispatches messages for a zone's owner to this box's current term, if it has one.
 
-Owns nothing. A box that does not own its zone declines requests and drops other messages.
+Owns nothing. A box that does not own its zone refuses submissions and steal requests, and answers a
+cancel with "may have started".
 """
 
 from __future__ import annotations
--- a/src/foldloom/seed_discovery/owners/elector.py
+++ b/src/foldloom/seed_discovery/owners/elector.py
@@ -135,7 +135,7 @@
         return successors[0]
 
     def close(self) -> None:
-        """Give up the zone."""
+        """Step down."""
         self._step_down()
 
     def note_fenced(self, endpoint: str) -> None:
@@ -151,7 +151,7 @@
         PLACE_LOG.event("owner.fenced", endpoint=endpoint, token=owner.token)
         token = token_above(owner.token, self._fenced_count, self._box_bits)
         self._step_down()
-        # Another owner would show by its heartbeats; without one, acquire with a higher token.
+        # If there is another owner, its heartbeats will arrive; otherwise acquires with this token.
         self._known = OwnerRecord(self._zone, token)
         self._heartbeat_ms = now_ms
         if self._fenced_count <= _FENCED_MAX:
--- a/src/foldloom/seed_discovery/owners/endpoint_link.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_link.py
@@ -23,7 +23,7 @@
 from foldloom.seed_discovery.endpoints.records import EndpointRecord
 from foldloom.seed_discovery.owners.lease import LAPSE_MARGIN_MS, EndpointClock
 
-# Long-poll wait: a third of the default lease, so that two polls may be lost before it lapses.
+# Long-poll wait; short enough that two polls may be lost before a lease of default length expires.
 _POLL_WAIT_MS = 200
 # Exponential back-off between failed polls; short, because an endpoint restarts within a second.
 _BACKOFF_MIN_S = 0.05
@@ -64,8 +64,8 @@
     new incarnation.
 
     Args:
-        answer_born_ms: Birth time in the answer; 0 if it has none.
-        born_ms: Birth time of the known incarnation; 0 if unknown.
+        answer_born_ms: Start time in the answer; 0 if it has none.
+        born_ms: Start time of the known incarnation; 0 if unknown.
         has_answered: Whether the known incarnation has answered before.
     """
     if not answer_born_ms or answer_born_ms == born_ms:
@@ -94,10 +94,10 @@
         """Handle a crash of *endpoint*: nothing listens at its address any more."""
 
     def note_incarnation_ended(self, endpoint: str, born_ms: int) -> None:
-        """Handle the certain end of the incarnation of *endpoint* born at *born_ms*."""
+        """Handle the certain end of the incarnation of *endpoint* started at *born_ms*."""
 
     def note_next_incarnation(self, endpoint: str, born_ms: int) -> None:
-        """Handle an answer of a later incarnation of *endpoint*, born at *born_ms*."""
+        """Handle an answer from a later incarnation of *endpoint*, started at *born_ms*."""
 
     def note_fenced(self, endpoint: str) -> None:
         """Handle a refusal by *endpoint*, which has seen a higher token."""
@@ -113,7 +113,7 @@
         terms: Lease durations.
         calls: Client for calls to endpoints.
         owner: Receiver of reports and events.
-        born_ms: Birth time of this incarnation; 0 if unknown.
+        born_ms: Start time of this incarnation; 0 if unknown.
         replaces_previous: Whether this owner gave orders to the previous incarnation.
     """
 
@@ -155,7 +155,7 @@
         return self._is_over
 
     def answer_source(self, answer_born_ms: int) -> AnswerSource:
-        """Return which incarnation an answer with this birth time (0 if none) is from."""
+        """Return which incarnation an answer with this start time (0 if none) is from."""
         return classify_answer(answer_born_ms, self.born_ms, self.clock.is_known)
 
     def order_until(self, now_ms: float) -> int:
@@ -165,7 +165,7 @@
         return self.clock.order_until(now_ms, self._terms.lease_ms)
 
     def has_lapsed(self, now_ms: float) -> bool:
-        """Return whether all leases there have certainly lapsed; true once per silence."""
+        """Return whether all leases have certainly expired; true once until the next answer."""
         if not self._is_silent or self._has_lapsed:
             return False
         if now_ms < self.clock.lapses_by() + LAPSE_MARGIN_MS:
@@ -228,7 +228,7 @@
         """Return the next poll.
 
         Polls to a silent endpoint do not renew its lease: they may still be carried out, and the
-        lease would never lapse.
+        lease would never expire.
         """
         renews = (
             self.clock.is_known
--- a/src/foldloom/seed_discovery/owners/endpoint_links.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_links.py
@@ -2,7 +2,7 @@
 """The links to all endpoints of a zone, kept in sync with the catalog.
 
 Holds one link and task for the newest known incarnation of each endpoint. Updates the owner's state
-when endpoints are added, removed or replaced, or when their leases have lapsed.
+when endpoints are added, removed or replaced, or when their leases have expired.
 """
 
 from __future__ import annotations
@@ -66,9 +66,9 @@
     def sync_with_catalog(self, now_ms: float) -> None:
         """Open links to added endpoints and close those to removed ones.
 
-        A farewell message does not name the incarnation it is from and may be delayed. An endpoint
-        with a known birth time that still runs something is therefore polled until its runs have
-        ended or lapsed, so that no run starts a second time elsewhere.
+        A deregistration does not name its incarnation and may be delayed. An endpoint with a known
+        start time that still has runs is therefore polled until they have ended or their leases
+        have expired, so that no run starts a second time elsewhere.
         """
         records = {
             record.endpoint: record for record in self._catalog.records if record.zone == self._zone
@@ -105,7 +105,7 @@
             self._replace(link, link.record, born_ms, "answer")
 
     def check_silent_endpoints(self, now_ms: float) -> None:
-        """Report lapsed endpoints to the state and remove those with a long silence."""
+        """Report expired leases to the state and remove endpoints after a long silence."""
         for endpoint, link in self._links.items():
             if link.has_lapsed(now_ms):
                 silent_ms = int(now_ms - link.answered_ms)
--- a/src/foldloom/seed_discovery/owners/grant.py
+++ b/src/foldloom/seed_discovery/owners/grant.py
@@ -1,13 +1,13 @@
 # SPDX-License-Identifier: MIT
 """An entry box's grant to one zone's owner to run the box's tasks, by the box's clock.
 
-The owner counts its session from the sending of the heartbeat, so the session ends there earlier
-than by the count of the box.
+The owner measures the session from the sending of a heartbeat, the box from handling it, so the
+session always ends earlier at the owner.
 
-All runs of the box have ended once the session and then every lease given by the owner have lapsed.
-A heartbeat handled after that begins the next grant, even if the lapse was not detected yet: after
-a process pause, heartbeats buffered in the sockets may be handled first. A box that pauses
-repeatedly keeps its grant while it handles heartbeats in between;
+All runs of the box have ended once the session and then every lease given by the owner have
+expired. A heartbeat handled after that begins the next grant, even if the expiry was not detected
+yet: after a process pause, heartbeats buffered in the sockets may be handled first. A box that
+pauses repeatedly keeps its grant while it handles heartbeats in between;
 :mod:`foldloom.seed_discovery.owners.batches` then limits how long it trusts the owner's answers.
 """
 
@@ -18,7 +18,7 @@
 
 
 def grant_timeout_ms(timings: TimingSettings) -> float:
-    """Return the time without a heartbeat after which a grant has lapsed, in milliseconds."""
+    """Return the time without a heartbeat after which a grant expires, in milliseconds."""
     return timings.session_ms + run_expiry_ms(timings.endpoint_lease_ms)
 
 
@@ -37,7 +37,7 @@
 
     @property
     def number(self) -> int:
-        """Number of the current grant; rises by one with each lapse."""
+        """Number of the current grant; increases by one with each expiry."""
         return self._number
 
     def session_left_ms(self, now_ms: float) -> float:
--- a/src/foldloom/seed_discovery/owners/lifecycle.py
+++ b/src/foldloom/seed_discovery/owners/lifecycle.py
@@ -2,13 +2,14 @@
 """Table of an owner's runs and their state transitions.
 
 Owns the runs, the tombstones, the list of started jobs, the crash counts of tasks, the queue, the
-endpoint speeds and the capacity charged to runs. The endpoints are passed in.
+endpoint speeds and the capacity allocated to runs. The endpoints are passed in.
 
 | state | event | next state | action |
 |---|---|---|---|
 | (none) | delivered | QUEUED | waits for capacity |
 | (none) | delivered, an earlier owner may have started it | RECOVERING | awaits reports |
-| (none), QUEUED, RECOVERING | listed by an endpoint | RUNNING | adopted |
+| (none) | delivered, and listed as orphaned by an endpoint | RUNNING | adopted |
+| QUEUED, RECOVERING | listed by an endpoint | RUNNING | adopted |
 | QUEUED | placed | STARTING | a start is sent |
 | STARTING | start accepted | RUNNING | |
 | STARTING | start refused | QUEUED | waits again; an invalid order finishes the run |
@@ -16,7 +17,7 @@
 | STARTING, RUNNING | no holder left | STOPPING | a stop is sent |
 | RUNNING | stuck | STOPPING | a stop is sent |
 | STARTING, RUNNING, STOPPING | end listed, or certainly gone | (none) | holders are notified |
-| STOPPING | the same, but not done and a holder is left | QUEUED | the next attempt waits |
+| STOPPING | end other than done, below the crash limit, holder left | QUEUED | next attempt waits |
 | RECOVERING | listed as done, or found on no endpoint | (none) | holders are notified |
 | QUEUED | stolen by another zone, or unattainable | (none) | holders are notified |
 | QUEUED, RECOVERING | no holder left | (none) | dropped |
@@ -93,7 +94,7 @@
         self.waiting.add(run)
 
     def start(self, run: Run, endpoint: str, now_ms: float) -> None:
-        """Order *run* to start on *endpoint*, where its capacity is already charged."""
+        """Order *run* to start on *endpoint*, where its capacity is already allocated."""
         self.started.note(run.task.job_id, run.spec.deadline_ms)
         run.enter(RunState.STARTING, now_ms, endpoint)
         self._actions.start(StartAction(run.run_id, endpoint, run.spec.text))
@@ -104,7 +105,7 @@
         self.waiting.remove(run.task)
         run.attempt = attempt
         resources = self._candidates[endpoint].resources
-        # Releases a stale charge, so that the task is not charged twice.
+        # Releases a stale allocation, so that the task's capacity is not allocated twice.
         resources.release(run.task)
         resources.allocate(run.task, run.spec.demand)
         run.enter(RunState.RUNNING, now_ms, endpoint)
@@ -141,7 +142,7 @@
         """Finish *run*, which has left its endpoint.
 
         A run that the owner stopped, and that still has holders, is queued for another attempt
-        instead, unless it is done or given up because of crashes.
+        instead, unless it is done or has reached the crash limit.
         """
         endpoint = run.endpoint
         ran_ms = int(now_ms - run.began_ms) if run.began_ms else 0
@@ -174,7 +175,7 @@
         self._actions.notify(NotifyAction(holder, end))
 
     def release_capacity(self, run: Run) -> None:
-        """Release the capacity charged to *run*."""
+        """Release the capacity allocated to *run*."""
         candidate = self._candidates.get(run.endpoint)
         if candidate is not None:
             candidate.resources.release(run.task)
--- a/src/foldloom/seed_discovery/owners/messages.py
+++ b/src/foldloom/seed_discovery/owners/messages.py
@@ -41,13 +41,13 @@
 
 
 class Objective(NamedTuple):
-    """A job's response-time objective: stretch x longest chain + slack, from its arrival.
+    """A job's response-time objective: stretch x critical path + slack, from its arrival.
 
     Args:
         elapsed_ms: Time since the job's arrival.
-        stretch: Factor on the longest chain.
+        stretch: Factor on the critical path.
         slack_ms: Constant part.
-        other_steps_ms: Duration of the other steps of the chain.
+        other_steps_ms: Duration of the other steps on the critical path.
     """
 
     elapsed_ms: int = 0
@@ -196,9 +196,9 @@
 
 
 class SessionBegan(NamedTuple):
-    """Announces a new session of an owner with a box after the previous one lapsed.
+    """Announces a new session of an owner with a box after the previous one expired.
 
-    The owner has dropped the runs of the lapsed session, so the box must deliver open runs again.
+    The owner has dropped the runs of the expired session, so the box must deliver open runs again.
     """
 
     zone: str
--- a/src/foldloom/seed_discovery/owners/open_job.py
+++ b/src/foldloom/seed_discovery/owners/open_job.py
@@ -14,7 +14,7 @@
 
 
 class OpenJob:
-    """One submission of a job, until it is abandoned or answered.
+    """One submission of a job, until it is cancelled or answered.
 
     ``ends`` receives the ends of its runs, ``is_active`` is whether its runs may still be
     delivered, and ``may_have_started`` whether an owner that can no longer be queried may have
--- a/src/foldloom/seed_discovery/owners/order_sender.py
+++ b/src/foldloom/seed_discovery/owners/order_sender.py
@@ -139,9 +139,9 @@
             link.clock.note(reply.clock_ms, now_ms)
 
     def _may_start(self, action: StartAction, now_ms: float) -> bool:
-        """Return whether the run has a holder with a valid grant, and its lease may be renewed.
+        """Return whether the run has a holder with a valid session, and its lease may be renewed.
 
-        Checked immediately before the call, since grants may have lapsed during a pause of this
+        Checked immediately before the call, since sessions may have expired during a pause of this
         process. A start renews the lease of its whole endpoint.
         """
         run = self._state.current_run(action.run_id.task)
--- a/src/foldloom/seed_discovery/owners/recovery.py
+++ b/src/foldloom/seed_discovery/owners/recovery.py
@@ -17,8 +17,8 @@
 
     Args:
         now_ms: Own monotonic clock.
-        old_right_ms: Remaining time of the earlier owner's grant.
-        run_expiry_ms: Longest time after the end of that grant until the run's lease expires.
+        old_right_ms: Remaining time of the earlier owner's session.
+        run_expiry_ms: Longest time after the end of that session until the run's lease expires.
     """
     grant_ends_ms = now_ms + old_right_ms
     return RecoveryBound(grant_ends_ms, grant_ends_ms + run_expiry_ms)
--- a/src/foldloom/seed_discovery/owners/sessions.py
+++ b/src/foldloom/seed_discovery/owners/sessions.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: MIT
 """An owner's sessions with entry boxes, and the run ends still to be sent to each box.
 
-There is one session per incarnation of a box. A box acknowledges each heartbeat with the
-heartbeat's sending time; by its own clock, the owner may run the box's tasks for the session time
-from then on. The box counts from its acknowledgement, so by its count the session ends later.
+There is one session per incarnation of a box. A box echoes the sending time of each heartbeat in
+its acknowledgement, and the owner may run the box's tasks for the session time from that moment, by
+the owner's clock. The box measures the session from handling the heartbeat, so for the box it ends
+later.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
         zone: The owner's zone.
         token: The owner's token.
         network: Connections to the other boxes.
-        is_renewed_session: Whether an earlier session with the same incarnation has lapsed.
+        is_renewed_session: Whether an earlier session with the same incarnation has expired.
     """
 
     def __init__(
@@ -81,7 +82,7 @@
 
 
 class LapsedSession(NamedTuple):
-    """A session that lapsed at ``ended_ms`` by the owner's clock."""
+    """A session that expired at ``ended_ms`` by the owner's clock."""
 
     holder: HolderId
     ended_ms: float
@@ -107,12 +108,12 @@
         self._lapsed: set[HolderId] = set()
 
     def has_session(self, holder: HolderId, now_ms: float) -> bool:
-        """Return whether the session with *holder* is in force."""
+        """Return whether the session with *holder* is valid."""
         session = self._sessions.get(holder)
         return session is not None and now_ms < session.expires_ms
 
     def has_session_with_other_box(self, box: str, now_ms: float) -> bool:
-        """Return whether a session with any box other than *box* is in force."""
+        """Return whether a session with any box other than *box* is valid."""
         return any(
             holder.box != box and now_ms < session.expires_ms
             for holder, session in self._sessions.items()
@@ -146,7 +147,7 @@
             session.queue_end(end)
 
     def end_lapsed(self, now_ms: float) -> list[LapsedSession]:
-        """End and return the sessions that have lapsed."""
+        """End and return the sessions that have expired."""
         lapsed = [
             LapsedSession(holder, session.expires_ms)
             for holder, session in self._sessions.items()
--- a/src/foldloom/seed_discovery/owners/started_jobs.py
+++ b/src/foldloom/seed_discovery/owners/started_jobs.py
@@ -50,7 +50,7 @@
         self._extend(job_id, deadline_ms + STARTED_JOB_GRACE_MS, has_started=False)
 
     def note(self, job_id: str, deadline_ms: float) -> None:
-        """Record a job with a run that may start; the job is given up at *deadline_ms*."""
+        """Record a job with a run that may start; the job is cancelled at *deadline_ms*."""
         self._extend(job_id, deadline_ms + STARTED_JOB_GRACE_MS, has_started=True)
 
     def note_listed(self, job_id: str, now_ms: float) -> None:
--- a/src/foldloom/seed_discovery/owners/state.py
+++ b/src/foldloom/seed_discovery/owners/state.py
@@ -53,7 +53,7 @@
     """The runs and endpoints of one zone during one term of its owner.
 
     Args:
-        run_expiry_ms: Longest time that a run can outlive its owner's grant.
+        run_expiry_ms: Longest time that a run can outlast its owner's session.
         all_endpoints: Returns the endpoint records of all zones; empty while the catalog may be
             incomplete.
     """
@@ -124,7 +124,7 @@
         return self._deliveries.cancel(holder, job_id, delivery, now_ms)
 
     def end_session(self, holder: HolderId, ended_ms: float) -> None:
-        """Release all runs of *holder*, whose grant ended at *ended_ms*."""
+        """Release all runs of *holder*, whose session ended at *ended_ms*."""
         for run in self._lifecycle.runs:
             if holder in run.holders:
                 self._lifecycle.release_holder(holder, run, ended_ms)
--- a/src/foldloom/seed_discovery/owners/withdrawal.py
+++ b/src/foldloom/seed_discovery/owners/withdrawal.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Decides whether any run of an abandoned job may have started. Owns nothing.
+"""Decides whether any run of a cancelled job may have started. Owns nothing.
 
 A job may have run unless every owner that was sent one of its runs has confirmed that it started
 none. Missing information leads to "may have run", never to a false "did not run".
@@ -23,11 +23,11 @@
     NOT_STARTED = "not started"
     NONE_YET = "nothing yet"
     NONE_ANY_MORE = "nothing any more"
-    """Its grant has lapsed, it was replaced, or its record of starts may have expired."""
+    """Its grant has expired, it was replaced, or its record of starts may have expired."""
 
 
 class Withdrawal(NamedTuple):
-    """An abandoned job's runs in one zone.
+    """A cancelled job's runs in one zone.
 
     Args:
         job_id: The job.
@@ -92,7 +92,7 @@
 
 
 def log_verdict(withdrawals: Iterable[Withdrawal], answers: Mapping[str, CancelAnswer]) -> None:
-    """Log the grounds of the verdict, one line per zone."""
+    """Log the owners' answers to a job's cancels, one line per zone."""
     for withdrawal in withdrawals:
         answer = answers.get(withdrawal.owner.zone)
         PLACE_LOG.event(
--- a/src/foldloom/seed_discovery/owners/zone_owner.py
+++ b/src/foldloom/seed_discovery/owners/zone_owner.py
@@ -214,7 +214,7 @@
     def may_renew(self, endpoint: str, now_ms: float) -> bool:
         """Return whether the lease of *endpoint* may be renewed.
 
-        It may not while a stop is overdue there, so that the run ends with the lease. Lapsed
+        It may not while a stop is overdue there, so that the run ends with the lease. Expired
         sessions are ended here too, because after a process pause this may run before any tick.
         """
         self._end_lapsed_sessions(now_ms)
@@ -246,13 +246,13 @@
             self._execute_actions()
 
     def note_incarnation_ended(self, endpoint: str, born_ms: int) -> None:
-        """Handle the certain end of the incarnation of *endpoint* born at *born_ms*."""
+        """Handle the certain end of the incarnation of *endpoint* started at *born_ms*."""
         ENDPOINT_LOG.event("endpoint.life_over", endpoint=endpoint, born_ms=born_ms)
         self.handle_crash(endpoint)
         self._context.catalog.end_incarnation(endpoint, born_ms, monotonic_ms())
 
     def note_next_incarnation(self, endpoint: str, born_ms: int) -> None:
-        """Handle an answer of a later incarnation of *endpoint*, born at *born_ms*."""
+        """Handle an answer from a later incarnation of *endpoint*, started at *born_ms*."""
         if not self._is_closed:
             self._links.begin_incarnation(endpoint, born_ms)
 
@@ -274,7 +274,7 @@
             self._links.sync_with_catalog(now_ms)
             self._end_lapsed_sessions(now_ms)
             # While isolated, another box may own the zone and renew the leases of endpoints that
-            # are silent here, so none counts as lapsed (tests/models/owners_model.py).
+            # are silent here, so no lease counts as expired (tests/models/owners_model.py).
             if not self.is_isolated:
                 self._links.check_silent_endpoints(now_ms)
             self._state.tick(now_ms)
@@ -284,7 +284,7 @@
             await asyncio.sleep(_TICK_S)
 
     def _end_lapsed_sessions(self, now_ms: float) -> None:
-        """Stop the runs of boxes whose session has lapsed, as of the time it lapsed."""
+        """Stop the runs of boxes whose session has expired, as of the time it expired."""
         for session in self._sessions.end_lapsed(now_ms):
             ENDPOINT_LOG.event(
                 "session.ended",
--- a/src/foldloom/seed_discovery/scheduling/endpoints.py
+++ b/src/foldloom/seed_discovery/scheduling/endpoints.py
@@ -11,7 +11,7 @@
 
 
 class OrphanedRun(NamedTuple):
-    """A run that an endpoint reports and that no entry box has submitted to this owner.
+    """A run that an endpoint lists and that is not the owner's current run of its task.
 
     Args:
         attempt: The attempt of its task.
--- a/src/foldloom/seed_discovery/scheduling/estimates.py
+++ b/src/foldloom/seed_discovery/scheduling/estimates.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 """Estimates of task durations from callers' estimates and earlier tasks of the same queue.
 
-Means and variances are exponentially weighted, of logarithms.
+Keeps exponentially weighted means and variances of the logarithms of durations.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 # Weight of a new task: the means follow a change within about 20 tasks.
 _EWMA_WEIGHT_MIN = 0.05
-# The weight of the first tasks is 1 / (_WARM_UP_RUNS + their count).
+# The weight of the n-th task is at least 1 / (_WARM_UP_RUNS + n).
 _WARM_UP_RUNS = 20
 # Initial variance of logarithms, for an error of about 40%.
 _INITIAL_VARIANCE = 0.16
--- a/src/foldloom/seed_discovery/scheduling/groups.py
+++ b/src/foldloom/seed_discovery/scheduling/groups.py
@@ -12,7 +12,7 @@
 LATE_FACTOR = 3.0
 # Excess of a step's longest task over the mean, for each doubling of the number of tasks.
 _SKEW_PER_DOUBLING = 0.08
-# Latency from a task's end to the client's answer, including network hops.
+# Latency from a task's end to the caller's response, including network hops.
 _ANSWER_MS = 10.0
 # Weight of the step's own finished tasks against the estimate for the queue: tasks of one step
 # are more alike than jobs of one queue.
@@ -75,7 +75,7 @@
     def late_ms(self) -> float:
         """When the job's result becomes worthless.
 
-        Uses the caller's estimate if it is larger, since a job that is given up too early is lost.
+        Uses the caller's estimate if it is larger, since a job that is cancelled too early is lost.
         """
         objective_ms = max(self.objective_ms, self._objective_ms(self.spec.estimate_ms))
         latest_ms = self.spec.began_ms + LATE_FACTOR * objective_ms
--- a/src/foldloom/seed_discovery/scheduling/placing.py
+++ b/src/foldloom/seed_discovery/scheduling/placing.py
@@ -45,7 +45,7 @@
 
 
 class StolenRuns(NamedTuple):
-    """Runs to steal from a group of another zone, one for each reservation."""
+    """A request to steal runs from a group of another zone, one for each reservation."""
 
     zone: str
     group: GroupId
--- a/src/foldloom/seed_discovery/scheduling/ranking.py
+++ b/src/foldloom/seed_discovery/scheduling/ranking.py
@@ -41,8 +41,8 @@
 def rank(group: RunGroup, now_ms: float) -> Rank:
     """Return the rank of *group* at *now_ms*.
 
-    Within a tier, priority 0 goes before all others: its tasks are the shortest, and a job of many
-    of them needs capacity for all at nearly the same time. Then the earliest start deadline wins.
+    Within a tier, priority 0 goes first, since its jobs consist of many short tasks that need
+    capacity at the same time; then the earliest start deadline.
     """
     tier = tier_of(group, now_ms)
     start_deadline_ms = (
--- a/src/foldloom/seed_discovery/scheduling/remote_groups.py
+++ b/src/foldloom/seed_discovery/scheduling/remote_groups.py
@@ -13,9 +13,9 @@
 from foldloom.seed_discovery.jobs.spec import Demand, Placement, TaskId
 from foldloom.seed_discovery.scheduling.ranking import Rank
 
-# Validity of another owner's offer or load: three of its 100 ms heartbeats.
+# Time-to-live of another owner's offer or load; several default owner heartbeats.
 REMOTE_VIEW_TTL_MS = 300.0
-# Longer than the 30 ms timeout of a steal request plus the delivery by the entry box.
+# Longer than the timeout of a steal request plus the delivery by the entry box.
 RESERVATION_TTL_MS = 40.0
 
 
--- a/src/foldloom/seed_discovery/scheduling/runs.py
+++ b/src/foldloom/seed_discovery/scheduling/runs.py
@@ -43,7 +43,7 @@
         slack_ms: ... plus this.
         other_steps_ms: Estimated duration of the other steps on the critical path.
         tasks: Number of tasks of the step.
-        deadline_ms: When the job is given up.
+        deadline_ms: When the job is cancelled.
     """
 
     job_id: str
@@ -127,10 +127,10 @@
 
 
 class RecoveryBound(NamedTuple):
-    """When the search for a run that an earlier owner may have started can end.
+    """Times that decide when a recovering run is lost.
 
     Args:
-        reports_after_ms: A running run is listed in reports requested after this time.
+        reports_after_ms: A run that exists is listed in every report polled after this time.
         lost_at_ms: By this time its lease has expired on every endpoint.
     """
 
--- a/src/foldloom/seed_discovery/scheduling/speeds.py
+++ b/src/foldloom/seed_discovery/scheduling/speeds.py
@@ -11,7 +11,7 @@
 
 # Weight of a new run: the mean follows a slowed endpoint within about ten runs.
 _EWMA_WEIGHT = 0.1
-# Allowance for estimation errors (a factor of 1.5) in the lower bound from an unfinished run.
+# Subtracted from the logarithm of an unfinished run's slowdown, to allow for estimation errors.
 _OVERDUE_LOG_MARGIN = 0.4
 # Runs between two updates of the median.
 _RUNS_PER_MEDIAN = 25
