--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -314,7 +314,7 @@
     Mutation(
         "a lapsed session is announced",
         "seed_discovery/owners/sessions.py",
-        "is_renewed_session = holder in self._lapsed",
+        "is_renewed_session = holder in self._expired",
         "is_renewed_session = False",
         "tests/test_owners_sessions.py::TestLapsedSessions::test_announced_before_any_end",
     ),
@@ -377,7 +377,7 @@
     Mutation(
         "a heartbeat revives no grant that has lapsed",
         "seed_discovery/owners/connection.py",
-        "        self._end_lapsed_grant(now_ms)\n        is_new",
+        "        self._end_expired_grant(now_ms)\n        is_new",
         "        is_new",
         _OWNERS_CLIENT + "TestGivingUp::test_a_heartbeat_is_handled_before_the_loss",
     ),
@@ -685,7 +685,7 @@
     Mutation(
         "overdue endpoints are waited for",
         "seed_discovery/scheduling/admission.py",
-        "if not room.total_milli and room.overdue_milli:",
+        "if not available.total_milli and available.overdue_milli:",
         "if False:",
         "tests/test_owners_admission.py",
     ),
--- a/src/foldloom/seed_discovery/job_runner.py
+++ b/src/foldloom/seed_discovery/job_runner.py
@@ -130,7 +130,7 @@
             # cancellation at an owner.
             return Error(may_have_run("given up"))
         finally:
-            self._client.forget(self._open_job)
+            self._client.cancel_in_background(self._open_job)
 
     async def _run_until_deadline(self) -> JobResult:
         try:
@@ -204,7 +204,7 @@
 
     async def _cancel(self, reason: str, retry_after_ms: int) -> JobResult:
         """Cancel the job; report ``not_run`` only if every contacted owner confirms it."""
-        if await self._client.give_up(self._open_job):
+        if await self._client.cancel_and_wait(self._open_job):
             return Error(may_have_run(reason))
         return Error(not_run(reason, retry_after_ms=retry_after_ms))
 
--- a/src/foldloom/seed_discovery/jobs/queues.py
+++ b/src/foldloom/seed_discovery/jobs/queues.py
@@ -31,9 +31,9 @@
     stretch: float = 1.0
     slack_ms: int = 0
 
-    def objective_ms(self, longest_ms: float) -> float:
-        """Return the latency objective of a job with a critical path of *longest_ms*."""
-        return self.stretch * longest_ms + self.slack_ms
+    def objective_ms(self, critical_path_ms: float) -> float:
+        """Return the latency objective of a job with a critical path of *critical_path_ms*."""
+        return self.stretch * critical_path_ms + self.slack_ms
 
 
 class QueueTable:
--- a/src/foldloom/seed_discovery/owners/actions.py
+++ b/src/foldloom/seed_discovery/owners/actions.py
@@ -16,11 +16,11 @@
 
 
 class StartAction(NamedTuple):
-    """Start *run_id* on *endpoint* with *text* as the task's input."""
+    """Start *run_id* on *endpoint* with *task_input*."""
 
     run_id: RunId
     endpoint: str
-    text: str
+    task_input: str
 
 
 class StopAction(NamedTuple):
--- a/src/foldloom/seed_discovery/owners/client.py
+++ b/src/foldloom/seed_discovery/owners/client.py
@@ -32,7 +32,11 @@
     SubmitRuns,
 )
 from foldloom.seed_discovery.owners.open_job import OpenJob
-from foldloom.seed_discovery.owners.withdrawal import Withdrawal, log_verdict, may_have_started
+from foldloom.seed_discovery.owners.withdrawal import (
+    Withdrawal,
+    log_cancel_outcome,
+    may_have_started,
+)
 from foldloom.settings import TimingSettings
 from foldloom.tasks import TaskSet
 
@@ -104,18 +108,18 @@
             self._find_or_create_batch(connection, job, template), orders
         )
 
-    async def give_up(self, job: OpenJob) -> bool:
+    async def cancel_and_wait(self, job: OpenJob) -> bool:
         """Cancel a job in all zones; return whether any run of it may have started."""
         withdrawals = self._withdraw(job)
         is_known = job.may_have_started
         # Assumed until the owners have answered, since a deadline may cancel the wait.
         job.may_have_started = True
         answers = await self._cancels.cancel_and_wait(withdrawals)
-        log_verdict(withdrawals, answers)
+        log_cancel_outcome(withdrawals, answers)
         job.may_have_started = is_known or may_have_started(withdrawals, answers)
         return job.may_have_started
 
-    def forget(self, job: OpenJob) -> None:
+    def cancel_in_background(self, job: OpenJob) -> None:
         """Cancel a job in all zones without waiting for the owners' answers."""
         self._cancels.begin(self._withdraw(job))
 
--- a/src/foldloom/seed_discovery/owners/connection.py
+++ b/src/foldloom/seed_discovery/owners/connection.py
@@ -90,7 +90,7 @@
             return
         # Read once, so that a process pause during this call still counts as silence afterwards.
         now_ms = monotonic_ms()
-        self._end_lapsed_grant(now_ms)
+        self._end_expired_grant(now_ms)
         is_new = heartbeat.owner.token != self._owner.token
         old_right_ms = self._grant.session_left_ms(now_ms)
         self._owner = heartbeat.owner
@@ -114,7 +114,7 @@
 
     def pop_lost(self) -> list[LostRun]:
         """Return and drop the runs that ended with an expired grant."""
-        self._end_lapsed_grant(monotonic_ms())
+        self._end_expired_grant(monotonic_ms())
         lost, self._lost = self._lost, []
         return lost
 
@@ -132,7 +132,7 @@
         batches = self.batches_of_job(job)
         if not batches:
             return None
-        self._forget(batches)
+        self._drop_batches(batches)
         return withdraw(batches, self._owner, self._grant.number)
 
     def is_granted(self, owner: OwnerRecord, grant: int) -> bool:
@@ -153,7 +153,7 @@
                 batch.add(orders)
                 self._tasks.spawn(self._redeliver(batch, orders, 0.0, "renewed session"))
 
-    def _end_lapsed_grant(self, now_ms: float) -> None:
+    def _end_expired_grant(self, now_ms: float) -> None:
         """Turn all open runs into lost ones if the grant has expired."""
         if not self._grant.has_lapsed(now_ms):
             return
@@ -181,7 +181,7 @@
             # A delivery still being retransmitted must not reach the owner when it is back.
             batch.clear()
 
-    def _forget(self, batches: list[Batch]) -> None:
+    def _drop_batches(self, batches: list[Batch]) -> None:
         job_id = batches[0].job.job_id
         remaining = [batch for batch in self.batches_by_id(job_id) if batch not in batches]
         if remaining:
--- a/src/foldloom/seed_discovery/owners/endpoint_link.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_link.py
@@ -33,7 +33,7 @@
 SUSPECT_AFTER_MS = 80
 
 
-class LeaseTerms(NamedTuple):
+class LeaseDurations(NamedTuple):
     """Lease durations of one owner's term.
 
     Args:
@@ -110,7 +110,7 @@
 
     Args:
         record: The endpoint's record; the previous incarnation's until the first heartbeat.
-        terms: Lease durations.
+        lease_durations: Lease durations.
         calls: Client for calls to endpoints.
         owner: Receiver of reports and events.
         born_ms: Start time of this incarnation; 0 if unknown.
@@ -120,7 +120,7 @@
     def __init__(
         self,
         record: EndpointRecord,
-        terms: LeaseTerms,
+        lease_durations: LeaseDurations,
         calls: EndpointCalls,
         owner: LinkListener,
         born_ms: int = 0,
@@ -130,18 +130,18 @@
         self.clock = EndpointClock()
         self.answered_ms = monotonic_ms()
         self.born_ms = born_ms
-        self._terms = terms
+        self._lease_durations = lease_durations
         self._calls = calls
         self._owner = owner
         # Orders meant for the previous incarnation may have reached this one; their leases last no
         # longer than the longest that the endpoint accepts.
         self._stale_orders_until_ms = (
-            self.answered_ms + terms.longest_real_ms if replaces_previous else 0.0
+            self.answered_ms + lease_durations.longest_real_ms if replaces_previous else 0.0
         )
         self._last_sequence = 0
         self._last_poll_succeeded = False
         self._is_silent = False
-        self._has_lapsed = False
+        self._is_expiry_taken = False
         self._is_over = False
 
     @property
@@ -162,20 +162,20 @@
         """Return the expiry of a new lease by the endpoint's clock; 0 while that is unknown."""
         if not self.clock.is_known:
             return 0
-        return self.clock.order_until(now_ms, self._terms.lease_ms)
+        return self.clock.order_until(now_ms, self._lease_durations.lease_ms)
 
-    def has_lapsed(self, now_ms: float) -> bool:
+    def take_lease_expiry(self, now_ms: float) -> bool:
         """Return whether all leases have certainly expired; true once until the next answer."""
-        if not self._is_silent or self._has_lapsed:
+        if not self._is_silent or self._is_expiry_taken:
             return False
         if now_ms < self.clock.lapses_by() + LAPSE_MARGIN_MS:
             return False
         if now_ms < self._stale_orders_until_ms + LAPSE_MARGIN_MS:
             return False
         # Leases ordered by an earlier owner are not covered by this clock.
-        if now_ms < self.answered_ms + self._terms.lease_real_ms + LAPSE_MARGIN_MS:
+        if now_ms < self.answered_ms + self._lease_durations.lease_real_ms + LAPSE_MARGIN_MS:
             return False
-        self._has_lapsed = True
+        self._is_expiry_taken = True
         return True
 
     async def run(self) -> None:
@@ -240,7 +240,7 @@
         # After a failed poll, the next answer may come from a new incarnation, which numbers its
         # ends from 1 again and would drop those up to an acknowledged number.
         seen = self._last_sequence if self._last_poll_succeeded else 0
-        return PollOrder(self._terms.token, seen, until_ms, wait_ms)
+        return PollOrder(self._lease_durations.token, seen, until_ms, wait_ms)
 
     def _handle_reply(self, reply: PollReply, sent_ms: float) -> None:
         now_ms = monotonic_ms()
@@ -251,7 +251,7 @@
         if self._is_silent:
             ENDPOINT_LOG.event("endpoint.answers", endpoint=self.record.endpoint)
         self._is_silent = False
-        self._has_lapsed = False
+        self._is_expiry_taken = False
         new_ends = tuple(end for end in reply.ended if end.sequence > self._last_sequence)
         if new_ends:
             self._last_sequence = max(end.sequence for end in new_ends)
--- a/src/foldloom/seed_discovery/owners/endpoint_links.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_links.py
@@ -17,7 +17,7 @@
 from foldloom.seed_discovery.owners.endpoint_link import (
     AnswerSource,
     EndpointLink,
-    LeaseTerms,
+    LeaseDurations,
     LinkListener,
 )
 from foldloom.seed_discovery.owners.state import OwnerState
@@ -33,7 +33,7 @@
         zone: The owner's zone.
         state: The owner's state.
         catalog: The endpoints of all zones.
-        terms: Lease durations.
+        lease_durations: Lease durations.
         calls: Client for calls to endpoints.
         owner: Receiver of reports and events.
     """
@@ -43,14 +43,14 @@
         zone: str,
         state: OwnerState,
         catalog: EndpointCatalog,
-        terms: LeaseTerms,
+        lease_durations: LeaseDurations,
         calls: EndpointCalls,
         owner: LinkListener,
     ) -> None:
         self._zone = zone
         self._state = state
         self._catalog = catalog
-        self._link_args = (terms, calls, owner)
+        self._link_args = (lease_durations, calls, owner)
         self._links: dict[str, EndpointLink] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
@@ -107,7 +107,7 @@
     def check_silent_endpoints(self, now_ms: float) -> None:
         """Report expired leases to the state and remove endpoints after a long silence."""
         for endpoint, link in self._links.items():
-            if link.has_lapsed(now_ms):
+            if link.take_lease_expiry(now_ms):
                 silent_ms = int(now_ms - link.answered_ms)
                 ENDPOINT_LOG.event("endpoint.lapsed", endpoint=endpoint, silent_ms=silent_ms)
                 self._state.handle_lease_expiry(endpoint, now_ms)
--- a/src/foldloom/seed_discovery/owners/lifecycle.py
+++ b/src/foldloom/seed_discovery/owners/lifecycle.py
@@ -97,7 +97,7 @@
         """Order *run* to start on *endpoint*, where its capacity is already allocated."""
         self.started.note(run.task.job_id, run.spec.deadline_ms)
         run.enter(RunState.STARTING, now_ms, endpoint)
-        self._actions.start(StartAction(run.run_id, endpoint, run.spec.text))
+        self._actions.start(StartAction(run.run_id, endpoint, run.spec.task_input))
 
     def adopt(self, run: Run, attempt: int, endpoint: str, now_ms: float) -> None:
         """Mark *run* as running: *endpoint* lists *attempt* of it."""
--- a/src/foldloom/seed_discovery/owners/order_sender.py
+++ b/src/foldloom/seed_discovery/owners/order_sender.py
@@ -91,7 +91,7 @@
             return
         self._log_start(action, link, until_ms, now_ms)
         self._metrics.count("runs.started")
-        order = StartOrder(action.run_id, action.text, self._token, until_ms)
+        order = StartOrder(action.run_id, action.task_input, self._token, until_ms)
         overdue_timer = asyncio.get_running_loop().call_later(
             SUSPECT_AFTER_MS / 1_000, self._owner.note_overdue, action.endpoint, "start"
         )
@@ -157,7 +157,7 @@
         candidate = self._state.candidates.get(action.endpoint)
         if run is None or candidate is None:
             return
-        self._metrics.timing("job_age_at_start_ms", now_ms - run.spec.began_ms)
+        self._metrics.timing("job_age_at_start_ms", now_ms - run.spec.arrived_ms)
         PLACE_LOG.event(
             "run.placed",
             job=action.run_id.task.job_id,
@@ -166,7 +166,7 @@
             born_ms=link.born_ms,
             token=self._token,
             until_ms=until_ms,
-            job_age_ms=int(now_ms - run.spec.began_ms),
+            job_age_ms=int(now_ms - run.spec.arrived_ms),
             speed=round(self._state.speed_of(action.endpoint), 2),
             free_milli=candidate.resources.free.cpu_milli,
         )
--- a/src/foldloom/seed_discovery/owners/recovery.py
+++ b/src/foldloom/seed_discovery/owners/recovery.py
@@ -20,8 +20,8 @@
         old_right_ms: Remaining time of the earlier owner's session.
         run_expiry_ms: Longest time after the end of that session until the run's lease expires.
     """
-    grant_ends_ms = now_ms + old_right_ms
-    return RecoveryBound(grant_ends_ms, grant_ends_ms + run_expiry_ms)
+    session_ends_ms = now_ms + old_right_ms
+    return RecoveryBound(session_ends_ms, session_ends_ms + run_expiry_ms)
 
 
 def is_lost(run: Run, polled_ms: Iterable[float], is_catalog_complete: bool, now_ms: float) -> bool:
--- a/src/foldloom/seed_discovery/owners/sessions.py
+++ b/src/foldloom/seed_discovery/owners/sessions.py
@@ -81,7 +81,7 @@
                 self._has_ends.clear()
 
 
-class LapsedSession(NamedTuple):
+class ExpiredSession(NamedTuple):
     """A session that expired at ``ended_ms`` by the owner's clock."""
 
     holder: HolderId
@@ -105,7 +105,7 @@
         self._session_ms = session_ms
         self._sessions: dict[HolderId, Session] = {}
         self._tasks: dict[HolderId, asyncio.Task[None]] = {}
-        self._lapsed: set[HolderId] = set()
+        self._expired: set[HolderId] = set()
 
     def has_session(self, holder: HolderId, now_ms: float) -> bool:
         """Return whether the session with *holder* is valid."""
@@ -134,7 +134,7 @@
         """Begin or renew the session for the heartbeat sent at *heartbeat_sent_ms*."""
         session = self._sessions.get(holder)
         if session is None:
-            is_renewed_session = holder in self._lapsed
+            is_renewed_session = holder in self._expired
             session = Session(holder, self._zone, self._token, self._network, is_renewed_session)
             self._sessions[holder] = session
             self._tasks[holder] = asyncio.create_task(session.run())
@@ -146,21 +146,21 @@
         if session is not None:
             session.queue_end(end)
 
-    def end_lapsed(self, now_ms: float) -> list[LapsedSession]:
+    def end_lapsed(self, now_ms: float) -> list[ExpiredSession]:
         """End and return the sessions that have expired."""
-        lapsed = [
-            LapsedSession(holder, session.expires_ms)
+        expired = [
+            ExpiredSession(holder, session.expires_ms)
             for holder, session in self._sessions.items()
             if now_ms >= session.expires_ms
         ]
-        self._end(session.holder for session in lapsed)
-        self._lapsed.update(session.holder for session in lapsed)
-        return lapsed
+        self._end(session.holder for session in expired)
+        self._expired.update(session.holder for session in expired)
+        return expired
 
     def end_other_incarnations(self, holder: HolderId) -> list[HolderId]:
         """End the sessions with other incarnations of the box and return their holders."""
-        self._lapsed = {
-            known for known in self._lapsed if known.box != holder.box or known == holder
+        self._expired = {
+            known for known in self._expired if known.box != holder.box or known == holder
         }
         earlier = [known for known in self._sessions if known.box == holder.box and known != holder]
         self._end(earlier)
--- a/src/foldloom/seed_discovery/owners/state.py
+++ b/src/foldloom/seed_discovery/owners/state.py
@@ -314,8 +314,8 @@
         )
         for run, endpoint in placing.placed:
             self._lifecycle.start(run, endpoint, now_ms)
-        for stolen in placing.stolen:
-            self.actions.steal(StealAction(*stolen))
+        for request in placing.steal_requests:
+            self.actions.steal(StealAction(*request))
 
     def _retire_unattainable(self, now_ms: float) -> None:
         """Retire queued runs of jobs that can no longer complete in time."""
--- a/src/foldloom/seed_discovery/owners/withdrawal.py
+++ b/src/foldloom/seed_discovery/owners/withdrawal.py
@@ -91,7 +91,9 @@
     return any_started or any(answer is not CancelAnswer.NOT_STARTED for answer in answers.values())
 
 
-def log_verdict(withdrawals: Iterable[Withdrawal], answers: Mapping[str, CancelAnswer]) -> None:
+def log_cancel_outcome(
+    withdrawals: Iterable[Withdrawal], answers: Mapping[str, CancelAnswer]
+) -> None:
     """Log the owners' answers to a job's cancels, one line per zone."""
     for withdrawal in withdrawals:
         answer = answers.get(withdrawal.owner.zone)
--- a/src/foldloom/seed_discovery/owners/zone_owner.py
+++ b/src/foldloom/seed_discovery/owners/zone_owner.py
@@ -24,7 +24,7 @@
 )
 from foldloom.seed_discovery.owners.context import OwnerContext
 from foldloom.seed_discovery.owners.decision_log import log_cancel, log_delivery, log_end
-from foldloom.seed_discovery.owners.endpoint_link import LeaseTerms
+from foldloom.seed_discovery.owners.endpoint_link import LeaseDurations
 from foldloom.seed_discovery.owners.endpoint_links import EndpointLinks
 from foldloom.seed_discovery.owners.heartbeats import HeartbeatSender
 from foldloom.seed_discovery.owners.lease import (
@@ -79,14 +79,14 @@
         self._state = OwnerState(run_expiry_ms(timings.endpoint_lease_ms), self._all_endpoints)
         self._sessions = Sessions(record.zone, record.token, context.network, timings.session_ms)
         lease_ms = float(timings.endpoint_lease_ms)
-        terms = LeaseTerms(
+        lease_durations = LeaseDurations(
             record.token,
             lease_ms,
             max_real_duration_ms(lease_ms),
             max_real_duration_ms(timings.endpoint_lease_max_ms),
         )
         self._links = EndpointLinks(
-            record.zone, self._state, context.catalog, terms, context.calls, self
+            record.zone, self._state, context.catalog, lease_durations, context.calls, self
         )
         self._orders = OrderSender(
             record.token, self._state, self._sessions, self._links, context, self
@@ -217,7 +217,7 @@
         It may not while a stop is overdue there, so that the run ends with the lease. Expired
         sessions are ended here too, because after a process pause this may run before any tick.
         """
-        self._end_lapsed_sessions(now_ms)
+        self._end_expired_sessions(now_ms)
         return not self._state.has_overdue_stop(endpoint, now_ms - STOP_OVERDUE_MS)
 
     def handle_report(self, report: EndpointReport, now_ms: float) -> None:
@@ -272,7 +272,7 @@
             if self._context.catalog_age_ms() > _CATALOG_COMPLETE_AFTER_MS:
                 self._state.mark_catalog_complete()
             self._links.sync_with_catalog(now_ms)
-            self._end_lapsed_sessions(now_ms)
+            self._end_expired_sessions(now_ms)
             # While isolated, another box may own the zone and renew the leases of endpoints that
             # are silent here, so no lease counts as expired (tests/models/owners_model.py).
             if not self.is_isolated:
@@ -283,7 +283,7 @@
             self._execute_actions()
             await asyncio.sleep(_TICK_S)
 
-    def _end_lapsed_sessions(self, now_ms: float) -> None:
+    def _end_expired_sessions(self, now_ms: float) -> None:
         """Stop the runs of boxes whose session has expired, as of the time it expired."""
         for session in self._sessions.end_lapsed(now_ms):
             ENDPOINT_LOG.event(
--- a/src/foldloom/seed_discovery/scheduling/admission.py
+++ b/src/foldloom/seed_discovery/scheduling/admission.py
@@ -46,14 +46,14 @@
     group: RunGroup,
     own_groups: Iterable[RunGroup],
     remote_groups: Iterable[RemoteGroup],
-    room: AvailableCapacity,
+    available: AvailableCapacity,
     now_ms: float,
 ) -> float:
     """Return the expected queueing time of the last task of *group*."""
     demanded_milli = len(group.waiting) * group.spec.demand.cpu_milli
-    if demanded_milli <= room.free_milli:
+    if demanded_milli <= available.free_milli:
         return 0.0
-    if not room.total_milli and room.overdue_milli:
+    if not available.total_milli and available.overdue_milli:
         # All endpoints are overdue at once, most likely because this owner was delayed. Waiting for
         # their next report costs less than a rejection.
         return 0.0
@@ -62,7 +62,7 @@
         other.waiting_cpu_ms for other in own_groups if rank(other, now_ms) <= group_rank
     )
     ahead_cpu_ms += sum(other.summary.cpu_ms for other in remote_groups if other.rank < group_rank)
-    usable_cores = room.total_milli / 1_000 * _USABLE_CPU_SHARE
+    usable_cores = available.total_milli / 1_000 * _USABLE_CPU_SHARE
     return ahead_cpu_ms / usable_cores if usable_cores else float(_RETRY_MAX_MS)
 
 
--- a/src/foldloom/seed_discovery/scheduling/groups.py
+++ b/src/foldloom/seed_discovery/scheduling/groups.py
@@ -9,11 +9,11 @@
 from foldloom.seed_discovery.scheduling.runs import Run, RunSpec
 
 # Multiple of its objective after which a job's result is worthless.
-LATE_FACTOR = 3.0
+USEFUL_UNTIL_FACTOR = 3.0
 # Excess of a step's longest task over the mean, for each doubling of the number of tasks.
 _SKEW_PER_DOUBLING = 0.08
 # Latency from a task's end to the caller's response, including network hops.
-_ANSWER_MS = 10.0
+_RESPONSE_LATENCY_MS = 10.0
 # Weight of the step's own finished tasks against the estimate for the queue: tasks of one step
 # are more alike than jobs of one queue.
 _STEP_WEIGHT = 0.7
@@ -69,16 +69,16 @@
     @property
     def on_time_deadline_ms(self) -> float:
         """When the job must end to meet its objective."""
-        return self.spec.began_ms + self.objective_ms
+        return self.spec.arrived_ms + self.objective_ms
 
     @property
-    def late_ms(self) -> float:
+    def useful_until_ms(self) -> float:
         """When the job's result becomes worthless.
 
         Uses the caller's estimate if it is larger, since a job that is cancelled too early is lost.
         """
         objective_ms = max(self.objective_ms, self._objective_ms(self.spec.estimate_ms))
-        latest_ms = self.spec.began_ms + LATE_FACTOR * objective_ms
+        latest_ms = self.spec.arrived_ms + USEFUL_UNTIL_FACTOR * objective_ms
         return min(latest_ms, self.spec.deadline_ms)
 
     @property
@@ -93,16 +93,16 @@
             tier_deadline_ms: When the job must be answered; the owner's own clock.
             now_ms: The current time.
         """
-        left_ms = tier_deadline_ms - _ANSWER_MS - now_ms
+        left_ms = tier_deadline_ms - _RESPONSE_LATENCY_MS - now_ms
         return self.longest_ms / left_ms if left_ms > 0 else math.inf
 
     def on_time_start_deadline_ms(self, speed: float = 1.0) -> float:
         """Return the latest start on an endpoint of *speed* that meets the objective."""
-        return self.on_time_deadline_ms - _ANSWER_MS - self.longest_ms / speed
+        return self.on_time_deadline_ms - _RESPONSE_LATENCY_MS - self.longest_ms / speed
 
     def late_start_deadline_ms(self, speed: float = 1.0) -> float:
         """Return the latest start on an endpoint of *speed* for a result that is still of use."""
-        return self.late_ms - _ANSWER_MS - self.longest_ms / speed
+        return self.useful_until_ms - _RESPONSE_LATENCY_MS - self.longest_ms / speed
 
     def note_done(self, work_ms: float) -> None:
         """Record the duration of a finished task, in milliseconds on an endpoint of speed 1."""
--- a/src/foldloom/seed_discovery/scheduling/placing.py
+++ b/src/foldloom/seed_discovery/scheduling/placing.py
@@ -44,7 +44,7 @@
     number: int
 
 
-class StolenRuns(NamedTuple):
+class StealRequest(NamedTuple):
     """A request to steal runs from a group of another zone, one for each reservation."""
 
     zone: str
@@ -56,7 +56,7 @@
     """The decisions of one placement round."""
 
     placed: list[PlacedRun]
-    stolen: list[StolenRuns]
+    steal_requests: list[StealRequest]
 
 
 class _Requirements(NamedTuple):
@@ -127,7 +127,9 @@
     exhausted: set[_Requirements] = set()
     for _, is_remote, position in sorted(queued_groups):
         if is_remote:
-            _steal_group(remote_groups[position], context, exhausted, now_ms, result.stolen)
+            _reserve_for_group(
+                remote_groups[position], context, exhausted, now_ms, result.steal_requests
+            )
         else:
             _place_group(own_groups[position], waiting, context, exhausted, now_ms, result.placed)
     return result
@@ -164,12 +166,12 @@
         placed.append(PlacedRun(run, chosen.record.endpoint))
 
 
-def _steal_group(
+def _reserve_for_group(
     group: RemoteGroup,
     context: _PlacementContext,
     exhausted: set[_Requirements],
     now_ms: float,
-    stolen: list[StolenRuns],
+    steal_requests: list[StealRequest],
 ) -> None:
     summary = group.summary
     requirements = _Requirements(
@@ -193,7 +195,7 @@
         reservations.append(Reservation(chosen.record.endpoint, number))
         group.remaining -= 1
     if reservations:
-        stolen.append(StolenRuns(group.zone, summary.group, reservations))
+        steal_requests.append(StealRequest(group.zone, summary.group, reservations))
 
 
 def choose_endpoint(
--- a/src/foldloom/seed_discovery/scheduling/ranking.py
+++ b/src/foldloom/seed_discovery/scheduling/ranking.py
@@ -66,5 +66,5 @@
     Rounded to a tenth, so that similar groups have equal requirements.
     """
     is_on_time = tier_of(group, now_ms) is Tier.ON_TIME
-    tier_deadline_ms = group.on_time_deadline_ms if is_on_time else group.late_ms
+    tier_deadline_ms = group.on_time_deadline_ms if is_on_time else group.useful_until_ms
     return round(group.speed_needed(tier_deadline_ms, now_ms) * _SPEED_TOLERANCE, 1)
--- a/src/foldloom/seed_discovery/scheduling/runs.py
+++ b/src/foldloom/seed_discovery/scheduling/runs.py
@@ -33,12 +33,12 @@
         job_id: The job.
         queue: The queue of the job.
         service: The service whose endpoints run it.
-        text: Input of the tasks.
+        task_input: Input of the tasks.
         demand: Resource demand of each task.
         placement: Placement constraints.
         priority: 0 is the highest.
         estimate_ms: The caller's estimate of a task's duration.
-        began_ms: Arrival of the job; the owner's own clock.
+        arrived_ms: Arrival of the job; the owner's own clock.
         stretch: The job's objective is this factor times its critical path, ...
         slack_ms: ... plus this.
         other_steps_ms: Estimated duration of the other steps on the critical path.
@@ -49,12 +49,12 @@
     job_id: str
     queue: str
     service: str
-    text: str
+    task_input: str
     demand: Demand
     placement: Placement
     priority: int
     estimate_ms: int
-    began_ms: float
+    arrived_ms: float
     stretch: float
     slack_ms: float
     other_steps_ms: float
--- a/tests/test_owners_client.py
+++ b/tests/test_owners_client.py
@@ -240,7 +240,7 @@
             await rig.submit()
             rig.network.answers_after_s = 0.02
             first, second = rig.job, OpenJob(_JOB)
-            rig.client.forget(first)
+            rig.client.cancel_in_background(first)
             rig.job = second
             await rig.submit()
             newest = rig.last_delivery()
@@ -264,7 +264,7 @@
             rig = Rig()
             rig.beat(1)
             await rig.submit()
-            assert not await rig.client.give_up(rig.job)
+            assert not await rig.client.cancel_and_wait(rig.job)
 
         _run(play())
 
@@ -276,7 +276,7 @@
             rig.beat(1)
             await rig.submit()
             rig.network.has_started = True
-            assert await rig.client.give_up(rig.job)
+            assert await rig.client.cancel_and_wait(rig.job)
 
         _run(play())
 
@@ -291,7 +291,7 @@
             connection._has_owner.clear()
             submission_task = asyncio.create_task(rig.submit())
             await asyncio.sleep(0.01)
-            assert not await rig.client.give_up(rig.job)
+            assert not await rig.client.cancel_and_wait(rig.job)
             assert rig.network.asked == []
             submission_task.cancel()
 
@@ -305,7 +305,7 @@
             rig.beat(1)
             await rig.submit()
             rig.network.is_reachable = False
-            assert await rig.client.give_up(rig.job)
+            assert await rig.client.cancel_and_wait(rig.job)
 
         _run(play())
 
@@ -320,7 +320,7 @@
             end = await asyncio.wait_for(rig.ends.get(), 5.0)
             watch_task.cancel()
             assert end.cause is EndCause.LOST
-            assert await rig.client.give_up(rig.job)
+            assert await rig.client.cancel_and_wait(rig.job)
 
         _run(play())
 
@@ -333,7 +333,7 @@
             await rig.submit()
             rig.beat(2)
             await asyncio.sleep(0)
-            assert await rig.client.give_up(rig.job)
+            assert await rig.client.cancel_and_wait(rig.job)
 
         _run(play())
 
@@ -348,7 +348,7 @@
             rig.beat(OWNER_TOKEN - 1)
             await rig.submit()
             rig.network.later_owner = owner_on_box_one()
-            assert await rig.client.give_up(rig.job)
+            assert await rig.client.cancel_and_wait(rig.job)
 
         _run(play())
 
@@ -360,11 +360,11 @@
             rig.beat(1)
             await rig.submit()
             rig.network.answers_after_s = 10.0
-            first = asyncio.create_task(rig.client.give_up(rig.job))
+            first = asyncio.create_task(rig.client.cancel_and_wait(rig.job))
             await asyncio.sleep(0.01)
             first.cancel()
             await asyncio.gather(first, return_exceptions=True)
-            assert await rig.client.give_up(rig.job)
+            assert await rig.client.cancel_and_wait(rig.job)
 
         _run(play())
 
@@ -381,7 +381,7 @@
             time.sleep(0.3)
             # Both tasks only begin in the first step; in the second one the loss comes first.
             watch_task = asyncio.create_task(rig.client.run())
-            giving_up = asyncio.create_task(rig.client.give_up(rig.job))
+            giving_up = asyncio.create_task(rig.client.cancel_and_wait(rig.job))
             rig.network.has_started = True
             assert await giving_up
             watch_task.cancel()
@@ -401,7 +401,7 @@
             await rig.submit()
             time.sleep(_PAUSE_S)
             rig.beat(1)
-            assert await rig.client.give_up(rig.job)
+            assert await rig.client.cancel_and_wait(rig.job)
 
         _run(play())
 
@@ -413,7 +413,7 @@
             rig.beat(1)
             await rig.submit()
             rig.network.answers_after_s = 0.01
-            giving_up = asyncio.create_task(rig.client.give_up(rig.job))
+            giving_up = asyncio.create_task(rig.client.cancel_and_wait(rig.job))
             while not isinstance(rig.network.asked[-1], CancelJob):
                 await asyncio.sleep(0)
             time.sleep(_PAUSE_S)
@@ -431,7 +431,7 @@
             template: SubmitRuns = submission(job_id=_JOB, deadline_ms=-5_000)
             await rig.client.submit(rig.job, template, [RunOrder(0, 0, 1)])
             rig.end(EndCause.UNATTAINABLE, has_started=False)
-            assert await rig.client.give_up(rig.job)
+            assert await rig.client.cancel_and_wait(rig.job)
 
         _run(play())
 
@@ -445,7 +445,7 @@
             await rig.submit()
             rig.end(EndCause.MOVED, moved_to=_OTHER_ZONE, has_started=False)
             await asyncio.sleep(0.01)
-            assert not await rig.client.give_up(rig.job)
+            assert not await rig.client.cancel_and_wait(rig.job)
             assert sum(isinstance(one, CancelJob) for one in rig.network.asked) == 1
 
         _run(play())
@@ -465,7 +465,7 @@
             watch_task.cancel()
             rig.beat(1)
             await rig.submit(2)
-            assert await rig.client.give_up(rig.job)
+            assert await rig.client.cancel_and_wait(rig.job)
 
         _run(play())
 
@@ -494,6 +494,6 @@
                 rig.beat(2, _OTHER_ZONE)
                 await asyncio.sleep(0.005)
             watch_task.cancel()
-            assert await rig.client.give_up(rig.job)
+            assert await rig.client.cancel_and_wait(rig.job)
 
         _run(play())
--- a/tests/test_owners_endpoint_link.py
+++ b/tests/test_owners_endpoint_link.py
@@ -24,7 +24,7 @@
 from foldloom.seed_discovery.owners.endpoint_link import (
     AnswerSource,
     EndpointLink,
-    LeaseTerms,
+    LeaseDurations,
     classify_answer,
 )
 from foldloom.seed_discovery.owners.endpoint_links import EndpointLinks
@@ -35,7 +35,9 @@
 from test_owners_state import ends_of, start_one
 
 _LEASE_MS = 600.0
-_TERMS = LeaseTerms(5, _LEASE_MS, max_real_duration_ms(_LEASE_MS), max_real_duration_ms(1_000.0))
+_LEASE_DURATIONS = LeaseDurations(
+    5, _LEASE_MS, max_real_duration_ms(_LEASE_MS), max_real_duration_ms(1_000.0)
+)
 _ENDPOINT = EndpointRecord("w1", "svc", "w1:1", "z", Demand(16_000, 32_000, 0))
 # A poll in flight when the endpoint falls silent may still renew the lease.
 _POLL_S = 0.5
@@ -103,7 +105,7 @@
     """Run a link to the incarnation ``_BORN_MS``; return whether its task is still running."""
     endpoint_calls: Any = calls
     record = _ENDPOINT._replace(born_ms=_BORN_MS)
-    link = EndpointLink(record, _TERMS, endpoint_calls, owner, _BORN_MS)
+    link = EndpointLink(record, _LEASE_DURATIONS, endpoint_calls, owner, _BORN_MS)
     task = asyncio.create_task(link.run())
     await asyncio.sleep(run_s)
     is_running = not task.done()
@@ -180,16 +182,16 @@
 
         async def play() -> float:
             link = EndpointLink(
-                _ENDPOINT, _TERMS, calls, _Owner(), _BORN_MS, replaces_previous=True
+                _ENDPOINT, _LEASE_DURATIONS, calls, _Owner(), _BORN_MS, replaces_previous=True
             )
             task = asyncio.create_task(link.run())
             began_ms = monotonic_ms()
-            while not link.has_lapsed(monotonic_ms()):
+            while not link.take_lease_expiry(monotonic_ms()):
                 await asyncio.sleep(0.02)
             task.cancel()
             return monotonic_ms() - began_ms
 
-        assert run_in_virtual_time(play(), VirtualTimeLoop()) >= _TERMS.longest_real_ms
+        assert run_in_virtual_time(play(), VirtualTimeLoop()) >= _LEASE_DURATIONS.longest_real_ms
 
 
 class _World:
@@ -202,7 +204,7 @@
         self.catalog.merge(self.record, 0.0)
         self.state = OwnerState(750.0)
         calls: Any = self.calls
-        self.links = EndpointLinks("z", self.state, self.catalog, _TERMS, calls, self)
+        self.links = EndpointLinks("z", self.state, self.catalog, _LEASE_DURATIONS, calls, self)
 
     def may_renew(self, _endpoint: str, _now_ms: float) -> bool:
         """Agree."""
@@ -340,7 +342,7 @@
             await world.run_one()
             world.calls.is_silent = True
             world.leave()
-            bound_ms = _TERMS.lease_real_ms + LAPSE_MARGIN_MS + _POLL_S * 1_000
+            bound_ms = _LEASE_DURATIONS.lease_real_ms + LAPSE_MARGIN_MS + _POLL_S * 1_000
             await world.follow(bound_ms / 1_000)
             assert world.causes == [EndCause.LAPSED]
             assert world.links.get("w1") is None
@@ -383,19 +385,19 @@
         calls: Any = _Calls()
 
         async def play() -> float:
-            link = EndpointLink(_ENDPOINT, _TERMS, calls, _Owner())
+            link = EndpointLink(_ENDPOINT, _LEASE_DURATIONS, calls, _Owner())
             task = asyncio.create_task(link.run())
             await asyncio.sleep(1.0)
             calls.is_silent = True
             silent_ms = monotonic_ms()
-            while not link.has_lapsed(monotonic_ms()):
+            while not link.take_lease_expiry(monotonic_ms()):
                 assert monotonic_ms() - silent_ms < 10_000.0, "its lease never lapses"
                 await asyncio.sleep(0.02)
             task.cancel()
             return monotonic_ms() - silent_ms
 
         lapsed_ms = run_in_virtual_time(play(), VirtualTimeLoop())
-        bound_ms = _TERMS.lease_real_ms + LAPSE_MARGIN_MS + _POLL_S * 1_000
+        bound_ms = _LEASE_DURATIONS.lease_real_ms + LAPSE_MARGIN_MS + _POLL_S * 1_000
         assert lapsed_ms < bound_ms
         assert not calls.polls[-1].until_ms
 
@@ -412,7 +414,9 @@
         calls: Any = _Calls()
 
         async def play() -> None:
-            task = asyncio.create_task(EndpointLink(_ENDPOINT, _TERMS, calls, _Owner()).run())
+            task = asyncio.create_task(
+                EndpointLink(_ENDPOINT, _LEASE_DURATIONS, calls, _Owner()).run()
+            )
             await asyncio.sleep(1.0)
             calls.is_silent = True
             await asyncio.sleep(_POLL_S)
