--- a/src/foldloom/seed_discovery/owners/admission.py
+++ b/src/foldloom/seed_discovery/owners/admission.py
@@ -36,7 +36,7 @@
     """Admission in one owner's term.
 
     Args:
-        waiting: The queued runs of the zone.
+        run_queue: The queued runs of the zone.
         stealing: Queued groups and loads of other zones.
         candidates: The zone's endpoints by id.
         all_endpoints: Returns the endpoints of all zones; none while the list may be incomplete.
@@ -44,12 +44,12 @@
 
     def __init__(
         self,
-        waiting: RunQueue,
+        run_queue: RunQueue,
         stealing: WorkStealing,
         candidates: Mapping[str, ZoneEndpoint],
         all_endpoints: Callable[[], Sequence[EndpointRecord]],
     ) -> None:
-        self._waiting = waiting
+        self._run_queue = run_queue
         self._stealing = stealing
         self._candidates = candidates
         self._all_endpoints = all_endpoints
@@ -68,8 +68,8 @@
         order = message.orders[0]
         if order.step:
             return _TAKEN
-        group = self._waiting.get(GroupId(message.job_id, message.repeat, order.step))
-        if group is None or len(group.waiting) < len(message.orders):
+        group = self._run_queue.get(GroupId(message.job_id, message.repeat, order.step))
+        if group is None or len(group.queued) < len(message.orders):
             return _TAKEN
         wait_ms = self._expected_wait_ms(group, now_ms)
         if not misses_objective(group, wait_ms, now_ms):
@@ -88,7 +88,7 @@
     def _expected_wait_ms(self, group: RunGroup, now_ms: float) -> float:
         return expected_wait_ms(
             group,
-            self._waiting.groups,
+            self._run_queue.groups,
             self._stealing.remote.stealable(now_ms),
             self._available_capacity(now_ms),
             now_ms,
@@ -101,7 +101,7 @@
 
     def _available_capacity(self, now_ms: float) -> AvailableCapacity:
         """Return the capacity of this zone and of the zones with a recent load report."""
-        own_load = zone_load(self._candidates.values(), self._waiting, now_ms)
+        own_load = zone_load(self._candidates.values(), self._run_queue, now_ms)
         loads = [own_load, *self._stealing.loads(now_ms)]
         return AvailableCapacity(
             total_milli=sum(load.total_milli for load in loads),
--- a/src/foldloom/seed_discovery/owners/lifecycle.py
+++ b/src/foldloom/seed_discovery/owners/lifecycle.py
@@ -60,7 +60,7 @@
         # Dicts serve as ordered sets, so that the order of actions is deterministic.
         self._tasks_by_job: dict[str, dict[TaskId, None]] = {}
         self._estimates = Estimates()
-        self.waiting = RunQueue(self._estimates)
+        self.run_queue = RunQueue(self._estimates)
         self.speeds = EndpointSpeeds()
         self.tombstones = Tombstones()
         self.started = StartedJobs()
@@ -91,7 +91,7 @@
     def queue(self, run: Run, now_ms: float) -> None:
         """Queue *run*, which must not be on any endpoint."""
         run.enter(RunState.QUEUED, now_ms)
-        self.waiting.add(run)
+        self.run_queue.add(run)
 
     def start(self, run: Run, endpoint: str, now_ms: float) -> None:
         """Order *run* to start on *endpoint*, where its capacity is already allocated."""
@@ -102,7 +102,7 @@
     def adopt(self, run: Run, attempt: int, endpoint: str, now_ms: float) -> None:
         """Mark *run* as running: *endpoint* lists *attempt* of it."""
         self.started.note(run.task.job_id, run.spec.deadline_ms)
-        self.waiting.remove(run.task)
+        self.run_queue.remove(run.task)
         run.attempt = attempt
         resources = self._candidates[endpoint].resources
         # Releases a stale allocation, so that the task's capacity is not allocated twice.
@@ -181,7 +181,7 @@
             candidate.resources.release(run.task)
 
     def _drop(self, run: Run) -> None:
-        self.waiting.remove(run.task)
+        self.run_queue.remove(run.task)
         self._runs.pop(run.task, None)
         tasks = self._tasks_by_job.get(run.task.job_id)
         if tasks is None:
@@ -189,13 +189,13 @@
         tasks.pop(run.task, None)
         key = group_of(run.task)
         if not any(group_of(task) == key for task in tasks):
-            self.waiting.remove_group(key)
+            self.run_queue.remove_group(key)
         if not tasks:
             del self._tasks_by_job[run.task.job_id]
 
     def _update_estimates(self, run: Run, ran_ms: float) -> None:
         """Update the endpoint's speed and the duration estimates of the group and the queue."""
-        group = self.waiting.group(run)
+        group = self.run_queue.group(run)
         self.speeds.record(run.endpoint, ran_ms, group.expected_ms)
         work_ms = ran_ms * self.speeds.speed_of(run.endpoint)
         group.note_done(work_ms)
--- a/src/foldloom/seed_discovery/owners/state.py
+++ b/src/foldloom/seed_discovery/owners/state.py
@@ -74,7 +74,7 @@
             self._lifecycle, self._stealing, self._candidates, run_expiry_ms
         )
         self._admission = Admission(
-            self._lifecycle.waiting, self._stealing, self._candidates, all_endpoints
+            self._lifecycle.run_queue, self._stealing, self._candidates, all_endpoints
         )
 
     @property
@@ -83,13 +83,13 @@
         return self._candidates
 
     @property
-    def waiting(self) -> RunQueue:
+    def run_queue(self) -> RunQueue:
         """The queued runs."""
-        return self._lifecycle.waiting
+        return self._lifecycle.run_queue
 
     def load(self, now_ms: float) -> ZoneLoad:
         """Return the zone's load."""
-        return zone_load(self._candidates.values(), self.waiting, now_ms)
+        return zone_load(self._candidates.values(), self.run_queue, now_ms)
 
     def speed_of(self, endpoint: str) -> float:
         """Return the estimated speed of *endpoint* relative to the median endpoint."""
@@ -141,18 +141,18 @@
 
     def offer(self, now_ms: float) -> list[GroupSummary]:
         """Return summaries of the queued groups, to be offered to other zones."""
-        return self.waiting.summaries(now_ms, OFFERED_GROUPS_MAX)
+        return self.run_queue.summaries(now_ms, OFFERED_GROUPS_MAX)
 
     def release_to_zone(self, key: GroupId, runs: int, zone: str, now_ms: float) -> int:
         """Hand up to *runs* queued runs of a group to another zone; return the number handed over.
 
         Their boxes are notified to deliver them to the owner of *zone*.
         """
-        group = self.waiting.get(key)
+        group = self.run_queue.get(key)
         if group is None:
             return 0
         # Taken from the tail: the head of the queue starts here next.
-        released = list(group.waiting.values())[-runs:]
+        released = list(group.queued.values())[-runs:]
         for run in released:
             has_started = run.task.job_id in self._lifecycle.started
             end = RunEnd(run.run_id, EndCause.MOVED, moved_to=zone, has_started=has_started)
@@ -305,7 +305,7 @@
     def place(self, now_ms: float) -> None:
         """Start queued runs that fit, and request runs of other zones for the spare capacity."""
         placing = place(
-            self.waiting,
+            self.run_queue,
             self._stealing.remote,
             self._candidates,
             self._lifecycle.speeds,
@@ -319,11 +319,11 @@
 
     def _retire_unattainable(self, now_ms: float) -> None:
         """Retire queued runs of jobs that can no longer complete in time."""
-        for group in self.waiting.groups:
+        for group in self.run_queue.groups:
             if tier_of(group, now_ms) is not Tier.UNATTAINABLE:
                 continue
             has_started = group.spec.job_id in self._lifecycle.started
-            for run in list(group.waiting.values()):
+            for run in list(group.queued.values()):
                 end = RunEnd(run.run_id, EndCause.UNATTAINABLE, has_started=has_started)
                 self._lifecycle.retire(run, end, now_ms)
 
--- a/src/foldloom/seed_discovery/owners/stragglers.py
+++ b/src/foldloom/seed_discovery/owners/stragglers.py
@@ -43,7 +43,7 @@
     for run in lifecycle.in_state(RunState.RUNNING):
         if not run.began_ms:
             continue
-        group = lifecycle.waiting.group(run)
+        group = lifecycle.run_queue.group(run)
         ran_ms = now_ms - run.began_ms
         if not is_overdue(ran_ms, group.expected_ms):
             continue
--- a/src/foldloom/seed_discovery/scheduling/admission.py
+++ b/src/foldloom/seed_discovery/scheduling/admission.py
@@ -50,7 +50,7 @@
     now_ms: float,
 ) -> float:
     """Return the expected queueing time of the last task of *group*."""
-    demanded_milli = len(group.waiting) * group.spec.demand.cpu_milli
+    demanded_milli = len(group.queued) * group.spec.demand.cpu_milli
     if demanded_milli <= available.free_milli:
         return 0.0
     if not available.total_milli and available.overdue_milli:
@@ -59,7 +59,7 @@
         return 0.0
     group_rank = rank(group, now_ms)
     ahead_cpu_ms = sum(
-        other.waiting_cpu_ms for other in own_groups if rank(other, now_ms) <= group_rank
+        other.queued_cpu_ms for other in own_groups if rank(other, now_ms) <= group_rank
     )
     ahead_cpu_ms += sum(other.summary.cpu_ms for other in remote_groups if other.rank < group_rank)
     usable_cores = available.total_milli / 1_000 * _USABLE_CPU_SHARE
--- a/src/foldloom/seed_discovery/scheduling/groups.py
+++ b/src/foldloom/seed_discovery/scheduling/groups.py
@@ -30,7 +30,7 @@
     def __init__(self, spec: RunSpec, expected_ms: float) -> None:
         self.spec = spec
         self.started = 0
-        self.waiting: dict[TaskId, Run] = {}
+        self.queued: dict[TaskId, Run] = {}
         self._expected_ms = expected_ms
         self._finished_log_sum = 0.0
         self._finished_count = 0
@@ -82,9 +82,9 @@
         return min(latest_ms, self.spec.deadline_ms)
 
     @property
-    def waiting_cpu_ms(self) -> float:
+    def queued_cpu_ms(self) -> float:
         """Estimated CPU time of the queued tasks, in core milliseconds."""
-        return len(self.waiting) * self.expected_ms * self.spec.demand.cpu_milli / 1_000
+        return len(self.queued) * self.expected_ms * self.spec.demand.cpu_milli / 1_000
 
     def speed_needed(self, tier_deadline_ms: float, now_ms: float) -> float:
         """Return the minimum endpoint speed for a task that starts now to end in time.
--- a/src/foldloom/seed_discovery/scheduling/placing.py
+++ b/src/foldloom/seed_discovery/scheduling/placing.py
@@ -102,7 +102,7 @@
 
 
 def place(
-    waiting: RunQueue,
+    run_queue: RunQueue,
     remote: RemoteGroups,
     candidates: Mapping[str, ZoneEndpoint],
     speeds: EndpointSpeeds,
@@ -117,7 +117,7 @@
     if not eligible_endpoints:
         return result
     context = _PlacementContext(eligible_endpoints, speeds, isolations)
-    own_groups, remote_groups = waiting.groups, remote.stealable(now_ms)
+    own_groups, remote_groups = run_queue.groups, remote.stealable(now_ms)
     queued_groups = [
         _QueuedGroup(rank(group, now_ms), False, index) for index, group in enumerate(own_groups)
     ]
@@ -131,13 +131,13 @@
                 remote_groups[position], context, exhausted, now_ms, result.steal_requests
             )
         else:
-            _place_group(own_groups[position], waiting, context, exhausted, now_ms, result.placed)
+            _place_group(own_groups[position], run_queue, context, exhausted, now_ms, result.placed)
     return result
 
 
 def _place_group(
     group: RunGroup,
-    waiting: RunQueue,
+    run_queue: RunQueue,
     context: _PlacementContext,
     exhausted: set[_Requirements],
     now_ms: float,
@@ -149,7 +149,7 @@
     )
     if requirements in exhausted:
         return
-    for run in list(group.waiting.values()):
+    for run in list(group.queued.values()):
         isolation = context.isolations.get(run.task, Isolation.NONE)
         chosen = choose_endpoint(
             requirements._replace(isolation=isolation), group_of(run.task), context
@@ -162,7 +162,7 @@
                 exhausted.add(requirements)
             return
         chosen.resources.allocate(run.task, spec.demand)
-        waiting.remove(run.task)
+        run_queue.remove(run.task)
         placed.append(PlacedRun(run, chosen.record.endpoint))
 
 
--- a/src/foldloom/seed_discovery/scheduling/run_queue.py
+++ b/src/foldloom/seed_discovery/scheduling/run_queue.py
@@ -21,24 +21,24 @@
     def __init__(self, estimates: Estimates) -> None:
         self._estimates = estimates
         self._groups: dict[GroupId, RunGroup] = {}
-        self._waiting_count = 0
+        self._queued_count = 0
 
     def __len__(self) -> int:
-        return self._waiting_count
+        return self._queued_count
 
     def __contains__(self, task: TaskId) -> bool:
         group = self._groups.get(group_of(task))
-        return group is not None and task in group.waiting
+        return group is not None and task in group.queued
 
     @property
     def groups(self) -> list[RunGroup]:
         """The groups with queued runs."""
-        return [group for group in self._groups.values() if group.waiting]
+        return [group for group in self._groups.values() if group.queued]
 
     @property
     def cpu_milli(self) -> int:
         """CPU demand of all queued runs, in thousandths of a core."""
-        return sum(len(group.waiting) * group.spec.demand.cpu_milli for group in self.groups)
+        return sum(len(group.queued) * group.spec.demand.cpu_milli for group in self.groups)
 
     def get(self, key: GroupId) -> RunGroup | None:
         """Return the group *key*, or ``None`` if it has no runs here."""
@@ -57,21 +57,21 @@
     def add(self, run: Run) -> None:
         """Queue *run*; no effect if it is queued already."""
         group = self.group(run)
-        if run.task not in group.waiting:
-            group.waiting[run.task] = run
-            self._waiting_count += 1
+        if run.task not in group.queued:
+            group.queued[run.task] = run
+            self._queued_count += 1
 
     def remove(self, task: TaskId) -> None:
         """Remove the run of *task* from the queue, if present."""
         group = self._groups.get(group_of(task))
-        if group is not None and group.waiting.pop(task, None) is not None:
-            self._waiting_count -= 1
+        if group is not None and group.queued.pop(task, None) is not None:
+            self._queued_count -= 1
 
     def remove_group(self, key: GroupId) -> None:
         """Remove a group that has no runs left."""
         group = self._groups.pop(key, None)
         if group is not None:
-            self._waiting_count -= len(group.waiting)
+            self._queued_count -= len(group.queued)
 
     def summaries(self, now_ms: float, limit: int) -> list[GroupSummary]:
         """Return summaries of the first *limit* queued groups in serving order."""
@@ -87,12 +87,12 @@
                 group_rank.tier,
                 group_rank.level,
                 int(group_rank.start_deadline_ms - now_ms),
-                len(group.waiting),
-                int(group.waiting_cpu_ms),
+                len(group.queued),
+                int(group.queued_cpu_ms),
                 speed_min(group, now_ms),
             )
             summaries.append(summary)
         return summaries
 
     def _waiting_items(self) -> list[tuple[GroupId, RunGroup]]:
-        return [(key, group) for key, group in self._groups.items() if group.waiting]
+        return [(key, group) for key, group in self._groups.items() if group.queued]
--- a/tests/test_owners_state.py
+++ b/tests/test_owners_state.py
@@ -114,7 +114,7 @@
         state.place(1.0)
         placed = [action.endpoint for action in state.actions.pop_starts()]
         assert sorted(placed) == ["w1", "w1", "w2", "w2", "w2"]
-        assert len(state.waiting) == 2
+        assert len(state.run_queue) == 2
 
     def test_untrusted_endpoint_gets_nothing(self) -> None:
         """An endpoint that does not answer gets no work until its next report."""
