--- a/src/foldloom/seed_discovery/owners/messages.py
+++ b/src/foldloom/seed_discovery/owners/messages.py
@@ -210,14 +210,14 @@
 
 
 class WaitingGroups(NamedTuple):
-    """Offer of an owner's waiting runs to the owners of other zones."""
+    """Offer of an owner's queued runs to the owners of other zones."""
 
     owner: OwnerRecord
     groups: list[GroupSummary]
 
 
 class StealRuns(NamedTuple):
-    """Work-stealing request of an owner with free capacity for another owner's waiting runs."""
+    """Work-stealing request of an owner with free capacity for another owner's queued runs."""
 
     zone: str
     group: GroupId
--- a/src/foldloom/seed_discovery/owners/zone_owner.py
+++ b/src/foldloom/seed_discovery/owners/zone_owner.py
@@ -179,7 +179,7 @@
         await self._orders.wait_for_starts(endpoints)
 
     def handle_offer(self, message: WaitingGroups) -> None:
-        """Handle another zone's offer of waiting runs."""
+        """Handle another zone's offer of queued runs."""
         if self._is_closed or message.owner.zone == self._record.zone:
             return
         self._state.note_offer(message.owner.zone, message.groups, monotonic_ms())
