--- a/src/foldloom/seed_discovery/controller_box.py
+++ b/src/foldloom/seed_discovery/controller_box.py
@@ -30,7 +30,7 @@
 from foldloom.seed_discovery.fleet.messages import BoxRecord
 from foldloom.seed_discovery.fleet.published import PublishedHolder
 from foldloom.seed_discovery.fleet.publisher import Publisher
-from foldloom.seed_discovery.fleet.registry import Registry
+from foldloom.seed_discovery.fleet.registry import FleetRegistry
 from foldloom.seed_discovery.fleet.view import FleetView
 from foldloom.settings import CONTROLLER, Settings
 from foldloom.tasks import TaskSet
@@ -73,7 +73,7 @@
         cache = PublicationCache(settings.data_folder)
         self._holder = PublishedHolder(self._network, self._on_publication, cache)
         self._services = self._services_of(self._holder.publication)
-        self._registry = Registry(
+        self._registry = FleetRegistry(
             self._network, self._holder, self._controllers, lambda: self._services
         )
         is_founder = is_first_start and settings.box in settings.seeds
--- a/src/foldloom/seed_discovery/fleet/registry.py
+++ b/src/foldloom/seed_discovery/fleet/registry.py
@@ -66,7 +66,7 @@
     received_ms: float
 
 
-class Registry:
+class FleetRegistry:
     """Answers joins, maintains the endpoint catalog, and pushes changes to entry boxes.
 
     Args:
--- a/tests/test_fleet_joiner.py
+++ b/tests/test_fleet_joiner.py
@@ -12,7 +12,7 @@
 from foldloom.seed_discovery.fleet.joiner import Joiner
 from foldloom.seed_discovery.fleet.messages import BoxRecord
 from foldloom.seed_discovery.fleet.published import PublishedHolder
-from foldloom.seed_discovery.fleet.registry import Registry
+from foldloom.seed_discovery.fleet.registry import FleetRegistry
 from foldloom.seed_discovery.fleet.view import FleetView
 from foldloom.seed_discovery.jobs.spec import Demand
 from foldloom.settings import ENTRY
@@ -38,7 +38,9 @@
         self.wire: Any
         controller_wire, self.wire = connected(_CONTROLLER, _ENTRY)
         self.catalog = EndpointCatalog()
-        self.registry = Registry(controller_wire, _holder(controller_wire), lambda: [_CONTROLLER])
+        self.registry = FleetRegistry(
+            controller_wire, _holder(controller_wire), lambda: [_CONTROLLER]
+        )
         view = FleetView(BoxRecord(_ENTRY, 1, "a", ENTRY), [_CONTROLLER])
         self._joiner = Joiner(self.wire, view, _holder(self.wire), self.catalog, _JOIN_MS)
 
--- a/tests/test_fleet_registry.py
+++ b/tests/test_fleet_registry.py
@@ -15,7 +15,7 @@
     decode_endpoints,
 )
 from foldloom.seed_discovery.fleet.published import PublishedHolder
-from foldloom.seed_discovery.fleet.registry import Registry
+from foldloom.seed_discovery.fleet.registry import FleetRegistry
 from foldloom.seed_discovery.jobs.spec import Demand
 from foldloom.settings import ENTRY
 from standins.wire import connected
@@ -42,7 +42,7 @@
         wire, box = connected(_CONTROLLER, _ENTRY)
         holder = PublishedHolder(wire, lambda _publication: None)
         self.services = services
-        self.registry = Registry(wire, holder, lambda: [_CONTROLLER], lambda: self.services)
+        self.registry = FleetRegistry(wire, holder, lambda: [_CONTROLLER], lambda: self.services)
         self.forwarded: list[EndpointRecord] = []
         box.on(EndpointsSeen, self._on_endpoints)
         self._box = box
