--- a/src/foldloom/seed_discovery/owners/client.py
+++ b/src/foldloom/seed_discovery/owners/client.py
@@ -32,11 +32,15 @@
     SubmitRuns,
 )
 from foldloom.seed_discovery.owners.open_job import OpenJob
-from foldloom.seed_discovery.owners.withdrawal import Withdrawal, log_verdict, may_have_started
+from foldloom.seed_discovery.owners.withdrawal import (
+    Withdrawal,
+    log_cancel_outcome,
+    may_have_started,
+)
 from foldloom.settings import TimingSettings
 from foldloom.tasks import TaskSet
 
-# Interval of checks for lapsed grants; small against the time after which a grant lapses.
+# Interval of checks for expired grants; small against the time after which a grant expires.
 _LOST_CHECK_S = 0.05
 # Random bits of the first delivery number, so that incarnations do not share numbers; fits 64 bits.
 _DELIVERY_BITS = 48
@@ -86,7 +90,7 @@
         connection.handle_heartbeat(heartbeat, published_version)
 
     async def run(self) -> None:
-        """Report the runs of owners whose grant has lapsed as lost; runs until cancelled."""
+        """Report as lost the runs of owners whose grant has expired; runs until cancelled."""
         while True:
             await asyncio.sleep(_LOST_CHECK_S)
             for connection in self._connections.values():
@@ -104,19 +108,19 @@
             self._find_or_create_batch(connection, job, template), orders
         )
 
-    async def give_up(self, job: OpenJob) -> bool:
+    async def cancel_and_wait(self, job: OpenJob) -> bool:
         """Cancel a job in all zones; return whether any run of it may have started."""
         withdrawals = self._withdraw(job)
         is_known = job.may_have_started
         # Assumed until the owners have answered, since a deadline may cancel the wait.
         job.may_have_started = True
         answers = await self._cancels.cancel_and_wait(withdrawals)
-        log_verdict(withdrawals, answers)
+        log_cancel_outcome(withdrawals, answers)
         job.may_have_started = is_known or may_have_started(withdrawals, answers)
         return job.may_have_started
 
-    def forget(self, job: OpenJob) -> None:
-        """Cancel a job without waiting for the owners."""
+    def cancel_in_background(self, job: OpenJob) -> None:
+        """Cancel a job in all zones without waiting for the owners' answers."""
         self._cancels.begin(self._withdraw(job))
 
     def _withdraw(self, job: OpenJob) -> list[Withdrawal]:
@@ -130,7 +134,7 @@
         return [withdrawal for withdrawal in withdrawn if withdrawal is not None]
 
     def _report_lost(self, connection: OwnerConnection, run: LostRun) -> None:
-        """Report a run as lost whose owner's grant has lapsed."""
+        """Report as lost a run of an owner whose grant has expired."""
         batch, order = run
         PLACE_LOG.event(
             "run.lost",
--- a/src/foldloom/seed_discovery/owners/endpoint_link.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_link.py
@@ -23,7 +23,7 @@
 from foldloom.seed_discovery.endpoints.records import EndpointRecord
 from foldloom.seed_discovery.owners.lease import LAPSE_MARGIN_MS, EndpointClock
 
-# Long-poll wait: a third of the default lease, so that two polls may be lost before it lapses.
+# Long-poll wait; short enough that two polls may be lost before a lease of default length expires.
 _POLL_WAIT_MS = 200
 # Exponential back-off between failed polls; short, because an endpoint restarts within a second.
 _BACKOFF_MIN_S = 0.05
@@ -33,7 +33,7 @@
 SUSPECT_AFTER_MS = 80
 
 
-class LeaseTerms(NamedTuple):
+class LeaseDurations(NamedTuple):
     """Lease durations of one owner's term.
 
     Args:
@@ -64,8 +64,8 @@
     new incarnation.
 
     Args:
-        answer_born_ms: Birth time in the answer; 0 if it has none.
-        born_ms: Birth time of the known incarnation; 0 if unknown.
+        answer_born_ms: Start time in the answer; 0 if it has none.
+        born_ms: Start time of the known incarnation; 0 if unknown.
         has_answered: Whether the known incarnation has answered before.
     """
     if not answer_born_ms or answer_born_ms == born_ms:
@@ -94,10 +94,10 @@
         """Handle a crash of *endpoint*: nothing listens at its address any more."""
 
     def note_incarnation_ended(self, endpoint: str, born_ms: int) -> None:
-        """Handle the certain end of the incarnation of *endpoint* born at *born_ms*."""
+        """Handle the certain end of the incarnation of *endpoint* started at *born_ms*."""
 
     def note_next_incarnation(self, endpoint: str, born_ms: int) -> None:
-        """Handle an answer of a later incarnation of *endpoint*, born at *born_ms*."""
+        """Handle an answer from a later incarnation of *endpoint*, started at *born_ms*."""
 
     def note_fenced(self, endpoint: str) -> None:
         """Handle a refusal by *endpoint*, which has seen a higher token."""
@@ -110,17 +110,17 @@
 
     Args:
         record: The endpoint's record; the previous incarnation's until the first heartbeat.
-        terms: Lease durations.
+        lease_durations: Lease durations.
         calls: Client for calls to endpoints.
         owner: Receiver of reports and events.
-        born_ms: Birth time of this incarnation; 0 if unknown.
+        born_ms: Start time of this incarnation; 0 if unknown.
         replaces_previous: Whether this owner gave orders to the previous incarnation.
     """
 
     def __init__(
         self,
         record: EndpointRecord,
-        terms: LeaseTerms,
+        lease_durations: LeaseDurations,
         calls: EndpointCalls,
         owner: LinkListener,
         born_ms: int = 0,
@@ -130,18 +130,18 @@
         self.clock = EndpointClock()
         self.answered_ms = monotonic_ms()
         self.born_ms = born_ms
-        self._terms = terms
+        self._lease_durations = lease_durations
         self._calls = calls
         self._owner = owner
         # Orders meant for the previous incarnation may have reached this one; their leases last no
         # longer than the longest that the endpoint accepts.
         self._stale_orders_until_ms = (
-            self.answered_ms + terms.longest_real_ms if replaces_previous else 0.0
+            self.answered_ms + lease_durations.longest_real_ms if replaces_previous else 0.0
         )
         self._last_sequence = 0
         self._last_poll_succeeded = False
         self._is_silent = False
-        self._has_lapsed = False
+        self._is_expiry_taken = False
         self._is_over = False
 
     @property
@@ -155,27 +155,27 @@
         return self._is_over
 
     def answer_source(self, answer_born_ms: int) -> AnswerSource:
-        """Return which incarnation an answer with this birth time (0 if none) is from."""
+        """Return which incarnation an answer with this start time (0 if none) is from."""
         return classify_answer(answer_born_ms, self.born_ms, self.clock.is_known)
 
     def order_until(self, now_ms: float) -> int:
         """Return the expiry of a new lease by the endpoint's clock; 0 while that is unknown."""
         if not self.clock.is_known:
             return 0
-        return self.clock.order_until(now_ms, self._terms.lease_ms)
+        return self.clock.order_until(now_ms, self._lease_durations.lease_ms)
 
-    def has_lapsed(self, now_ms: float) -> bool:
-        """Return whether all leases there have certainly lapsed; true once per silence."""
-        if not self._is_silent or self._has_lapsed:
+    def take_lease_expiry(self, now_ms: float) -> bool:
+        """Return whether all leases have certainly expired; true once until the next answer."""
+        if not self._is_silent or self._is_expiry_taken:
             return False
         if now_ms < self.clock.lapses_by() + LAPSE_MARGIN_MS:
             return False
         if now_ms < self._stale_orders_until_ms + LAPSE_MARGIN_MS:
             return False
         # Leases ordered by an earlier owner are not covered by this clock.
-        if now_ms < self.answered_ms + self._terms.lease_real_ms + LAPSE_MARGIN_MS:
+        if now_ms < self.answered_ms + self._lease_durations.lease_real_ms + LAPSE_MARGIN_MS:
             return False
-        self._has_lapsed = True
+        self._is_expiry_taken = True
         return True
 
     async def run(self) -> None:
@@ -228,7 +228,7 @@
         """Return the next poll.
 
         Polls to a silent endpoint do not renew its lease: they may still be carried out, and the
-        lease would never lapse.
+        lease would never expire.
         """
         renews = (
             self.clock.is_known
@@ -240,7 +240,7 @@
         # After a failed poll, the next answer may come from a new incarnation, which numbers its
         # ends from 1 again and would drop those up to an acknowledged number.
         seen = self._last_sequence if self._last_poll_succeeded else 0
-        return PollOrder(self._terms.token, seen, until_ms, wait_ms)
+        return PollOrder(self._lease_durations.token, seen, until_ms, wait_ms)
 
     def _handle_reply(self, reply: PollReply, sent_ms: float) -> None:
         now_ms = monotonic_ms()
@@ -251,7 +251,7 @@
         if self._is_silent:
             ENDPOINT_LOG.event("endpoint.answers", endpoint=self.record.endpoint)
         self._is_silent = False
-        self._has_lapsed = False
+        self._is_expiry_taken = False
         new_ends = tuple(end for end in reply.ended if end.sequence > self._last_sequence)
         if new_ends:
             self._last_sequence = max(end.sequence for end in new_ends)
--- a/src/foldloom/seed_discovery/owners/endpoint_links.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_links.py
@@ -2,7 +2,7 @@
 """The links to all endpoints of a zone, kept in sync with the catalog.
 
 Holds one link and task for the newest known incarnation of each endpoint. Updates the owner's state
-when endpoints are added, removed or replaced, or when their leases have lapsed.
+when endpoints are added, removed or replaced, or when their leases have expired.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from foldloom.seed_discovery.owners.endpoint_link import (
     AnswerSource,
     EndpointLink,
-    LeaseTerms,
+    LeaseDurations,
     LinkListener,
 )
 from foldloom.seed_discovery.owners.state import OwnerState
@@ -33,7 +33,7 @@
         zone: The owner's zone.
         state: The owner's state.
         catalog: The endpoints of all zones.
-        terms: Lease durations.
+        lease_durations: Lease durations.
         calls: Client for calls to endpoints.
         owner: Receiver of reports and events.
     """
@@ -43,14 +43,14 @@
         zone: str,
         state: OwnerState,
         catalog: EndpointCatalog,
-        terms: LeaseTerms,
+        lease_durations: LeaseDurations,
         calls: EndpointCalls,
         owner: LinkListener,
     ) -> None:
         self._zone = zone
         self._state = state
         self._catalog = catalog
-        self._link_args = (terms, calls, owner)
+        self._link_args = (lease_durations, calls, owner)
         self._links: dict[str, EndpointLink] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
@@ -66,9 +66,9 @@
     def sync_with_catalog(self, now_ms: float) -> None:
         """Open links to added endpoints and close those to removed ones.
 
-        A farewell message does not name the incarnation it is from and may be delayed. An endpoint
-        with a known birth time that still runs something is therefore polled until its runs have
-        ended or lapsed, so that no run starts a second time elsewhere.
+        A deregistration does not name its incarnation and may be delayed. An endpoint with a known
+        start time that still has runs is therefore polled until they have ended or their leases
+        have expired, so that no run starts a second time elsewhere.
         """
         records = {
             record.endpoint: record for record in self._catalog.records if record.zone == self._zone
@@ -105,9 +105,9 @@
             self._replace(link, link.record, born_ms, "answer")
 
     def check_silent_endpoints(self, now_ms: float) -> None:
-        """Report lapsed endpoints to the state and remove those with a long silence."""
+        """Report expired leases to the state and remove endpoints after a long silence."""
         for endpoint, link in self._links.items():
-            if link.has_lapsed(now_ms):
+            if link.take_lease_expiry(now_ms):
                 silent_ms = int(now_ms - link.answered_ms)
                 ENDPOINT_LOG.event("endpoint.lapsed", endpoint=endpoint, silent_ms=silent_ms)
                 self._state.handle_lease_expiry(endpoint, now_ms)
--- a/src/foldloom/seed_discovery/owners/order_sender.py
+++ b/src/foldloom/seed_discovery/owners/order_sender.py
@@ -91,7 +91,7 @@
             return
         self._log_start(action, link, until_ms, now_ms)
         self._metrics.count("runs.started")
-        order = StartOrder(action.run_id, action.text, self._token, until_ms)
+        order = StartOrder(action.run_id, action.task_input, self._token, until_ms)
         overdue_timer = asyncio.get_running_loop().call_later(
             SUSPECT_AFTER_MS / 1_000, self._owner.note_overdue, action.endpoint, "start"
         )
@@ -139,9 +139,9 @@
             link.clock.note(reply.clock_ms, now_ms)
 
     def _may_start(self, action: StartAction, now_ms: float) -> bool:
-        """Return whether the run has a holder with a valid grant, and its lease may be renewed.
+        """Return whether the run has a holder with a valid session, and its lease may be renewed.
 
-        Checked immediately before the call, since grants may have lapsed during a pause of this
+        Checked immediately before the call, since sessions may have expired during a pause of this
         process. A start renews the lease of its whole endpoint.
         """
         run = self._state.current_run(action.run_id.task)
@@ -157,7 +157,7 @@
         candidate = self._state.candidates.get(action.endpoint)
         if run is None or candidate is None:
             return
-        self._metrics.timing("job_age_at_start_ms", now_ms - run.spec.began_ms)
+        self._metrics.timing("job_age_at_start_ms", now_ms - run.spec.arrived_ms)
         PLACE_LOG.event(
             "run.placed",
             job=action.run_id.task.job_id,
@@ -166,7 +166,7 @@
             born_ms=link.born_ms,
             token=self._token,
             until_ms=until_ms,
-            job_age_ms=int(now_ms - run.spec.began_ms),
+            job_age_ms=int(now_ms - run.spec.arrived_ms),
             speed=round(self._state.speed_of(action.endpoint), 2),
             free_milli=candidate.resources.free.cpu_milli,
         )
--- a/src/foldloom/seed_discovery/owners/sessions.py
+++ b/src/foldloom/seed_discovery/owners/sessions.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: MIT
 """An owner's sessions with entry boxes, and the run ends still to be sent to each box.
 
-There is one session per incarnation of a box. A box acknowledges each heartbeat with the
-heartbeat's sending time; by its own clock, the owner may run the box's tasks for the session time
-from then on. The box counts from its acknowledgement, so by its count the session ends later.
+There is one session per incarnation of a box. A box echoes the sending time of each heartbeat in
+its acknowledgement, and the owner may run the box's tasks for the session time from that moment, by
+the owner's clock. The box measures the session from handling the heartbeat, so for the box it ends
+later.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
         zone: The owner's zone.
         token: The owner's token.
         network: Connections to the other boxes.
-        is_renewed_session: Whether an earlier session with the same incarnation has lapsed.
+        is_renewed_session: Whether an earlier session with the same incarnation has expired.
     """
 
     def __init__(
@@ -80,8 +81,8 @@
                 self._has_ends.clear()
 
 
-class LapsedSession(NamedTuple):
-    """A session that lapsed at ``ended_ms`` by the owner's clock."""
+class ExpiredSession(NamedTuple):
+    """A session that expired at ``ended_ms`` by the owner's clock."""
 
     holder: HolderId
     ended_ms: float
@@ -104,15 +105,15 @@
         self._session_ms = session_ms
         self._sessions: dict[HolderId, Session] = {}
         self._tasks: dict[HolderId, asyncio.Task[None]] = {}
-        self._lapsed: set[HolderId] = set()
+        self._expired: set[HolderId] = set()
 
     def has_session(self, holder: HolderId, now_ms: float) -> bool:
-        """Return whether the session with *holder* is in force."""
+        """Return whether the session with *holder* is valid."""
         session = self._sessions.get(holder)
         return session is not None and now_ms < session.expires_ms
 
     def has_session_with_other_box(self, box: str, now_ms: float) -> bool:
-        """Return whether a session with any box other than *box* is in force."""
+        """Return whether a session with any box other than *box* is valid."""
         return any(
             holder.box != box and now_ms < session.expires_ms
             for holder, session in self._sessions.items()
@@ -133,7 +134,7 @@
         """Begin or renew the session for the heartbeat sent at *heartbeat_sent_ms*."""
         session = self._sessions.get(holder)
         if session is None:
-            is_renewed_session = holder in self._lapsed
+            is_renewed_session = holder in self._expired
             session = Session(holder, self._zone, self._token, self._network, is_renewed_session)
             self._sessions[holder] = session
             self._tasks[holder] = asyncio.create_task(session.run())
@@ -145,21 +146,21 @@
         if session is not None:
             session.queue_end(end)
 
-    def end_lapsed(self, now_ms: float) -> list[LapsedSession]:
-        """End and return the sessions that have lapsed."""
-        lapsed = [
-            LapsedSession(holder, session.expires_ms)
+    def end_lapsed(self, now_ms: float) -> list[ExpiredSession]:
+        """End and return the sessions that have expired."""
+        expired = [
+            ExpiredSession(holder, session.expires_ms)
             for holder, session in self._sessions.items()
             if now_ms >= session.expires_ms
         ]
-        self._end(session.holder for session in lapsed)
-        self._lapsed.update(session.holder for session in lapsed)
-        return lapsed
+        self._end(session.holder for session in expired)
+        self._expired.update(session.holder for session in expired)
+        return expired
 
     def end_other_incarnations(self, holder: HolderId) -> list[HolderId]:
         """End the sessions with other incarnations of the box and return their holders."""
-        self._lapsed = {
-            known for known in self._lapsed if known.box != holder.box or known == holder
+        self._expired = {
+            known for known in self._expired if known.box != holder.box or known == holder
         }
         earlier = [known for known in self._sessions if known.box == holder.box and known != holder]
         self._end(earlier)
--- a/src/foldloom/seed_discovery/scheduling/placing.py
+++ b/src/foldloom/seed_discovery/scheduling/placing.py
@@ -44,8 +44,8 @@
     number: int
 
 
-class StolenRuns(NamedTuple):
-    """Runs to steal from a group of another zone, one for each reservation."""
+class StealRequest(NamedTuple):
+    """A request to steal runs from a group of another zone, one for each reservation."""
 
     zone: str
     group: GroupId
@@ -56,7 +56,7 @@
     """The decisions of one placement round."""
 
     placed: list[PlacedRun]
-    stolen: list[StolenRuns]
+    steal_requests: list[StealRequest]
 
 
 class _Requirements(NamedTuple):
@@ -102,7 +102,7 @@
 
 
 def place(
-    waiting: RunQueue,
+    run_queue: RunQueue,
     remote: RemoteGroups,
     candidates: Mapping[str, ZoneEndpoint],
     speeds: EndpointSpeeds,
@@ -117,7 +117,7 @@
     if not eligible_endpoints:
         return result
     context = _PlacementContext(eligible_endpoints, speeds, isolations)
-    own_groups, remote_groups = waiting.groups, remote.stealable(now_ms)
+    own_groups, remote_groups = run_queue.groups, remote.stealable(now_ms)
     queued_groups = [
         _QueuedGroup(rank(group, now_ms), False, index) for index, group in enumerate(own_groups)
     ]
@@ -127,15 +127,17 @@
     exhausted: set[_Requirements] = set()
     for _, is_remote, position in sorted(queued_groups):
         if is_remote:
-            _steal_group(remote_groups[position], context, exhausted, now_ms, result.stolen)
+            _reserve_for_group(
+                remote_groups[position], context, exhausted, now_ms, result.steal_requests
+            )
         else:
-            _place_group(own_groups[position], waiting, context, exhausted, now_ms, result.placed)
+            _place_group(own_groups[position], run_queue, context, exhausted, now_ms, result.placed)
     return result
 
 
 def _place_group(
     group: RunGroup,
-    waiting: RunQueue,
+    run_queue: RunQueue,
     context: _PlacementContext,
     exhausted: set[_Requirements],
     now_ms: float,
@@ -147,7 +149,7 @@
     )
     if requirements in exhausted:
         return
-    for run in list(group.waiting.values()):
+    for run in list(group.queued.values()):
         isolation = context.isolations.get(run.task, Isolation.NONE)
         chosen = choose_endpoint(
             requirements._replace(isolation=isolation), group_of(run.task), context
@@ -160,16 +162,16 @@
                 exhausted.add(requirements)
             return
         chosen.resources.allocate(run.task, spec.demand)
-        waiting.remove(run.task)
+        run_queue.remove(run.task)
         placed.append(PlacedRun(run, chosen.record.endpoint))
 
 
-def _steal_group(
+def _reserve_for_group(
     group: RemoteGroup,
     context: _PlacementContext,
     exhausted: set[_Requirements],
     now_ms: float,
-    stolen: list[StolenRuns],
+    steal_requests: list[StealRequest],
 ) -> None:
     summary = group.summary
     requirements = _Requirements(
@@ -193,7 +195,7 @@
         reservations.append(Reservation(chosen.record.endpoint, number))
         group.remaining -= 1
     if reservations:
-        stolen.append(StolenRuns(group.zone, summary.group, reservations))
+        steal_requests.append(StealRequest(group.zone, summary.group, reservations))
 
 
 def choose_endpoint(
--- a/src/foldloom/seed_discovery/scheduling/ranking.py
+++ b/src/foldloom/seed_discovery/scheduling/ranking.py
@@ -41,8 +41,8 @@
 def rank(group: RunGroup, now_ms: float) -> Rank:
     """Return the rank of *group* at *now_ms*.
 
-    Within a tier, priority 0 goes before all others: its tasks are the shortest, and a job of many
-    of them needs capacity for all at nearly the same time. Then the earliest start deadline wins.
+    Within a tier, priority 0 goes first, since its jobs consist of many short tasks that need
+    capacity at the same time; then the earliest start deadline.
     """
     tier = tier_of(group, now_ms)
     start_deadline_ms = (
@@ -66,5 +66,5 @@
     Rounded to a tenth, so that similar groups have equal requirements.
     """
     is_on_time = tier_of(group, now_ms) is Tier.ON_TIME
-    tier_deadline_ms = group.on_time_deadline_ms if is_on_time else group.late_ms
+    tier_deadline_ms = group.on_time_deadline_ms if is_on_time else group.useful_until_ms
     return round(group.speed_needed(tier_deadline_ms, now_ms) * _SPEED_TOLERANCE, 1)
--- a/src/foldloom/seed_discovery/scheduling/runs.py
+++ b/src/foldloom/seed_discovery/scheduling/runs.py
@@ -33,28 +33,28 @@
         job_id: The job.
         queue: The queue of the job.
         service: The service whose endpoints run it.
-        text: Input of the tasks.
+        task_input: Input of the tasks.
         demand: Resource demand of each task.
         placement: Placement constraints.
         priority: 0 is the highest.
         estimate_ms: The caller's estimate of a task's duration.
-        began_ms: Arrival of the job; the owner's own clock.
+        arrived_ms: Arrival of the job; the owner's own clock.
         stretch: The job's objective is this factor times its critical path, ...
         slack_ms: ... plus this.
         other_steps_ms: Estimated duration of the other steps on the critical path.
         tasks: Number of tasks of the step.
-        deadline_ms: When the job is given up.
+        deadline_ms: When the job is cancelled.
     """
 
     job_id: str
     queue: str
     service: str
-    text: str
+    task_input: str
     demand: Demand
     placement: Placement
     priority: int
     estimate_ms: int
-    began_ms: float
+    arrived_ms: float
     stretch: float
     slack_ms: float
     other_steps_ms: float
@@ -127,10 +127,10 @@
 
 
 class RecoveryBound(NamedTuple):
-    """When the search for a run that an earlier owner may have started can end.
+    """Times that decide when a recovering run is lost.
 
     Args:
-        reports_after_ms: A running run is listed in reports requested after this time.
+        reports_after_ms: A run that exists is listed in every report polled after this time.
         lost_at_ms: By this time its lease has expired on every endpoint.
     """
 
