--- a/tests/models/standing_boxes.py
+++ b/tests/models/standing_boxes.py
@@ -27,7 +27,7 @@
 from foldloom.seed_discovery.job_runner import JobResult
 from foldloom.seed_discovery.jobs.spec import Job, RunId
 from foldloom.tasks import TaskSet
-from models.virtual_time import LIFE, TurnsLoop, Waking
+from models.virtual_time import LIFE, PausableLoop, Waking
 from models.zones_calls import CALL_TIMEOUT_S, LATE_ORDER_MAX_S, SimulatedCalls
 from models.zones_network import SimulatedNetwork
 from models.zones_world import CATALOG_AGE_MS, Answer, SimulatedBox, ZonesWorld
@@ -66,7 +66,7 @@
 class ExpiringNetwork(SimulatedNetwork):
     """The network of one life of a box: outboxes, request ids, and message expiry."""
 
-    def __init__(self, world: StandingZonesWorld, box: str, incarnation: int) -> None:
+    def __init__(self, world: PausableZonesWorld, box: str, incarnation: int) -> None:
         super().__init__(world, box, incarnation)
         self._standing_world = world
         self._fresh_lives = UnorderedIncarnations()
@@ -140,7 +140,7 @@
 class DetachedCalls(SimulatedCalls):
     """Calls of one box to endpoints; a sent order is carried out even if the box ends."""
 
-    def __init__(self, world: StandingZonesWorld, box: str) -> None:
+    def __init__(self, world: PausableZonesWorld, box: str) -> None:
         super().__init__(world, box)
         self._standing_world = world
         self._context = world.context_of(box)
@@ -183,7 +183,7 @@
         return None
 
 
-class StandingZonesWorld(ZonesWorld):
+class PausableZonesWorld(ZonesWorld):
     """Zones of boxes that can be paused one by one.
 
     Args:
@@ -191,7 +191,7 @@
         loop: Event loop of the simulation.
     """
 
-    def __init__(self, seed: int, loop: TurnsLoop) -> None:
+    def __init__(self, seed: int, loop: PausableLoop) -> None:
         self.turns = loop
         self.trouble = EndpointFaults()
         self.errors: list[str] = []
@@ -239,9 +239,9 @@
         for answer in self._open_calls[box]:
             _resolve(answer, None)
 
-    def stop_box(self, box: str, after_callbacks: int, for_s: float, waking: Waking) -> None:
+    def pause_box(self, box: str, after_callbacks: int, for_s: float, waking: Waking) -> None:
         """Pause *box* for *for_s* seconds after *after_callbacks* more of its callbacks."""
-        self.turns.stop_life(self._contexts[box][LIFE], after_callbacks, for_s, waking)
+        self.turns.pause_life(self._contexts[box][LIFE], after_callbacks, for_s, waking)
 
     def catalog_age_ms(self, started_ms: float) -> float:
         """Return the age of the endpoint catalog of a box started at *started_ms*."""
--- a/tests/models/virtual_time.py
+++ b/tests/models/virtual_time.py
@@ -54,7 +54,7 @@
         """Return the simulated time for every clock; stands in for :func:`time.clock_gettime`."""
         return self.monotonic()
 
-    def stand_still(self, for_s: float) -> None:
+    def jump_clock(self, for_s: float) -> None:
         """Advance the clock by *for_s* without running callbacks."""
         self._virtual_selector.now_s += for_s
 
@@ -82,7 +82,7 @@
 
     def __init__(
         self,
-        loop: TurnsLoop,
+        loop: PausableLoop,
         context: contextvars.Context,
         callback: Callable[..., Any],
         args: tuple[Any, ...],
@@ -103,17 +103,17 @@
 
 
 class _PendingPause:
-    """A pause of a life that begins after ``turns_left`` more callbacks and lasts ``for_s``."""
+    """A pause of a life that begins after ``callbacks_left`` more callbacks and lasts ``for_s``."""
 
-    __slots__ = ("for_s", "turns_left", "waking")
+    __slots__ = ("callbacks_left", "for_s", "waking")
 
-    def __init__(self, turns_left: int, for_s: float, waking: Waking) -> None:
-        self.turns_left = turns_left
+    def __init__(self, callbacks_left: int, for_s: float, waking: Waking) -> None:
+        self.callbacks_left = callbacks_left
         self.for_s = for_s
         self.waking = waking
 
 
-class TurnsLoop(VirtualTimeLoop):
+class PausableLoop(VirtualTimeLoop):
     """An event loop on which one box's life can be paused while the others continue.
 
     A callback belongs to the life in its context variables, which tasks inherit.
@@ -162,14 +162,14 @@
         return timer
 
     def monotonic(self) -> float:
-        """Return the time, after the jump that :meth:`stand_still_at_read` has requested."""
+        """Return the time, after the jump that :meth:`jump_clock_at_read` has requested."""
         if self._reads_left and LIFE.get():
             self._reads_left -= 1
             if not self._reads_left:
-                self.stand_still(self._read_pause_s)
+                self.jump_clock(self._read_pause_s)
         return super().monotonic()
 
-    def stand_still_at_read(self, reads: int, for_s: float) -> None:
+    def jump_clock_at_read(self, reads: int, for_s: float) -> None:
         """Advance the clock by *for_s* within a callback, at a coming clock read of a box.
 
         Args:
@@ -189,7 +189,7 @@
         else:
             arrived_callbacks.append(_LifeCallback(self, context, callback, args))
 
-    def stop_life(self, life: str, after_callbacks: int, for_s: float, waking: Waking) -> None:
+    def pause_life(self, life: str, after_callbacks: int, for_s: float, waking: Waking) -> None:
         """Pause *life* for *for_s* seconds after *after_callbacks* more callbacks."""
         if life not in self._held_callbacks:
             self._pending_pauses[life] = _PendingPause(after_callbacks, for_s, waking)
@@ -208,8 +208,8 @@
         """Hold *callback* back if its life is paused; return whether it was."""
         pause = self._pending_pauses.get(callback.life)
         if pause is not None:
-            pause.turns_left -= 1
-            if pause.turns_left < 0:
+            pause.callbacks_left -= 1
+            if pause.callbacks_left < 0:
                 self._begin_pause(callback.life, pause)
         held_callbacks = self._held_callbacks.get(callback.life)
         if held_callbacks is None:
@@ -222,9 +222,9 @@
         self._held_callbacks[life] = []
         self._arrived_callbacks[life] = []
         outer_context = contextvars.Context()
-        self.call_later(pause.for_s, self._go_on, life, pause.waking, context=outer_context)
+        self.call_later(pause.for_s, self._resume, life, pause.waking, context=outer_context)
 
-    def _go_on(self, life: str, waking: Waking) -> None:
+    def _resume(self, life: str, waking: Waking) -> None:
         held_callbacks = self._held_callbacks.pop(life, None)
         if held_callbacks is None:
             # The life has ended during the pause.
--- a/tests/models/zones_faults.py
+++ b/tests/models/zones_faults.py
@@ -92,7 +92,7 @@
         self.world.loop.call_later(pause_s, self.world.start_box, box)
 
     def _pause_all(self) -> None:
-        self.world.loop.stand_still(self.world.rng.uniform(0.2, 1.2))
+        self.world.loop.jump_clock(self.world.rng.uniform(0.2, 1.2))
 
     def _drop_messages(self) -> None:
         self.world.conditions.loss = self.world.rng.uniform(0.05, 0.5)
--- a/tests/soak_same_id.py
+++ b/tests/soak_same_id.py
@@ -84,7 +84,7 @@
             await predecessor.deregister(self._rng.choice(self._system.control_addresses))
 
 
-async def begin_again_at(system: PlatformSystem, index: int) -> RunEndpoint:
+async def restart_at(system: PlatformSystem, index: int) -> RunEndpoint:
     """Crash an endpoint and restart it at once under the same id."""
     predecessor = system.endpoints[index]
     await predecessor.stop()
@@ -107,12 +107,12 @@
     await asyncio.gather(*(call() for _ in range(_CALLERS)))
 
 
-async def begin_again_and_leave(system: PlatformSystem, serves_s: float) -> RunEndpoint:
+async def restart_and_drain(system: PlatformSystem, serves_s: float) -> RunEndpoint:
     """Restart and drain the first endpoint of an undisturbed system under load."""
     await asyncio.sleep(_UNDISTURBED_S)
     is_over = asyncio.Event()
     calling = asyncio.create_task(call_until(system, is_over))
-    successor = await begin_again_at(system, 0)
+    successor = await restart_at(system, 0)
     await asyncio.sleep(serves_s)
     successor.state = "draining"
     await asyncio.sleep(_DRAIN_S)
--- a/tests/test_owners_refusals.py
+++ b/tests/test_owners_refusals.py
@@ -20,8 +20,8 @@
 import pytest
 
 from foldloom.seed_discovery.endpoints.calls import CallOutcome
-from models.standing_boxes import StandingZonesWorld
-from models.virtual_time import TurnsLoop, VirtualTimeLoop, Waking, run_in_virtual_time
+from models.standing_boxes import PausableZonesWorld
+from models.virtual_time import PausableLoop, VirtualTimeLoop, Waking, run_in_virtual_time
 from models.zones_faults import (
     Faults,
     default_caller,
@@ -47,7 +47,7 @@
 class PauseFaults(Faults):
     """Additional pauses, restarts of all boxes, and endpoint faults."""
 
-    def __init__(self, world: StandingZonesWorld) -> None:
+    def __init__(self, world: PausableZonesWorld) -> None:
         super().__init__(world)
         self._standing = world
         own = [
@@ -97,11 +97,11 @@
         rng = self._standing.rng
         for_s = rng.uniform(*rng.choice(_PAUSE_S))
         waking = rng.choice(list(Waking))
-        self._standing.stop_box(box, rng.randint(0, _TURNS_MAX), for_s, waking)
+        self._standing.pause_box(box, rng.randint(0, _TURNS_MAX), for_s, waking)
 
     def _pause_within_turn(self) -> None:
         rng = self._standing.rng
-        self._standing.turns.stand_still_at_read(rng.randint(1, _READS_MAX), rng.uniform(0.2, 3.0))
+        self._standing.turns.jump_clock_at_read(rng.randint(1, _READS_MAX), rng.uniform(0.2, 3.0))
 
     def _refuse_starts(self) -> None:
         """Make some endpoints refuse starts for lack of capacity, or as unhealthy."""
@@ -164,16 +164,16 @@
     return world
 
 
-def _play_standing(seed: int) -> StandingZonesWorld:
-    loop = TurnsLoop(random.Random(f"turns {seed}"))
+def _play_standing(seed: int) -> PausableZonesWorld:
+    loop = PausableLoop(random.Random(f"turns {seed}"))
     random.seed(seed)
 
-    async def play() -> StandingZonesWorld:
-        world = StandingZonesWorld(seed, loop)
+    async def play() -> PausableZonesWorld:
+        world = PausableZonesWorld(seed, loop)
         await run_simulation(world, PauseFaults, _retrying_caller)
         return world
 
-    world: StandingZonesWorld = run_in_virtual_time(play(), loop)
+    world: PausableZonesWorld = run_in_virtual_time(play(), loop)
     return world
 
 
@@ -288,7 +288,7 @@
 _KEPT_SEEDS = [65, 172]
 # Regression seeds: 16, the case of 172 within a pause of all boxes; 256, queued heartbeat handled
 # before the check for lapsed grants.
-_KEPT_STANDING_SEEDS = [16, 256]
+_PAUSE_REGRESSION_SEEDS = [16, 256]
 
 
 @pytest.mark.parametrize("seed", [*_KEPT_SEEDS, *range(_FIRST_SEED, _FIRST_SEED + _SEEDS)])
@@ -303,7 +303,9 @@
         assert world.doubled == []
 
 
-@pytest.mark.parametrize("seed", [*_KEPT_STANDING_SEEDS, *range(_FIRST_SEED, _FIRST_SEED + _SEEDS)])
+@pytest.mark.parametrize(
+    "seed", [*_PAUSE_REGRESSION_SEEDS, *range(_FIRST_SEED, _FIRST_SEED + _SEEDS)]
+)
 class TestRefusalsOfPausedBoxes:
     """Pauses of single boxes, restarts of all boxes, and callers that retry at several boxes."""
 
--- a/tests/test_owners_renewed_session.py
+++ b/tests/test_owners_renewed_session.py
@@ -288,7 +288,7 @@
 
             async def late() -> None:
                 rig.delay_own_messages()
-                rig.loop.stand_still(_PAUSE_S)
+                rig.loop.jump_clock(_PAUSE_S)
 
             answer = await rig.answer(1, late)
             assert rig.steps == [
@@ -314,7 +314,7 @@
 
             async def late() -> None:
                 await asyncio.sleep(0.05)
-                rig.loop.stand_still(_PAUSE_S)
+                rig.loop.jump_clock(_PAUSE_S)
 
             answer = await rig.answer(1, late)
             assert rig.steps == [
@@ -353,7 +353,7 @@
 
             async def late() -> None:
                 await asyncio.sleep(pause_at_s - rig.loop.time())
-                rig.loop.stand_still(_LONG_PAUSE_S)
+                rig.loop.jump_clock(_LONG_PAUSE_S)
 
             answer = await rig.answer(1, late)
             assert "answered: deadline" in rig.steps
--- a/tests/test_owners_same_id.py
+++ b/tests/test_owners_same_id.py
@@ -89,7 +89,7 @@
         self.world.loop.call_later(self.world.rng.uniform(*delay_s), act)
 
 
-class Farewells(Restarts):
+class DelayedDeregistrations(Restarts):
     """Additionally, a delayed deregistration of an earlier incarnation hits each draining one."""
 
     def _leave(self, ready: EndpointRecord) -> None:
@@ -193,7 +193,7 @@
 
     def test_the_promises_hold(self, seed: int) -> None:
         """No task runs twice, and no owner keeps an endpoint that is gone."""
-        world = _play(seed, Farewells)
+        world = _play(seed, DelayedDeregistrations)
         assert broken_promises(world) == []
         assert world.doubled == []
         assert world.late_starts == []
--- a/tests/test_owners_two_pauses.py
+++ b/tests/test_owners_two_pauses.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from models.standing_boxes import StandingZonesWorld
-from models.virtual_time import LIFE, TurnsLoop, Waking, run_in_virtual_time
+from models.standing_boxes import PausableZonesWorld
+from models.virtual_time import LIFE, PausableLoop, Waking, run_in_virtual_time
 from models.zones_world import ZONES
 from test_owners_renewed_session import EndlessEndpoint
 
@@ -29,7 +29,7 @@
 _NEVER_MS = 1e5
 
 
-class DoublePauseLoop(TurnsLoop):
+class DoublePauseLoop(PausableLoop):
     """Event loop that pauses an incarnation again some iterations after its first pause."""
 
     def __init__(self, turns: int) -> None:
@@ -37,11 +37,11 @@
         self._turns = turns
         self._is_first = True
 
-    def _go_on(self, life: str, waking: Waking) -> None:
-        super()._go_on(life, waking)
+    def _resume(self, life: str, waking: Waking) -> None:
+        super()._resume(life, waking)
         if self._is_first:
             self._is_first = False
-            self.stop_life(life, self._turns, _PAUSE_S, waking)
+            self.pause_life(life, self._turns, _PAUSE_S, waking)
 
 
 class Outcome(NamedTuple):
@@ -56,7 +56,7 @@
     random.seed(_SEED)
 
     async def play() -> Outcome:
-        world = StandingZonesWorld(_SEED, loop)
+        world = PausableZonesWorld(_SEED, loop)
         await asyncio.sleep(_SETTLE_S)
         world.endpoints.update(
             {name: EndlessEndpoint(name, _CLOCK_RATE) for name in world.endpoints}
@@ -70,7 +70,7 @@
         await asyncio.sleep(_CALLER_TIMEOUT_S - _BEFORE_DEADLINE_S)
         # No end is ever listed: the endpoints are unreachable.
         world.conditions.cuts |= {(one, name) for one in world.boxes for name in world.endpoints}
-        loop.stop_life(world.context_of(box)[LIFE], 0, _PAUSE_S, waking)
+        loop.pause_life(world.context_of(box)[LIFE], 0, _PAUSE_S, waking)
         await call
         (answer,) = world.answers
         return Outcome(answer.is_refused, _JOB in world.starts)
--- a/tests/test_platform_same_id.py
+++ b/tests/test_platform_same_id.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from platform_system import PlatformSystem, play
-from soak_same_id import begin_again_and_leave, begin_again_at, call_until
+from soak_same_id import call_until, restart_and_drain, restart_at
 
 # Serving time of each incarnation.
 _SERVING_S = 1.8
@@ -26,13 +26,13 @@
         """The second incarnation gets tasks, and none after its draining report."""
 
         async def scenario(system: PlatformSystem) -> None:
-            first = await begin_again_at(system, 0)
+            first = await restart_at(system, 0)
             stop_calling = asyncio.Event()
             calling = asyncio.create_task(call_until(system, stop_calling))
             await asyncio.sleep(_FIRST_SERVING_S)
             stop_calling.set()
             await calling
-            second = await begin_again_and_leave(system, _SERVING_S)
+            second = await restart_and_drain(system, _SERVING_S)
             assert second.is_draining_known
             assert not second.late_starts
             started_before = second.starts - second.starts_after_draining
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -28,7 +28,7 @@
 from soak_faults import Faults
 from soak_foreign_reports import ForeignReports
 from soak_patience import RetryingCallers
-from soak_same_id import SameIdFaults, begin_again_and_leave
+from soak_same_id import SameIdFaults, restart_and_drain
 from soak_site_faults import SiteFaults
 from soak_suspensions import SuspensionFaults
 from soak_system import LAUNCHER, SiteSystem
@@ -130,7 +130,7 @@
     print(f"{foreign_reports.sent} foreign reports sent")
     assert not foreign_reports.accepted, "\n".join(foreign_reports.accepted)
     assert not foreign_reports.connections
-    draining = await begin_again_and_leave(system, _SERVE_S)
+    draining = await restart_and_drain(system, _SERVE_S)
     assert draining.is_draining_known
     assert not draining.late_starts
 
