--- a/src/foldloom/cli/explain.py
+++ b/src/foldloom/cli/explain.py
@@ -138,7 +138,7 @@
         if line.event == "runs.resumed"
     ]
     parts = [part for part in [*lost, *resumed, *retries, *reasons] if part]
-    return "; ".join(parts) or "nothing went wrong"
+    return "; ".join(parts) or "no failures in the logs"
 
 
 def _parse(text: str) -> LogLine | None:
--- a/src/foldloom/cli/load.py
+++ b/src/foldloom/cli/load.py
@@ -153,7 +153,7 @@
     def text(self) -> str:
         """Return the statistics as text, with a bar chart of the percentiles."""
         fields = self.fields()
-        lines = [f"jobs {fields['jobs']}, not whole {fields['not_whole']}"]
+        lines = [f"jobs {fields['jobs']}, incomplete {fields['not_whole']}"]
         lines += [f"  {name}: {count}" for name, count in sorted(fields["outcomes"].items())]
         lines.append("response over ideal")
         highest = max(self.ratio_at(percentile) for percentile in _PERCENTILES) or 1.0
--- a/src/foldloom/cli/main.py
+++ b/src/foldloom/cli/main.py
@@ -167,7 +167,7 @@
             json: Print JSON.
         """
         if not logs:
-            raise CommandError("name at least one log file", EXIT_USAGE)
+            raise CommandError("at least one log file is required", EXIT_USAGE)
         try:
             life = explain_job(str(job), read_lines(logs))
         except OSError as error:
--- a/src/foldloom/controllers/client.py
+++ b/src/foldloom/controllers/client.py
@@ -19,10 +19,10 @@
 from foldloom.peers.wire import PeerNetwork
 from foldloom.verdicts import Problem, may_have_run, not_run
 
-# Allows for two elections.
+# Timeout of a request, including two elections.
 _REQUEST_TIMEOUT_MS = 1_500
 _RETRY_DELAY_S = 0.05
-# Roughly the duration of an election.
+# Retry-after of a refusal; roughly the duration of an election.
 _RETRY_AFTER_MS = 500
 
 
--- a/src/foldloom/controllers/compaction.py
+++ b/src/foldloom/controllers/compaction.py
@@ -13,9 +13,9 @@
 from foldloom.logs import CONTROLLER_LOG
 from foldloom.tasks import TaskSet
 
-# Bounds the entries replayed at a restart.
+# Entries after which a snapshot is taken; limits the replay at a restart.
 _SNAPSHOT_ENTRIES = 200
-# Bounds the disk space of the log.
+# Size of the log after which a snapshot is taken; limits its disk space.
 _SNAPSHOT_LOG_BYTES = 8 * 1024 * 1024
 
 
--- a/src/foldloom/controllers/config.py
+++ b/src/foldloom/controllers/config.py
@@ -23,7 +23,7 @@
 BOXES = "boxes"
 CONTROLLERS = "controllers"
 
-# Storage id of a founding controller whose folder is not recorded yet.
+# Storage id of an initial controller whose folder is not recorded yet.
 UNRECORDED_STORAGE_ID = "?"
 
 # Section names as used in plans, log entries and HTTP answers.
--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -33,7 +33,7 @@
 from foldloom.settings import Settings
 from foldloom.tasks import TaskSet
 
-# After a disk failure. Each attempt reads and rewrites the whole log.
+# Interval between attempts to reopen the log after a disk failure; each one rewrites it whole.
 _REOPEN_INTERVAL_S = 1.0
 
 
--- a/src/foldloom/controllers/holder.py
+++ b/src/foldloom/controllers/holder.py
@@ -24,7 +24,7 @@
 from foldloom.time_limits import SuspendAwareTimeout
 
 _CACHE_NAME = "config-in-force"
-# Allows for a few hundred kilobytes on a slow link.
+# Timeout of a pull; allows for a few hundred kilobytes on a slow link.
 _PULL_TIMEOUT_MS = 1_000
 
 
--- a/src/foldloom/controllers/leadership.py
+++ b/src/foldloom/controllers/leadership.py
@@ -20,7 +20,7 @@
 from foldloom.logs import CONTROLLER_LOG
 from foldloom.time_limits import SuspendAwareTimeout
 
-# Bounds one append to a few hundred kilobytes.
+# Maximum number of entries per append; limits it to a few hundred kilobytes.
 _ENTRIES_PER_APPEND = 500
 # Several heartbeats may be lost before a follower starts an election.
 _HEARTBEATS_PER_ELECTION_TIMEOUT = 6
--- a/src/foldloom/controllers/log.py
+++ b/src/foldloom/controllers/log.py
@@ -192,8 +192,8 @@
     async def _run_on_disk(self, operation: Callable[[], None]) -> None:
         """Run *operation* in a thread, which continues if the caller is cancelled.
 
-        After a failed operation all later ones are refused: a record behind a truncated one would
-        be read back as damage.
+        After a failed operation all later ones are refused: a record after a partially written one
+        would be read back as corruption.
 
         Raises:
             OSError: The disk failed, now or in an earlier operation.
@@ -245,7 +245,9 @@
     try:
         recovered = storage.open()
     except DataLossError as error:
-        CONTROLLER_LOG.error("Memory lost: {}. Voting is disabled until readmission.", error)
+        CONTROLLER_LOG.error(
+            "Data folder lost or damaged: {}. Voting is disabled until readmission.", error
+        )
         quarantine_files(settings.data_folder)
         format_folder(settings.data_folder, is_first=False)
         storage = LogStorage(settings.data_folder, settings.timings.sync_delay_ms)
--- a/src/foldloom/controllers/members.py
+++ b/src/foldloom/controllers/members.py
@@ -43,7 +43,7 @@
 
     Args:
         committed: The table after the applied entries.
-        is_founded: Whether the system is founded; later founding entries have no effect.
+        is_founded: Whether the system is bootstrapped; later bootstrap entries have no effect.
         payloads: The payloads of the entries after the applied ones.
     """
     table = dict(committed)
--- a/src/foldloom/controllers/proposals.py
+++ b/src/foldloom/controllers/proposals.py
@@ -12,7 +12,7 @@
 from foldloom.exceptions import NotLeaderError, PeerUnreachableError
 from foldloom.time_limits import SuspendAwareTimeout
 
-# Allows for several elections.
+# Timeout of a commit, including several elections.
 _PROPOSE_TIMEOUT_MS = 5_000
 
 
--- a/src/foldloom/controllers/records.py
+++ b/src/foldloom/controllers/records.py
@@ -76,8 +76,8 @@
 
     Args:
         storage_id: Generated when the folder was formatted.
-        is_first: Whether an operator formatted it for a new system; ``False`` if the controller did
-            after data loss.
+        is_first: Whether it was formatted for a new system; ``False`` if the controller formatted
+            it after data loss.
     """
 
     storage_id: str
--- a/src/foldloom/controllers/voter_changes.py
+++ b/src/foldloom/controllers/voter_changes.py
@@ -94,7 +94,7 @@
         self._append_voter_ready(box, storage_id)
 
     def record_storage_id(self, box: str, storage_id: str, is_first: bool) -> None:
-        """Record the data folder of a founding controller if it is not recorded yet."""
+        """Record the data folder of an initial controller if it is not recorded yet."""
         if self._controller.controllers.get(box) == UNRECORDED_STORAGE_ID and is_first:
             self._append_voter_ready(box, storage_id)
 
--- a/src/foldloom/pauses.py
+++ b/src/foldloom/pauses.py
@@ -19,7 +19,7 @@
 
 # Milliseconds between two samples of the clocks.
 _SAMPLE_INTERVAL_MS = 100.0
-# Shortest pause reported, in milliseconds; shorter ones cost no lease.
+# Shortest pause reported, in milliseconds; shorter ones let no lease expire.
 PAUSE_MIN_MS = 100.0
 # Difference between the two clocks over one sample that counts as a suspension, in milliseconds.
 _SUSPENDED_MIN_MS = 10.0
--- a/src/foldloom/peers/connection.py
+++ b/src/foldloom/peers/connection.py
@@ -36,7 +36,7 @@
 _CONNECT_TIMEOUT_MS = 400
 # Timeout of ZeroMQ's handshake, during which there are no heartbeats. ZeroMQ's default is 30 s.
 _HANDSHAKE_TIMEOUT_MS = _HEARTBEAT_INTERVAL_MS + _HEARTBEAT_TIMEOUT_MS
-# The same with seed discovery.
+# Handshake timeout with seed discovery.
 _DISCOVERY_HANDSHAKE_TIMEOUT_MS = _DISCOVERY_HEARTBEAT_INTERVAL_MS + _DISCOVERY_HEARTBEAT_TIMEOUT_MS
 # Initial reconnect interval, doubled after each attempt.
 _RECONNECT_MS = 50
--- a/src/foldloom/static_peers/box.py
+++ b/src/foldloom/static_peers/box.py
@@ -31,9 +31,9 @@
 from foldloom.static_peers.membership import Heartbeat, Membership
 from foldloom.tasks import TaskSet
 
-# Poll interval of configuration, membership and the platform's list: below a heartbeat (250 ms).
+# Poll interval of configuration, membership and the platform's list; shorter than heartbeat_ms.
 _INPUT_POLL_S = 0.1
-# Timeout of the read barrier: above two elections.
+# Timeout of the read barrier; longer than two elections.
 _BARRIER_TIMEOUT_MS = 1_500
 
 
@@ -127,7 +127,9 @@
             self._tasks.spawn(
                 BoxListSettler(self._settings, self._controller, self._membership).run()
             )
-        ENTRY_LOG.info("Box {} is up, life {}.", self._settings.box, self._network.incarnation)
+        ENTRY_LOG.info(
+            "Box {} started, incarnation {}.", self._settings.box, self._network.incarnation
+        )
 
     async def stop(self) -> None:
         """Perform a planned stop: finish jobs in flight and hand over retained responses."""
@@ -194,7 +196,7 @@
             await asyncio.sleep(_INPUT_POLL_S)
 
     async def _confirm_current(self) -> None:
-        """Wait until the version in force here is the newest confirmed version."""
+        """Wait until the version in effect here is the newest confirmed version."""
         started_ms = monotonic_ms()
         while True:
             version = await self._client.newest_version(_BARRIER_TIMEOUT_MS)
--- a/src/foldloom/static_peers/box_list.py
+++ b/src/foldloom/static_peers/box_list.py
@@ -18,12 +18,12 @@
 from foldloom.settings import Settings
 from foldloom.static_peers.membership import Membership
 
-# One heartbeat interval.
+# Interval between checks of the box list; equals the default heartbeat_ms.
 _CHECK_INTERVAL_S = 0.25
 
 
 class BoxListSettler:
-    """Settle joint box lists while this controller is the leader.
+    """Finalizes joint box lists while this controller is the leader.
 
     Args:
         settings: This box's settings.
@@ -38,7 +38,7 @@
         self._acknowledged_since: tuple[int, float] | None = None
 
     async def run(self) -> None:
-        """Settle joint box lists until cancelled."""
+        """Finalize joint box lists until cancelled."""
         while True:
             await asyncio.sleep(_CHECK_INTERVAL_S)
             boxes = self._controller.state.config.boxes
--- a/src/foldloom/static_peers/claims/recovery.py
+++ b/src/foldloom/static_peers/claims/recovery.py
@@ -32,17 +32,18 @@
 class Recovery:
     """Decides for which submissions this box may vote.
 
-    It may vote once its incarnation is recorded with the controllers and it has copied the claims
-    of both other replicas, in its first incarnation, or once all claims of earlier incarnations
-    have expired. An unrecorded incarnation must not vote: the next incarnation would take itself
-    for the first.
+    It may vote for a submission in any of these cases: its incarnation is recorded with the
+    controllers and the claims of the submission's other replicas are copied; the controllers report
+    this as its first incarnation; or the retention time has passed since it started. Only the last
+    two apply if it is the only replica. Until the retention time has passed, an unrecorded
+    incarnation must not vote, because the next one would be taken for the first.
 
     Args:
         box: This box.
         network: Messages to the peers.
         client: Client of the controllers, which record the incarnations of each box.
         table: The table that receives copied claims.
-        box_list: Returns the box list in force.
+        box_list: Returns the box list in effect.
         retention_ms: Retention of claims.
     """
 
--- a/src/foldloom/static_peers/claims/service.py
+++ b/src/foldloom/static_peers/claims/service.py
@@ -42,7 +42,7 @@
         network: Messages to the peers.
         table: The claims held by this box.
         recovery: Determines whether this box may vote.
-        box_list: Returns the box list in force.
+        box_list: Returns the box list in effect.
         metrics: Counters.
     """
 
@@ -74,7 +74,7 @@
         return self._recovery.is_whole
 
     def replicas_of(self, submission: str) -> ReplicaSets:
-        """Return the claim replicas of *submission* under the box list in force."""
+        """Return the claim replicas of *submission* under the box list in effect."""
         return replica_sets(submission, self._box_list())
 
     def vote(self, sender: str, request: ClaimRequest) -> ClaimReply:
--- a/src/foldloom/static_peers/endpoints/platform.py
+++ b/src/foldloom/static_peers/endpoints/platform.py
@@ -14,7 +14,7 @@
 
 from foldloom.logs import ENDPOINT_LOG
 
-# Twice the default poll interval.
+# Timeout of a poll; twice the default platform_poll_ms.
 _POLL_TIMEOUT_S = 1.0
 
 
@@ -31,7 +31,7 @@
 
 
 class PlatformList:
-    """Poll ``GET /v1/boxes`` and store the names of the leaving entries.
+    """Polls ``GET /v1/boxes`` and stores the names of the leaving entries.
 
     Args:
         url: The platform's base URL; empty to disable polling.
@@ -67,5 +67,7 @@
             return
         leaving = frozenset(one.name for one in reply.boxes if one.state == "leaving")
         if leaving != self._leaving:
-            ENDPOINT_LOG.info("Leaving by the platform's list: {}.", ", ".join(sorted(leaving)))
+            ENDPOINT_LOG.info(
+                "Leaving according to the platform's list: {}.", ", ".join(sorted(leaving))
+            )
         self._leaving = leaving
--- a/src/foldloom/static_peers/endpoints/usage.py
+++ b/src/foldloom/static_peers/endpoints/usage.py
@@ -16,11 +16,11 @@
 
 
 class UsageReports:
-    """Poll ``GET /v1/usage`` of every endpoint.
+    """Polls ``GET /v1/usage`` of every endpoint.
 
     Args:
         adapter: Client for the endpoints.
-        config: Returns the configuration in force.
+        config: Returns the configuration in effect.
     """
 
     def __init__(self, adapter: EndpointAdapter, config: Callable[[], Config]) -> None:
--- a/src/foldloom/static_peers/entry/coordinator.py
+++ b/src/foldloom/static_peers/entry/coordinator.py
@@ -41,7 +41,7 @@
 
 
 class Coordinator:
-    """Coordinate the jobs submitted to this box.
+    """Coordinates the jobs submitted to this box.
 
     Args:
         settings: This box's settings.
--- a/src/foldloom/static_peers/entry/follow.py
+++ b/src/foldloom/static_peers/entry/follow.py
@@ -38,9 +38,9 @@
 
 # How long the coordinator holds one attach request; bounds the delay caused by a lost reply.
 _LONG_POLL_MS = 1_000
-# The same for a lookup, which does not wait for the job.
+# Wait of an attach request for a lookup, which does not wait for the job to end.
 _PEEK_MS = 1
-# Above _LONG_POLL_MS.
+# Timeout of an attach request; longer than _LONG_POLL_MS.
 _ATTACH_TIMEOUT_MS = 1_500
 # Sent to callers whose job may be running on another box.
 _RETRY_AFTER_MS = 1_000
@@ -76,7 +76,7 @@
 
 
 class JobFollower:
-    """Follow jobs on other boxes, and let other boxes follow the jobs of this box.
+    """Follows jobs on other boxes, and lets other boxes follow the jobs of this box.
 
     Args:
         settings: This box's settings.
--- a/src/foldloom/static_peers/entry/http.py
+++ b/src/foldloom/static_peers/entry/http.py
@@ -27,7 +27,7 @@
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
 JSON_TYPE = "application/json"
-# For connections still open when the box stops; its jobs have been answered by then.
+# Timeout for connections still open when the box stops, after all its jobs are answered.
 _SHUTDOWN_TIMEOUT_S = 1.0
 # aiohttp's default, which must be passed to the handler explicitly.
 _HEAD_LINE_MAX_BYTES = 8_190
--- a/src/foldloom/static_peers/entry/lookup.py
+++ b/src/foldloom/static_peers/entry/lookup.py
@@ -25,7 +25,7 @@
 
 
 class JobLookup:
-    """Look up submissions.
+    """Looks up submissions.
 
     Args:
         settings: This box's settings.
--- a/src/foldloom/static_peers/entry/operators.py
+++ b/src/foldloom/static_peers/entry/operators.py
@@ -28,11 +28,11 @@
 from foldloom.static_peers.entry.jobs import problem_response
 from foldloom.verdicts import Problem, not_run
 
-# Timeout of the read barrier: above two elections.
+# Timeout of the read barrier; longer than two elections.
 _BARRIER_TIMEOUT_MS = 1_500
-# Above the timeout of the commit itself (5,000 ms).
+# Timeout of a confirm; longer than that of the proposal (controllers.proposals).
 _CONFIRM_TIMEOUT_MS = 6_000
-# How long to wait for a confirmed version to be in force on this box, before planning on it or
+# How long to wait for a confirmed version to take effect on this box, before planning on it or
 # responding to its confirm.
 _CATCH_UP_TIMEOUT_S = 1.0
 
@@ -61,7 +61,7 @@
     Args:
         settings: This box's settings.
         client: Sends commands to the controllers' leader.
-        holder: The configuration in force on this box.
+        holder: The configuration in effect on this box.
         status: Returns the system status as seen by this box.
     """
 
@@ -119,13 +119,15 @@
         return self._confirm_response(body.command, result)
 
     async def _wait_until_in_force(self, version: int) -> None:
-        """Wait until the confirmed *version* is in force on this box.
+        """Wait until the confirmed *version* is in effect on this box.
 
         The leader replies before this box receives the commit; without the wait, a status request
         right after the confirm could still show the previous version.
         """
         if not await self._holder.wait_version(version, _CATCH_UP_TIMEOUT_S):
-            CONFIG_LOG.warning("Version {} is confirmed but not yet in force on this box.", version)
+            CONFIG_LOG.warning(
+                "Version {} is confirmed but not yet in effect on this box.", version
+            )
 
     def _confirm_response(self, command: str, result: Result[Answer, Problem]) -> web.Response:
         if result.is_error():
@@ -154,7 +156,7 @@
         return _json(200, self._status())
 
     async def _catch_up(self) -> bool:
-        """Wait until the newest confirmed version is in force here; return ``False`` on timeout."""
+        """Wait until the newest confirmed version is in effect; return ``False`` on timeout."""
         version = await self._client.newest_version(_BARRIER_TIMEOUT_MS)
         return version is not None and await self._holder.wait_version(version, _CATCH_UP_TIMEOUT_S)
 
--- a/src/foldloom/static_peers/entry/run.py
+++ b/src/foldloom/static_peers/entry/run.py
@@ -54,7 +54,7 @@
         slots: Source of slots.
         budget: The box's retry budget.
         metrics: Counters.
-        config: Returns the configuration in force.
+        config: Returns the configuration in effect.
         leaving: Returns the endpoints that the platform lists as leaving.
     """
 
@@ -112,7 +112,7 @@
         self._service = self._context.config().services.get(self._request.service)
         if self._service is None:
             detail = f"service: {self._request.service} is unknown"
-            # Retryable: the service may be confirmed but not yet in force on this box.
+            # Retryable: the service may be confirmed but not yet in effect on this box.
             return Error(not_run("unknown-service", detail, _RETRY_AFTER_MS, status=404))
         waiter = self._context.slots.open_waiter(
             self._request.service, self._request.customer, self._deadline_ms, self._unfinished
@@ -202,7 +202,7 @@
             payload=self._request.payloads[index],
         )
         PLACE_LOG.info(
-            "Task {}/{} goes to {} as {} on lease {}.",
+            "Starting task {}/{} on {} as attempt {} with lease {}.",
             self._submission,
             index,
             slot.endpoint,
@@ -249,7 +249,7 @@
             return problem
         if not self._context.budget.consume():
             return problem._replace(detail=f"{problem.detail}; the retry budget is used up")
-        PLACE_LOG.info("Task {}/{} again: {}.", self._submission, end.task_index, problem.reason)
+        PLACE_LOG.info("Retrying task {}/{}: {}.", self._submission, end.task_index, problem.reason)
         self._context.metrics.count("tasks.retried")
         await asyncio.sleep(_RETRY_DELAY_S)
         self._pending.appendleft(end.task_index)
--- a/src/foldloom/static_peers/entry_role.py
+++ b/src/foldloom/static_peers/entry_role.py
@@ -58,7 +58,7 @@
         settings: This box's settings.
         network: Messages to and from the peers.
         metrics: Counters.
-        holder: The configuration in force.
+        holder: The configuration in effect.
         client: Client of the controllers' leader.
         membership: Liveness of the boxes.
         platform: The platform's list of leaving boxes and endpoints.
--- a/src/foldloom/static_peers/membership.py
+++ b/src/foldloom/static_peers/membership.py
@@ -15,7 +15,7 @@
 from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import Settings
 
-# Above the number of planned stops within the retention time.
+# Maximum number of successors remembered; exceeds the planned stops within the retention time.
 _SUCCESSORS_MAX = 1_000
 
 
@@ -39,7 +39,7 @@
     """Periodic message of a live box to every peer.
 
     Args:
-        config_version: The configuration version in force on the sender.
+        config_version: The configuration version in effect on the sender.
         is_stopping: Whether a planned stop has begun.
         can_vote: Whether the sender's claim replica has recovered.
         loads: Loads of the shards managed by the sender.
@@ -90,7 +90,7 @@
 
 
 class Membership:
-    """Send heartbeats to the peers and store theirs.
+    """Sends heartbeats to the peers and stores theirs.
 
     Args:
         settings: This box's settings.
--- a/src/foldloom/static_peers/placement/config_limits.py
+++ b/src/foldloom/static_peers/placement/config_limits.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Limits set by the configuration in force: quotas, concurrency and slots.
+"""Limits set by the configuration in effect: quotas, concurrency and slots.
 
 A customer missing from the configuration has a quota of 1 and no concurrency limit; a missing
 service or endpoint has no capacity.
@@ -11,7 +11,7 @@
 
 
 class ConfigLimits:
-    """Limits of the configuration in force; without a configuration no service has capacity."""
+    """Limits of the configuration in effect; without a configuration no service has capacity."""
 
     def __init__(self) -> None:
         self._config: Config | None = None
--- a/src/foldloom/static_peers/placement/lease_manager.py
+++ b/src/foldloom/static_peers/placement/lease_manager.py
@@ -33,8 +33,8 @@
 
 # Seconds between ticks.
 _TICK_S = 0.1
-# Milliseconds for which a new manager collects the holders' leases before it grants: above one
-# heartbeat, by which they learn of the change.
+# How long a new lease manager collects reports of existing leases before it grants slots, in
+# milliseconds. Longer than a heartbeat interval, within which the holders learn of the change.
 _REPORT_WINDOW_MS = 300
 # Time-to-live of a grant message, in milliseconds.
 _GRANT_TTL_MS = 500
--- a/src/foldloom/static_peers/placement/leased_slots.py
+++ b/src/foldloom/static_peers/placement/leased_slots.py
@@ -48,7 +48,7 @@
         settings: This box's settings.
         network: Messages to the peers.
         metrics: Counters.
-        config: Returns the configuration in force.
+        config: Returns the configuration in effect.
         manager_of: Returns the lease manager of a shard in this box's view.
         loads: Returns the last reported load of each shard.
     """
@@ -170,7 +170,10 @@
         return self._manager_of(shard) if shard else ""
 
     def _pick_shard(self) -> str:
-        """Return a shard with free capacity, preferably in this zone, else the least loaded one."""
+        """Return the best shard, or an empty string if there is none.
+
+        Prefers shards with spare slots, then those in this zone, then the most spare slots.
+        """
         names = self._shard_names()
         if len(names) <= 1:
             return next(iter(names), "")
--- a/src/foldloom/static_peers/placement/policies.py
+++ b/src/foldloom/static_peers/placement/policies.py
@@ -31,8 +31,8 @@
         local_count: Running tasks started by this box.
         reported_count: Running tasks according to the endpoint's last report.
         queued_ahead: Queued tasks ahead of this task.
-        job_size: Expected duration of the job without queueing, in mean tasks. The shorter the
-            job, the more a wait counts.
+        job_size: Task size that a wait is compared with, as a multiple of the mean service time.
+            The smaller it is, the more a wait counts.
     """
 
     endpoints: Sequence[str]
@@ -143,13 +143,15 @@
 
 
 def job_size(sizes: Sequence[float], job_tasks: int) -> float:
-    """Return the task size that a wait is compared with, in mean tasks.
+    """Return the task size that a wait is compared with, as a multiple of the mean service time.
 
-    Waiting hurts a job of one short task most, so a low quantile of the sizes is used. In a larger
-    job the longest task hides the wait, so the quantile rises with the number of tasks.
+    Relative to its duration, a job with one short task is delayed most by a wait, so a low quantile
+    of the task sizes is used. A larger job is dominated by its longest task, so the quantile
+    increases with the number of tasks.
 
     Args:
-        sizes: Recent task sizes of the service in mean tasks, ascending; if empty, the result is 1.
+        sizes: Recent task sizes of the service as multiples of its mean service time, ascending;
+            if empty, the result is 1.
         job_tasks: Number of tasks in the job.
     """
     if not sizes:
--- a/src/foldloom/static_peers/placement/shard.py
+++ b/src/foldloom/static_peers/placement/shard.py
@@ -102,7 +102,7 @@
         """Apply a configuration.
 
         Args:
-            config: The configuration in force.
+            config: The configuration in effect.
             names: The endpoints of this shard.
             usable: The endpoints eligible for placement, of any shard.
         """
@@ -225,9 +225,10 @@
     def _recipient_of_slow_slot(self, service: str, first: PendingRequest) -> PendingRequest:
         """Return the request that receives a slow slot.
 
-        A request that already has a slow slot comes first, since its job finishes late anyway; then
-        the newest, which has the longest wait for a fast slot ahead. If the queue is long, the
-        first request in turn receives it: every wait is then longer than a slow endpoint takes.
+        A request that already has a slow slot is preferred, since its job finishes late anyway;
+        otherwise the newest request, which would wait longest for a fast slot. If the queue is
+        long, *first* receives it, because then every request waits longer than a slow endpoint
+        takes.
         """
         if self.expected_wait_ms(service) > _LONG_QUEUE_MEANS * self._speeds.service_mean_ms(
             service
--- a/tests/test_claims_faults.py
+++ b/tests/test_claims_faults.py
@@ -286,7 +286,9 @@
         rig.cluster.kill(replica)
         rig.cluster.start_box(replica)
         rig.cluster.wait_ready([replica])
-        assert "First incarnation" not in rig.cluster.log(replica).split("is up, life")[-1]
+        assert (
+            "First incarnation" not in rig.cluster.log(replica).split(" started, incarnation ")[-1]
+        )
         again = rig.cluster.submit(replica, submission, [{"ms": 10}])
         assert again.fields == first.fields
         assert rig.started(submission) == [1]
--- a/tests/test_controllers_faults.py
+++ b/tests/test_controllers_faults.py
@@ -210,7 +210,7 @@
         rig.cluster.wipe_data(wiped)
         rig.cluster.start_box(wiped)
         wait_until(lambda: rig.cluster.status(wiped)["controller"]["may_vote"], "taken in")
-        assert "Memory lost" in rig.cluster.log(wiped)
+        assert "Data folder lost or damaged" in rig.cluster.log(wiped)
         assert rig.quota(wiped) == 50
         # It is a voter again: with another controller down, the remaining two confirm.
         rig.cluster.wait_version(version)
@@ -250,7 +250,7 @@
         log.write_bytes(damaged)
         rig.cluster.start_box(box)
         wait_until(lambda: rig.cluster.status(box)["controller"]["may_vote"], "taken in")
-        assert "Memory lost" in rig.cluster.log(box)
+        assert "Data folder lost or damaged" in rig.cluster.log(box)
 
 
 class TestEvenHalves:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -35,12 +35,12 @@
     def test_one_log_line_a_placement(self, cluster: Cluster) -> None:
         """Each placement is logged in one line with task, attempt, endpoint and lease."""
         cluster.submit("b1", "logged", [{"ms": 1}] * 3)
-        lines = [line for line in cluster.log("b1").splitlines() if "place: Task logged/" in line]
+        lines = [line for line in cluster.log("b1").splitlines() if " task logged/" in line]
         # An unreachable endpoint causes a retry, which is logged in one line.
-        retries = [line for line in lines if " again: " in line]
+        retries = [line for line in lines if "place: Retrying task " in line]
         placements = [line for line in lines if line not in retries]
         assert len(placements) == 3 + len(retries)
-        pattern = r"Task (logged/\d) goes to \w+ as (\S+) on lease (\d+)\.$"
+        pattern = r"place: Starting task (logged/\d) on \w+ as attempt (\S+) with lease (\d+)\.$"
         matches = [re.search(pattern, line) for line in placements]
         assert all(matches)
         placed = [match.groups() for match in matches if match is not None]
@@ -108,7 +108,7 @@
 
             with ThreadPoolExecutor(8) as pool:
                 answers = [pool.submit(run, number) for number in range(8)]
-                while cluster.log("a1").count("goes to") < 24:
+                while cluster.log("a1").count("Starting task") < 24:
                     pass
                 cluster.signal("a1", signal.SIGTERM)
                 cluster.signal("a1", signal.SIGTERM)
--- a/tests/test_placement_faults.py
+++ b/tests/test_placement_faults.py
@@ -72,7 +72,9 @@
                 listed.append({"name": "bw1", "state": "leaving"})
                 for box in cluster.boxes:
                     wait_until(
-                        lambda box=box: "Leaving by the platform's list: bw1" in cluster.log(box),
+                        lambda box=box: (
+                            "Leaving according to the platform's list: bw1" in cluster.log(box)
+                        ),
                         f"{box} has the list",
                     )
                 wait_until(lambda: _gets_no_tasks(cluster, "bw1"), "bw1 gets no new tasks")
