--- a/benchmarks/broken.py
+++ b/benchmarks/broken.py
@@ -117,8 +117,9 @@
     Mutation(
         "what may have run is not retried",
         "static_peers/placement/retries.py",
-        '    if service["restart"] != RESTART_AFTER_ENDPOINT_DEATH:\n        return False\n'
-        "    return is_repeatable and is_endpoint_death(problem) and deaths < ENDPOINT_DEATHS_MAX",
+        '    if service["restart"] != RESTART_AFTER_ENDPOINT_CRASH:\n        return False\n'
+        "    return is_repeatable and is_endpoint_crash(problem) and crashes"
+        " < ENDPOINT_CRASHES_MAX",
         "    return True",
         _CLAIMS_FAULTS + "TestEndpointFaults::test_bad_answer_is_never_passed_on",
     ),
@@ -489,7 +490,7 @@
     Mutation(
         "a confirm waits for its version",
         "static_peers/entry/operators.py",
-        "await self._wait_until_in_force(result.ok.version)",
+        "await self._wait_until_in_effect(result.ok.version)",
         "pass",
         "tests/test_entry_operators.py::TestConfirm::test_version_in_force_after_confirm",
     ),
--- a/src/foldloom/controllers/config.py
+++ b/src/foldloom/controllers/config.py
@@ -15,7 +15,7 @@
 ACTIVE = "active"
 LEAVING = "leaving"
 RESTART_NEVER = "never"
-RESTART_AFTER_ENDPOINT_DEATH = "after-worker-death"
+RESTART_AFTER_ENDPOINT_CRASH = "after-worker-death"
 
 SERVICES = "services"
 ENDPOINTS = "workers"
--- a/src/foldloom/controllers/holder.py
+++ b/src/foldloom/controllers/holder.py
@@ -28,7 +28,7 @@
 _PULL_TIMEOUT_MS = 1_000
 
 
-class ConfigHolder:
+class ConfigStore:
     """Holds the newest confirmed configuration seen by this box.
 
     Args:
--- a/src/foldloom/controllers/state.py
+++ b/src/foldloom/controllers/state.py
@@ -96,7 +96,7 @@
         self._change_sets: list[ChangeSet] = []
         self._is_founded = False
         self._publication = NO_PUBLICATION
-        self._founder_count = len(config.controllers)
+        self._target_voter_count = len(config.controllers)
 
     @property
     def publication(self) -> Publication:
@@ -106,7 +106,7 @@
     @property
     def target_voter_count(self) -> int:
         """The intended number of controllers."""
-        return self._founder_count
+        return self._target_voter_count
 
     @property
     def is_founded(self) -> bool:
@@ -141,7 +141,7 @@
             self._change_sets,
             self._is_founded,
             self._publication,
-            self._founder_count,
+            self._target_voter_count,
         )
         return _ENCODER.encode(body)
 
@@ -154,13 +154,13 @@
         self._change_sets = list(body.change_sets)
         self._is_founded = body.is_founded
         self._publication = body.publication
-        self._founder_count = body.target_voter_count
+        self._target_voter_count = body.target_voter_count
 
     def bootstrap(self, command: BootstrapCommand) -> Answer:
         """Adopt the initial boxes and controllers; repeating it has no effect."""
         if not self._is_founded:
             self._is_founded = True
-            self._founder_count = len(command.controllers)
+            self._target_voter_count = len(command.controllers)
             initial_config = empty_config(command.boxes, command.controllers)
             self._config = initial_config._replace(version=1)
             self._change_sets.clear()
--- a/src/foldloom/static_peers/box.py
+++ b/src/foldloom/static_peers/box.py
@@ -14,7 +14,7 @@
 from foldloom.controllers.client import ControllerClient
 from foldloom.controllers.config import UNRECORDED_STORAGE_ID, Config, empty_config
 from foldloom.controllers.controller import Callbacks, Controller
-from foldloom.controllers.holder import ConfigHolder
+from foldloom.controllers.holder import ConfigStore
 from foldloom.ids import new_incarnation
 from foldloom.logs import CONFIG_LOG, ENTRY_LOG
 from foldloom.metrics import Metrics
@@ -22,12 +22,12 @@
 from foldloom.pauses import log_pause, watch_pauses
 from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import CONTROLLER, ENTRY, Settings
-from foldloom.static_peers.box_list import BoxListSettler
+from foldloom.static_peers.box_list import JointBoxListFinalizer
 from foldloom.static_peers.endpoints.adapter import EndpointAdapter
 from foldloom.static_peers.endpoints.platform import PlatformList
 from foldloom.static_peers.entry.http import HttpServer
 from foldloom.static_peers.entry.operators import OperatorRoutes
-from foldloom.static_peers.entry_role import EntryRole, SharedParts
+from foldloom.static_peers.entry_role import EntryRole, SharedComponents
 from foldloom.static_peers.membership import Heartbeat, Membership
 from foldloom.tasks import TaskSet
 
@@ -54,7 +54,7 @@
         self._network = PeerNetwork(settings, new_incarnation(), self._metrics)
         initial = _initial_config(settings)
         cache_folder = settings.data_folder
-        self._holder = ConfigHolder(self._network, initial, cache_folder)
+        self._holder = ConfigStore(self._network, initial, cache_folder)
         self._client = ControllerClient(self._network, settings.controller_names)
         self._membership = Membership(settings, self._network, self._next_heartbeat)
         self._controller: Controller | None = None
@@ -125,7 +125,7 @@
         if self._controller is not None:
             self._tasks.spawn(self._controller.run())
             self._tasks.spawn(
-                BoxListSettler(self._settings, self._controller, self._membership).run()
+                JointBoxListFinalizer(self._settings, self._controller, self._membership).run()
             )
         ENTRY_LOG.info(
             "Box {} started, incarnation {}.", self._settings.box, self._network.incarnation
@@ -148,7 +148,7 @@
         ENTRY_LOG.info("Planned stop completed.")
 
     def _build_entry_role(self) -> EntryRole:
-        parts = SharedParts(
+        parts = SharedComponents(
             self._settings,
             self._network,
             self._metrics,
--- a/src/foldloom/static_peers/box_list.py
+++ b/src/foldloom/static_peers/box_list.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""The leader settles a joint box list after all old boxes have acknowledged it.
+"""The leader finalizes a joint box list after all old boxes have acknowledged it.
 
-The list settles one retention time after the acknowledgments, which arrive in heartbeats. Each
+The list is final one retention time after the acknowledgments, which arrive in heartbeats. Each
 leader restarts the wait.
 """
 
@@ -22,7 +22,7 @@
 _CHECK_INTERVAL_S = 0.25
 
 
-class BoxListSettler:
+class JointBoxListFinalizer:
     """Finalizes joint box lists while this controller is the leader.
 
     Args:
@@ -45,7 +45,7 @@
             if not self._controller.is_leading or boxes["next"] is None:
                 self._acknowledged_since = None
                 continue
-            if not self._can_settle(boxes["epoch"]):
+            if not self._can_finalize(boxes["epoch"]):
                 continue
             try:
                 await propose(self._controller, encode_command(BoxesSettledCommand(boxes["epoch"])))
@@ -54,10 +54,10 @@
                 # Retried: leadership may have changed, or the command may already be logged.
                 continue
 
-    def _can_settle(self, epoch: int) -> bool:
+    def _can_finalize(self, epoch: int) -> bool:
         """Return whether all old boxes acknowledged *epoch* at least one retention time ago.
 
-        A new leader restarts the wait: settling late is safe, settling early is not.
+        A new leader restarts the wait: finalizing late is safe, finalizing early is not.
         """
         boxes = self._controller.state.config.boxes
         others = set(boxes["current"]) - set(boxes["dead"]) - {self._settings.box}
--- a/src/foldloom/static_peers/claims/acquire.py
+++ b/src/foldloom/static_peers/claims/acquire.py
@@ -36,12 +36,12 @@
 
     Args:
         outcome: Whether the claim was won, is held by others, or lacked a quorum.
-        holders: Conflicting claims of other coordinators.
+        conflicting_claims: Conflicting claims of other coordinators.
         detail: Each replica's vote, as text.
     """
 
     outcome: Acquisition
-    holders: list[Claim]
+    conflicting_claims: list[Claim]
     detail: str
 
 
--- a/src/foldloom/static_peers/claims/recovery.py
+++ b/src/foldloom/static_peers/claims/recovery.py
@@ -66,7 +66,7 @@
         self._copied_from: set[str] = set()
         self._is_recorded = False
         self._has_copied_all = False
-        self._has_no_lost_claims = False
+        self._is_history_complete = False
         self._is_whole = False
 
     @property
@@ -78,7 +78,7 @@
         """Return whether this box may vote for a submission with these *replicas*."""
         if any(set(boxes) == {self._box} for boxes in replicas.sets):
             # No other box holds a copy of such claims.
-            return self._has_no_lost_claims
+            return self._is_history_complete
         if self._is_whole:
             return True
         if not self._is_recorded:
@@ -94,7 +94,7 @@
             asyncio.create_task(self._wait_retention()),
         }
         try:
-            while not self._has_no_lost_claims:
+            while not self._is_history_complete:
                 done, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
                 _log_failures(done)
                 self._update_completeness()
@@ -105,7 +105,7 @@
     def _update_completeness(self) -> None:
         """Recompute whether this box may vote for all replicated submissions."""
         has_copies = self._is_recorded and self._has_copied_all
-        if self._is_whole or not (has_copies or self._has_no_lost_claims):
+        if self._is_whole or not (has_copies or self._is_history_complete):
             return
         self._is_whole = True
         CLAIM_LOG.info("Claim recovery complete: this box votes on all claims.")
@@ -125,7 +125,7 @@
             )
             return
         CLAIM_LOG.info("First incarnation of this box: no earlier claims to copy.")
-        self._has_no_lost_claims = True
+        self._is_history_complete = True
 
     async def _copy_all(self) -> None:
         """Return once the claims of every other box of the list are copied."""
@@ -143,7 +143,7 @@
         """Return once all claims of earlier incarnations have expired."""
         left_ms = self._started_ms + self._retention_ms - monotonic_ms()
         await asyncio.sleep(max(0.0, left_ms / 1_000))
-        self._has_no_lost_claims = True
+        self._is_history_complete = True
 
     async def _copy(self, box: str) -> None:
         """Copy the claims of *box*; valid only if a single incarnation serves the whole copy."""
--- a/src/foldloom/static_peers/claims/service.py
+++ b/src/foldloom/static_peers/claims/service.py
@@ -85,21 +85,21 @@
         if request.incarnation < self._network.known_incarnation(sender):
             return self._reply(Vote.WITHDRAWN, replicas, [])
         if not self._recovery.may_vote(replicas):
-            holders = self._table.holders(request.submission)
+            holders = self._table.claims_of(request.submission)
             return self._reply(Vote.NOT_VOTING, replicas, holders)
         claim = Claim(request.digest, sender, request.incarnation, request.attempt)
         decision = self._table.decide_vote(request.submission, claim, int(monotonic_ms()))
         self._metrics.count(f"claims.{decision.vote.name.lower()}")
-        return self._reply(decision.vote, replicas, decision.holders)
+        return self._reply(decision.vote, replicas, decision.conflicting_claims)
 
     def withdraw(self, coordinator: str, message: Withdraw) -> None:
         """Withdraw the claim of *coordinator*."""
         claim = Claim("", coordinator, message.incarnation, message.attempt)
         self._table.release(message.submission, claim, int(monotonic_ms()))
 
-    def holders(self, submission: str) -> list[Claim]:
+    def claims_of(self, submission: str) -> list[Claim]:
         """Return the claims of *submission* held by this box."""
-        return self._table.holders(submission)
+        return self._table.claims_of(submission)
 
     async def run(self) -> None:
         """Drop expired claims until cancelled."""
@@ -131,7 +131,7 @@
 
     def _on_lookup(self, _sender: str, message: Lookup) -> LookupReply:
         can_vote = self._recovery.may_vote(self.replicas_of(message.submission))
-        return LookupReply(can_vote, self._table.holders(message.submission))
+        return LookupReply(can_vote, self._table.claims_of(message.submission))
 
     def _on_copy(self, sender: str, request: CopyRequest) -> CopyReply:
         if not self._recovery.is_whole:
--- a/src/foldloom/static_peers/claims/table.py
+++ b/src/foldloom/static_peers/claims/table.py
@@ -27,7 +27,7 @@
     """A vote and the conflicting claims."""
 
     vote: Vote
-    holders: list[Claim]
+    conflicting_claims: list[Claim]
 
 
 class ClaimTable:
@@ -50,7 +50,7 @@
         """Return the number of submissions with a claim."""
         return len(self._held)
 
-    def holders(self, submission: str) -> list[Claim]:
+    def claims_of(self, submission: str) -> list[Claim]:
         """Return all claims of *submission*."""
         held = self._held.get(submission)
         if held is None:
@@ -66,7 +66,7 @@
         withdrawn, _ = self._withdrawn.get(_withdrawal_key(submission, claim), (-1, 0))
         if claim.attempt <= withdrawn:
             return VoteDecision(Vote.WITHDRAWN, [])
-        others = [held for held in self.holders(submission) if not _is_same(held, claim)]
+        others = [held for held in self.claims_of(submission) if not _is_same(held, claim)]
         superseded = [held for held in others if _is_older_attempt(held, claim)]
         if superseded:
             # A newer attempt implies withdrawal of the older one.
--- a/src/foldloom/static_peers/entry/coordinator.py
+++ b/src/foldloom/static_peers/entry/coordinator.py
@@ -113,7 +113,7 @@
             )
             job.enter_state(JobState.FOLLOWING)
             self._acquirer.withdraw(job.submission, job.attempt)
-            response = await self._follow_holders(job, result, deadline_ms)
+            response = await self._follow_coordinators(job, result, deadline_ms)
             if response is not None:
                 self._finish(job, JobState.FOLLOWING, response)
                 return
@@ -126,11 +126,11 @@
         )
         self._finish(job, JobState.FOLLOWING, response)
 
-    async def _follow_holders(
+    async def _follow_coordinators(
         self, job: Job, result: AcquireResult, deadline_ms: float
     ) -> Response | None:
         """Return another coordinator's response, or ``None`` if all claims met are withdrawn."""
-        for holder in result.holders:
+        for holder in result.conflicting_claims:
             followed = await self._follow(job, holder, deadline_ms)
             if followed.end is FollowEnd.RESPONSE:
                 return followed.response
--- a/src/foldloom/static_peers/entry/follow.py
+++ b/src/foldloom/static_peers/entry/follow.py
@@ -39,7 +39,7 @@
 # How long the coordinator holds one attach request; bounds the delay caused by a lost reply.
 _LONG_POLL_MS = 1_000
 # Wait of an attach request for a lookup, which does not wait for the job to end.
-_PEEK_MS = 1
+_LOOKUP_WAIT_MS = 1
 # Timeout of an attach request; longer than _LONG_POLL_MS.
 _ATTACH_TIMEOUT_MS = 1_500
 # Sent to callers whose job may be running on another box.
@@ -108,7 +108,7 @@
         Polls until the job ends or *deadline_ms* has passed. If *is_waiting* is false, returns
         ``RUNNING`` for a job that has not ended.
         """
-        wait_ms = _LONG_POLL_MS if is_waiting else _PEEK_MS
+        wait_ms = _LONG_POLL_MS if is_waiting else _LOOKUP_WAIT_MS
         failed_polls = 0
         while monotonic_ms() < deadline_ms:
             target = self._target(claim)
--- a/src/foldloom/static_peers/entry/http.py
+++ b/src/foldloom/static_peers/entry/http.py
@@ -216,7 +216,7 @@
         if not is_valid_submission(submission):
             detail = "submission: not a well-formed id"
             return self._problem("", not_run("bad-request", detail, status=400))
-        response = await self._lookup.peek(submission)
+        response = await self._lookup.look_up(submission)
         if response is None:
             fields = {"submission": submission, "verdict": "running"}
             return web.json_response(fields, status=202)
--- a/src/foldloom/static_peers/entry/lookup.py
+++ b/src/foldloom/static_peers/entry/lookup.py
@@ -49,7 +49,7 @@
         self._follower = follower
         self._jobs = jobs
 
-    async def peek(self, submission: str) -> Response | None:
+    async def look_up(self, submission: str) -> Response | None:
         """Return the response of *submission*, or ``None`` if the job has not ended."""
         job = self._jobs.get(submission)
         if job is not None and job.state not in _MAYBE_REMOTE_STATES:
--- a/src/foldloom/static_peers/entry/operators.py
+++ b/src/foldloom/static_peers/entry/operators.py
@@ -19,7 +19,7 @@
 from foldloom.controllers.client import ControllerClient
 from foldloom.controllers.commands import Answer, ConfirmCommand
 from foldloom.controllers.config import config_fields
-from foldloom.controllers.holder import ConfigHolder
+from foldloom.controllers.holder import ConfigStore
 from foldloom.controllers.intents import parse_intents
 from foldloom.controllers.plans import Plan, make_plan
 from foldloom.logs import CONFIG_LOG
@@ -69,7 +69,7 @@
         self,
         settings: Settings,
         client: ControllerClient,
-        holder: ConfigHolder,
+        holder: ConfigStore,
         status: Callable[[], dict[str, Any]],
     ) -> None:
         self._settings = settings
@@ -115,10 +115,10 @@
         command = ConfirmCommand(body.command, digest, body.intents)
         result = await self._client.propose(command, _CONFIRM_TIMEOUT_MS)
         if result.is_ok() and result.ok.status == 200:
-            await self._wait_until_in_force(result.ok.version)
+            await self._wait_until_in_effect(result.ok.version)
         return self._confirm_response(body.command, result)
 
-    async def _wait_until_in_force(self, version: int) -> None:
+    async def _wait_until_in_effect(self, version: int) -> None:
         """Wait until the confirmed *version* is in effect on this box.
 
         The leader replies before this box receives the commit; without the wait, a status request
--- a/src/foldloom/static_peers/entry/run.py
+++ b/src/foldloom/static_peers/entry/run.py
@@ -25,7 +25,7 @@
 from foldloom.static_peers.placement.messages import SlotOutcome, SlotRefusal
 from foldloom.static_peers.placement.retries import (
     RetryBudget,
-    is_endpoint_death,
+    is_endpoint_crash,
     may_retry,
 )
 from foldloom.static_peers.placement.slots import Slot, SlotSource, SlotWaiter
@@ -98,7 +98,7 @@
         self._unfinished = len(request.payloads)
         self._events: asyncio.Queue[Any] = asyncio.Queue()
         self._attempts: dict[asyncio.Task[Result[TaskAnswer, Problem]], tuple[int, str]] = {}
-        self._endpoint_deaths: Counter[int] = Counter()
+        self._endpoint_crashes: Counter[int] = Counter()
         self._possible_starts = 0
         self._max_service_ms = 0.0
 
@@ -243,9 +243,9 @@
             # Attempts share the job's deadline, and their timer may fire first. The caller gets
             # 504 in either case.
             return _DEADLINE
-        self._endpoint_deaths[end.task_index] += is_endpoint_death(problem)
-        deaths = self._endpoint_deaths[end.task_index]
-        if not may_retry(problem, self._service, self._request.repeatable, deaths):
+        self._endpoint_crashes[end.task_index] += is_endpoint_crash(problem)
+        crashes = self._endpoint_crashes[end.task_index]
+        if not may_retry(problem, self._service, self._request.repeatable, crashes):
             return problem
         if not self._context.budget.consume():
             return problem._replace(detail=f"{problem.detail}; the retry budget is used up")
--- a/src/foldloom/static_peers/entry_role.py
+++ b/src/foldloom/static_peers/entry_role.py
@@ -2,7 +2,7 @@
 """The entry role of a box: claims, slots, and the coordinator of callers' jobs.
 
 Builds the components that only an entry box has on those that every box has
-(:class:`SharedParts`).
+(:class:`SharedComponents`).
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from foldloom.clock import monotonic_ms
 from foldloom.controllers.client import ControllerClient
 from foldloom.controllers.config import BoxList, endpoints_of
-from foldloom.controllers.holder import ConfigHolder
+from foldloom.controllers.holder import ConfigStore
 from foldloom.logs import ENTRY_LOG
 from foldloom.metrics import Metrics
 from foldloom.peers.wire import PeerNetwork
@@ -51,7 +51,7 @@
 _FINAL_HEARTBEAT_INTERVAL_S = 0.05
 
 
-class SharedParts(NamedTuple):
+class SharedComponents(NamedTuple):
     """Components that every box has.
 
     Args:
@@ -69,7 +69,7 @@
     settings: Settings
     network: PeerNetwork
     metrics: Metrics
-    holder: ConfigHolder
+    holder: ConfigStore
     client: ControllerClient
     membership: Membership
     platform: PlatformList
@@ -85,7 +85,7 @@
         is_stopping: Returns whether a planned stop has begun.
     """
 
-    def __init__(self, parts: SharedParts, is_stopping: Callable[[], bool]) -> None:
+    def __init__(self, parts: SharedComponents, is_stopping: Callable[[], bool]) -> None:
         self._parts = parts
         self._settings = parts.settings
         self._successor = ""
@@ -219,7 +219,7 @@
         if not isinstance(policy, SlotLeases):
             reports = UsageReports(parts.adapter, lambda: parts.holder.config)
             parts.tasks.spawn(reports.run())
-            return DirectSlots(policy, self._usable_endpoints, lambda: reports.running)
+            return DirectSlots(policy, self._eligible_endpoints, lambda: reports.running)
         self._leases = LeaseManager(
             self._settings,
             parts.network,
@@ -265,7 +265,7 @@
             for load in state.heartbeat.loads
         }
 
-    def _usable_endpoints(self, service: str) -> list[str]:
+    def _eligible_endpoints(self, service: str) -> list[str]:
         leaving = self._parts.platform.leaving
         names = endpoints_of(self._parts.holder.config, service)
         return [name for name in names if name not in leaving]
--- a/src/foldloom/static_peers/placement/direct_slots.py
+++ b/src/foldloom/static_peers/placement/direct_slots.py
@@ -12,7 +12,7 @@
 from foldloom.clock import monotonic_ms
 from foldloom.static_peers.placement.messages import SlotOutcome, SlotRefusal
 from foldloom.static_peers.placement.policies import Policy, View, choose
-from foldloom.static_peers.placement.slots import RESEND_INTERVAL_MS, Slot, SlotWaiter
+from foldloom.static_peers.placement.slots import RETRANSMISSION_INTERVAL_MS, Slot, SlotWaiter
 
 
 class DirectSlots:
@@ -54,7 +54,7 @@
             choice = choose(self._policy, view)
             if choice is None:
                 waiter.arrivals.put_nowait(
-                    SlotRefusal(waiter.request_id, "no-worker", RESEND_INTERVAL_MS)
+                    SlotRefusal(waiter.request_id, "no-worker", RETRANSMISSION_INTERVAL_MS)
                 )
                 return
             endpoint = choice.endpoint
--- a/src/foldloom/static_peers/placement/lease_manager.py
+++ b/src/foldloom/static_peers/placement/lease_manager.py
@@ -112,7 +112,7 @@
         }
         for removed in set(self._shards) - set(names):
             self._release_shard(removed)
-        usable = {
+        eligible = {
             name
             for name, endpoint in config.endpoints.items()
             if name not in leaving and is_in_reachable_zone(endpoint, reachable_zones)
@@ -122,7 +122,7 @@
                 self._release_shard(name)
                 continue
             shard = self._shards.get(name) or self._take_over(name)
-            shard.set_endpoints(config, endpoints, usable)
+            shard.set_endpoints(config, endpoints, eligible)
 
     async def run(self) -> None:
         """Expire leases, check ejected endpoints and grant slots, until cancelled."""
--- a/src/foldloom/static_peers/placement/leased_slots.py
+++ b/src/foldloom/static_peers/placement/leased_slots.py
@@ -28,15 +28,15 @@
     SlotReturn,
 )
 from foldloom.static_peers.placement.shards import shard_names
-from foldloom.static_peers.placement.slots import RESEND_INTERVAL_MS, Slot, SlotWaiter
+from foldloom.static_peers.placement.slots import RETRANSMISSION_INTERVAL_MS, Slot, SlotWaiter
 
 # Seconds between checks for renewals and retransmissions.
 _CHECK_S = 0.1
 # Retransmission interval after a change of lease managers, in milliseconds: one heartbeat.
-_FAST_RESEND_INTERVAL_MS = 250
+_FAST_RETRANSMISSION_INTERVAL_MS = 250
 # Milliseconds of fast retransmission after a change of lease managers: above the time to detect a
 # silent peer.
-_FAST_RESEND_PERIOD_MS = 2_500
+_FAST_RETRANSMISSION_PERIOD_MS = 2_500
 # Milliseconds before a lease's expiry at which the holder stops using it: covers message delay.
 _EXPIRY_MARGIN_MS = 100
 
@@ -74,7 +74,7 @@
         self._shards: tuple[int, dict[str, list[str]]] = (-1, {})
         self._shard_of: dict[str, str] = {}
         self._managers: dict[str, str] = {}
-        self._fast_resend_until_ms = 0.0
+        self._fast_retransmission_until_ms = 0.0
         network.on(SlotGrant, self._on_grant)
         network.on(SlotRefusal, self._on_refusal)
 
@@ -127,9 +127,9 @@
             if changed or now_ms - renewed_ms > self._settings.timings.lease_ttl_ms / 4:
                 renewed_ms = now_ms
                 self._renew(now_ms)
-            self.resend_requests(now_ms, changed)
+            self.retransmit_requests(now_ms, changed)
 
-    def resend_requests(self, now_ms: float, has_manager_changed: bool) -> None:
+    def retransmit_requests(self, now_ms: float, has_manager_changed: bool) -> None:
         """Retransmit requests that were not answered in time or whose lease manager changed.
 
         A new lease manager drops requests that arrive before it takes over the shard. Requests are
@@ -137,9 +137,11 @@
         deduplicate them.
         """
         if has_manager_changed:
-            self._fast_resend_until_ms = now_ms + _FAST_RESEND_PERIOD_MS
+            self._fast_retransmission_until_ms = now_ms + _FAST_RETRANSMISSION_PERIOD_MS
         limit_ms = (
-            _FAST_RESEND_INTERVAL_MS if now_ms < self._fast_resend_until_ms else RESEND_INTERVAL_MS
+            _FAST_RETRANSMISSION_INTERVAL_MS
+            if now_ms < self._fast_retransmission_until_ms
+            else RETRANSMISSION_INTERVAL_MS
         )
         for waiter in list(self._waiters.values()):
             is_stale = now_ms - waiter.last_activity_ms > limit_ms
@@ -194,7 +196,7 @@
         waiter.last_activity_ms = now_ms
         if not waiter.shard:
             waiter.arrivals.put_nowait(
-                SlotRefusal(waiter.request_id, "no-worker", RESEND_INTERVAL_MS)
+                SlotRefusal(waiter.request_id, "no-worker", RETRANSMISSION_INTERVAL_MS)
             )
             return
         message = SlotRequest(
--- a/src/foldloom/static_peers/placement/policies.py
+++ b/src/foldloom/static_peers/placement/policies.py
@@ -13,11 +13,11 @@
 from typing import Any, NamedTuple
 
 # Quantile of a service's task sizes that a wait is compared with, for a job of one task.
-_SHORT_SHARE = 0.03
+_SINGLE_TASK_QUANTILE = 0.03
 # Increase of the quantile for each doubling of the job's tasks.
-_SHARE_PER_DOUBLING = 0.035
+_QUANTILE_PER_DOUBLING = 0.035
 # Upper bound of the quantile.
-_SHARE_MAX = 0.5
+_QUANTILE_MAX = 0.5
 
 
 class View(NamedTuple):
@@ -31,8 +31,8 @@
         local_count: Running tasks started by this box.
         reported_count: Running tasks according to the endpoint's last report.
         queued_ahead: Queued tasks ahead of this task.
-        job_size: Task size that a wait is compared with, as a multiple of the mean service time.
-            The smaller it is, the more a wait counts.
+        reference_task_size: Task size that a wait is compared with, as a multiple of the mean
+            service time. The smaller it is, the more a wait counts.
     """
 
     endpoints: Sequence[str]
@@ -42,7 +42,7 @@
     local_count: Mapping[str, int] = {}
     reported_count: Mapping[str, int] = {}
     queued_ahead: int = 0
-    job_size: float = 1.0
+    reference_task_size: float = 1.0
 
 
 class Choice(NamedTuple):
@@ -69,12 +69,12 @@
 
     Args:
         fast_ratio: Endpoints within this ratio of the reference endpoint count as fast.
-        reference_share: Quantile of the order by speed at which the reference endpoint is taken,
+        reference_quantile: Quantile of the order by speed at which the reference endpoint is taken,
             so that a single short sample can't make all other endpoints look slow.
     """
 
     fast_ratio: float = 1.4
-    reference_share: float = 0.25
+    reference_quantile: float = 0.25
 
 
 Policy = RandomChoice | LeastLocalCount | PowerOfTwo | SlotLeases
@@ -121,7 +121,7 @@
 def _(policy: SlotLeases, view: View) -> Choice | None:
     if not view.endpoints:
         return None
-    reference = view.endpoints[int(len(view.endpoints) * policy.reference_share)]
+    reference = view.endpoints[int(len(view.endpoints) * policy.reference_quantile)]
     reference_ms = view.mean_ms[reference]
     fast, slow = _split(view, reference_ms * policy.fast_ratio)
     most_free = max(fast, key=lambda endpoint: view.free_slots[endpoint])
@@ -135,14 +135,14 @@
     if busy == 0:
         return Choice(fastest_free, is_fast=False)
     wait_ms = (view.queued_ahead + 1) * reference_ms / busy
-    ideal_ms = reference_ms * view.job_size
-    slow_ms = view.mean_ms[fastest_free] * view.job_size
+    ideal_ms = reference_ms * view.reference_task_size
+    slow_ms = view.mean_ms[fastest_free] * view.reference_task_size
     if slow_ms <= wait_ms + ideal_ms:
         return Choice(fastest_free, is_fast=False)
     return None
 
 
-def job_size(sizes: Sequence[float], job_tasks: int) -> float:
+def reference_task_size(sizes: Sequence[float], job_tasks: int) -> float:
     """Return the task size that a wait is compared with, as a multiple of the mean service time.
 
     Relative to its duration, a job with one short task is delayed most by a wait, so a low quantile
@@ -156,8 +156,8 @@
     """
     if not sizes:
         return 1.0
-    share = _SHORT_SHARE + _SHARE_PER_DOUBLING * math.log2(job_tasks)
-    return sizes[int(len(sizes) * min(share, _SHARE_MAX))]
+    quantile = _SINGLE_TASK_QUANTILE + _QUANTILE_PER_DOUBLING * math.log2(job_tasks)
+    return sizes[int(len(sizes) * min(quantile, _QUANTILE_MAX))]
 
 
 def _split(view: View, fast_limit_ms: float) -> tuple[Sequence[str], Sequence[str]]:
--- a/src/foldloom/static_peers/placement/retries.py
+++ b/src/foldloom/static_peers/placement/retries.py
@@ -3,16 +3,16 @@
 
 from __future__ import annotations
 
-from foldloom.controllers.config import RESTART_AFTER_ENDPOINT_DEATH, Service
+from foldloom.controllers.config import RESTART_AFTER_ENDPOINT_CRASH, Service
 from foldloom.verdicts import Problem, Run
 
 # Initial retry budget.
 _TOKENS_START = 10.0
 # Largest retry budget that can accumulate.
 _TOKENS_MAX = 100.0
-_ENDPOINT_DEATH_REASONS = ("worker-lost",)
+_ENDPOINT_CRASH_REASONS = ("worker-lost",)
 # Crashed endpoints after which a task is not retried: the task may be the cause.
-ENDPOINT_DEATHS_MAX = 2
+ENDPOINT_CRASHES_MAX = 2
 
 
 class RetryBudget:
@@ -43,20 +43,20 @@
         return True
 
 
-def is_endpoint_death(problem: Problem) -> bool:
+def is_endpoint_crash(problem: Problem) -> bool:
     """Return whether the attempt failed because its endpoint crashed."""
-    return problem.reason in _ENDPOINT_DEATH_REASONS
+    return problem.reason in _ENDPOINT_CRASH_REASONS
 
 
-def may_retry(problem: Problem, service: Service, is_repeatable: bool, deaths: int = 1) -> bool:
+def may_retry(problem: Problem, service: Service, is_repeatable: bool, crashes: int = 1) -> bool:
     """Return whether a task may be retried after *problem*.
 
     An attempt that did not run may always be retried. One that may have run is retried only after a
-    crash of its endpoint, if the service permits a restart, the request is repeatable and *deaths*
+    crash of its endpoint, if the service permits a restart, the request is repeatable and *crashes*
     is below the limit.
     """
     if problem.run is Run.NOT_RUN:
         return True
-    if service["restart"] != RESTART_AFTER_ENDPOINT_DEATH:
+    if service["restart"] != RESTART_AFTER_ENDPOINT_CRASH:
         return False
-    return is_repeatable and is_endpoint_death(problem) and deaths < ENDPOINT_DEATHS_MAX
+    return is_repeatable and is_endpoint_crash(problem) and crashes < ENDPOINT_CRASHES_MAX
--- a/src/foldloom/static_peers/placement/service_times.py
+++ b/src/foldloom/static_peers/placement/service_times.py
@@ -20,7 +20,7 @@
 _STALE_MS = 30_000
 
 
-class Speed(NamedTuple):
+class MeanServiceTime(NamedTuple):
     """Moving average of an endpoint's service time.
 
     Args:
@@ -34,12 +34,12 @@
     seen_ms: float = 0.0
 
 
-class SpeedTable:
+class ServiceTimes:
     """Moving averages of service times."""
 
     def __init__(self) -> None:
-        self._by_endpoint: dict[tuple[str, str], Speed] = {}
-        self._by_service: dict[str, Speed] = {}
+        self._by_endpoint: dict[tuple[str, str], MeanServiceTime] = {}
+        self._by_service: dict[str, MeanServiceTime] = {}
         self._sizes: dict[str, deque[float]] = {}
 
     def record(
@@ -90,10 +90,12 @@
                 self._by_endpoint[key] = stale
 
 
-def _updated_mean(average: Speed | None, value: float, alpha: float, now_ms: float) -> Speed:
+def _updated_mean(
+    average: MeanServiceTime | None, value: float, alpha: float, now_ms: float
+) -> MeanServiceTime:
     """Return *average* updated with *value*; the first samples form a plain mean."""
     if average is None:
-        return Speed(value, 1, now_ms)
+        return MeanServiceTime(value, 1, now_ms)
     weight = max(alpha, 1 / (average.samples + 1))
     mean_ms = average.mean_ms + weight * (value - average.mean_ms)
-    return Speed(mean_ms, average.samples + 1, now_ms)
+    return MeanServiceTime(mean_ms, average.samples + 1, now_ms)
--- a/src/foldloom/static_peers/placement/shard.py
+++ b/src/foldloom/static_peers/placement/shard.py
@@ -25,9 +25,9 @@
     SlotRequest,
     SlotReturn,
 )
-from foldloom.static_peers.placement.policies import Choice, Policy, choose, job_size
+from foldloom.static_peers.placement.policies import Choice, Policy, choose, reference_task_size
 from foldloom.static_peers.placement.queue import PendingRequest, RequestQueue
-from foldloom.static_peers.placement.service_times import SpeedTable
+from foldloom.static_peers.placement.service_times import ServiceTimes
 from foldloom.static_peers.placement.shares import GrantRates
 from foldloom.static_peers.placement.views import ViewTable
 
@@ -62,16 +62,18 @@
         self._policy = policy
         self._lease_ids = lease_ids
         self._config_limits = ConfigLimits()
-        self._usable: set[str] = set()
+        self._eligible: set[str] = set()
         self._endpoints_of: dict[str, list[str]] = {}
         self._leases = LeaseTable()
         self._queue = RequestQueue(self._config_limits.quota_of)
         self._grant_rates = GrantRates()
-        self._speeds = SpeedTable()
+        self._service_times = ServiceTimes()
         self._events: list[str] = []
         health = Health(settings.timings.ejection_ms, settings.limits.ejected_share_max)
-        self._ejection = Ejection(health, self._speeds, self._add_event)
-        self._views = ViewTable(self._config_limits, self._leases, self._speeds, self._ejection)
+        self._ejection = Ejection(health, self._service_times, self._add_event)
+        self._views = ViewTable(
+            self._config_limits, self._leases, self._service_times, self._ejection
+        )
 
     @property
     def ejection(self) -> Ejection:
@@ -98,23 +100,23 @@
         events, self._events = self._events, []
         return events
 
-    def set_endpoints(self, config: Config, names: list[str], usable: set[str]) -> None:
+    def set_endpoints(self, config: Config, names: list[str], eligible: set[str]) -> None:
         """Apply a configuration.
 
         Args:
             config: The configuration in effect.
             names: The endpoints of this shard.
-            usable: The endpoints eligible for placement, of any shard.
+            eligible: The endpoints eligible for placement, of any shard.
         """
         self._config_limits.apply_config(config)
-        self._usable = usable.intersection(names)
-        self._ejection.set_endpoints(self._usable)
+        self._eligible = eligible.intersection(names)
+        self._ejection.set_endpoints(self._eligible)
         own = set(names)
         self._endpoints_of = {
             service: [name for name in endpoints_of(config, service) if name in own]
             for service in config.services
         }
-        self._views.set_endpoints(self._endpoints_of, self._usable)
+        self._views.set_endpoints(self._endpoints_of, self._eligible)
 
     def add(self, coordinator: str, request: SlotRequest) -> SlotRefusal | None:
         """Queue *request*, or return a refusal. A retransmission has no effect."""
@@ -147,7 +149,9 @@
         if lease is not None:
             self._remove_lease(lease)
         if message.use is SlotOutcome.DONE:
-            self._speeds.record(message.service, message.endpoint, message.service_ms, now_ms)
+            self._service_times.record(
+                message.service, message.endpoint, message.service_ms, now_ms
+            )
             peer_median_ms = self._views.peer_median_ms(message.service, message.endpoint)
             self._ejection.record_success(message, peer_median_ms, now_ms)
         elif message.use in (SlotOutcome.FAILED, SlotOutcome.NOT_RUN):
@@ -162,13 +166,13 @@
                 self._events.append(f"Lease {lease.lease_id} on {lease.endpoint} expired.")
                 self._remove_lease(lease)
                 continue
-            limit = _OVERDUE_RATIO * self._speeds.mean_ms(lease.service, lease.endpoint)
+            limit = _OVERDUE_RATIO * self._service_times.mean_ms(lease.service, lease.endpoint)
             if now_ms - lease.since_ms > max(_OVERDUE_MIN_MS, limit):
                 overdue[lease.endpoint] = overdue.get(lease.endpoint, 0) + 1
         for endpoint, count in overdue.items():
             if count * 2 >= self._leases.busy.get(endpoint, 0):
-                self._ejection.note_overdue(endpoint, now_ms)
-        self._speeds.mark_stale(now_ms)
+                self._ejection.eject_overdue(endpoint, now_ms)
+        self._service_times.mark_stale(now_ms)
         self._grant_rates.refresh(now_ms)
         self._views.refresh(now_ms)
 
@@ -218,9 +222,11 @@
             if self._views.has_free_slot(endpoint) and endpoint in view.endpoints:
                 return Choice(endpoint, is_fast=False)
         newest = self._queue.newest_of(service)
-        size = job_size(self._views.sizes_of(service), newest.request.job_tasks)
+        size = reference_task_size(self._views.sizes_of(service), newest.request.job_tasks)
         queued_ahead = self._queue.tasks_of_service(service) - 1
-        return choose(self._policy, view._replace(queued_ahead=queued_ahead, job_size=size))
+        return choose(
+            self._policy, view._replace(queued_ahead=queued_ahead, reference_task_size=size)
+        )
 
     def _recipient_of_slow_slot(self, service: str, first: PendingRequest) -> PendingRequest:
         """Return the request that receives a slow slot.
@@ -230,7 +236,7 @@
         long, *first* receives it, because then every request waits longer than a slow endpoint
         takes.
         """
-        if self.expected_wait_ms(service) > _LONG_QUEUE_MEANS * self._speeds.service_mean_ms(
+        if self.expected_wait_ms(service) > _LONG_QUEUE_MEANS * self._service_times.service_mean_ms(
             service
         ):
             return first
@@ -268,7 +274,7 @@
     def _check_admission(self, request: SlotRequest) -> SlotRefusal | None:
         """Return a refusal if the request can't be served in time."""
         endpoints = self._endpoints_of.get(request.service, ())
-        if not any(endpoint in self._usable for endpoint in endpoints):
+        if not any(endpoint in self._eligible for endpoint in endpoints):
             return SlotRefusal(request.request_id, "no-worker", _NO_ENDPOINT_RETRY_MS)
         active = self._queue.customers | self._grant_rates.customers | {request.customer}
         load = AdmissionLoad(
@@ -279,7 +285,7 @@
             self._config_limits.quota_of(request.customer)
             / sum(map(self._config_limits.quota_of, active)),
             self._grant_rates.rate_of(request.customer),
-            self._speeds.service_mean_ms(request.service),
+            self._service_times.service_mean_ms(request.service),
         )
         return check_admission(request, load, self._settings.limits)
 
--- a/src/foldloom/static_peers/placement/slots.py
+++ b/src/foldloom/static_peers/placement/slots.py
@@ -14,7 +14,7 @@
 
 # Milliseconds until a job repeats a request that was not granted or had no eligible endpoint.
 # Request ids make the retransmission idempotent.
-RESEND_INTERVAL_MS = 3_000
+RETRANSMISSION_INTERVAL_MS = 3_000
 
 
 class Slot(NamedTuple):
--- a/src/foldloom/static_peers/placement/views.py
+++ b/src/foldloom/static_peers/placement/views.py
@@ -12,7 +12,7 @@
 from foldloom.static_peers.placement.ejection import Ejection
 from foldloom.static_peers.placement.leases import LeaseTable
 from foldloom.static_peers.placement.policies import View
-from foldloom.static_peers.placement.service_times import SpeedTable
+from foldloom.static_peers.placement.service_times import ServiceTimes
 
 
 class ViewTable:
@@ -21,7 +21,7 @@
     Args:
         config_limits: Limits of the configuration.
         leases: The active leases.
-        speeds: Learned service times.
+        service_times: Learned service times.
         ejection: Ejection state of the endpoints.
     """
 
@@ -29,12 +29,12 @@
         self,
         config_limits: ConfigLimits,
         leases: LeaseTable,
-        speeds: SpeedTable,
+        service_times: ServiceTimes,
         ejection: Ejection,
     ) -> None:
         self._config_limits = config_limits
         self._leases = leases
-        self._speeds = speeds
+        self._service_times = service_times
         self._ejection = ejection
         self._endpoints_of: dict[str, list[str]] = {}
         self._free: dict[str, int] = {}
@@ -67,18 +67,18 @@
         """Return the median of the endpoints' mean service times of *service*."""
         view = self._views.get(service)
         if view is None or not view.endpoints:
-            return self._speeds.mean_ms(service, endpoint)
+            return self._service_times.mean_ms(service, endpoint)
         return view.mean_ms[view.endpoints[len(view.endpoints) // 2]]
 
-    def set_endpoints(self, endpoints_of: dict[str, list[str]], usable: set[str]) -> None:
+    def set_endpoints(self, endpoints_of: dict[str, list[str]], eligible: set[str]) -> None:
         """Set the endpoints.
 
         Args:
             endpoints_of: The shard's endpoints by service.
-            usable: The endpoints eligible for placement.
+            eligible: The endpoints eligible for placement.
         """
         self._endpoints_of = endpoints_of
-        self._free = {endpoint: self._free_slots_of(endpoint, 0.0) for endpoint in usable}
+        self._free = {endpoint: self._free_slots_of(endpoint, 0.0) for endpoint in eligible}
         self._refresh_views()
 
     def refresh(self, now_ms: float) -> None:
@@ -96,11 +96,13 @@
         """Rebuild each service's view, ordered by speed."""
         for service, names in self._endpoints_of.items():
             means = {
-                name: self._speeds.mean_ms(service, name) for name in names if name in self._free
+                name: self._service_times.mean_ms(service, name)
+                for name in names
+                if name in self._free
             }
             order = sorted(means, key=lambda name: (means[name], name))
             self._views[service] = View(order, means, self._free, self._leases.busy)
-            self._sizes[service] = self._speeds.sizes(service)
+            self._sizes[service] = self._service_times.sizes(service)
             self._rates[service] = self._service_rate(service)
 
     def _free_slots_of(self, endpoint: str, now_ms: float) -> int:
--- a/tests/own_entry_refusals.py
+++ b/tests/own_entry_refusals.py
@@ -180,7 +180,7 @@
             b1.hold_claims(_claim("b1"))
             c1.hold_claims(_claim("b1"))
             box = {"a1": a1, "c1": c1}[asked]
-            assert await box.lookup.peek("s") == _COMPLETE
+            assert await box.lookup.look_up("s") == _COMPLETE
 
         asyncio.run(scenario())
 
@@ -190,7 +190,7 @@
         async def scenario() -> None:
             a1, _, _ = _three_boxes()
             a1.finish_job(a1.run(), JobState.WITHDRAWN, _REFUSAL)
-            assert await a1.lookup.peek("s") == _REFUSAL
+            assert await a1.lookup.look_up("s") == _REFUSAL
 
         asyncio.run(scenario())
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -31,7 +31,7 @@
         assert table.decide_vote("s", _X, 0).vote is Vote.GRANTED
         assert table.decide_vote("s", _X, 0).vote is Vote.GRANTED
         other = table.decide_vote("s", _Y, 0)
-        assert (other.vote, other.holders) == (Vote.HELD, [_X])
+        assert (other.vote, other.conflicting_claims) == (Vote.HELD, [_X])
 
     def test_conflicting_copies_are_all_kept(self) -> None:
         """With two conflicting copies neither claim is granted until the other is withdrawn."""
@@ -49,7 +49,7 @@
         newer = _X._replace(attempt=2)
         table.decide_vote("s", newer, 0)
         table.release("s", _X, 0)
-        assert table.holders("s") == [newer]
+        assert table.claims_of("s") == [newer]
         assert table.decide_vote("s", _Y, 0).vote is Vote.HELD
 
     def test_request_after_its_own_withdrawal(self) -> None:
@@ -64,7 +64,7 @@
         table = _table()
         table.release("s", _X, 0)
         table.merge(CopiedClaim("s", _X, 900), 0)
-        assert table.holders("s") == []
+        assert table.claims_of("s") == []
 
     def test_expiry_and_bound(self) -> None:
         """A claim expires at its retention time, not before; a full table refuses new claims."""
--- a/tests/test_claims_incarnations.py
+++ b/tests/test_claims_incarnations.py
@@ -144,7 +144,7 @@
         table.decide_vote("s", withdrawn, 0)
         table.merge(CopiedClaim("s", held, 90), 50)
         table.expire(100)
-        assert table.holders("s") == [held]
+        assert table.claims_of("s") == [held]
         assert table.decide_vote("s", Claim(_DIGEST, "z1", 1, 1), 101).vote is Vote.HELD
         table.expire(140)
-        assert not table.holders("s")
+        assert not table.claims_of("s")
--- a/tests/test_entry_operators.py
+++ b/tests/test_entry_operators.py
@@ -16,7 +16,7 @@
 
 from foldloom.controllers.commands import Answer
 from foldloom.controllers.config import empty_config
-from foldloom.controllers.holder import ConfigHolder
+from foldloom.controllers.holder import ConfigStore
 from foldloom.settings_file import settings_from
 from foldloom.static_peers.entry.operators import OperatorRoutes
 
@@ -35,7 +35,7 @@
 class _Leader:
     """A leader that commits at once; this box receives the commit after a delay, or never."""
 
-    def __init__(self, holder: ConfigHolder, commit_delay_s: float | None) -> None:
+    def __init__(self, holder: ConfigStore, commit_delay_s: float | None) -> None:
         self._holder = holder
         self._commit_delay_s = commit_delay_s
 
@@ -64,7 +64,7 @@
         }
     )
     network: Any = _Network()
-    holder = ConfigHolder(network, empty_config({"a1": "a"}, {"a1": "?"}))
+    holder = ConfigStore(network, empty_config({"a1": "a"}, {"a1": "?"}))
     leader: Any = _Leader(holder, commit_delay_s)
     routes = OperatorRoutes(settings, leader, holder, lambda: {"version": holder.config.version})
     app = web.Application()
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -29,10 +29,10 @@
     SlotLeases,
     View,
     choose,
-    job_size,
+    reference_task_size,
 )
 from foldloom.static_peers.placement.retries import RetryBudget, may_retry
-from foldloom.static_peers.placement.service_times import SpeedTable
+from foldloom.static_peers.placement.service_times import ServiceTimes
 from foldloom.static_peers.placement.shard import Grant, Shard
 from foldloom.static_peers.placement.shards import FLEET, ManagerCache, manager_of, shard_names
 from foldloom.verdicts import may_have_run, not_run
@@ -132,15 +132,15 @@
     def test_more_tasks_hide_a_wait(self, job_tasks: int, expected: float) -> None:
         """The quantile of the sizes rises with the number of tasks of the job."""
         sizes = [float(size) for size in range(1, 101)]
-        assert job_size(sizes, job_tasks) == expected
+        assert reference_task_size(sizes, job_tasks) == expected
 
     def test_at_most_the_middle(self) -> None:
         """The quantile is bounded by the median."""
-        assert job_size([1.0, 2.0, 3.0, 4.0], 1 << 20) == 3.0
+        assert reference_task_size([1.0, 2.0, 3.0, 4.0], 1 << 20) == 3.0
 
     def test_nothing_known(self) -> None:
         """A service without samples has size 1."""
-        assert job_size([], 8) == 1.0
+        assert reference_task_size([], 8) == 1.0
 
 
 class TestShares:
@@ -358,15 +358,15 @@
 
     def test_stale_average_is_measured_again(self) -> None:
         """An average without recent samples falls back to the service's mean."""
-        speeds = SpeedTable()
+        service_times = ServiceTimes()
         for _ in range(10):
-            speeds.record("s", "slow", 500.0, 0.0)
-            speeds.record("s", "fast", 100.0, 0.0)
-        assert speeds.mean_ms("s", "slow") > 2 * speeds.mean_ms("s", "fast")
-        speeds.record("s", "fast", 100.0, 40_000.0)
-        speeds.mark_stale(40_000.0)
-        assert speeds.mean_ms("s", "slow") == speeds.service_mean_ms("s")
-        assert speeds.mean_ms("s", "fast") == pytest.approx(100.0)
+            service_times.record("s", "slow", 500.0, 0.0)
+            service_times.record("s", "fast", 100.0, 0.0)
+        assert service_times.mean_ms("s", "slow") > 2 * service_times.mean_ms("s", "fast")
+        service_times.record("s", "fast", 100.0, 40_000.0)
+        service_times.mark_stale(40_000.0)
+        assert service_times.mean_ms("s", "slow") == service_times.service_mean_ms("s")
+        assert service_times.mean_ms("s", "fast") == pytest.approx(100.0)
 
 
 class TestRetries:
@@ -437,13 +437,13 @@
         slots.request(waiter, 1)
         slots._refresh_managers()
         began = waiter.last_activity_ms
-        slots.resend_requests(began, has_manager_changed=True)
-        slots.resend_requests(began + 300, has_manager_changed=False)
+        slots.retransmit_requests(began, has_manager_changed=True)
+        slots.retransmit_requests(began + 300, has_manager_changed=False)
         assert len(network.messages) == 2
         waiter.last_activity_ms = began + 2_600
-        slots.resend_requests(began + 3_000, has_manager_changed=False)
+        slots.retransmit_requests(began + 3_000, has_manager_changed=False)
         assert len(network.messages) == 2
-        slots.resend_requests(began + 6_000, has_manager_changed=False)
+        slots.retransmit_requests(began + 6_000, has_manager_changed=False)
         assert len(network.messages) == 3
 
 
--- a/tests/test_placement_ejection.py
+++ b/tests/test_placement_ejection.py
@@ -8,7 +8,7 @@
 from foldloom.static_peers.placement.ejection import Ejection
 from foldloom.static_peers.placement.health import Health
 from foldloom.static_peers.placement.messages import SlotOutcome, SlotReturn
-from foldloom.static_peers.placement.service_times import SpeedTable
+from foldloom.static_peers.placement.service_times import ServiceTimes
 
 _EJECTION_MS = 1_000
 _ENDPOINTS = {"w1", "w2", "w3", "w4"}
@@ -24,15 +24,15 @@
     def _ejection(self) -> tuple[Ejection, list[str]]:
         sentences: list[str] = []
         health = Health(_EJECTION_MS, 0.5)
-        ejection = Ejection(health, SpeedTable(), sentences.append)
+        ejection = Ejection(health, ServiceTimes(), sentences.append)
         ejection.set_endpoints(_ENDPOINTS)
         return ejection, sentences
 
     def test_overdue_tasks(self) -> None:
         """An endpoint with overdue tasks is ejected and logged once."""
         ejection, sentences = self._ejection()
-        ejection.note_overdue("w1", 0.0)
-        ejection.note_overdue("w1", 10.0)
+        ejection.eject_overdue("w1", 0.0)
+        ejection.eject_overdue("w1", 10.0)
         assert ejection.is_ejected("w1")
         assert sentences == ["Ejected w1: its tasks are overdue."]
 
@@ -48,7 +48,7 @@
     def test_no_probe_without_liveness_check(self) -> None:
         """An ejected endpoint is probed only after its ejection time and a liveness check."""
         ejection, _ = self._ejection()
-        ejection.note_overdue("w1", 0.0)
+        ejection.eject_overdue("w1", 0.0)
         assert not ejection.may_probe("w1", _EJECTION_MS)
         assert ejection.due_for_liveness_check(_EJECTION_MS - 1) == []
         assert ejection.due_for_liveness_check(_EJECTION_MS) == ["w1"]
@@ -59,7 +59,7 @@
     def test_probe_uses_up_liveness_check(self) -> None:
         """A probe needs a new liveness check if the previous one has been used."""
         ejection, sentences = self._ejection()
-        ejection.note_overdue("w1", 0.0)
+        ejection.eject_overdue("w1", 0.0)
         ejection.mark_responsive("w1")
         ejection.record_grant("w1")
         assert not ejection.may_probe("w1", _EJECTION_MS)
@@ -68,7 +68,7 @@
     def test_back_after_probes(self) -> None:
         """Two probes at normal speed restore an endpoint."""
         ejection, sentences = self._ejection()
-        ejection.note_overdue("w1", 0.0)
+        ejection.eject_overdue("w1", 0.0)
         ejection.record_success(_slot_return(100.0), 100.0, _EJECTION_MS)
         assert ejection.is_ejected("w1")
         ejection.record_success(_slot_return(100.0), 100.0, _EJECTION_MS)
@@ -78,7 +78,7 @@
     def test_a_slow_probe_counts_against_it(self) -> None:
         """A probe above four times the peers' mean extends the ejection."""
         ejection, _ = self._ejection()
-        ejection.note_overdue("w1", 0.0)
+        ejection.eject_overdue("w1", 0.0)
         ejection.record_success(_slot_return(401.0), 100.0, 500.0)
         ejection.mark_responsive("w1")
         assert not ejection.may_probe("w1", _EJECTION_MS)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -18,7 +18,7 @@
     encode_command,
 )
 from foldloom.controllers.config import BoxList, empty_config
-from foldloom.controllers.holder import ConfigHolder
+from foldloom.controllers.holder import ConfigStore
 from foldloom.controllers.intents import parse_intents
 from foldloom.controllers.messages import ConfigPull, ConfigReply
 from foldloom.controllers.plans import make_plan
@@ -126,7 +126,7 @@
         state = _state()
         peers: list[Any] = [FakeNetwork(), FakeNetwork()]
         peers[1].other = peers[0]
-        source, puller = (ConfigHolder(peer, state.config) for peer in peers)
+        source, puller = (ConfigStore(peer, state.config) for peer in peers)
 
         def change(number: int) -> None:
             _confirm(state, f"c{number}", [{"kind": "member", "name": "m", "quota": number}])
--- a/tests/unchanged/own_http.py
+++ b/tests/unchanged/own_http.py
@@ -38,7 +38,7 @@
             return problem_response(submission, "a", problems[submission])
         return complete_response(submission, "a", [msgspec.Raw(b'{"x":1}')])
 
-    async def peek(self, submission: str) -> Any:
+    async def look_up(self, submission: str) -> Any:
         if submission == "running":
             return None
         return await self.submit(submission, None)
