--- a/src/foldloom/controllers/config.py
+++ b/src/foldloom/controllers/config.py
@@ -15,7 +15,7 @@
 ACTIVE = "active"
 LEAVING = "leaving"
 RESTART_NEVER = "never"
-RESTART_AFTER_ENDPOINT_DEATH = "after-worker-death"
+RESTART_AFTER_ENDPOINT_CRASH = "after-worker-death"
 
 SERVICES = "services"
 ENDPOINTS = "workers"
@@ -23,7 +23,7 @@
 BOXES = "boxes"
 CONTROLLERS = "controllers"
 
-# Storage id of a founding controller whose folder is not recorded yet.
+# Storage id of an initial controller whose folder is not recorded yet.
 UNRECORDED_STORAGE_ID = "?"
 
 # Section names as used in plans, log entries and HTTP answers.
--- a/src/foldloom/static_peers/entry/run.py
+++ b/src/foldloom/static_peers/entry/run.py
@@ -25,7 +25,7 @@
 from foldloom.static_peers.placement.messages import SlotOutcome, SlotRefusal
 from foldloom.static_peers.placement.retries import (
     RetryBudget,
-    is_endpoint_death,
+    is_endpoint_crash,
     may_retry,
 )
 from foldloom.static_peers.placement.slots import Slot, SlotSource, SlotWaiter
@@ -54,7 +54,7 @@
         slots: Source of slots.
         budget: The box's retry budget.
         metrics: Counters.
-        config: Returns the configuration in force.
+        config: Returns the configuration in effect.
         leaving: Returns the endpoints that the platform lists as leaving.
     """
 
@@ -98,7 +98,7 @@
         self._unfinished = len(request.payloads)
         self._events: asyncio.Queue[Any] = asyncio.Queue()
         self._attempts: dict[asyncio.Task[Result[TaskAnswer, Problem]], tuple[int, str]] = {}
-        self._endpoint_deaths: Counter[int] = Counter()
+        self._endpoint_crashes: Counter[int] = Counter()
         self._possible_starts = 0
         self._max_service_ms = 0.0
 
@@ -112,7 +112,7 @@
         self._service = self._context.config().services.get(self._request.service)
         if self._service is None:
             detail = f"service: {self._request.service} is unknown"
-            # Retryable: the service may be confirmed but not yet in force on this box.
+            # Retryable: the service may be confirmed but not yet in effect on this box.
             return Error(not_run("unknown-service", detail, _RETRY_AFTER_MS, status=404))
         waiter = self._context.slots.open_waiter(
             self._request.service, self._request.customer, self._deadline_ms, self._unfinished
@@ -202,7 +202,7 @@
             payload=self._request.payloads[index],
         )
         PLACE_LOG.info(
-            "Task {}/{} goes to {} as {} on lease {}.",
+            "Starting task {}/{} on {} as attempt {} with lease {}.",
             self._submission,
             index,
             slot.endpoint,
@@ -243,13 +243,13 @@
             # Attempts share the job's deadline, and their timer may fire first. The caller gets
             # 504 in either case.
             return _DEADLINE
-        self._endpoint_deaths[end.task_index] += is_endpoint_death(problem)
-        deaths = self._endpoint_deaths[end.task_index]
-        if not may_retry(problem, self._service, self._request.repeatable, deaths):
+        self._endpoint_crashes[end.task_index] += is_endpoint_crash(problem)
+        crashes = self._endpoint_crashes[end.task_index]
+        if not may_retry(problem, self._service, self._request.repeatable, crashes):
             return problem
         if not self._context.budget.consume():
             return problem._replace(detail=f"{problem.detail}; the retry budget is used up")
-        PLACE_LOG.info("Task {}/{} again: {}.", self._submission, end.task_index, problem.reason)
+        PLACE_LOG.info("Retrying task {}/{}: {}.", self._submission, end.task_index, problem.reason)
         self._context.metrics.count("tasks.retried")
         await asyncio.sleep(_RETRY_DELAY_S)
         self._pending.appendleft(end.task_index)
