--- a/src/foldloom/controllers/controller.py
+++ b/src/foldloom/controllers/controller.py
@@ -16,15 +16,15 @@
 from foldloom.controllers.applied import AppliedState
 from foldloom.controllers.commands import Answer
 from foldloom.controllers.compaction import Compaction
-from foldloom.controllers.config import ANY_STORAGE, Config
+from foldloom.controllers.config import UNRECORDED_STORAGE_ID, Config
 from foldloom.controllers.election import Elections
-from foldloom.controllers.following import ReplicationHandlers
 from foldloom.controllers.leader_contact import LeaderContact
 from foldloom.controllers.leadership import Leadership
 from foldloom.controllers.log import ReplicatedLog, open_storage
 from foldloom.controllers.members import quorum_size_of
 from foldloom.controllers.readmission import request_readmission
-from foldloom.controllers.requests import RequestHandlers
+from foldloom.controllers.replication_handlers import ReplicationHandlers
+from foldloom.controllers.request_handlers import RequestHandlers
 from foldloom.controllers.state import ChangeSet, Publication, ReplicatedState
 from foldloom.controllers.storage import LogStorage
 from foldloom.logs import CONTROLLER_LOG
@@ -33,7 +33,7 @@
 from foldloom.settings import Settings
 from foldloom.tasks import TaskSet
 
-# After a disk failure. Each attempt reads and rewrites the whole log.
+# Interval between attempts to reopen the log after a disk failure; each one rewrites it whole.
 _REOPEN_INTERVAL_S = 1.0
 
 
@@ -43,12 +43,12 @@
     Args:
         on_config: Called with each newer confirmed configuration and the changes since the last.
         on_publication: Called with each newer published document.
-        contacts: Returns the controllers to contact when no leader is known.
+        known_controllers: Returns the controllers to contact when no leader is known.
     """
 
     on_config: Callable[[Config, list[ChangeSet]], None] = lambda _config, _changes: None
     on_publication: Callable[[Publication], None] = lambda _publication: None
-    contacts: Callable[[], list[str]] = list
+    known_controllers: Callable[[], list[str]] = list
 
 
 class Controller:
@@ -128,7 +128,7 @@
         return self.applied.controllers
 
     @property
-    def majority(self) -> int:
+    def quorum_size(self) -> int:
         """The number of voters in a majority."""
         return quorum_size_of(self.controllers)
 
@@ -168,13 +168,13 @@
     def is_voter(self, box: str, storage_id: str, is_first: bool) -> bool:
         """Return whether *box* is a voter with this data folder."""
         expected = self.controllers.get(box, "")
-        if expected == ANY_STORAGE:
+        if expected == UNRECORDED_STORAGE_ID:
             return is_first
         return bool(storage_id) and expected == storage_id
 
     async def run(self) -> None:
         """Run elections and request readmission when needed, until cancelled."""
-        self._tasks.spawn(request_readmission(self, self._callbacks.contacts))
+        self._tasks.spawn(request_readmission(self, self._callbacks.known_controllers))
         while True:
             if self._is_failed:
                 await asyncio.sleep(_REOPEN_INTERVAL_S)
--- a/src/foldloom/controllers/members.py
+++ b/src/foldloom/controllers/members.py
@@ -13,10 +13,10 @@
 from typing import Any, NamedTuple
 
 from foldloom.controllers.commands import (
+    BootstrapCommand,
     Command,
     ControllerJoinCommand,
     ControllerLeaveCommand,
-    FoundCommand,
     VoterReadyCommand,
     decode_command,
 )
@@ -43,13 +43,13 @@
 
     Args:
         committed: The table after the applied entries.
-        is_founded: Whether the system is founded; later founding entries have no effect.
+        is_founded: Whether the system is bootstrapped; later bootstrap entries have no effect.
         payloads: The payloads of the entries after the applied ones.
     """
     table = dict(committed)
     for payload in payloads:
         command = decode_command(payload) if payload else None
-        if isinstance(command, FoundCommand):
+        if isinstance(command, BootstrapCommand):
             table = table if is_founded else dict(command.controllers)
             is_founded = True
         else:
--- a/src/foldloom/controllers/state.py
+++ b/src/foldloom/controllers/state.py
@@ -14,11 +14,11 @@
 
 from foldloom.controllers.commands import (
     Answer,
+    BootstrapCommand,
     BoxesSettledCommand,
     ConfirmCommand,
     ControllerJoinCommand,
     ControllerLeaveCommand,
-    FoundCommand,
     IncarnationCommand,
     PublishCommand,
     VoterReadyCommand,
@@ -75,7 +75,7 @@
     change_sets: list[ChangeSet]
     is_founded: bool
     publication: Publication = NO_PUBLICATION
-    founder_count: int = 0
+    target_voter_count: int = 0
 
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -96,7 +96,7 @@
         self._change_sets: list[ChangeSet] = []
         self._is_founded = False
         self._publication = NO_PUBLICATION
-        self._founder_count = len(config.controllers)
+        self._target_voter_count = len(config.controllers)
 
     @property
     def publication(self) -> Publication:
@@ -104,9 +104,9 @@
         return self._publication
 
     @property
-    def founder_count(self) -> int:
+    def target_voter_count(self) -> int:
         """The intended number of controllers."""
-        return self._founder_count
+        return self._target_voter_count
 
     @property
     def is_founded(self) -> bool:
@@ -141,7 +141,7 @@
             self._change_sets,
             self._is_founded,
             self._publication,
-            self._founder_count,
+            self._target_voter_count,
         )
         return _ENCODER.encode(body)
 
@@ -154,13 +154,13 @@
         self._change_sets = list(body.change_sets)
         self._is_founded = body.is_founded
         self._publication = body.publication
-        self._founder_count = body.founder_count
+        self._target_voter_count = body.target_voter_count
 
-    def bootstrap(self, command: FoundCommand) -> Answer:
+    def bootstrap(self, command: BootstrapCommand) -> Answer:
         """Adopt the initial boxes and controllers; repeating it has no effect."""
         if not self._is_founded:
             self._is_founded = True
-            self._founder_count = len(command.controllers)
+            self._target_voter_count = len(command.controllers)
             initial_config = empty_config(command.boxes, command.controllers)
             self._config = initial_config._replace(version=1)
             self._change_sets.clear()
@@ -272,7 +272,7 @@
 
 
 @_apply.register
-def _(command: FoundCommand, state: ReplicatedState) -> Answer:
+def _(command: BootstrapCommand, state: ReplicatedState) -> Answer:
     return state.bootstrap(command)
 
 
--- a/src/foldloom/pauses.py
+++ b/src/foldloom/pauses.py
@@ -15,11 +15,11 @@
 
 from foldloom.clock import monotonic_ms, running_ms
 from foldloom.logs import PROCESS_LOG
-from foldloom.time_limits import catch_up
+from foldloom.time_limits import reschedule_open_timeouts
 
 # Milliseconds between two samples of the clocks.
 _SAMPLE_INTERVAL_MS = 100.0
-# Shortest pause reported, in milliseconds; shorter ones cost no lease.
+# Shortest pause reported, in milliseconds; shorter ones let no lease expire.
 PAUSE_MIN_MS = 100.0
 # Difference between the two clocks over one sample that counts as a suspension, in milliseconds.
 _SUSPENDED_MIN_MS = 10.0
@@ -52,7 +52,7 @@
         elapsed_ms = monotonic_ms() - began_ms
         suspended_ms = elapsed_ms - (running_ms() - began_running_ms)
         if suspended_ms >= _SUSPENDED_MIN_MS:
-            catch_up()
+            reschedule_open_timeouts()
         paused_ms = max(elapsed_ms - _SAMPLE_INTERVAL_MS, suspended_ms)
         if paused_ms < PAUSE_MIN_MS:
             continue
--- a/src/foldloom/seed_discovery/controller_box.py
+++ b/src/foldloom/seed_discovery/controller_box.py
@@ -12,7 +12,7 @@
 
 from expression import Result
 
-from foldloom.controllers.config import ANY_STORAGE, empty_config
+from foldloom.controllers.config import UNRECORDED_STORAGE_ID, empty_config
 from foldloom.controllers.controller import Callbacks, Controller
 from foldloom.controllers.handover import transfer_leadership
 from foldloom.controllers.state import Publication
@@ -30,7 +30,7 @@
 from foldloom.seed_discovery.fleet.messages import BoxRecord
 from foldloom.seed_discovery.fleet.published import PublishedHolder
 from foldloom.seed_discovery.fleet.publisher import Publisher
-from foldloom.seed_discovery.fleet.registry import Registry
+from foldloom.seed_discovery.fleet.registry import FleetRegistry
 from foldloom.seed_discovery.fleet.view import FleetView
 from foldloom.settings import CONTROLLER, Settings
 from foldloom.tasks import TaskSet
@@ -73,18 +73,20 @@
         cache = PublicationCache(settings.data_folder)
         self._holder = PublishedHolder(self._network, self._on_publication, cache)
         self._services = self._services_of(self._holder.publication)
-        self._registry = Registry(
+        self._registry = FleetRegistry(
             self._network, self._holder, self._controllers, lambda: self._services
         )
         is_founder = is_first_start and settings.box in settings.seeds
         _format_if_new(settings.data_folder, is_founder)
-        founders = dict.fromkeys(settings.seeds, ANY_STORAGE) if is_founder else {}
+        founders = dict.fromkeys(settings.seeds, UNRECORDED_STORAGE_ID) if is_founder else {}
         self._controller = Controller(
             settings,
             self._network,
             self._metrics,
             empty_config({}, founders),
-            Callbacks(on_publication=self._holder.adopt, contacts=lambda: self._view.controllers),
+            Callbacks(
+                on_publication=self._holder.adopt, known_controllers=lambda: self._view.controllers
+            ),
         )
         self._publisher = Publisher(self._controller, self._network)
         self._joiner = Joiner(
@@ -127,22 +129,22 @@
     async def publish(
         self, version: int, document: bytes, timeout_ms: float
     ) -> Result[int, Problem]:
-        """Commit *document* as *version*; return the version in force afterwards."""
+        """Commit *document* as *version*; return the version in effect afterwards."""
         return await self._publisher.publish(version, document, timeout_ms)
 
     async def newest(self, timeout_ms: float) -> Result[Publication, Problem]:
         """Return the current publication by a linearizable read."""
         return await self._publisher.newest(timeout_ms)
 
-    async def note_endpoint(self, record: EndpointRecord) -> bool:
+    async def handle_report(self, record: EndpointRecord) -> bool:
         """Process an endpoint's report; return whether its service is configured."""
-        return await self._registry.note_endpoint(record)
+        return await self._registry.handle_report(record)
 
-    async def note_gone(self, endpoint: str) -> None:
+    async def deregister_endpoint(self, endpoint: str) -> None:
         """Process an endpoint's deregistration."""
-        await self._registry.note_gone(endpoint)
+        await self._registry.deregister_endpoint(endpoint)
 
-    def follow_seeds(self, seeds: list[str]) -> None:
+    def update_seeds(self, seeds: list[str]) -> None:
         """Apply the seeds of reloaded settings."""
         self._view.set_seeds(seeds)
         CONFIG_LOG.event("seeds.followed", seeds=", ".join(seeds))
@@ -176,8 +178,9 @@
     def _services_of(self, publication: Publication) -> Container[str] | None:
         """Return the services whose reports are accepted, ``None`` for all.
 
-        A controller that has lost its data accepts none until it has pulled the configuration,
-        within a join or two: it would push reports of unknown services to entry boxes.
+        A controller that has lost its data accepts no reports until it has pulled the
+        configuration, within a join or two. Otherwise it would push reports of unknown services to
+        entry boxes.
         """
         if publication.version:
             return self._read_services(publication)
@@ -185,6 +188,6 @@
 
 
 def _format_if_new(folder: str, is_founder: bool) -> None:
-    """Format the data folder if it is new; only a founder's counts as never having lost data."""
+    """Format the data folder if it is new; only a founder's is marked as never having lost data."""
     if not (Path(folder) / "identity").exists():
         format_folder(folder, is_first=is_founder)
--- a/src/foldloom/seed_discovery/fleet/joiner.py
+++ b/src/foldloom/seed_discovery/fleet/joiner.py
@@ -21,14 +21,14 @@
     Join,
     JoinReply,
     Noted,
-    received_endpoints,
+    decode_endpoints,
 )
 from foldloom.seed_discovery.fleet.published import PublishedHolder
 from foldloom.seed_discovery.fleet.view import FleetView
 
 # Consecutive joins without a reply before a controller is logged as lost.
 _LOST_AFTER_FAILURES = 3
-# Below the default join interval (250 ms).
+# Below the default join interval.
 _CONTROLLER_CHECK_INTERVAL_S = 0.1
 
 
@@ -37,7 +37,7 @@
 
 
 class Joiner:
-    """Join every controller periodically and apply the replies.
+    """Joins every controller periodically and applies the replies.
 
     Args:
         network: The peer network.
@@ -87,7 +87,7 @@
             self._tasks[box] = asyncio.create_task(self._join_periodically(box))
         for box in set(self._tasks) - wanted:
             self._tasks.pop(box).cancel()
-            self._network.drop_peer(box)
+            self._network.remove_peer(box)
 
     async def _join_periodically(self, box: str) -> None:
         """Join one controller periodically.
@@ -97,13 +97,13 @@
         does not appear as a change there, so incremental joins would never restore it.
         """
         incarnation, revision = 0, 0
-        forgotten = 0
+        eviction_count = 0
         failures = 0
         while True:
             began_ms = monotonic_ms()
-            if self._catalog.forgotten != forgotten:
+            if self._catalog.eviction_count != eviction_count:
                 incarnation, revision = 0, 0
-            forgotten_before = self._catalog.forgotten
+            eviction_count_before = self._catalog.eviction_count
             reply = await self._join(box, incarnation, revision)
             if reply is None:
                 failures += 1
@@ -114,7 +114,7 @@
                     PEER_LOG.event("controller.back", controller=box, unanswered=failures)
                 failures = 0
                 incarnation, revision = reply.catalog_life, reply.catalog_revision
-                forgotten = forgotten_before
+                eviction_count = eviction_count_before
             spent_ms = monotonic_ms() - began_ms
             await asyncio.sleep(max(0.0, self._interval_ms - spent_ms) / 1_000)
 
@@ -128,14 +128,14 @@
         now_ms = monotonic_ms()
         for expired in self._view.note_controller(box, reply, now_ms):
             PEER_LOG.event("box.gone", gone=expired)
-            self._network.drop_peer(expired)
-        self._merge(received_endpoints(reply))
+            self._network.remove_peer(expired)
+        self._merge(decode_endpoints(reply))
         if reply.published_version > self._holder.version:
             await self._holder.pull_newer(box, reply.published_version)
         return reply
 
     async def _on_endpoints(self, _sender: str, message: EndpointsSeen) -> Noted:
-        endpoints = received_endpoints(message)
+        endpoints = decode_endpoints(message)
         self._merge(endpoints)
         await self._on_push(endpoints)
         return Noted()
--- a/src/foldloom/seed_discovery/fleet/messages.py
+++ b/src/foldloom/seed_discovery/fleet/messages.py
@@ -21,7 +21,7 @@
 
     Args:
         box: Its name: the address of its peer socket.
-        life: Its incarnation.
+        incarnation: Its incarnation.
         zone: Its availability zone.
         role: ``entry`` or ``controller``.
         label: A display name.
@@ -29,7 +29,7 @@
     """
 
     box: str
-    life: int
+    incarnation: int
     zone: str
     role: str
     label: str = ""
@@ -63,13 +63,13 @@
         zone: The zone.
         token: The fencing token; the highest one is valid. 0 if no owner is known.
         box: The owner.
-        life: The owner's incarnation.
+        incarnation: The owner's incarnation.
     """
 
     zone: str
     token: int = 0
     box: str = ""
-    life: int = 0
+    incarnation: int = 0
 
 
 class Join(NamedTuple):
@@ -77,7 +77,7 @@
 
     Args:
         record: The sender.
-        published_version: The published configuration version active at the sender.
+        published_version: The published configuration version in effect at the sender.
         catalog_life: The controller incarnation that ``catalog_revision`` refers to.
         catalog_revision: The last catalog revision received; 0 requests the whole catalog.
     """
@@ -172,7 +172,7 @@
         owner: The owner.
         record: The owner's box.
         sent_ms: Its monotonic clock at sending, returned in the acknowledgement.
-        published_version: The published configuration version active at the owner.
+        published_version: The published configuration version in effect at the owner.
         load: The load of its zone.
     """
 
@@ -184,15 +184,15 @@
 
 
 class HeartbeatAck(NamedTuple):
-    """A box's acknowledgement of an owner's heartbeat: a grant to run the box's tasks.
+    """A box's acknowledgement of an owner's heartbeat, which begins or renews the owner's session.
 
-    The grant is valid for the session time from ``heartbeat_sent_ms`` on, by the owner's clock.
+    The session ends one session time after ``heartbeat_sent_ms``, by the owner's clock.
 
     Args:
-        token: The highest fencing token known to the box.
+        token: The owner's fencing token, from the acknowledged heartbeat.
         heartbeat_sent_ms: When the acknowledged heartbeat was sent, by the owner's clock.
         record: The box.
-        published_version: The published configuration version active at the box.
+        published_version: The published configuration version in effect at the box.
     """
 
     token: int
@@ -226,7 +226,7 @@
     owner: OwnerRecord
 
 
-def sent_endpoints(records: Iterable[EndpointRecord]) -> list[WireEndpoint]:
+def encode_endpoints(records: Iterable[EndpointRecord]) -> list[WireEndpoint]:
     """Return the wire form of *records*, without their start times."""
     return [WireEndpoint._make(record[: len(WireEndpoint._fields)]) for record in records]
 
@@ -236,7 +236,7 @@
     return tuple(record.born_ms for record in records)
 
 
-def received_endpoints(message: JoinReply | EndpointsSeen) -> list[EndpointRecord]:
+def decode_endpoints(message: JoinReply | EndpointsSeen) -> list[EndpointRecord]:
     """Return the endpoints in *message*; earlier releases send no start times."""
     start_times = chain(message.born_ms, repeat(0))
     return [
--- a/src/foldloom/seed_discovery/fleet/registry.py
+++ b/src/foldloom/seed_discovery/fleet/registry.py
@@ -35,17 +35,17 @@
     OwnerRecord,
     Published,
     births_of,
-    sent_endpoints,
+    encode_endpoints,
 )
 from foldloom.seed_discovery.fleet.published import PublishedHolder
 from foldloom.settings import CONTROLLER, ENTRY
 from foldloom.tasks import TaskSet
 
-# Without a join for this long, a box gets no pushes: six default join intervals.
+# Time without a join after which a box gets no pushes; several default join intervals.
 _LIVENESS_TIMEOUT_MS = 1_500.0
-# Far above the duration of a restart.
+# Time without a join after which a box is removed; far longer than a restart.
 _BOX_EXPIRY_MS = 10_000.0
-# Eight endpoint heartbeats (1,500 ms); the endpoint may be reporting to another controller.
+# Several endpoint heartbeats; the endpoint may be reporting to another controller.
 _ENDPOINT_EXPIRY_MS = 12_000.0
 # An endpoint's report must be answered within 1 s, even if a box does not acknowledge the push.
 _NOTIFY_TIMEOUT_MS = 350
@@ -66,8 +66,8 @@
     received_ms: float
 
 
-class Registry:
-    """Answer joins, maintain the endpoint catalog, and push changes to entry boxes.
+class FleetRegistry:
+    """Answers joins, maintains the endpoint catalog, and pushes changes to entry boxes.
 
     Args:
         network: The peer network.
@@ -113,9 +113,9 @@
             ]:
                 del self._joined_boxes[box]
                 if box not in self._controllers():
-                    self._network.drop_peer(box)
+                    self._network.remove_peer(box)
             for endpoint in self._catalog.silent_since(now_ms - _ENDPOINT_EXPIRY_MS):
-                self._catalog.forget(endpoint)
+                self._catalog.evict(endpoint)
             for endpoint in [one for one in self._last_dropped if self._catalog.get(one) is None]:
                 del self._last_dropped[endpoint]
 
@@ -124,13 +124,13 @@
         for record in self._live_entry_boxes():
             self._tasks.spawn(self._notify(record.box, Published(publication)))
 
-    async def note_endpoint(self, record: EndpointRecord) -> bool:
+    async def handle_report(self, record: EndpointRecord) -> bool:
         """Merge an endpoint's report into the catalog, and push a change to the endpoint's zone.
 
-        Return whether the report's service is configured; an unchanged report counts too.
+        Return whether the report's service is configured, even if the report changes nothing.
         A report of an unknown service is rejected: it would replace the record of an endpoint with
-        the same id, and its address would be polled. If the service is configured later, or so far
-        only at another controller, the endpoint's next report is accepted.
+        the same id, and its address would be polled. Later reports are accepted once this
+        controller has a configuration with the service.
 
         A change to a state other than ready has been pushed when this returns. Boxes that do not
         acknowledge the push receive the change with their next join.
@@ -182,9 +182,9 @@
             known_born_ms=known.born_ms,
         )
 
-    async def note_gone(self, endpoint: str) -> None:
+    async def deregister_endpoint(self, endpoint: str) -> None:
         """Process an endpoint's deregistration."""
-        is_accepted = self._catalog.note_farewell(endpoint, monotonic_ms())
+        is_accepted = self._catalog.note_deregistration(endpoint, monotonic_ms())
         newest = self._catalog.get(endpoint)
         if newest is None:
             return
@@ -201,7 +201,7 @@
 
     async def _notify_zone(self, record: EndpointRecord) -> None:
         notifications = [
-            self._notify(entry.box, EndpointsSeen(sent_endpoints([record]), births_of([record])))
+            self._notify(entry.box, EndpointsSeen(encode_endpoints([record]), births_of([record])))
             for entry in self._live_entry_boxes()
             if entry.zone == record.zone
         ]
@@ -252,7 +252,7 @@
             published_version=self._holder.version,
             catalog_life=incarnation,
             catalog_revision=self._catalog.revision,
-            endpoints=sent_endpoints(endpoints),
+            endpoints=encode_endpoints(endpoints),
             born_ms=births_of(endpoints),
         )
 
--- a/src/foldloom/seed_discovery/fleet/view.py
+++ b/src/foldloom/seed_discovery/fleet/view.py
@@ -12,9 +12,10 @@
 from foldloom.seed_discovery.fleet.messages import BoxRecord, JoinReply, OwnerRecord
 from foldloom.settings import ENTRY
 
-# Above the longest partition to survive (10 s): a zone keeps working without controllers.
+# Time without news after which a box is removed. Longer than any partition from the controllers
+# that a zone must survive (10 s).
 _BOX_EXPIRY_MS = 20_000.0
-# Far above the join interval (250 ms), below the time until an address is reused.
+# Far above the default join interval, below the time until an address is reused.
 _CONTROLLER_LIST_TTL_MS = 10_000.0
 
 
@@ -54,7 +55,7 @@
         return [box for box in known if box != self._own.box]
 
     @property
-    def is_informed(self) -> bool:
+    def has_controller_reply(self) -> bool:
         """Whether a controller has answered a join."""
         return bool(self._controller_lists)
 
@@ -66,7 +67,7 @@
         """Mark this box as being in a planned stop."""
         self._own = self._own._replace(is_leaving=True)
 
-    def entries_of(self, zone: str) -> list[str]:
+    def entry_boxes_in(self, zone: str) -> list[str]:
         """Return the entry boxes of *zone*, sorted, including this box if it is one."""
         boxes = [
             record.box
@@ -107,7 +108,7 @@
         if record.box == self._own.box:
             return
         known = self._boxes.get(record.box)
-        if known is not None and known.life == record.life and known.is_leaving:
+        if known is not None and known.incarnation == record.incarnation and known.is_leaving:
             record = record._replace(is_leaving=True)
         self._boxes[record.box] = record
         self._boxes_received_ms[record.box] = now_ms
--- a/src/foldloom/seed_discovery/job_runner.py
+++ b/src/foldloom/seed_discovery/job_runner.py
@@ -29,8 +29,8 @@
     SubmitStatus,
 )
 from foldloom.seed_discovery.owners.open_job import OpenJob
-from foldloom.seed_discovery.scheduling.crashes import is_given_up
-from foldloom.time_limits import TimeLimit
+from foldloom.seed_discovery.scheduling.crashes import exceeds_crash_limit
+from foldloom.time_limits import SuspendAwareTimeout
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
 # About the duration of an owner failover.
@@ -78,7 +78,7 @@
 
 
 class JobRunner:
-    """Run one job.
+    """Runs one job.
 
     Args:
         job: The job.
@@ -130,11 +130,11 @@
             # cancellation at an owner.
             return Error(may_have_run("given up"))
         finally:
-            self._client.forget(self._open_job)
+            self._client.cancel_in_background(self._open_job)
 
     async def _run_until_deadline(self) -> JobResult:
         try:
-            async with TimeLimit(self._deadline_ms - monotonic_ms()):
+            async with SuspendAwareTimeout(self._deadline_ms - monotonic_ms()):
                 return await self._run_steps()
         except TimeoutError:
             # The deadline may interrupt any await in _run_steps.
@@ -175,7 +175,7 @@
     async def _on_run_failed(self, end: RunEnd) -> JobResult | None:
         """Retry the task of a failed or lost run, or fail the job."""
         task = end.run_id.task
-        if is_given_up(end.crashes):
+        if exceeds_crash_limit(end.crashes):
             return Ok(JobEnd(JobState.FAILED, "a task crashes its endpoints"))
         attempts = self._attempts.setdefault(task, _TaskAttempts())
         if end.cause in (EndCause.FAILED, EndCause.REFUSED):
@@ -204,7 +204,7 @@
 
     async def _cancel(self, reason: str, retry_after_ms: int) -> JobResult:
         """Cancel the job; report ``not_run`` only if every contacted owner confirms it."""
-        if await self._client.give_up(self._open_job):
+        if await self._client.cancel_and_wait(self._open_job):
             return Error(may_have_run(reason))
         return Error(not_run(reason, retry_after_ms=retry_after_ms))
 
@@ -224,7 +224,7 @@
             objective=Objective(
                 stretch=self._queue.stretch,
                 slack_ms=self._queue.slack_ms,
-                other_ms=int(self._critical_path_ms() - step.estimate_ms),
+                other_steps_ms=int(self._critical_path_ms() - step.estimate_ms),
             ),
             deadline_ms=int(self._deadline_ms - self._open_job.began_ms),
             old_right_ms=0,
--- a/src/foldloom/seed_discovery/owners/actions.py
+++ b/src/foldloom/seed_discovery/owners/actions.py
@@ -11,16 +11,16 @@
 from foldloom.seed_discovery.jobs.spec import RunId
 from foldloom.seed_discovery.owners.messages import RunEnd
 from foldloom.seed_discovery.scheduling.placing import Reservation
+from foldloom.seed_discovery.scheduling.remote_groups import GroupId
 from foldloom.seed_discovery.scheduling.runs import HolderId
-from foldloom.seed_discovery.scheduling.sharing import GroupId
 
 
 class StartAction(NamedTuple):
-    """Start *run_id* on *endpoint* with *text* as the task's input."""
+    """Start *run_id* on *endpoint* with *task_input*."""
 
     run_id: RunId
     endpoint: str
-    text: str
+    task_input: str
 
 
 class StopAction(NamedTuple):
--- a/src/foldloom/seed_discovery/owners/batches.py
+++ b/src/foldloom/seed_discovery/owners/batches.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
 """Batches of runs that an entry box has delivered to an owner. Owns the open runs.
 
-An open run records the fencing token of each owner that it was sent to. It is certain not to have
-started only once every one of these owners has confirmed so.
+An open run records the fencing token of each owner that it was sent to. The run counts as not
+started only if every one of these owners has confirmed it.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from foldloom.seed_discovery.jobs.spec import TaskId
 from foldloom.seed_discovery.owners.messages import RunEnd, RunOrder, SubmitRuns
 from foldloom.seed_discovery.owners.open_job import OpenJob
-from foldloom.seed_discovery.owners.started_jobs import REMEMBERED_MS
+from foldloom.seed_discovery.owners.started_jobs import STARTED_JOB_GRACE_MS
 
 # How long after a job's deadline a box accepts an owner's statement that nothing was started.
 # Shorter than the owner's record of starts, to allow for clock skew.
-BELIEVED_MS = REMEMBERED_MS - 100.0
+REPLY_VALID_MS = STARTED_JOB_GRACE_MS - 100.0
 
 
 class _OpenRun(NamedTuple):
@@ -26,11 +26,11 @@
 
     Args:
         order: Its latest delivery.
-        terms: Fencing tokens of the owners that it was sent to.
+        tokens: Fencing tokens of the owners that it was sent to.
     """
 
     order: RunOrder
-    terms: frozenset[int] = frozenset()
+    tokens: frozenset[int] = frozenset()
 
 
 class Batch:
@@ -55,17 +55,17 @@
         return [run.order for run in self._open.values()]
 
     @property
-    def believed_until_ms(self) -> float:
+    def reply_valid_until_ms(self) -> float:
         """Until when an owner's statement on starts is valid; own monotonic clock.
 
         The owner's record of a start outlasts it.
         """
-        return self.job.began_ms + self.template.deadline_ms + BELIEVED_MS
+        return self.job.began_ms + self.template.deadline_ms + REPLY_VALID_MS
 
     @property
-    def terms(self) -> frozenset[int]:
+    def tokens(self) -> frozenset[int]:
         """Fencing tokens of the owners that may have started an open run."""
-        return frozenset[int]().union(*(run.terms for run in self._open.values()))
+        return frozenset[int]().union(*(run.tokens for run in self._open.values()))
 
     def add(self, orders: Iterable[RunOrder]) -> None:
         """Add open runs, or update the orders of those delivered again."""
@@ -78,7 +78,7 @@
         """Record that *orders* are sent to the owner with *token*, which may start them."""
         for order in orders:
             known = self._open[self.task(order)]
-            self._open[self.task(order)] = known._replace(terms=known.terms | {token})
+            self._open[self.task(order)] = known._replace(tokens=known.tokens | {token})
 
     def close(self, end: RunEnd, token: int) -> RunOrder | None:
         """Close the open run that *end* belongs to, and return its order, if there is one.
@@ -93,8 +93,8 @@
             # The end of an earlier delivery; the run has been delivered again since.
             return None
         del self._open[end.run_id.task]
-        is_believed = monotonic_ms() < self.believed_until_ms and not run.terms - {token}
-        self.has_started = self.has_started or end.has_started or not is_believed
+        is_reply_valid = monotonic_ms() < self.reply_valid_until_ms and not run.tokens - {token}
+        self.has_started = self.has_started or end.has_started or not is_reply_valid
         return run.order
 
     def clear(self) -> None:
--- a/src/foldloom/seed_discovery/owners/client.py
+++ b/src/foldloom/seed_discovery/owners/client.py
@@ -19,7 +19,7 @@
 from foldloom.seed_discovery.owners.batches import Batch
 from foldloom.seed_discovery.owners.cancels import Cancels
 from foldloom.seed_discovery.owners.connection import LostRun, OwnerConnection
-from foldloom.seed_discovery.owners.lease import gone_after_ms
+from foldloom.seed_discovery.owners.lease import run_expiry_ms
 from foldloom.seed_discovery.owners.messages import (
     EndCause,
     EndsNoted,
@@ -32,11 +32,15 @@
     SubmitRuns,
 )
 from foldloom.seed_discovery.owners.open_job import OpenJob
-from foldloom.seed_discovery.owners.withdrawal import Withdrawal, log_verdict, may_have_started
+from foldloom.seed_discovery.owners.withdrawal import (
+    Withdrawal,
+    log_cancel_outcome,
+    may_have_started,
+)
 from foldloom.settings import TimingSettings
 from foldloom.tasks import TaskSet
 
-# Interval of checks for lapsed grants; small against the time after which a grant lapses.
+# Interval of checks for expired grants; small against the time after which a grant expires.
 _LOST_CHECK_S = 0.05
 # Random bits of the first delivery number, so that incarnations do not share numbers; fits 64 bits.
 _DELIVERY_BITS = 48
@@ -64,7 +68,7 @@
         )
         self._connections: dict[str, OwnerConnection] = {view.own.zone: self._own_zone_connection}
         self._cancels = Cancels(
-            self._connections, view.own.zone, network, gone_after_ms(timings.endpoint_lease_ms)
+            self._connections, view.own.zone, network, run_expiry_ms(timings.endpoint_lease_ms)
         )
         self._tasks = TaskSet()
         network.on(RunsEnded, self._on_ends)
@@ -86,7 +90,7 @@
         connection.handle_heartbeat(heartbeat, published_version)
 
     async def run(self) -> None:
-        """Report the runs of owners whose grant has lapsed as lost; runs until cancelled."""
+        """Report as lost the runs of owners whose grant has expired; runs until cancelled."""
         while True:
             await asyncio.sleep(_LOST_CHECK_S)
             for connection in self._connections.values():
@@ -97,26 +101,26 @@
         self, job: OpenJob, template: SubmitRuns, orders: list[RunOrder]
     ) -> SubmitReply:
         """Deliver runs of *job* to an owner, waiting for one if necessary; return its reply."""
-        await self._cancels.wait_ended(job.job_id)
+        await self._cancels.wait_until_gone(job.job_id)
         while (connection := self._select_connection()) is None:
             await asyncio.sleep(_OWNER_CHECK_S)
         return await connection.submit(
             self._find_or_create_batch(connection, job, template), orders
         )
 
-    async def give_up(self, job: OpenJob) -> bool:
+    async def cancel_and_wait(self, job: OpenJob) -> bool:
         """Cancel a job in all zones; return whether any run of it may have started."""
         withdrawals = self._withdraw(job)
         is_known = job.may_have_started
         # Assumed until the owners have answered, since a deadline may cancel the wait.
         job.may_have_started = True
-        answers = await self._cancels.ask(withdrawals)
-        log_verdict(withdrawals, answers)
+        answers = await self._cancels.cancel_and_wait(withdrawals)
+        log_cancel_outcome(withdrawals, answers)
         job.may_have_started = is_known or may_have_started(withdrawals, answers)
         return job.may_have_started
 
-    def forget(self, job: OpenJob) -> None:
-        """Cancel a job without waiting for the owners."""
+    def cancel_in_background(self, job: OpenJob) -> None:
+        """Cancel a job in all zones without waiting for the owners' answers."""
         self._cancels.begin(self._withdraw(job))
 
     def _withdraw(self, job: OpenJob) -> list[Withdrawal]:
@@ -125,12 +129,12 @@
         This must not await: the batches of a lost owner may be dropped at any suspension point, and
         the record of a start would be missed.
         """
-        job.is_wanted = False
+        job.is_active = False
         withdrawn = (connection.withdraw(job) for connection in self._connections.values())
         return [withdrawal for withdrawal in withdrawn if withdrawal is not None]
 
     def _report_lost(self, connection: OwnerConnection, run: LostRun) -> None:
-        """Report a run as lost whose owner's grant has lapsed."""
+        """Report as lost a run of an owner whose grant has expired."""
         batch, order = run
         PLACE_LOG.event(
             "run.lost",
@@ -209,10 +213,10 @@
         connection = self._connections.get(zone)
         if connection is None or connection.silent_ms >= self._timings.owner_silent_ms:
             connection = None
-        while connection is None and batch.job.is_wanted:
+        while connection is None and batch.job.is_active:
             connection = self._select_connection()
             await asyncio.sleep(_OWNER_CHECK_S)
-        if connection is None or not batch.job.is_wanted:
+        if connection is None or not batch.job.is_active:
             return
         PLACE_LOG.event(
             "run.moved",
--- a/src/foldloom/seed_discovery/owners/connection.py
+++ b/src/foldloom/seed_discovery/owners/connection.py
@@ -2,7 +2,7 @@
 """An entry box's connection to the owner of one zone.
 
 Holds the batches delivered to the owner and the grant given to it. When the owner's heartbeats
-stop, its runs count as ended only after the grant has lapsed.
+stop, its runs count as ended only after the grant has expired.
 """
 
 from __future__ import annotations
@@ -90,7 +90,7 @@
             return
         # Read once, so that a process pause during this call still counts as silence afterwards.
         now_ms = monotonic_ms()
-        self._end_lapsed_grant(now_ms)
+        self._end_expired_grant(now_ms)
         is_new = heartbeat.owner.token != self._owner.token
         old_right_ms = self._grant.session_left_ms(now_ms)
         self._owner = heartbeat.owner
@@ -113,8 +113,8 @@
         return [batch for batch in self.batches_by_id(job.job_id) if batch.job is job]
 
     def pop_lost(self) -> list[LostRun]:
-        """Return and drop the runs that ended with a lapsed grant."""
-        self._end_lapsed_grant(monotonic_ms())
+        """Return and drop the runs that ended with an expired grant."""
+        self._end_expired_grant(monotonic_ms())
         lost, self._lost = self._lost, []
         return lost
 
@@ -132,17 +132,17 @@
         batches = self.batches_of_job(job)
         if not batches:
             return None
-        self._forget(batches)
+        self._drop_batches(batches)
         return withdraw(batches, self._owner, self._grant.number)
 
     def is_granted(self, owner: OwnerRecord, grant: int) -> bool:
-        """Return whether *owner* is still the owner and *grant* is in force."""
+        """Return whether *owner* is still the owner and *grant* is valid."""
         if owner != self._owner or grant != self._grant.number:
             return False
         return not self._grant.has_lapsed(monotonic_ms())
 
     def redeliver_all(self) -> None:
-        """Deliver all open runs again to an owner that dropped them with the lapsed session."""
+        """Deliver all open runs again to an owner that dropped them with the expired session."""
         for batches in self._batches.values():
             for batch in batches:
                 # Marked as moved, so that runs accepted before are not refused now.
@@ -153,8 +153,8 @@
                 batch.add(orders)
                 self._tasks.spawn(self._redeliver(batch, orders, 0.0, "renewed session"))
 
-    def _end_lapsed_grant(self, now_ms: float) -> None:
-        """Turn all open runs into lost ones if the grant has lapsed."""
+    def _end_expired_grant(self, now_ms: float) -> None:
+        """Turn all open runs into lost ones if the grant has expired."""
         if not self._grant.has_lapsed(now_ms):
             return
         silent_ms = self._grant.silent_ms(now_ms)
@@ -175,13 +175,13 @@
         for batch in batches:
             # Its owner can no longer be queried. This includes batches without open runs, since a
             # run that has ended may have started.
-            if batch.has_started or batch.terms:
+            if batch.has_started or batch.tokens:
                 batch.job.may_have_started = True
             self._lost.extend(LostRun(batch, order) for order in batch.orders)
             # A delivery still being retransmitted must not reach the owner when it is back.
             batch.clear()
 
-    def _forget(self, batches: list[Batch]) -> None:
+    def _drop_batches(self, batches: list[Batch]) -> None:
         job_id = batches[0].job.job_id
         remaining = [batch for batch in self.batches_by_id(job_id) if batch not in batches]
         if remaining:
--- a/src/foldloom/seed_discovery/owners/deliveries.py
+++ b/src/foldloom/seed_discovery/owners/deliveries.py
@@ -18,11 +18,11 @@
 from foldloom.seed_discovery.owners.reports import adopt_orphan
 from foldloom.seed_discovery.owners.stealing import WorkStealing
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
+from foldloom.seed_discovery.scheduling.remote_groups import group_of
 from foldloom.seed_discovery.scheduling.runs import HolderId, RecoveryBound, Run, RunSpec, RunState
-from foldloom.seed_discovery.scheduling.sharing import group_of
 
 # How long a cancel rejects deliveries that it overtook. Exceeds a delivery's time-to-live plus the
-# clock skew plus the longest pause of an owner that still holds its grant.
+# clock skew plus the longest pause of an owner whose session is still valid.
 CANCEL_TTL_MS = 1_000.0
 
 
@@ -42,7 +42,7 @@
         return not self.delivery or delivery <= self.delivery
 
     def joined(self, other: _Cancel) -> _Cancel:
-        """Return a cancel that covers everything that either of the two covers."""
+        """Return the union of the two cancels."""
         covers_all = not self.delivery or not other.delivery
         delivery = 0 if covers_all else max(self.delivery, other.delivery)
         return _Cancel(max(self.received_ms, other.received_ms), delivery)
@@ -55,7 +55,7 @@
         lifecycle: The runs.
         stealing: The reservations for runs of other zones.
         candidates: The zone's endpoints by id.
-        gone_after_ms: Longest time that a run can outlive its owner's grant.
+        run_expiry_ms: Longest time that a run can outlast its owner's session.
     """
 
     def __init__(
@@ -63,12 +63,12 @@
         lifecycle: RunLifecycle,
         stealing: WorkStealing,
         candidates: Mapping[str, ZoneEndpoint],
-        gone_after_ms: float,
+        run_expiry_ms: float,
     ) -> None:
         self._lifecycle = lifecycle
         self._stealing = stealing
         self._candidates = candidates
-        self._gone_after_ms = gone_after_ms
+        self._gone_after_ms = run_expiry_ms
         self._cancels: dict[tuple[HolderId, str], _Cancel] = {}
 
     def deliver(self, holder: HolderId, message: SubmitRuns, now_ms: float) -> None:
@@ -77,7 +77,7 @@
         bound = recovery_bound(now_ms, message.old_right_ms, self._gone_after_ms)
         for order in message.orders:
             task = TaskId(message.job_id, message.repeat, order.step, order.position)
-            self._stealing.note_arrived(group_of(task))
+            self._stealing.release_reservation(group_of(task))
             self._accept_run(holder, task, order, spec, bound, now_ms)
 
     def cancel(self, holder: HolderId, job_id: str, delivery: int, now_ms: float) -> bool:
@@ -128,7 +128,7 @@
             known.holders[holder] = max(order.delivery, known.holders.get(holder, 0))
             return
         tombstone = self._lifecycle.tombstones.get(task)
-        if tombstone is not None and tombstone.covers(holder, order.delivery):
+        if tombstone is not None and tombstone.is_duplicate(holder, order.delivery):
             # Late copy of a delivery whose runs are over here; they may run in another zone now.
             return
         end = None if tombstone is None else tombstone.end
@@ -161,15 +161,15 @@
         job_id=message.job_id,
         queue=message.queue,
         service=message.service,
-        text=message.spec,
+        task_input=message.spec,
         demand=message.demand,
         placement=message.placement,
         priority=message.priority,
         estimate_ms=message.estimate_ms,
-        began_ms=now_ms - objective.elapsed_ms,
+        arrived_ms=now_ms - objective.elapsed_ms,
         stretch=objective.stretch,
         slack_ms=objective.slack_ms,
-        other_ms=objective.other_ms,
+        other_steps_ms=objective.other_steps_ms,
         tasks=message.tasks,
         deadline_ms=now_ms + message.deadline_ms,
     )
--- a/src/foldloom/seed_discovery/owners/elector.py
+++ b/src/foldloom/seed_discovery/owners/elector.py
@@ -30,7 +30,7 @@
     may_acquire,
     new_box_bits,
     next_token,
-    patience_ms,
+    silence_timeout_ms,
     token_above,
 )
 from foldloom.seed_discovery.owners.zone_owner import ZoneOwner
@@ -95,17 +95,17 @@
         return monotonic_ms() - self._heartbeat_ms
 
     @property
-    def patience_ms(self) -> float:
+    def silence_timeout_ms(self) -> float:
         """Silence timeout after which this box tries to acquire the zone."""
         own = self._view.own.box
         candidates = [
             box
-            for box in self._view.entries_of(self._zone)
+            for box in self._view.entry_boxes_in(self._zone)
             # The silent owner itself gets no rank.
             if box == own or not (box == self._known.box or self._view.is_leaving(box))
         ]
         rank = candidate_rank(own, candidates)
-        return patience_ms(self._timings.owner_silent_ms, rank, bool(self._known.token))
+        return silence_timeout_ms(self._timings.owner_silent_ms, rank, bool(self._known.token))
 
     async def run(self) -> None:
         """Acquire the zone whenever its owner is gone; runs until cancelled."""
@@ -124,7 +124,7 @@
             return ""
         successors = [
             box
-            for box in self._view.entries_of(self._zone)
+            for box in self._view.entry_boxes_in(self._zone)
             if box != self._view.own.box and not self._view.is_leaving(box)
         ]
         successors.sort(key=lambda box: self._network.known_incarnation(box) == 0)
@@ -135,7 +135,7 @@
         return successors[0]
 
     def close(self) -> None:
-        """Give up the zone."""
+        """Step down."""
         self._step_down()
 
     def note_fenced(self, endpoint: str) -> None:
@@ -151,20 +151,24 @@
         PLACE_LOG.event("owner.fenced", endpoint=endpoint, token=owner.token)
         token = token_above(owner.token, self._fenced_count, self._box_bits)
         self._step_down()
-        # Another owner would show by its heartbeats; without one, acquire with a higher token.
+        # If there is another owner, its heartbeats will arrive; otherwise acquires with this token.
         self._known = OwnerRecord(self._zone, token)
         self._heartbeat_ms = now_ms
         if self._fenced_count <= _FENCED_MAX:
             self._heartbeat_ms = now_ms - self._timings.owner_silent_ms / 2
 
     def _is_due(self) -> bool:
-        if self._owner is not None or self._view.own.is_leaving or not self._view.is_informed:
+        if (
+            self._owner is not None
+            or self._view.own.is_leaving
+            or not self._view.has_controller_reply
+        ):
             return False
-        return self.silent_ms >= self.patience_ms
+        return self.silent_ms >= self.silence_timeout_ms
 
     async def _query_witnesses(self) -> WitnessAnswers:
         own = self._view.own.box
-        others = [box for box in self._view.entries_of(self._zone) if box != own]
+        others = [box for box in self._view.entry_boxes_in(self._zone) if box != own]
         asked = [*others, *self._view.controllers]
         answers = await asyncio.gather(*(self._request(box) for box in asked))
         received = [answer for answer in answers if answer is not None]
@@ -194,7 +198,7 @@
         highest = max(highest_token, self._known.token, self._view.owner_of(self._zone).token)
         token = next_token(highest, time.time(), self._box_bits)
         own = self._view.own
-        record = OwnerRecord(self._zone, token, own.box, own.life)
+        record = OwnerRecord(self._zone, token, own.box, own.incarnation)
         PLACE_LOG.event(
             "owner.claimed",
             zone=self._zone,
--- a/src/foldloom/seed_discovery/owners/endpoint_link.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_link.py
@@ -23,7 +23,7 @@
 from foldloom.seed_discovery.endpoints.records import EndpointRecord
 from foldloom.seed_discovery.owners.lease import LAPSE_MARGIN_MS, EndpointClock
 
-# Long-poll wait: a third of the default lease, so that two polls may be lost before it lapses.
+# Long-poll wait; short enough that two polls may be lost before a lease of default length expires.
 _POLL_WAIT_MS = 200
 # Exponential back-off between failed polls; short, because an endpoint restarts within a second.
 _BACKOFF_MIN_S = 0.05
@@ -33,7 +33,7 @@
 SUSPECT_AFTER_MS = 80
 
 
-class LeaseTerms(NamedTuple):
+class LeaseDurations(NamedTuple):
     """Lease durations of one owner's term.
 
     Args:
@@ -49,7 +49,7 @@
     longest_real_ms: float
 
 
-class Answerer(Enum):
+class AnswerSource(Enum):
     """Which incarnation of an endpoint an answer is from."""
 
     THIS = "this"
@@ -57,25 +57,25 @@
     EARLIER = "earlier"
 
 
-def classify_answer(answer_born_ms: int, born_ms: int, has_answered: bool) -> Answerer:
+def classify_answer(answer_born_ms: int, born_ms: int, has_answered: bool) -> AnswerSource:
     """Return which incarnation an answer is from.
 
     Incarnations share the endpoint's id, and an answer may arrive before the first heartbeat of a
     new incarnation.
 
     Args:
-        answer_born_ms: Birth time in the answer; 0 if it has none.
-        born_ms: Birth time of the known incarnation; 0 if unknown.
+        answer_born_ms: Start time in the answer; 0 if it has none.
+        born_ms: Start time of the known incarnation; 0 if unknown.
         has_answered: Whether the known incarnation has answered before.
     """
     if not answer_born_ms or answer_born_ms == born_ms:
-        return Answerer.THIS
+        return AnswerSource.THIS
     if not born_ms and not has_answered:
-        return Answerer.THIS
-    return Answerer.NEXT if answer_born_ms > born_ms else Answerer.EARLIER
+        return AnswerSource.THIS
+    return AnswerSource.NEXT if answer_born_ms > born_ms else AnswerSource.EARLIER
 
 
-class LinkOwner(Protocol):
+class LinkListener(Protocol):
     """Receiver of a link's events; also decides on lease renewal."""
 
     def may_renew(self, endpoint: str, now_ms: float) -> bool:
@@ -87,17 +87,17 @@
     def note_overdue(self, endpoint: str, call: str) -> None:
         """Handle an overdue answer of *endpoint* to a *call*."""
 
-    def note_silent(self, endpoint: str) -> None:
+    def handle_unanswered_poll(self, endpoint: str) -> None:
         """Handle a failed poll of *endpoint*."""
 
-    def note_crashed(self, endpoint: str) -> None:
+    def handle_crash(self, endpoint: str) -> None:
         """Handle a crash of *endpoint*: nothing listens at its address any more."""
 
-    def note_life_over(self, endpoint: str, born_ms: int) -> None:
-        """Handle the certain end of the incarnation of *endpoint* born at *born_ms*."""
+    def note_incarnation_ended(self, endpoint: str, born_ms: int) -> None:
+        """Handle the certain end of the incarnation of *endpoint* started at *born_ms*."""
 
-    def note_next_life(self, endpoint: str, born_ms: int) -> None:
-        """Handle an answer of a later incarnation of *endpoint*, born at *born_ms*."""
+    def note_next_incarnation(self, endpoint: str, born_ms: int) -> None:
+        """Handle an answer from a later incarnation of *endpoint*, started at *born_ms*."""
 
     def note_fenced(self, endpoint: str) -> None:
         """Handle a refusal by *endpoint*, which has seen a higher token."""
@@ -110,19 +110,19 @@
 
     Args:
         record: The endpoint's record; the previous incarnation's until the first heartbeat.
-        terms: Lease durations.
+        lease_durations: Lease durations.
         calls: Client for calls to endpoints.
         owner: Receiver of reports and events.
-        born_ms: Birth time of this incarnation; 0 if unknown.
+        born_ms: Start time of this incarnation; 0 if unknown.
         replaces_previous: Whether this owner gave orders to the previous incarnation.
     """
 
     def __init__(
         self,
         record: EndpointRecord,
-        terms: LeaseTerms,
+        lease_durations: LeaseDurations,
         calls: EndpointCalls,
-        owner: LinkOwner,
+        owner: LinkListener,
         born_ms: int = 0,
         replaces_previous: bool = False,
     ) -> None:
@@ -130,18 +130,18 @@
         self.clock = EndpointClock()
         self.answered_ms = monotonic_ms()
         self.born_ms = born_ms
-        self._terms = terms
+        self._lease_durations = lease_durations
         self._calls = calls
         self._owner = owner
         # Orders meant for the previous incarnation may have reached this one; their leases last no
         # longer than the longest that the endpoint accepts.
-        self._misled_until_ms = (
-            self.answered_ms + terms.longest_real_ms if replaces_previous else 0.0
+        self._stale_orders_until_ms = (
+            self.answered_ms + lease_durations.longest_real_ms if replaces_previous else 0.0
         )
         self._last_sequence = 0
-        self._has_just_answered = False
+        self._last_poll_succeeded = False
         self._is_silent = False
-        self._has_lapsed = False
+        self._is_expiry_taken = False
         self._is_over = False
 
     @property
@@ -154,28 +154,28 @@
         """Whether this incarnation has certainly ended: another id answered at its address."""
         return self._is_over
 
-    def answerer(self, answer_born_ms: int) -> Answerer:
-        """Return which incarnation an answer with this birth time (0 if none) is from."""
+    def answer_source(self, answer_born_ms: int) -> AnswerSource:
+        """Return which incarnation an answer with this start time (0 if none) is from."""
         return classify_answer(answer_born_ms, self.born_ms, self.clock.is_known)
 
     def order_until(self, now_ms: float) -> int:
         """Return the expiry of a new lease by the endpoint's clock; 0 while that is unknown."""
         if not self.clock.is_known:
             return 0
-        return self.clock.order_until(now_ms, self._terms.lease_ms)
+        return self.clock.order_until(now_ms, self._lease_durations.lease_ms)
 
-    def has_lapsed(self, now_ms: float) -> bool:
-        """Return whether all leases there have certainly lapsed; true once per silence."""
-        if not self._is_silent or self._has_lapsed:
+    def take_lease_expiry(self, now_ms: float) -> bool:
+        """Return whether all leases have certainly expired; true once until the next answer."""
+        if not self._is_silent or self._is_expiry_taken:
             return False
         if now_ms < self.clock.lapses_by() + LAPSE_MARGIN_MS:
             return False
-        if now_ms < self._misled_until_ms + LAPSE_MARGIN_MS:
+        if now_ms < self._stale_orders_until_ms + LAPSE_MARGIN_MS:
             return False
         # Leases ordered by an earlier owner are not covered by this clock.
-        if now_ms < self.answered_ms + self._terms.lease_real_ms + LAPSE_MARGIN_MS:
+        if now_ms < self.answered_ms + self._lease_durations.lease_real_ms + LAPSE_MARGIN_MS:
             return False
-        self._has_lapsed = True
+        self._is_expiry_taken = True
         return True
 
     async def run(self) -> None:
@@ -186,11 +186,11 @@
             order = self._next_order(sent_ms)
             renews_next = not self.clock.is_known or self._is_silent
             reply = await self._poll(order)
-            answerer = self.answerer(reply.born_ms)
-            if answerer is Answerer.NEXT:
-                self._owner.note_next_life(self.record.endpoint, reply.born_ms)
+            answer_source = self.answer_source(reply.born_ms)
+            if answer_source is AnswerSource.NEXT:
+                self._owner.note_next_incarnation(self.record.endpoint, reply.born_ms)
                 return
-            if reply.outcome is CallOutcome.DONE and answerer is Answerer.THIS:
+            if reply.outcome is CallOutcome.DONE and answer_source is AnswerSource.THIS:
                 backoff_s = _BACKOFF_MIN_S
                 self._handle_reply(reply, sent_ms)
                 if not order.wait_ms and not renews_next:
@@ -200,7 +200,7 @@
                 self._owner.note_fenced(self.record.endpoint)
             elif reply.outcome is CallOutcome.OTHER_LIFE:
                 self._is_over = True
-                self._owner.note_life_over(self.record.endpoint, self.born_ms)
+                self._owner.note_incarnation_ended(self.record.endpoint, self.born_ms)
                 return
             else:
                 self._note_silent(reply)
@@ -208,7 +208,7 @@
             backoff_s = min(backoff_s * 2, _BACKOFF_MAX_S)
 
     async def _pause(self, backoff_s: float) -> None:
-        self._has_just_answered = False
+        self._last_poll_succeeded = False
         await asyncio.sleep(backoff_s)
 
     async def _poll(self, order: PollOrder) -> PollReply:
@@ -228,7 +228,7 @@
         """Return the next poll.
 
         Polls to a silent endpoint do not renew its lease: they may still be carried out, and the
-        lease would never lapse.
+        lease would never expire.
         """
         renews = (
             self.clock.is_known
@@ -239,19 +239,19 @@
         wait_ms = _POLL_WAIT_MS if renews else 0
         # After a failed poll, the next answer may come from a new incarnation, which numbers its
         # ends from 1 again and would drop those up to an acknowledged number.
-        seen = self._last_sequence if self._has_just_answered else 0
-        return PollOrder(self._terms.token, seen, until_ms, wait_ms)
+        seen = self._last_sequence if self._last_poll_succeeded else 0
+        return PollOrder(self._lease_durations.token, seen, until_ms, wait_ms)
 
     def _handle_reply(self, reply: PollReply, sent_ms: float) -> None:
         now_ms = monotonic_ms()
         self.clock.note(reply.clock_ms, now_ms)
         self.answered_ms = now_ms
         self.born_ms = self.born_ms or reply.born_ms
-        self._has_just_answered = True
+        self._last_poll_succeeded = True
         if self._is_silent:
             ENDPOINT_LOG.event("endpoint.answers", endpoint=self.record.endpoint)
         self._is_silent = False
-        self._has_lapsed = False
+        self._is_expiry_taken = False
         new_ends = tuple(end for end in reply.ended if end.sequence > self._last_sequence)
         if new_ends:
             self._last_sequence = max(end.sequence for end in new_ends)
@@ -268,6 +268,6 @@
                 heard_ms_ago=int(monotonic_ms() - self.answered_ms),
             )
         self._is_silent = True
-        self._owner.note_silent(self.record.endpoint)
+        self._owner.handle_unanswered_poll(self.record.endpoint)
         if reply.outcome is CallOutcome.NO_LISTENER and self.clock.is_known:
-            self._owner.note_crashed(self.record.endpoint)
+            self._owner.handle_crash(self.record.endpoint)
--- a/src/foldloom/seed_discovery/owners/endpoint_links.py
+++ b/src/foldloom/seed_discovery/owners/endpoint_links.py
@@ -2,7 +2,7 @@
 """The links to all endpoints of a zone, kept in sync with the catalog.
 
 Holds one link and task for the newest known incarnation of each endpoint. Updates the owner's state
-when endpoints are added, removed or replaced, or when their leases have lapsed.
+when endpoints are added, removed or replaced, or when their leases have expired.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from foldloom.seed_discovery.endpoints.catalog import EndpointCatalog
 from foldloom.seed_discovery.endpoints.records import EndpointRecord
 from foldloom.seed_discovery.owners.endpoint_link import (
-    Answerer,
+    AnswerSource,
     EndpointLink,
-    LeaseTerms,
-    LinkOwner,
+    LeaseDurations,
+    LinkListener,
 )
 from foldloom.seed_discovery.owners.state import OwnerState
 
@@ -33,7 +33,7 @@
         zone: The owner's zone.
         state: The owner's state.
         catalog: The endpoints of all zones.
-        terms: Lease durations.
+        lease_durations: Lease durations.
         calls: Client for calls to endpoints.
         owner: Receiver of reports and events.
     """
@@ -43,14 +43,14 @@
         zone: str,
         state: OwnerState,
         catalog: EndpointCatalog,
-        terms: LeaseTerms,
+        lease_durations: LeaseDurations,
         calls: EndpointCalls,
-        owner: LinkOwner,
+        owner: LinkListener,
     ) -> None:
         self._zone = zone
         self._state = state
         self._catalog = catalog
-        self._link_args = (terms, calls, owner)
+        self._link_args = (lease_durations, calls, owner)
         self._links: dict[str, EndpointLink] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
@@ -66,9 +66,9 @@
     def sync_with_catalog(self, now_ms: float) -> None:
         """Open links to added endpoints and close those to removed ones.
 
-        A farewell message does not name the incarnation it is from and may be delayed. An endpoint
-        with a known birth time that still runs something is therefore polled until its runs have
-        ended or lapsed, so that no run starts a second time elsewhere.
+        A deregistration does not name its incarnation and may be delayed. An endpoint with a known
+        start time that still has runs is therefore polled until they have ended or their leases
+        have expired, so that no run starts a second time elsewhere.
         """
         records = {
             record.endpoint: record for record in self._catalog.records if record.zone == self._zone
@@ -76,14 +76,14 @@
         for endpoint, record in records.items():
             link = self._links.get(endpoint)
             if link is None:
-                self._state.follow_endpoint(record)
+                self._state.update_endpoint(record)
                 self._open(EndpointLink(record, *self._link_args, record.born_ms))
                 continue
             if record.born_ms > link.born_ms:
                 self._replace(link, record, record.born_ms, "heartbeat")
-                self._state.follow_endpoint(record)
+                self._state.update_endpoint(record)
             elif record.born_ms in (0, link.born_ms):
-                self._state.follow_endpoint(record)
+                self._state.update_endpoint(record)
                 link.record = record
         for endpoint in [name for name in self._links if name not in records]:
             if self._has_ended(endpoint):
@@ -91,28 +91,28 @@
                 continue
             removed = self._catalog.get(endpoint)
             if removed is not None:
-                self._state.follow_endpoint(removed)
+                self._state.update_endpoint(removed)
 
     def _has_ended(self, endpoint: str) -> bool:
         """Return whether an endpoint that the catalog has removed can be dropped."""
         link = self._links[endpoint]
         return not link.born_ms or link.is_over or self._state.candidates[endpoint].is_idle
 
-    def begin_life(self, endpoint: str, born_ms: int) -> None:
+    def begin_incarnation(self, endpoint: str, born_ms: int) -> None:
         """Open a link to an incarnation of *endpoint* that answered before its first heartbeat."""
         link = self._links.get(endpoint)
-        if link is not None and link.answerer(born_ms) is Answerer.NEXT:
+        if link is not None and link.answer_source(born_ms) is AnswerSource.NEXT:
             self._replace(link, link.record, born_ms, "answer")
 
     def check_silent_endpoints(self, now_ms: float) -> None:
-        """Report lapsed endpoints to the state and remove those with a long silence."""
+        """Report expired leases to the state and remove endpoints after a long silence."""
         for endpoint, link in self._links.items():
-            if link.has_lapsed(now_ms):
+            if link.take_lease_expiry(now_ms):
                 silent_ms = int(now_ms - link.answered_ms)
                 ENDPOINT_LOG.event("endpoint.lapsed", endpoint=endpoint, silent_ms=silent_ms)
-                self._state.note_lapsed(endpoint, now_ms)
+                self._state.handle_lease_expiry(endpoint, now_ms)
             if link.is_silent and now_ms - link.answered_ms > _SILENT_REMOVAL_MS:
-                self._catalog.forget(endpoint)
+                self._catalog.evict(endpoint)
 
     def _replace(
         self, link: EndpointLink, record: EndpointRecord, born_ms: int, source: str
@@ -125,7 +125,7 @@
             born_before_ms=link.born_ms,
             source=source,
         )
-        self._state.begin_life(record.endpoint, monotonic_ms())
+        self._state.begin_incarnation(record.endpoint, monotonic_ms())
         # If the previous link's task is the caller, it returns by itself.
         if self._tasks[record.endpoint] is not asyncio.current_task():
             self._tasks[record.endpoint].cancel()
@@ -140,4 +140,4 @@
         """Drop a removed endpoint; its runs end with it."""
         del self._links[endpoint]
         self._tasks.pop(endpoint).cancel()
-        self._state.drop_endpoint(endpoint, now_ms)
+        self._state.remove_endpoint(endpoint, now_ms)
--- a/src/foldloom/seed_discovery/owners/messages.py
+++ b/src/foldloom/seed_discovery/owners/messages.py
@@ -14,7 +14,7 @@
 from foldloom.seed_discovery.fleet.messages import OwnerRecord
 from foldloom.seed_discovery.jobs.spec import Demand, Placement, RunId
 from foldloom.seed_discovery.scheduling.crashes import CrashCount
-from foldloom.seed_discovery.scheduling.sharing import GroupId, GroupSummary
+from foldloom.seed_discovery.scheduling.remote_groups import GroupId, GroupSummary
 
 
 class RunOrder(NamedTuple):
@@ -41,19 +41,19 @@
 
 
 class Objective(NamedTuple):
-    """A job's response-time objective: stretch x longest chain + slack, from its arrival.
+    """A job's response-time objective: stretch x critical path + slack, from its arrival.
 
     Args:
         elapsed_ms: Time since the job's arrival.
-        stretch: Factor on the longest chain.
+        stretch: Factor on the critical path.
         slack_ms: Constant part.
-        other_ms: Duration of the other steps of the chain.
+        other_steps_ms: Duration of the other steps on the critical path.
     """
 
     elapsed_ms: int = 0
     stretch: float = 1.0
     slack_ms: int = 0
-    other_ms: int = 0
+    other_steps_ms: int = 0
 
 
 class SubmitRuns(NamedTuple):
@@ -196,9 +196,9 @@
 
 
 class SessionBegan(NamedTuple):
-    """Announces a new session of an owner with a box after the previous one lapsed.
+    """Announces a new session of an owner with a box after the previous one expired.
 
-    The owner has dropped the runs of the lapsed session, so the box must deliver open runs again.
+    The owner has dropped the runs of the expired session, so the box must deliver open runs again.
     """
 
     zone: str
@@ -210,14 +210,14 @@
 
 
 class WaitingGroups(NamedTuple):
-    """Offer of an owner's waiting runs to the owners of other zones."""
+    """Offer of an owner's queued runs to the owners of other zones."""
 
     owner: OwnerRecord
     groups: list[GroupSummary]
 
 
 class StealRuns(NamedTuple):
-    """Work-stealing request of an owner with free capacity for another owner's waiting runs."""
+    """Work-stealing request of an owner with free capacity for another owner's queued runs."""
 
     zone: str
     group: GroupId
--- a/src/foldloom/seed_discovery/owners/order_sender.py
+++ b/src/foldloom/seed_discovery/owners/order_sender.py
@@ -17,9 +17,9 @@
 from foldloom.seed_discovery.owners.context import OwnerContext
 from foldloom.seed_discovery.owners.endpoint_link import (
     SUSPECT_AFTER_MS,
-    Answerer,
+    AnswerSource,
     EndpointLink,
-    LinkOwner,
+    LinkListener,
 )
 from foldloom.seed_discovery.owners.endpoint_links import EndpointLinks
 from foldloom.seed_discovery.owners.sessions import Sessions
@@ -46,7 +46,7 @@
         sessions: Sessions,
         links: EndpointLinks,
         context: OwnerContext,
-        owner: LinkOwner,
+        owner: LinkListener,
     ) -> None:
         self._token = token
         self._state = state
@@ -85,11 +85,13 @@
         may_start = self._may_start(action, now_ms)
         until_ms = 0 if link is None or not may_start else link.order_until(now_ms)
         if link is None or until_ms == 0 or self._is_closed:
-            self._state.note_start(action.run_id, action.endpoint, CallOutcome.LATE, now_ms)
+            self._state.handle_start_outcome(
+                action.run_id, action.endpoint, CallOutcome.LATE, now_ms
+            )
             return
         self._log_start(action, link, until_ms, now_ms)
         self._metrics.count("runs.started")
-        order = StartOrder(action.run_id, action.text, self._token, until_ms)
+        order = StartOrder(action.run_id, action.task_input, self._token, until_ms)
         overdue_timer = asyncio.get_running_loop().call_later(
             SUSPECT_AFTER_MS / 1_000, self._owner.note_overdue, action.endpoint, "start"
         )
@@ -102,7 +104,7 @@
             self._log_refusal(action, reply)
         if reply.outcome is CallOutcome.FENCED:
             self._owner.note_fenced(action.endpoint)
-        self._state.note_start(action.run_id, action.endpoint, reply.outcome, now_ms)
+        self._state.handle_start_outcome(action.run_id, action.endpoint, reply.outcome, now_ms)
         on_answer()
 
     async def stop(self, action: StopAction) -> None:
@@ -124,36 +126,38 @@
         if self._links.get(action.endpoint) is not link:
             # A new incarnation began during the call; either one may have answered.
             return
-        self._state.note_stop(action.run_id, action.endpoint, reply.outcome, monotonic_ms())
+        self._state.handle_stop_outcome(
+            action.run_id, action.endpoint, reply.outcome, monotonic_ms()
+        )
 
     def _note_answerer(self, link: EndpointLink, reply: CallReply, now_ms: float) -> None:
         """Update the link's clock, or report that a later incarnation has answered."""
-        answerer = link.answerer(reply.born_ms)
-        if answerer is Answerer.NEXT:
-            self._owner.note_next_life(link.record.endpoint, reply.born_ms)
-        elif answerer is Answerer.THIS and reply.clock_ms:
+        answer_source = link.answer_source(reply.born_ms)
+        if answer_source is AnswerSource.NEXT:
+            self._owner.note_next_incarnation(link.record.endpoint, reply.born_ms)
+        elif answer_source is AnswerSource.THIS and reply.clock_ms:
             link.clock.note(reply.clock_ms, now_ms)
 
     def _may_start(self, action: StartAction, now_ms: float) -> bool:
-        """Return whether the run has a holder with a valid grant, and its lease may be renewed.
+        """Return whether the run has a holder with a valid session, and its lease may be renewed.
 
-        Checked immediately before the call, since grants may have lapsed during a pause of this
+        Checked immediately before the call, since sessions may have expired during a pause of this
         process. A start renews the lease of its whole endpoint.
         """
-        run = self._state.run_of(action.run_id.task)
+        run = self._state.current_run(action.run_id.task)
         has_live_holder = run is not None and any(
-            self._sessions.has_right(holder, now_ms) for holder in run.holders
+            self._sessions.has_session(holder, now_ms) for holder in run.holders
         )
         return has_live_holder and self._owner.may_renew(action.endpoint, now_ms)
 
     def _log_start(
         self, action: StartAction, link: EndpointLink, until_ms: int, now_ms: float
     ) -> None:
-        run = self._state.run_of(action.run_id.task)
+        run = self._state.current_run(action.run_id.task)
         candidate = self._state.candidates.get(action.endpoint)
         if run is None or candidate is None:
             return
-        self._metrics.timing("job_age_at_start_ms", now_ms - run.spec.began_ms)
+        self._metrics.timing("job_age_at_start_ms", now_ms - run.spec.arrived_ms)
         PLACE_LOG.event(
             "run.placed",
             job=action.run_id.task.job_id,
@@ -162,9 +166,9 @@
             born_ms=link.born_ms,
             token=self._token,
             until_ms=until_ms,
-            job_age_ms=int(now_ms - run.spec.began_ms),
+            job_age_ms=int(now_ms - run.spec.arrived_ms),
             speed=round(self._state.speed_of(action.endpoint), 2),
-            free_milli=candidate.room.free.cpu_milli,
+            free_milli=candidate.resources.free.cpu_milli,
         )
 
     def _log_refusal(self, action: StartAction, reply: CallReply) -> None:
--- a/src/foldloom/seed_discovery/owners/state.py
+++ b/src/foldloom/seed_discovery/owners/state.py
@@ -18,12 +18,11 @@
 from foldloom.seed_discovery.owners.actions import Actions, StealAction, StopAction
 from foldloom.seed_discovery.owners.admission import Admission
 from foldloom.seed_discovery.owners.crashed_endpoints import (
-    give_up_crashing,
+    end_runs_over_crash_limit,
     may_have_crashed,
     note_crash,
 )
 from foldloom.seed_discovery.owners.deliveries import Deliveries, newest_delivery
-from foldloom.seed_discovery.owners.late_starts import LateStarts
 from foldloom.seed_discovery.owners.lifecycle import RunLifecycle
 from foldloom.seed_discovery.owners.loads import zone_load
 from foldloom.seed_discovery.owners.messages import (
@@ -33,17 +32,18 @@
     SubmitRuns,
     SubmitStatus,
 )
-from foldloom.seed_discovery.owners.orders import note_start, note_stop
+from foldloom.seed_discovery.owners.orders import handle_start_outcome, handle_stop_outcome
 from foldloom.seed_discovery.owners.recovery import is_lost
 from foldloom.seed_discovery.owners.reports import orphans_to_stop, reconcile
 from foldloom.seed_discovery.owners.stealing import WorkStealing
-from foldloom.seed_discovery.owners.stragglers import judge_running
+from foldloom.seed_discovery.owners.stragglers import handle_stragglers
+from foldloom.seed_discovery.owners.unanswered_starts import UnansweredStarts
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.placing import place
 from foldloom.seed_discovery.scheduling.ranking import Tier, tier_of
+from foldloom.seed_discovery.scheduling.remote_groups import GroupId, GroupSummary
+from foldloom.seed_discovery.scheduling.run_queue import RunQueue
 from foldloom.seed_discovery.scheduling.runs import HolderId, Run, RunState
-from foldloom.seed_discovery.scheduling.sharing import GroupId, GroupSummary
-from foldloom.seed_discovery.scheduling.waiting import WaitingRuns
 
 # Groups of queued runs that one offer to other zones lists, the next in order first.
 OFFERED_GROUPS_MAX = 24
@@ -53,14 +53,14 @@
     """The runs and endpoints of one zone during one term of its owner.
 
     Args:
-        gone_after_ms: Longest time that a run can outlive its owner's grant.
+        run_expiry_ms: Longest time that a run can outlast its owner's session.
         all_endpoints: Returns the endpoint records of all zones; empty while the catalog may be
             incomplete.
     """
 
     def __init__(
         self,
-        gone_after_ms: float,
+        run_expiry_ms: float,
         all_endpoints: Callable[[], Sequence[EndpointRecord]] = tuple,
     ) -> None:
         self._is_catalog_complete = False
@@ -68,13 +68,13 @@
         self._last_polled_ms: dict[str, float] = {}
         self.actions = Actions()
         self._lifecycle = RunLifecycle(self._candidates, self.actions)
-        self._late_starts = LateStarts()
+        self._unanswered_starts = UnansweredStarts()
         self._stealing = WorkStealing(self._candidates)
         self._deliveries = Deliveries(
-            self._lifecycle, self._stealing, self._candidates, gone_after_ms
+            self._lifecycle, self._stealing, self._candidates, run_expiry_ms
         )
         self._admission = Admission(
-            self._lifecycle.waiting, self._stealing, self._candidates, all_endpoints
+            self._lifecycle.run_queue, self._stealing, self._candidates, all_endpoints
         )
 
     @property
@@ -83,19 +83,19 @@
         return self._candidates
 
     @property
-    def waiting(self) -> WaitingRuns:
+    def run_queue(self) -> RunQueue:
         """The queued runs."""
-        return self._lifecycle.waiting
+        return self._lifecycle.run_queue
 
     def load(self, now_ms: float) -> ZoneLoad:
         """Return the zone's load."""
-        return zone_load(self._candidates.values(), self.waiting, now_ms)
+        return zone_load(self._candidates.values(), self.run_queue, now_ms)
 
     def speed_of(self, endpoint: str) -> float:
         """Return the estimated speed of *endpoint* relative to the median endpoint."""
         return self._lifecycle.speeds.speed_of(endpoint)
 
-    def run_of(self, task: TaskId) -> Run | None:
+    def current_run(self, task: TaskId) -> Run | None:
         """Return the current run of *task*, if any."""
         return self._lifecycle.get(task)
 
@@ -106,8 +106,8 @@
         if self._deliveries.was_cancelled(holder, message, now_ms):
             return SubmitReply(SubmitStatus.REFUSED, "cancelled")
         self._deliveries.deliver(holder, message, now_ms)
-        give_up_crashing(self._lifecycle, message, now_ms)
-        reply = self._admission.judge(message, now_ms)
+        end_runs_over_crash_limit(self._lifecycle, message, now_ms)
+        reply = self._admission.decide(message, now_ms)
         if reply.status is SubmitStatus.REFUSED:
             self.cancel(holder, message.job_id, now_ms, newest_delivery(message))
         return reply
@@ -124,7 +124,7 @@
         return self._deliveries.cancel(holder, job_id, delivery, now_ms)
 
     def end_session(self, holder: HolderId, ended_ms: float) -> None:
-        """Release all runs of *holder*, whose grant ended at *ended_ms*."""
+        """Release all runs of *holder*, whose session ended at *ended_ms*."""
         for run in self._lifecycle.runs:
             if holder in run.holders:
                 self._lifecycle.release_holder(holder, run, ended_ms)
@@ -141,51 +141,51 @@
 
     def offer(self, now_ms: float) -> list[GroupSummary]:
         """Return summaries of the queued groups, to be offered to other zones."""
-        return self.waiting.summaries(now_ms, OFFERED_GROUPS_MAX)
+        return self.run_queue.summaries(now_ms, OFFERED_GROUPS_MAX)
 
-    def release_stolen(self, key: GroupId, runs: int, zone: str, now_ms: float) -> int:
+    def release_to_zone(self, key: GroupId, runs: int, zone: str, now_ms: float) -> int:
         """Hand up to *runs* queued runs of a group to another zone; return the number handed over.
 
         Their boxes are notified to deliver them to the owner of *zone*.
         """
-        group = self.waiting.get(key)
+        group = self.run_queue.get(key)
         if group is None:
             return 0
         # Taken from the tail: the head of the queue starts here next.
-        released = list(group.waiting.values())[-runs:]
+        released = list(group.queued.values())[-runs:]
         for run in released:
             has_started = run.task.job_id in self._lifecycle.started
             end = RunEnd(run.run_id, EndCause.MOVED, moved_to=zone, has_started=has_started)
             self._lifecycle.retire(run, end, now_ms)
         return len(released)
 
-    def note_stolen(self, action: StealAction, granted: int) -> None:
+    def handle_steal_reply(self, action: StealAction, granted: int) -> None:
         """Record that the owner of the other zone granted *granted* of the requested runs."""
-        self._stealing.note_granted(action, granted)
+        self._stealing.settle_reservations(action, granted)
 
     # Endpoints.
 
-    def trust_catalog(self) -> None:
+    def mark_catalog_complete(self) -> None:
         """Mark the catalog complete: it holds every endpoint that an earlier owner used."""
         self._is_catalog_complete = True
 
-    def follow_endpoint(self, record: EndpointRecord) -> None:
+    def update_endpoint(self, record: EndpointRecord) -> None:
         """Add an endpoint, or update its record."""
         known = self._candidates.get(record.endpoint)
         if known is None:
             self._candidates[record.endpoint] = ZoneEndpoint(record)
             return
-        known.follow(record)
+        known.update_record(record)
 
-    def drop_endpoint(self, endpoint: str, now_ms: float) -> None:
+    def remove_endpoint(self, endpoint: str, now_ms: float) -> None:
         """Remove an endpoint whose incarnation has certainly ended, and finish its runs."""
-        self.note_lapsed(endpoint, now_ms)
-        self._late_starts.end_life(endpoint)
+        self.handle_lease_expiry(endpoint, now_ms)
+        self._unanswered_starts.end_incarnation(endpoint)
         self._candidates.pop(endpoint, None)
         self._last_polled_ms.pop(endpoint, None)
-        self._lifecycle.speeds.forget(endpoint)
+        self._lifecycle.speeds.remove(endpoint)
 
-    def begin_life(self, endpoint: str, now_ms: float) -> None:
+    def begin_incarnation(self, endpoint: str, now_ms: float) -> None:
         """Handle a new incarnation of *endpoint* under the same id.
 
         Runs of the previous incarnation are not finished yet: the new one has the same id and may
@@ -197,43 +197,43 @@
         if candidate is None:
             return
         note_crash(self._lifecycle, candidate, now_ms)
-        candidate.begin_life()
-        self._late_starts.end_life(endpoint)
-        for stop in self._late_starts.stops_due((endpoint,), now_ms, now_ms):
+        candidate.begin_incarnation()
+        self._unanswered_starts.end_incarnation(endpoint)
+        for stop in self._unanswered_starts.stops_due((endpoint,), now_ms, now_ms):
             self.actions.stop(stop)
         self._last_polled_ms.pop(endpoint, None)
-        self._lifecycle.speeds.forget(endpoint)
+        self._lifecycle.speeds.remove(endpoint)
 
-    def distrust(self, endpoint: str) -> None:
+    def exclude_from_placement(self, endpoint: str) -> None:
         """Exclude an endpoint from placement until its next report."""
         candidate = self._candidates.get(endpoint)
         if candidate is not None:
-            candidate.is_trusted = False
+            candidate.has_current_report = False
 
-    def note_silent(self, endpoint: str) -> None:
+    def handle_unanswered_poll(self, endpoint: str) -> None:
         """Handle an unanswered poll of an endpoint."""
-        self.distrust(endpoint)
+        self.exclude_from_placement(endpoint)
         candidate = self._candidates.get(endpoint)
         if candidate is not None:
             candidate.is_silent = True
 
-    def note_crashed(self, endpoint: str, now_ms: float) -> None:
+    def handle_crash(self, endpoint: str, now_ms: float) -> None:
         """Handle the crash of the current incarnation of *endpoint*."""
         candidate = self._candidates.get(endpoint)
         if candidate is not None:
             note_crash(self._lifecycle, candidate, now_ms)
 
-    def note_lapsed(self, endpoint: str, now_ms: float) -> None:
+    def handle_lease_expiry(self, endpoint: str, now_ms: float) -> None:
         """Finish the runs on *endpoint*: every lease there has certainly expired."""
         candidate = self._candidates.get(endpoint)
         if candidate is None:
             return
-        candidate.is_trusted = False
+        candidate.has_current_report = False
         candidate.orphans.clear()
-        for task in candidate.room.tasks:
+        for task in candidate.resources.tasks:
             run = self._lifecycle.get(task)
             if run is None or run.endpoint != endpoint:
-                candidate.room.release(task)
+                candidate.resources.release(task)
                 continue
             if not candidate.has_crashed and may_have_crashed(run, endpoint):
                 candidate.lapsed_tasks.append(task)
@@ -244,7 +244,7 @@
         candidate = self._candidates.get(endpoint)
         if candidate is None:
             return False
-        runs = (self._lifecycle.get(task) for task in candidate.room.tasks)
+        runs = (self._lifecycle.get(task) for task in candidate.resources.tasks)
         return any(
             run is not None and run.state is RunState.STOPPING and run.since_ms < before_ms
             for run in runs
@@ -256,30 +256,34 @@
         if candidate is None:
             return
         reconcile(self._lifecycle, candidate, report, now_ms)
-        self._last_polled_ms[report.endpoint] = report.asked_ms
-        candidate.is_trusted = candidate.is_described(report.born_ms)
+        self._last_polled_ms[report.endpoint] = report.polled_ms
+        candidate.has_current_report = candidate.has_current_record(report.born_ms)
         candidate.is_silent = False
-        candidate.note_alive()
+        candidate.mark_alive()
 
-    def note_start(self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float) -> None:
+    def handle_start_outcome(
+        self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float
+    ) -> None:
         """Handle the outcome of a start order."""
         if outcome is CallOutcome.UNKNOWN:
-            self._late_starts.note(run_id, endpoint, now_ms)
-        note_start(self._lifecycle, self._candidates, run_id, endpoint, outcome, now_ms)
+            self._unanswered_starts.add(run_id, endpoint, now_ms)
+        handle_start_outcome(self._lifecycle, self._candidates, run_id, endpoint, outcome, now_ms)
 
-    def note_stop(self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float) -> None:
+    def handle_stop_outcome(
+        self, run_id: RunId, endpoint: str, outcome: CallOutcome, now_ms: float
+    ) -> None:
         """Handle the outcome of a stop order."""
         if outcome is CallOutcome.DONE:
-            self._late_starts.note_stopped(run_id, endpoint)
-        note_stop(self._lifecycle, run_id, endpoint, outcome, now_ms)
+            self._unanswered_starts.note_stopped(run_id, endpoint)
+        handle_stop_outcome(self._lifecycle, run_id, endpoint, outcome, now_ms)
 
-    def stops_to_repeat(self, before_ms: float, now_ms: float) -> list[StopAction]:
+    def stops_to_retransmit(self, before_ms: float, now_ms: float) -> list[StopAction]:
         """Return the unconfirmed stops last sent before *before_ms*, for retransmission."""
         stops = self._lifecycle.retransmit_stops(before_ms, now_ms)
         answering = {
             name for name, candidate in self._candidates.items() if not candidate.is_silent
         }
-        stops += self._late_starts.stops_due(answering, before_ms, now_ms)
+        stops += self._unanswered_starts.stops_due(answering, before_ms, now_ms)
         return list(dict.fromkeys(stops))
 
     # Time.
@@ -290,9 +294,9 @@
         for endpoint, run_id in orphans_to_stop(self._candidates, now_ms):
             self.actions.stop(StopAction(run_id, endpoint))
         self._retire_unattainable(now_ms)
-        judge_running(self._lifecycle, now_ms)
+        handle_stragglers(self._lifecycle, now_ms)
         for candidate in self._candidates.values():
-            candidate.room.unreserve_expired(now_ms)
+            candidate.resources.expire_reservations(now_ms)
         self._deliveries.expire_cancels(now_ms)
         self._lifecycle.tombstones.expire(now_ms)
         self._lifecycle.started.expire(now_ms)
@@ -301,7 +305,7 @@
     def place(self, now_ms: float) -> None:
         """Start queued runs that fit, and request runs of other zones for the spare capacity."""
         placing = place(
-            self.waiting,
+            self.run_queue,
             self._stealing.remote,
             self._candidates,
             self._lifecycle.speeds,
@@ -310,16 +314,16 @@
         )
         for run, endpoint in placing.placed:
             self._lifecycle.start(run, endpoint, now_ms)
-        for stolen in placing.stolen:
-            self.actions.steal(StealAction(*stolen))
+        for request in placing.steal_requests:
+            self.actions.steal(StealAction(*request))
 
     def _retire_unattainable(self, now_ms: float) -> None:
         """Retire queued runs of jobs that can no longer complete in time."""
-        for group in self.waiting.groups:
+        for group in self.run_queue.groups:
             if tier_of(group, now_ms) is not Tier.UNATTAINABLE:
                 continue
             has_started = group.spec.job_id in self._lifecycle.started
-            for run in list(group.waiting.values()):
+            for run in list(group.queued.values()):
                 end = RunEnd(run.run_id, EndCause.UNATTAINABLE, has_started=has_started)
                 self._lifecycle.retire(run, end, now_ms)
 
--- a/src/foldloom/seed_discovery/owners/stealing.py
+++ b/src/foldloom/seed_discovery/owners/stealing.py
@@ -14,7 +14,11 @@
 from foldloom.seed_discovery.owners.actions import StealAction
 from foldloom.seed_discovery.scheduling.endpoints import ZoneEndpoint
 from foldloom.seed_discovery.scheduling.placing import Reservation
-from foldloom.seed_discovery.scheduling.sharing import REMOTE_VIEW_TTL_MS, GroupId, RemoteGroups
+from foldloom.seed_discovery.scheduling.remote_groups import (
+    REMOTE_VIEW_TTL_MS,
+    GroupId,
+    RemoteGroups,
+)
 
 
 class _ReceivedLoad(NamedTuple):
@@ -49,13 +53,13 @@
             if now_ms - received.received_ms < REMOTE_VIEW_TTL_MS
         ]
 
-    def note_granted(self, action: StealAction, granted: int) -> None:
+    def settle_reservations(self, action: StealAction, granted: int) -> None:
         """Keep a reservation for each granted run and cancel the rest."""
         self._reservations.setdefault(action.group, []).extend(action.reservations[:granted])
         for reservation in action.reservations[granted:]:
             self._cancel_reservation(reservation)
 
-    def note_arrived(self, group: GroupId) -> None:
+    def release_reservation(self, group: GroupId) -> None:
         """Cancel the reservation for a run of *group* that has been submitted here."""
         reservations = self._reservations.get(group)
         if not reservations:
@@ -67,4 +71,4 @@
     def _cancel_reservation(self, reservation: Reservation) -> None:
         candidate = self._candidates.get(reservation.endpoint)
         if candidate is not None:
-            candidate.room.cancel_reservation(reservation.number)
+            candidate.resources.cancel_reservation(reservation.number)
--- a/src/foldloom/seed_discovery/owners/zone_owner.py
+++ b/src/foldloom/seed_discovery/owners/zone_owner.py
@@ -24,13 +24,13 @@
 )
 from foldloom.seed_discovery.owners.context import OwnerContext
 from foldloom.seed_discovery.owners.decision_log import log_cancel, log_delivery, log_end
-from foldloom.seed_discovery.owners.endpoint_link import LeaseTerms
+from foldloom.seed_discovery.owners.endpoint_link import LeaseDurations
 from foldloom.seed_discovery.owners.endpoint_links import EndpointLinks
 from foldloom.seed_discovery.owners.heartbeats import HeartbeatSender
 from foldloom.seed_discovery.owners.lease import (
     STOP_OVERDUE_MS,
-    gone_after_ms,
     max_real_duration_ms,
+    run_expiry_ms,
 )
 from foldloom.seed_discovery.owners.messages import (
     CancelJob,
@@ -76,17 +76,17 @@
         self._network = context.network
         self._metrics = context.metrics
         self._on_fenced = on_fenced
-        self._state = OwnerState(gone_after_ms(timings.endpoint_lease_ms), self._all_endpoints)
+        self._state = OwnerState(run_expiry_ms(timings.endpoint_lease_ms), self._all_endpoints)
         self._sessions = Sessions(record.zone, record.token, context.network, timings.session_ms)
         lease_ms = float(timings.endpoint_lease_ms)
-        terms = LeaseTerms(
+        lease_durations = LeaseDurations(
             record.token,
             lease_ms,
             max_real_duration_ms(lease_ms),
             max_real_duration_ms(timings.endpoint_lease_max_ms),
         )
         self._links = EndpointLinks(
-            record.zone, self._state, context.catalog, terms, context.calls, self
+            record.zone, self._state, context.catalog, lease_durations, context.calls, self
         )
         self._orders = OrderSender(
             record.token, self._state, self._sessions, self._links, context, self
@@ -124,7 +124,7 @@
         own = self._view.own.box
         if self._view.entries == [own]:
             return False
-        return not self._sessions.has_other(own, monotonic_ms())
+        return not self._sessions.has_session_with_other_box(own, monotonic_ms())
 
     def start(self) -> None:
         """Start polling endpoints and sending heartbeats and offers."""
@@ -146,7 +146,7 @@
         now_ms = monotonic_ms()
         if message.token != self.token or self._is_closed:
             return SubmitReply(SubmitStatus.NOT_OWNER, "another token")
-        if not self._sessions.has_right(holder, now_ms):
+        if not self._sessions.has_session(holder, now_ms):
             return SubmitReply(SubmitStatus.NOT_OWNER, "no session")
         reply = self._state.submit(holder, message, now_ms)
         log_delivery(self._record, sender, message, reply, self.load)
@@ -160,14 +160,14 @@
         earlier terms on this box are not recorded here.
         """
         holder = HolderId(sender, self._network.known_incarnation(sender))
-        is_asked = message.token in (0, self.token)
+        is_addressed = message.token in (0, self.token)
         known = self._state.cancel(holder, message.job_id, monotonic_ms(), message.delivery)
-        has_started = known or not is_asked
+        has_started = known or not is_addressed
         log_cancel(self._record, sender, message, has_started)
         self._execute_actions()
         return Cancelled(has_started)
 
-    async def follow_endpoints(self, endpoints: Container[str]) -> None:
+    async def sync_endpoints(self, endpoints: Container[str]) -> None:
         """Apply the catalog at once and wait until no start is in flight to *endpoints*.
 
         A draining endpoint's report is answered after that, so that no task reaches the endpoint
@@ -179,7 +179,7 @@
         await self._orders.wait_for_starts(endpoints)
 
     def handle_offer(self, message: WaitingGroups) -> None:
-        """Handle another zone's offer of waiting runs."""
+        """Handle another zone's offer of queued runs."""
         if self._is_closed or message.owner.zone == self._record.zone:
             return
         self._state.note_offer(message.owner.zone, message.groups, monotonic_ms())
@@ -193,7 +193,7 @@
         """Handle a work-stealing request from another zone's owner."""
         if self._is_closed:
             return StealReply(0)
-        given = self._state.release_stolen(
+        given = self._state.release_to_zone(
             message.group, message.runs, message.zone, monotonic_ms()
         )
         self._execute_actions()
@@ -214,10 +214,10 @@
     def may_renew(self, endpoint: str, now_ms: float) -> bool:
         """Return whether the lease of *endpoint* may be renewed.
 
-        It may not while a stop is overdue there, so that the run ends with the lease. Lapsed
+        It may not while a stop is overdue there, so that the run ends with the lease. Expired
         sessions are ended here too, because after a process pause this may run before any tick.
         """
-        self._end_lapsed_sessions(now_ms)
+        self._end_expired_sessions(now_ms)
         return not self._state.has_overdue_stop(endpoint, now_ms - STOP_OVERDUE_MS)
 
     def handle_report(self, report: EndpointReport, now_ms: float) -> None:
@@ -231,30 +231,30 @@
     def note_overdue(self, endpoint: str, call: str) -> None:
         """Exclude *endpoint*, whose answer is overdue, from placement until it answers."""
         candidate = self._state.candidates.get(endpoint)
-        if candidate is not None and candidate.is_trusted:
+        if candidate is not None and candidate.has_current_report:
             ENDPOINT_LOG.event("endpoint.suspected", endpoint=endpoint, call=call)
-            self._state.distrust(endpoint)
+            self._state.exclude_from_placement(endpoint)
 
-    def note_silent(self, endpoint: str) -> None:
+    def handle_unanswered_poll(self, endpoint: str) -> None:
         """Handle a failed poll of *endpoint*."""
-        self._state.note_silent(endpoint)
+        self._state.handle_unanswered_poll(endpoint)
 
-    def note_crashed(self, endpoint: str) -> None:
+    def handle_crash(self, endpoint: str) -> None:
         """Handle a crash of *endpoint*: nothing listens at its address any more."""
         if not self._is_closed:
-            self._state.note_crashed(endpoint, monotonic_ms())
+            self._state.handle_crash(endpoint, monotonic_ms())
             self._execute_actions()
 
-    def note_life_over(self, endpoint: str, born_ms: int) -> None:
-        """Handle the certain end of the incarnation of *endpoint* born at *born_ms*."""
+    def note_incarnation_ended(self, endpoint: str, born_ms: int) -> None:
+        """Handle the certain end of the incarnation of *endpoint* started at *born_ms*."""
         ENDPOINT_LOG.event("endpoint.life_over", endpoint=endpoint, born_ms=born_ms)
-        self.note_crashed(endpoint)
-        self._context.catalog.end_life(endpoint, born_ms, monotonic_ms())
+        self.handle_crash(endpoint)
+        self._context.catalog.end_incarnation(endpoint, born_ms, monotonic_ms())
 
-    def note_next_life(self, endpoint: str, born_ms: int) -> None:
-        """Handle an answer of a later incarnation of *endpoint*, born at *born_ms*."""
+    def note_next_incarnation(self, endpoint: str, born_ms: int) -> None:
+        """Handle an answer from a later incarnation of *endpoint*, started at *born_ms*."""
         if not self._is_closed:
-            self._links.begin_life(endpoint, born_ms)
+            self._links.begin_incarnation(endpoint, born_ms)
 
     def note_fenced(self, endpoint: str) -> None:
         """Report that *endpoint* has seen a higher token."""
@@ -270,21 +270,21 @@
         while True:
             now_ms = monotonic_ms()
             if self._context.catalog_age_ms() > _CATALOG_COMPLETE_AFTER_MS:
-                self._state.trust_catalog()
+                self._state.mark_catalog_complete()
             self._links.sync_with_catalog(now_ms)
-            self._end_lapsed_sessions(now_ms)
+            self._end_expired_sessions(now_ms)
             # While isolated, another box may own the zone and renew the leases of endpoints that
-            # are silent here, so none counts as lapsed (tests/models/owners_model.py).
+            # are silent here, so no lease counts as expired (tests/models/owners_model.py).
             if not self.is_isolated:
                 self._links.check_silent_endpoints(now_ms)
             self._state.tick(now_ms)
-            for stop in self._state.stops_to_repeat(now_ms - _STOP_RETRANSMISSION_MS, now_ms):
+            for stop in self._state.stops_to_retransmit(now_ms - _STOP_RETRANSMISSION_MS, now_ms):
                 self._tasks.spawn(self._orders.stop(stop))
             self._execute_actions()
             await asyncio.sleep(_TICK_S)
 
-    def _end_lapsed_sessions(self, now_ms: float) -> None:
-        """Stop the runs of boxes whose session has lapsed, as of the time it lapsed."""
+    def _end_expired_sessions(self, now_ms: float) -> None:
+        """Stop the runs of boxes whose session has expired, as of the time it expired."""
         for session in self._sessions.end_lapsed(now_ms):
             ENDPOINT_LOG.event(
                 "session.ended",
--- a/src/foldloom/seed_discovery/scheduling/rooms.py
+++ b/src/foldloom/seed_discovery/scheduling/endpoint_capacity.py
@@ -77,7 +77,7 @@
         self._free = add_demand(subtract_demand(self._free, self._capacity), capacity)
         self._capacity = capacity
 
-    def charge(self, task: TaskId, demand: Demand) -> None:
+    def allocate(self, task: TaskId, demand: Demand) -> None:
         """Allocate capacity to *task*; no effect if it already has an allocation."""
         if task in self._allocated:
             return
@@ -99,12 +99,12 @@
         if reserved is not None:
             self._free = add_demand(self._free, reserved.demand)
 
-    def unreserve_expired(self, now_ms: float) -> None:
+    def expire_reservations(self, now_ms: float) -> None:
         """Cancel expired reservations."""
         for number, reserved in list(self._reservations_by_number.items()):
             if now_ms >= reserved.until_ms:
                 self.cancel_reservation(number)
 
-    def count_of(self, job_id: str, step: int) -> int:
+    def allocated_count(self, job_id: str, step: int) -> int:
         """Return the number of a step's tasks with an allocation."""
         return sum(1 for task in self._allocated if task.job_id == job_id and task.step == step)
--- a/src/foldloom/seed_discovery/scheduling/endpoints.py
+++ b/src/foldloom/seed_discovery/scheduling/endpoints.py
@@ -7,11 +7,11 @@
 
 from foldloom.seed_discovery.endpoints.records import EndpointRecord, EndpointState
 from foldloom.seed_discovery.jobs.spec import Demand, TaskId
-from foldloom.seed_discovery.scheduling.rooms import EndpointCapacity, fits
+from foldloom.seed_discovery.scheduling.endpoint_capacity import EndpointCapacity, fits
 
 
 class OrphanedRun(NamedTuple):
-    """A run that an endpoint reports and that no entry box has submitted to this owner.
+    """A run that an endpoint lists and that is not the owner's current run of its task.
 
     Args:
         attempt: The attempt of its task.
@@ -34,10 +34,10 @@
 
     def __init__(self, record: EndpointRecord) -> None:
         self.record = record
-        self.room = EndpointCapacity(record.capacity)
-        self.is_trusted = False
+        self.resources = EndpointCapacity(record.capacity)
+        self.has_current_report = False
         self.is_silent = False
-        self.blocked_until_ms = 0.0
+        self.backoff_until_ms = 0.0
         self.orphans: dict[TaskId, OrphanedRun] = {}
         self.has_crashed = False
         self.lapsed_tasks: list[TaskId] = []
@@ -50,32 +50,37 @@
     @property
     def is_overdue(self) -> bool:
         """Whether it is ineligible only because its report is overdue."""
-        return self.is_ready and not self.is_trusted and not self.is_silent and not self.has_crashed
+        return (
+            self.is_ready
+            and not self.has_current_report
+            and not self.is_silent
+            and not self.has_crashed
+        )
 
     @property
     def is_idle(self) -> bool:
         """Whether it has no known runs."""
-        return not self.room.tasks and not self.orphans
+        return not self.resources.tasks and not self.orphans
 
-    def follow(self, record: EndpointRecord) -> None:
+    def update_record(self, record: EndpointRecord) -> None:
         """Apply a newer record of the same incarnation."""
         self.record = record
-        self.room.set_capacity(record.capacity)
+        self.resources.set_capacity(record.capacity)
 
-    def begin_life(self) -> None:
+    def begin_incarnation(self) -> None:
         """Reset the state of the previous incarnation; allocations stay until the next report."""
-        self.is_trusted = False
+        self.has_current_report = False
         self.is_silent = False
-        self.blocked_until_ms = 0.0
+        self.backoff_until_ms = 0.0
         self.orphans.clear()
-        self.note_alive()
+        self.mark_alive()
 
-    def note_alive(self) -> None:
+    def mark_alive(self) -> None:
         """Clear the crash state: the present incarnation has answered."""
         self.has_crashed = False
         self.lapsed_tasks = []
 
-    def is_described(self, born_ms: int) -> bool:
+    def has_current_record(self, born_ms: int) -> bool:
         """Return whether the record covers the incarnation started at *born_ms*.
 
         True if the record has no start time. The capacity and state of an incarnation are unknown
@@ -83,18 +88,18 @@
         """
         return not self.record.born_ms or self.record.born_ms >= born_ms
 
-    def is_open(self, now_ms: float) -> bool:
+    def is_eligible(self, now_ms: float) -> bool:
         """Return whether runs may be placed on it now.
 
         Its free capacity is unknown while it has orphaned runs.
         """
         return (
-            self.is_trusted
+            self.has_current_report
             and self.is_ready
             and not self.orphans
-            and now_ms >= self.blocked_until_ms
+            and now_ms >= self.backoff_until_ms
         )
 
     def has_capacity_for(self, demand: Demand) -> bool:
         """Return whether its free capacity covers *demand*."""
-        return fits(demand, self.room.free)
+        return fits(demand, self.resources.free)
--- a/src/foldloom/seed_discovery/scheduling/runs.py
+++ b/src/foldloom/seed_discovery/scheduling/runs.py
@@ -13,7 +13,7 @@
     """An incarnation of a box with a session; it is notified when its runs end."""
 
     box: str
-    life: int
+    incarnation: int
 
 
 class RunState(Enum):
@@ -33,31 +33,31 @@
         job_id: The job.
         queue: The queue of the job.
         service: The service whose endpoints run it.
-        text: Input of the tasks.
+        task_input: Input of the tasks.
         demand: Resource demand of each task.
         placement: Placement constraints.
         priority: 0 is the highest.
         estimate_ms: The caller's estimate of a task's duration.
-        began_ms: Arrival of the job; the owner's own clock.
+        arrived_ms: Arrival of the job; the owner's own clock.
         stretch: The job's objective is this factor times its critical path, ...
         slack_ms: ... plus this.
-        other_ms: Estimated duration of the other steps on the critical path.
+        other_steps_ms: Estimated duration of the other steps on the critical path.
         tasks: Number of tasks of the step.
-        deadline_ms: When the job is given up.
+        deadline_ms: When the job is cancelled.
     """
 
     job_id: str
     queue: str
     service: str
-    text: str
+    task_input: str
     demand: Demand
     placement: Placement
     priority: int
     estimate_ms: int
-    began_ms: float
+    arrived_ms: float
     stretch: float
     slack_ms: float
-    other_ms: float
+    other_steps_ms: float
     tasks: int
     deadline_ms: float
 
@@ -66,8 +66,8 @@
     """The present run of a task; an owner has at most one for each task.
 
     ``began_ms`` is when this owner sent the start order (0: an earlier owner did);
-    ``stop_known_ms`` when the endpoint confirmed a stop order (0: not yet);
-    ``stopped_after_ms`` the run time of the previous attempt if it was stopped as stuck (0: it was
+    ``stop_confirmed_ms`` when the endpoint confirmed a stop order (0: not yet);
+    ``stuck_attempt_ms`` the run time of the previous attempt if it was stopped as stuck (0: it was
     not); ``holders`` the boxes that want the run, each with its newest delivery of it.
 
     Args:
@@ -85,9 +85,9 @@
         "since_ms",
         "spec",
         "state",
-        "stop_known_ms",
+        "stop_confirmed_ms",
         "stop_sent_ms",
-        "stopped_after_ms",
+        "stuck_attempt_ms",
         "task",
         "recovery_bound",
         "endpoint",
@@ -103,9 +103,9 @@
         self.since_ms = since_ms
         self.endpoint = ""
         self.began_ms = 0.0
-        self.stop_known_ms = 0.0
+        self.stop_confirmed_ms = 0.0
         self.stop_sent_ms = 0.0
-        self.stopped_after_ms = 0.0
+        self.stuck_attempt_ms = 0.0
         self.holders: dict[HolderId, int] = {}
         self.recovery_bound = RecoveryBound(0.0, 0.0)
 
@@ -120,17 +120,17 @@
             self.began_ms = now_ms
         elif state is RunState.QUEUED:
             self.began_ms = 0.0
-            self.stop_known_ms = 0.0
+            self.stop_confirmed_ms = 0.0
         self.state = state
         self.since_ms = now_ms
         self.endpoint = endpoint
 
 
 class RecoveryBound(NamedTuple):
-    """When the search for a run that an earlier owner may have started can end.
+    """Times that decide when a recovering run is lost.
 
     Args:
-        reports_after_ms: A running run is listed in reports requested after this time.
+        reports_after_ms: A run that exists is listed in every report polled after this time.
         lost_at_ms: By this time its lease has expired on every endpoint.
     """
 
--- a/src/foldloom/seed_discovery/scheduling/speeds.py
+++ b/src/foldloom/seed_discovery/scheduling/speeds.py
@@ -11,7 +11,7 @@
 
 # Weight of a new run: the mean follows a slowed endpoint within about ten runs.
 _EWMA_WEIGHT = 0.1
-# Allowance for estimation errors (a factor of 1.5) in the lower bound from an unfinished run.
+# Subtracted from the logarithm of an unfinished run's slowdown, to allow for estimation errors.
 _OVERDUE_LOG_MARGIN = 0.4
 # Runs between two updates of the median.
 _RUNS_PER_MEDIAN = 25
@@ -34,7 +34,7 @@
         mean = self._mean_log_ratios.get(endpoint)
         return 1.0 if mean is None else math.exp(self._median - mean)
 
-    def note(self, endpoint: str, ran_ms: float, expected_ms: float) -> None:
+    def record(self, endpoint: str, ran_ms: float, expected_ms: float) -> None:
         """Update the speed with a finished run."""
         if ran_ms <= 0 or expected_ms <= 0:
             return
@@ -53,6 +53,6 @@
         if lower_bound > self._mean_log_ratios.get(endpoint, self._median):
             self._mean_log_ratios[endpoint] = lower_bound
 
-    def forget(self, endpoint: str) -> None:
+    def remove(self, endpoint: str) -> None:
         """Remove an endpoint."""
         self._mean_log_ratios.pop(endpoint, None)
--- a/src/foldloom/static_peers/box.py
+++ b/src/foldloom/static_peers/box.py
@@ -12,9 +12,9 @@
 
 from foldloom.clock import monotonic_ms
 from foldloom.controllers.client import ControllerClient
-from foldloom.controllers.config import ANY_STORAGE, Config, empty_config
+from foldloom.controllers.config import UNRECORDED_STORAGE_ID, Config, empty_config
 from foldloom.controllers.controller import Callbacks, Controller
-from foldloom.controllers.holder import ConfigHolder
+from foldloom.controllers.holder import ConfigStore
 from foldloom.ids import new_incarnation
 from foldloom.logs import CONFIG_LOG, ENTRY_LOG
 from foldloom.metrics import Metrics
@@ -22,18 +22,18 @@
 from foldloom.pauses import log_pause, watch_pauses
 from foldloom.peers.wire import PeerNetwork
 from foldloom.settings import CONTROLLER, ENTRY, Settings
-from foldloom.static_peers.box_list import BoxListSettler
+from foldloom.static_peers.box_list import JointBoxListFinalizer
 from foldloom.static_peers.endpoints.adapter import EndpointAdapter
 from foldloom.static_peers.endpoints.platform import PlatformList
 from foldloom.static_peers.entry.http import HttpServer
 from foldloom.static_peers.entry.operators import OperatorRoutes
-from foldloom.static_peers.entry_role import EntryRole, SharedParts
+from foldloom.static_peers.entry_role import EntryRole, SharedComponents
 from foldloom.static_peers.membership import Heartbeat, Membership
 from foldloom.tasks import TaskSet
 
-# Poll interval of configuration, membership and the platform's list: below a heartbeat (250 ms).
+# Poll interval of configuration, membership and the platform's list; shorter than heartbeat_ms.
 _INPUT_POLL_S = 0.1
-# Timeout of the read barrier: above two elections.
+# Timeout of the read barrier; longer than two elections.
 _BARRIER_TIMEOUT_MS = 1_500
 
 
@@ -54,7 +54,7 @@
         self._network = PeerNetwork(settings, new_incarnation(), self._metrics)
         initial = _initial_config(settings)
         cache_folder = settings.data_folder
-        self._holder = ConfigHolder(self._network, initial, cache_folder)
+        self._holder = ConfigStore(self._network, initial, cache_folder)
         self._client = ControllerClient(self._network, settings.controller_names)
         self._membership = Membership(settings, self._network, self._next_heartbeat)
         self._controller: Controller | None = None
@@ -125,9 +125,11 @@
         if self._controller is not None:
             self._tasks.spawn(self._controller.run())
             self._tasks.spawn(
-                BoxListSettler(self._settings, self._controller, self._membership).run()
+                JointBoxListFinalizer(self._settings, self._controller, self._membership).run()
             )
-        ENTRY_LOG.info("Box {} is up, life {}.", self._settings.box, self._network.incarnation)
+        ENTRY_LOG.info(
+            "Box {} started, incarnation {}.", self._settings.box, self._network.incarnation
+        )
 
     async def stop(self) -> None:
         """Perform a planned stop: finish jobs in flight and hand over retained responses."""
@@ -146,7 +148,7 @@
         ENTRY_LOG.info("Planned stop completed.")
 
     def _build_entry_role(self) -> EntryRole:
-        parts = SharedParts(
+        parts = SharedComponents(
             self._settings,
             self._network,
             self._metrics,
@@ -188,13 +190,13 @@
         """Poll for changes of configuration, membership and the platform's list."""
         while True:
             for box, state in self._membership.states.items():
-                self._holder.note_version(box, state.heartbeat.config_version)
+                self._holder.pull_if_newer(box, state.heartbeat.config_version)
             if self._entry is not None:
                 self._entry.propagate_inputs()
             await asyncio.sleep(_INPUT_POLL_S)
 
     async def _confirm_current(self) -> None:
-        """Wait until the version in force here is the newest confirmed version."""
+        """Wait until the version in effect here is the newest confirmed version."""
         started_ms = monotonic_ms()
         while True:
             version = await self._client.newest_version(_BARRIER_TIMEOUT_MS)
@@ -212,5 +214,5 @@
 def _initial_config(settings: Settings) -> Config:
     """Return version 0 of the configuration, derived from the settings."""
     zones = {peer.box: peer.zone for peer in settings.peers if ENTRY in peer.roles}
-    controllers = dict.fromkeys(settings.controller_names, ANY_STORAGE)
+    controllers = dict.fromkeys(settings.controller_names, UNRECORDED_STORAGE_ID)
     return empty_config(zones, controllers)
--- a/src/foldloom/static_peers/box_list.py
+++ b/src/foldloom/static_peers/box_list.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
-"""The leader settles a joint box list after all old boxes have acknowledged it.
+"""The leader finalizes a joint box list after all old boxes have acknowledged it.
 
-The list settles one retention time after the acknowledgments, which arrive in heartbeats. Each
+The list is final one retention time after the acknowledgments, which arrive in heartbeats. Each
 leader restarts the wait.
 """
 
@@ -18,12 +18,12 @@
 from foldloom.settings import Settings
 from foldloom.static_peers.membership import Membership
 
-# One heartbeat interval.
+# Interval between checks of the box list; equals the default heartbeat_ms.
 _CHECK_INTERVAL_S = 0.25
 
 
-class BoxListSettler:
-    """Settle joint box lists while this controller is the leader.
+class JointBoxListFinalizer:
+    """Finalizes joint box lists while this controller is the leader.
 
     Args:
         settings: This box's settings.
@@ -38,14 +38,14 @@
         self._acknowledged_since: tuple[int, float] | None = None
 
     async def run(self) -> None:
-        """Settle joint box lists until cancelled."""
+        """Finalize joint box lists until cancelled."""
         while True:
             await asyncio.sleep(_CHECK_INTERVAL_S)
             boxes = self._controller.state.config.boxes
             if not self._controller.is_leading or boxes["next"] is None:
                 self._acknowledged_since = None
                 continue
-            if not self._can_settle(boxes["epoch"]):
+            if not self._can_finalize(boxes["epoch"]):
                 continue
             try:
                 await propose(self._controller, encode_command(BoxesSettledCommand(boxes["epoch"])))
@@ -54,10 +54,10 @@
                 # Retried: leadership may have changed, or the command may already be logged.
                 continue
 
-    def _can_settle(self, epoch: int) -> bool:
+    def _can_finalize(self, epoch: int) -> bool:
         """Return whether all old boxes acknowledged *epoch* at least one retention time ago.
 
-        A new leader restarts the wait: settling late is safe, settling early is not.
+        A new leader restarts the wait: finalizing late is safe, finalizing early is not.
         """
         boxes = self._controller.state.config.boxes
         others = set(boxes["current"]) - set(boxes["dead"]) - {self._settings.box}
--- a/src/foldloom/static_peers/claims/acquire.py
+++ b/src/foldloom/static_peers/claims/acquire.py
@@ -35,13 +35,13 @@
     """Result of an attempt to acquire a claim.
 
     Args:
-        how: The outcome.
-        holders: Conflicting claims of other coordinators.
+        outcome: Whether the claim was won, is held by others, or lacked a quorum.
+        conflicting_claims: Conflicting claims of other coordinators.
         detail: Each replica's vote, as text.
     """
 
-    how: Acquisition
-    holders: list[Claim]
+    outcome: Acquisition
+    conflicting_claims: list[Claim]
     detail: str
 
 
@@ -111,7 +111,7 @@
             else:
                 self._network.send(box, message)
 
-    def release_held(self, submission: str, claim: Claim) -> None:
+    def notify_withdrawn(self, submission: str, claim: Claim) -> None:
         """Notify the replicas that the coordinator of *claim* has withdrawn it."""
         message = ReleaseHeld(submission, claim.coordinator, claim.incarnation, claim.attempt)
         for box in self._service.replicas_of(submission).boxes:
@@ -166,8 +166,8 @@
             f"{box} {replies[box].vote.name.lower() if box in replies else 'silent'}"
             for box in replicas.boxes
         ]
-        how = Acquisition.HELD if holders else Acquisition.NO_QUORUM
-        return AcquireResult(how, holders, ", ".join(vote_texts))
+        outcome = Acquisition.HELD if holders else Acquisition.NO_QUORUM
+        return AcquireResult(outcome, holders, ", ".join(vote_texts))
 
 
 def _cancel_all(pending: set[asyncio.Task[tuple[str, ClaimReply | None]]]) -> None:
--- a/src/foldloom/static_peers/entry/coordinator.py
+++ b/src/foldloom/static_peers/entry/coordinator.py
@@ -41,7 +41,7 @@
 
 
 class Coordinator:
-    """Coordinate the jobs submitted to this box.
+    """Coordinates the jobs submitted to this box.
 
     Args:
         settings: This box's settings.
@@ -85,7 +85,7 @@
         assert job.response is not None
         return job.response
 
-    async def finish_all(self) -> None:
+    async def wait_all_finished(self) -> None:
         """Wait until every job of this box has a response."""
         await self._tasks.wait()
 
@@ -104,16 +104,16 @@
         result = None
         for _ in range(_CLAIM_ATTEMPTS_MAX):
             result = await self._acquirer.acquire(job.submission, job.digest, job.attempt)
-            if result.how is Acquisition.WON:
+            if result.outcome is Acquisition.WON:
                 self._metrics.timing("claim_ms", monotonic_ms() - started_ms)
                 await self._run(job, request, started_ms, deadline_ms)
                 return
             CLAIM_LOG.info(
-                "Job {}: claim {} ({}).", job.submission, result.how.value, result.detail
+                "Job {}: claim {} ({}).", job.submission, result.outcome.value, result.detail
             )
             job.enter_state(JobState.FOLLOWING)
             self._acquirer.withdraw(job.submission, job.attempt)
-            response = await self._follow_holders(job, result, deadline_ms)
+            response = await self._follow_coordinators(job, result, deadline_ms)
             if response is not None:
                 self._finish(job, JobState.FOLLOWING, response)
                 return
@@ -126,15 +126,15 @@
         )
         self._finish(job, JobState.FOLLOWING, response)
 
-    async def _follow_holders(
+    async def _follow_coordinators(
         self, job: Job, result: AcquireResult, deadline_ms: float
     ) -> Response | None:
         """Return another coordinator's response, or ``None`` if all claims met are withdrawn."""
-        for holder in result.holders:
+        for holder in result.conflicting_claims:
             followed = await self._follow(job, holder, deadline_ms)
             if followed.end is FollowEnd.RESPONSE:
                 return followed.response
-            self._acquirer.release_held(job.submission, holder)
+            self._acquirer.notify_withdrawn(job.submission, holder)
         return None
 
     async def _follow(self, job: Job, holder: Claim, deadline_ms: float) -> Followed:
--- a/src/foldloom/static_peers/entry/follow.py
+++ b/src/foldloom/static_peers/entry/follow.py
@@ -33,14 +33,14 @@
     HandoverReply,
 )
 from foldloom.static_peers.membership import Membership
-from foldloom.time_limits import TimeLimit
+from foldloom.time_limits import SuspendAwareTimeout
 from foldloom.verdicts import Problem, may_have_run, not_run
 
 # How long the coordinator holds one attach request; bounds the delay caused by a lost reply.
 _LONG_POLL_MS = 1_000
-# The same for a lookup, which does not wait for the job.
-_PEEK_MS = 1
-# Above _LONG_POLL_MS.
+# Wait of an attach request for a lookup, which does not wait for the job to end.
+_LOOKUP_WAIT_MS = 1
+# Timeout of an attach request; longer than _LONG_POLL_MS.
 _ATTACH_TIMEOUT_MS = 1_500
 # Sent to callers whose job may be running on another box.
 _RETRY_AFTER_MS = 1_000
@@ -76,7 +76,7 @@
 
 
 class JobFollower:
-    """Follow jobs on other boxes, and let other boxes follow the jobs of this box.
+    """Follows jobs on other boxes, and lets other boxes follow the jobs of this box.
 
     Args:
         settings: This box's settings.
@@ -108,7 +108,7 @@
         Polls until the job ends or *deadline_ms* has passed. If *is_waiting* is false, returns
         ``RUNNING`` for a job that has not ended.
         """
-        wait_ms = _LONG_POLL_MS if is_waiting else _PEEK_MS
+        wait_ms = _LONG_POLL_MS if is_waiting else _LOOKUP_WAIT_MS
         failed_polls = 0
         while monotonic_ms() < deadline_ms:
             target = self._target(claim)
@@ -132,7 +132,7 @@
             return self._followed_from(submission, reply)
         return self._ended(submission, DEADLINE)
 
-    async def pass_answers_to(self, successor: str) -> int:
+    async def hand_over_responses(self, successor: str) -> int:
         """Send all retained responses to *successor*; return the number it accepted."""
         completed = self._jobs.completed_responses()
         taken = 0
@@ -195,7 +195,7 @@
     async def _wait(self, job: Job, wait_ms: int) -> None:
         """Wait up to *wait_ms* until *job* has ended or does not run on this box."""
         try:
-            async with TimeLimit(wait_ms):
+            async with SuspendAwareTimeout(wait_ms):
                 await job.wait_claim_outcome()
                 if job.state is JobState.RUNNING:
                     await job.wait_finished()
--- a/src/foldloom/static_peers/entry/http.py
+++ b/src/foldloom/static_peers/entry/http.py
@@ -27,7 +27,7 @@
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
 JSON_TYPE = "application/json"
-# For connections still open when the box stops; its jobs have been answered by then.
+# Timeout for connections still open when the box stops, after all its jobs are answered.
 _SHUTDOWN_TIMEOUT_S = 1.0
 # aiohttp's default, which must be passed to the handler explicitly.
 _HEAD_LINE_MAX_BYTES = 8_190
@@ -216,7 +216,7 @@
         if not is_valid_submission(submission):
             detail = "submission: not a well-formed id"
             return self._problem("", not_run("bad-request", detail, status=400))
-        response = await self._lookup.peek(submission)
+        response = await self._lookup.look_up(submission)
         if response is None:
             fields = {"submission": submission, "verdict": "running"}
             return web.json_response(fields, status=202)
--- a/src/foldloom/static_peers/entry/run.py
+++ b/src/foldloom/static_peers/entry/run.py
@@ -22,14 +22,14 @@
 from foldloom.metrics import Metrics
 from foldloom.static_peers.endpoints.adapter import EndpointAdapter, TaskAnswer, TaskCall
 from foldloom.static_peers.entry.requests import JobRequest
-from foldloom.static_peers.placement.messages import SlotRefusal, SlotUse
+from foldloom.static_peers.placement.messages import SlotOutcome, SlotRefusal
 from foldloom.static_peers.placement.retries import (
     RetryBudget,
-    is_endpoint_death,
+    is_endpoint_crash,
     may_retry,
 )
 from foldloom.static_peers.placement.slots import Slot, SlotSource, SlotWaiter
-from foldloom.time_limits import TimeLimit
+from foldloom.time_limits import SuspendAwareTimeout
 from foldloom.verdicts import Problem, Run, may_have_run, not_run
 
 _RETRY_AFTER_MS = 500
@@ -54,7 +54,7 @@
         slots: Source of slots.
         budget: The box's retry budget.
         metrics: Counters.
-        config: Returns the configuration in force.
+        config: Returns the configuration in effect.
         leaving: Returns the endpoints that the platform lists as leaving.
     """
 
@@ -98,7 +98,7 @@
         self._unfinished = len(request.payloads)
         self._events: asyncio.Queue[Any] = asyncio.Queue()
         self._attempts: dict[asyncio.Task[Result[TaskAnswer, Problem]], tuple[int, str]] = {}
-        self._endpoint_deaths: Counter[int] = Counter()
+        self._endpoint_crashes: Counter[int] = Counter()
         self._possible_starts = 0
         self._max_service_ms = 0.0
 
@@ -112,7 +112,7 @@
         self._service = self._context.config().services.get(self._request.service)
         if self._service is None:
             detail = f"service: {self._request.service} is unknown"
-            # Retryable: the service may be confirmed but not yet in force on this box.
+            # Retryable: the service may be confirmed but not yet in effect on this box.
             return Error(not_run("unknown-service", detail, _RETRY_AFTER_MS, status=404))
         waiter = self._context.slots.open_waiter(
             self._request.service, self._request.customer, self._deadline_ms, self._unfinished
@@ -146,7 +146,7 @@
         if not self._events.empty():
             return self._events.get_nowait()
         try:
-            async with TimeLimit(self._deadline_ms - monotonic_ms()):
+            async with SuspendAwareTimeout(self._deadline_ms - monotonic_ms()):
                 return await self._events.get()
         except TimeoutError:
             # At the deadline, _run_tasks fails the job.
@@ -154,7 +154,7 @@
 
     def _return_unused(self, arrival: Slot | SlotRefusal) -> None:
         if isinstance(arrival, Slot):
-            self._context.slots.give_back(arrival, 0.0, SlotUse.UNUSED)
+            self._context.slots.release(arrival, 0.0, SlotOutcome.UNUSED)
 
     def _handle_arrival(self, arrival: Slot | SlotRefusal, waiter: SlotWaiter) -> Problem | None:
         if isinstance(arrival, SlotRefusal):
@@ -202,7 +202,7 @@
             payload=self._request.payloads[index],
         )
         PLACE_LOG.info(
-            "Task {}/{} goes to {} as {} on lease {}.",
+            "Starting task {}/{} on {} as attempt {} with lease {}.",
             self._submission,
             index,
             slot.endpoint,
@@ -210,7 +210,7 @@
             slot.lease_id,
         )
         self._possible_starts += 1
-        context.budget.note_start()
+        context.budget.record_start()
         context.metrics.count("tasks.started")
         return await context.adapter.start_task(url, self._submission, index, call, remaining_ms)
 
@@ -220,11 +220,11 @@
         """Return the slot; queue the attempt's result unless it was cancelled."""
         self._attempts.pop(task, None)
         if task.cancelled():
-            self._context.slots.give_back(slot, 0.0, SlotUse.UNUSED)
+            self._context.slots.release(slot, 0.0, SlotOutcome.UNUSED)
             return
         result = task.result()
         use, service_ms = _slot_use(result)
-        self._context.slots.give_back(slot, service_ms, use)
+        self._context.slots.release(slot, service_ms, use)
         self._events.put_nowait(AttemptEnd(index, result))
 
     async def _handle_end(self, end: AttemptEnd, waiter: SlotWaiter) -> Problem | None:
@@ -243,13 +243,13 @@
             # Attempts share the job's deadline, and their timer may fire first. The caller gets
             # 504 in either case.
             return _DEADLINE
-        self._endpoint_deaths[end.task_index] += is_endpoint_death(problem)
-        deaths = self._endpoint_deaths[end.task_index]
-        if not may_retry(problem, self._service, self._request.repeatable, deaths):
+        self._endpoint_crashes[end.task_index] += is_endpoint_crash(problem)
+        crashes = self._endpoint_crashes[end.task_index]
+        if not may_retry(problem, self._service, self._request.repeatable, crashes):
             return problem
-        if not self._context.budget.spend():
+        if not self._context.budget.consume():
             return problem._replace(detail=f"{problem.detail}; the retry budget is used up")
-        PLACE_LOG.info("Task {}/{} again: {}.", self._submission, end.task_index, problem.reason)
+        PLACE_LOG.info("Retrying task {}/{}: {}.", self._submission, end.task_index, problem.reason)
         self._context.metrics.count("tasks.retried")
         await asyncio.sleep(_RETRY_DELAY_S)
         self._pending.appendleft(end.task_index)
@@ -274,12 +274,12 @@
         return problem._replace(run=Run.MAY_HAVE_RUN if self._possible_starts else Run.NOT_RUN)
 
 
-def _slot_use(result: Result[TaskAnswer, Problem]) -> tuple[SlotUse, float]:
+def _slot_use(result: Result[TaskAnswer, Problem]) -> tuple[SlotOutcome, float]:
     """Return the slot use that an attempt's result implies, and its service time."""
     if result.is_ok():
-        return SlotUse.DONE, result.ok.service_ms
+        return SlotOutcome.DONE, result.ok.service_ms
     if result.error.reason in _NON_ENDPOINT_FAULTS:
-        return SlotUse.UNUSED, 0.0
+        return SlotOutcome.UNUSED, 0.0
     if result.error.run is Run.NOT_RUN:
-        return SlotUse.NOT_RUN, 0.0
-    return SlotUse.FAILED, 0.0
+        return SlotOutcome.NOT_RUN, 0.0
+    return SlotOutcome.FAILED, 0.0
--- a/src/foldloom/static_peers/entry_role.py
+++ b/src/foldloom/static_peers/entry_role.py
@@ -2,7 +2,7 @@
 """The entry role of a box: claims, slots, and the coordinator of callers' jobs.
 
 Builds the components that only an entry box has on those that every box has
-(:class:`SharedParts`).
+(:class:`SharedComponents`).
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from foldloom.clock import monotonic_ms
 from foldloom.controllers.client import ControllerClient
 from foldloom.controllers.config import BoxList, endpoints_of
-from foldloom.controllers.holder import ConfigHolder
+from foldloom.controllers.holder import ConfigStore
 from foldloom.logs import ENTRY_LOG
 from foldloom.metrics import Metrics
 from foldloom.peers.wire import PeerNetwork
@@ -38,10 +38,10 @@
 from foldloom.static_peers.placement.leased_slots import LeasedSlots
 from foldloom.static_peers.placement.policies import POLICIES, SlotLeases
 from foldloom.static_peers.placement.retries import RetryBudget
-from foldloom.static_peers.placement.shards import Managers
+from foldloom.static_peers.placement.shards import ManagerCache
 from foldloom.static_peers.placement.slots import SlotSource
 from foldloom.tasks import TaskSet
-from foldloom.time_limits import TimeLimit
+from foldloom.time_limits import SuspendAwareTimeout
 
 # The manager of a shard is looked up for each lease, and changes only with membership.
 _MANAGER_CACHE_MS = 50.0
@@ -51,14 +51,14 @@
 _FINAL_HEARTBEAT_INTERVAL_S = 0.05
 
 
-class SharedParts(NamedTuple):
+class SharedComponents(NamedTuple):
     """Components that every box has.
 
     Args:
         settings: This box's settings.
         network: Messages to and from the peers.
         metrics: Counters.
-        holder: The configuration in force.
+        holder: The configuration in effect.
         client: Client of the controllers' leader.
         membership: Liveness of the boxes.
         platform: The platform's list of leaving boxes and endpoints.
@@ -69,7 +69,7 @@
     settings: Settings
     network: PeerNetwork
     metrics: Metrics
-    holder: ConfigHolder
+    holder: ConfigStore
     client: ControllerClient
     membership: Membership
     platform: PlatformList
@@ -85,12 +85,12 @@
         is_stopping: Returns whether a planned stop has begun.
     """
 
-    def __init__(self, parts: SharedParts, is_stopping: Callable[[], bool]) -> None:
+    def __init__(self, parts: SharedComponents, is_stopping: Callable[[], bool]) -> None:
         self._parts = parts
         self._settings = parts.settings
         self._successor = ""
         self._last_inputs: Any = None
-        self._managers = Managers(self._serving_zones, _MANAGER_CACHE_MS)
+        self._managers = ManagerCache(self._serving_zones, _MANAGER_CACHE_MS)
         self._leases: LeaseManager | None = None
         self._claims = self._build_claims()
         limits = self._settings.limits
@@ -150,15 +150,15 @@
         if inputs == self._last_inputs:
             return
         # Each change is handled once, so it must not be hidden by a cached manager.
-        self._managers.look_again()
-        self._leases.follow(config, leaving, zones)
+        self._managers.invalidate()
+        self._leases.apply_config(config, leaving, zones)
         self._last_inputs = inputs
 
     async def drain(self) -> None:
         """Finish the jobs in flight and hand over retained responses, within the stop timeout."""
         try:
-            async with TimeLimit(self._settings.timings.stop_timeout_ms):
-                await self._coordinator.finish_all()
+            async with SuspendAwareTimeout(self._settings.timings.stop_timeout_ms):
+                await self._coordinator.wait_all_finished()
                 await self._hand_over_responses()
         except TimeoutError:
             ENTRY_LOG.warning("The planned stop timed out; jobs in flight are aborted.")
@@ -177,7 +177,7 @@
         successors.sort(key=lambda box: zone_of(box) != self._settings.zone)
         if not successors:
             return
-        taken = await self._follower.pass_answers_to(successors[0])
+        taken = await self._follower.hand_over_responses(successors[0])
         self._successor = successors[0]
         ENTRY_LOG.info("Handed over {} responses to {}.", taken, successors[0])
 
@@ -219,7 +219,7 @@
         if not isinstance(policy, SlotLeases):
             reports = UsageReports(parts.adapter, lambda: parts.holder.config)
             parts.tasks.spawn(reports.run())
-            return DirectSlots(policy, self._usable_endpoints, lambda: reports.running)
+            return DirectSlots(policy, self._eligible_endpoints, lambda: reports.running)
         self._leases = LeaseManager(
             self._settings,
             parts.network,
@@ -265,7 +265,7 @@
             for load in state.heartbeat.loads
         }
 
-    def _usable_endpoints(self, service: str) -> list[str]:
+    def _eligible_endpoints(self, service: str) -> list[str]:
         leaving = self._parts.platform.leaving
         names = endpoints_of(self._parts.holder.config, service)
         return [name for name in names if name not in leaving]
--- a/src/foldloom/static_peers/placement/bounds.py
+++ b/src/foldloom/static_peers/placement/config_limits.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Limits set by the configuration in force: quotas, concurrency and slots.
+"""Limits set by the configuration in effect: quotas, concurrency and slots.
 
 A customer missing from the configuration has a quota of 1 and no concurrency limit; a missing
 service or endpoint has no capacity.
@@ -10,13 +10,13 @@
 from foldloom.controllers.config import Config
 
 
-class Bounds:
-    """Limits of the configuration in force; without a configuration no service has capacity."""
+class ConfigLimits:
+    """Limits of the configuration in effect; without a configuration no service has capacity."""
 
     def __init__(self) -> None:
         self._config: Config | None = None
 
-    def follow(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         """Apply a configuration."""
         self._config = config
 
--- a/src/foldloom/static_peers/placement/direct_slots.py
+++ b/src/foldloom/static_peers/placement/direct_slots.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 
 from foldloom.clock import monotonic_ms
-from foldloom.static_peers.placement.messages import SlotRefusal, SlotUse
+from foldloom.static_peers.placement.messages import SlotOutcome, SlotRefusal
 from foldloom.static_peers.placement.policies import Policy, View, choose
-from foldloom.static_peers.placement.slots import RESEND_INTERVAL_MS, Slot, SlotWaiter
+from foldloom.static_peers.placement.slots import RETRANSMISSION_INTERVAL_MS, Slot, SlotWaiter
 
 
 class DirectSlots:
@@ -54,7 +54,7 @@
             choice = choose(self._policy, view)
             if choice is None:
                 waiter.arrivals.put_nowait(
-                    SlotRefusal(waiter.request_id, "no-worker", RESEND_INTERVAL_MS)
+                    SlotRefusal(waiter.request_id, "no-worker", RETRANSMISSION_INTERVAL_MS)
                 )
                 return
             endpoint = choice.endpoint
@@ -68,8 +68,8 @@
         while not waiter.arrivals.empty():
             arrival = waiter.arrivals.get_nowait()
             if isinstance(arrival, Slot):
-                self.give_back(arrival, 0.0, SlotUse.UNUSED)
+                self.release(arrival, 0.0, SlotOutcome.UNUSED)
 
-    def give_back(self, slot: Slot, service_ms: float, use: SlotUse) -> None:
+    def release(self, slot: Slot, service_ms: float, use: SlotOutcome) -> None:
         """Return a slot."""
         self._local_counts[slot.endpoint] = self._local_counts.get(slot.endpoint, 1) - 1
--- a/src/foldloom/static_peers/placement/lease_manager.py
+++ b/src/foldloom/static_peers/placement/lease_manager.py
@@ -33,8 +33,8 @@
 
 # Seconds between ticks.
 _TICK_S = 0.1
-# Milliseconds for which a new manager collects the holders' leases before it grants: above one
-# heartbeat, by which they learn of the change.
+# How long a new lease manager collects reports of existing leases before it grants slots, in
+# milliseconds. Longer than a heartbeat interval, within which the holders learn of the change.
 _REPORT_WINDOW_MS = 300
 # Time-to-live of a grant message, in milliseconds.
 _GRANT_TTL_MS = 500
@@ -104,7 +104,7 @@
         """The managed shards by name."""
         return dict(self._shards)
 
-    def follow(self, config: Config, leaving: set[str], reachable_zones: set[str]) -> None:
+    def apply_config(self, config: Config, leaving: set[str], reachable_zones: set[str]) -> None:
         """Apply a configuration: take over or release shards and update their endpoints."""
         names = shard_names(config, self._settings.limits.lease_shard_endpoints)
         self._shard_of_endpoint = {
@@ -112,7 +112,7 @@
         }
         for removed in set(self._shards) - set(names):
             self._release_shard(removed)
-        usable = {
+        eligible = {
             name
             for name, endpoint in config.endpoints.items()
             if name not in leaving and is_in_reachable_zone(endpoint, reachable_zones)
@@ -122,7 +122,7 @@
                 self._release_shard(name)
                 continue
             shard = self._shards.get(name) or self._take_over(name)
-            shard.set_endpoints(config, endpoints, usable)
+            shard.set_endpoints(config, endpoints, eligible)
 
     async def run(self) -> None:
         """Expire leases, check ejected endpoints and grant slots, until cancelled."""
@@ -184,7 +184,7 @@
         if shard is None:
             self._metrics.count("messages.wasted.return")
             return
-        shard.give_back(message, monotonic_ms())
+        shard.release(message, monotonic_ms())
         self._send_grants(name, shard)
 
     def _on_hold(self, sender: str, message: SlotHold) -> None:
--- a/src/foldloom/static_peers/placement/shard.py
+++ b/src/foldloom/static_peers/placement/shard.py
@@ -13,22 +13,22 @@
 from foldloom.controllers.config import Config, endpoints_of
 from foldloom.settings import Settings
 from foldloom.static_peers.placement.admission import RETRY_MAX_MS, AdmissionLoad, check_admission
-from foldloom.static_peers.placement.bounds import Bounds
+from foldloom.static_peers.placement.config_limits import ConfigLimits
 from foldloom.static_peers.placement.ejection import Ejection
 from foldloom.static_peers.placement.health import Health
 from foldloom.static_peers.placement.leases import Lease, LeaseTable, reported_lease
 from foldloom.static_peers.placement.messages import (
     HeldSlot,
     SlotGrant,
+    SlotOutcome,
     SlotRefusal,
     SlotRequest,
     SlotReturn,
-    SlotUse,
 )
-from foldloom.static_peers.placement.policies import Choice, Policy, choose, job_size
+from foldloom.static_peers.placement.policies import Choice, Policy, choose, reference_task_size
 from foldloom.static_peers.placement.queue import PendingRequest, RequestQueue
+from foldloom.static_peers.placement.service_times import ServiceTimes
 from foldloom.static_peers.placement.shares import GrantRates
-from foldloom.static_peers.placement.speeds import SpeedTable
 from foldloom.static_peers.placement.views import ViewTable
 
 # Multiple of the endpoint's mean service time after which a task is overdue.
@@ -61,17 +61,19 @@
         self._settings = settings
         self._policy = policy
         self._lease_ids = lease_ids
-        self._bounds = Bounds()
-        self._usable: set[str] = set()
+        self._config_limits = ConfigLimits()
+        self._eligible: set[str] = set()
         self._endpoints_of: dict[str, list[str]] = {}
         self._leases = LeaseTable()
-        self._queue = RequestQueue(self._bounds.quota_of)
+        self._queue = RequestQueue(self._config_limits.quota_of)
         self._grant_rates = GrantRates()
-        self._speeds = SpeedTable()
+        self._service_times = ServiceTimes()
         self._events: list[str] = []
         health = Health(settings.timings.ejection_ms, settings.limits.ejected_share_max)
-        self._ejection = Ejection(health, self._speeds, self._add_event)
-        self._views = ViewTable(self._bounds, self._leases, self._speeds, self._ejection)
+        self._ejection = Ejection(health, self._service_times, self._add_event)
+        self._views = ViewTable(
+            self._config_limits, self._leases, self._service_times, self._ejection
+        )
 
     @property
     def ejection(self) -> Ejection:
@@ -98,23 +100,23 @@
         events, self._events = self._events, []
         return events
 
-    def set_endpoints(self, config: Config, names: list[str], usable: set[str]) -> None:
+    def set_endpoints(self, config: Config, names: list[str], eligible: set[str]) -> None:
         """Apply a configuration.
 
         Args:
-            config: The configuration in force.
+            config: The configuration in effect.
             names: The endpoints of this shard.
-            usable: The endpoints eligible for placement, of any shard.
+            eligible: The endpoints eligible for placement, of any shard.
         """
-        self._bounds.follow(config)
-        self._usable = usable.intersection(names)
-        self._ejection.follow(self._usable)
+        self._config_limits.apply_config(config)
+        self._eligible = eligible.intersection(names)
+        self._ejection.set_endpoints(self._eligible)
         own = set(names)
         self._endpoints_of = {
             service: [name for name in endpoints_of(config, service) if name in own]
             for service in config.services
         }
-        self._views.follow(self._endpoints_of, self._usable)
+        self._views.set_endpoints(self._endpoints_of, self._eligible)
 
     def add(self, coordinator: str, request: SlotRequest) -> SlotRefusal | None:
         """Queue *request*, or return a refusal. A retransmission has no effect."""
@@ -141,16 +143,18 @@
             return
         self._add_lease(reported_lease(held, coordinator, now_ms))
 
-    def give_back(self, message: SlotReturn, now_ms: float) -> None:
+    def release(self, message: SlotReturn, now_ms: float) -> None:
         """End the lease of a returned slot and record the outcome of its task."""
         lease = self._leases.get(message.lease_id)
         if lease is not None:
             self._remove_lease(lease)
-        if message.use is SlotUse.DONE:
-            self._speeds.note(message.service, message.endpoint, message.service_ms, now_ms)
+        if message.use is SlotOutcome.DONE:
+            self._service_times.record(
+                message.service, message.endpoint, message.service_ms, now_ms
+            )
             peer_median_ms = self._views.peer_median_ms(message.service, message.endpoint)
             self._ejection.record_success(message, peer_median_ms, now_ms)
-        elif message.use in (SlotUse.FAILED, SlotUse.NOT_RUN):
+        elif message.use in (SlotOutcome.FAILED, SlotOutcome.NOT_RUN):
             self._ejection.record_failure(message.endpoint, now_ms)
 
     def tick(self, now_ms: float) -> None:
@@ -162,13 +166,13 @@
                 self._events.append(f"Lease {lease.lease_id} on {lease.endpoint} expired.")
                 self._remove_lease(lease)
                 continue
-            limit = _OVERDUE_RATIO * self._speeds.mean_ms(lease.service, lease.endpoint)
+            limit = _OVERDUE_RATIO * self._service_times.mean_ms(lease.service, lease.endpoint)
             if now_ms - lease.since_ms > max(_OVERDUE_MIN_MS, limit):
                 overdue[lease.endpoint] = overdue.get(lease.endpoint, 0) + 1
         for endpoint, count in overdue.items():
             if count * 2 >= self._leases.busy.get(endpoint, 0):
-                self._ejection.note_overdue(endpoint, now_ms)
-        self._speeds.mark_stale(now_ms)
+                self._ejection.eject_overdue(endpoint, now_ms)
+        self._service_times.mark_stale(now_ms)
         self._grant_rates.refresh(now_ms)
         self._views.refresh(now_ms)
 
@@ -218,18 +222,21 @@
             if self._views.has_free_slot(endpoint) and endpoint in view.endpoints:
                 return Choice(endpoint, is_fast=False)
         newest = self._queue.newest_of(service)
-        size = job_size(self._views.sizes_of(service), newest.request.job_tasks)
+        size = reference_task_size(self._views.sizes_of(service), newest.request.job_tasks)
         queued_ahead = self._queue.tasks_of_service(service) - 1
-        return choose(self._policy, view._replace(queued_ahead=queued_ahead, job_size=size))
+        return choose(
+            self._policy, view._replace(queued_ahead=queued_ahead, reference_task_size=size)
+        )
 
     def _recipient_of_slow_slot(self, service: str, first: PendingRequest) -> PendingRequest:
         """Return the request that receives a slow slot.
 
-        A request that already has a slow slot comes first, since its job finishes late anyway; then
-        the newest, which has the longest wait for a fast slot ahead. If the queue is long, the
-        first request in turn receives it: every wait is then longer than a slow endpoint takes.
+        A request that already has a slow slot is preferred, since its job finishes late anyway;
+        otherwise the newest request, which would wait longest for a fast slot. If the queue is
+        long, *first* receives it, because then every request waits longer than a slow endpoint
+        takes.
         """
-        if self.expected_wait_ms(service) > _LONG_QUEUE_MEANS * self._speeds.service_mean_ms(
+        if self.expected_wait_ms(service) > _LONG_QUEUE_MEANS * self._service_times.service_mean_ms(
             service
         ):
             return first
@@ -259,7 +266,7 @@
             )
         )
         self._queue.grant_one(pending)
-        self._grant_rates.note(request.customer)
+        self._grant_rates.record(request.customer)
         ttl = self._settings.timings.lease_ttl_ms
         message = SlotGrant(request.request_id, endpoint, lease_id, ttl)
         return Grant(pending.coordinator, message)
@@ -267,7 +274,7 @@
     def _check_admission(self, request: SlotRequest) -> SlotRefusal | None:
         """Return a refusal if the request can't be served in time."""
         endpoints = self._endpoints_of.get(request.service, ())
-        if not any(endpoint in self._usable for endpoint in endpoints):
+        if not any(endpoint in self._eligible for endpoint in endpoints):
             return SlotRefusal(request.request_id, "no-worker", _NO_ENDPOINT_RETRY_MS)
         active = self._queue.customers | self._grant_rates.customers | {request.customer}
         load = AdmissionLoad(
@@ -275,17 +282,22 @@
             self._queue.tasks_of_customer(request.customer),
             self.free_slots,
             self._views.rate_of(request.service),
-            self._bounds.quota_of(request.customer) / sum(map(self._bounds.quota_of, active)),
+            self._config_limits.quota_of(request.customer)
+            / sum(map(self._config_limits.quota_of, active)),
             self._grant_rates.rate_of(request.customer),
-            self._speeds.service_mean_ms(request.service),
+            self._service_times.service_mean_ms(request.service),
         )
         return check_admission(request, load, self._settings.limits)
 
     def _is_customer_full(self, customer: str) -> bool:
-        return self._bounds.is_customer_full(customer, self._leases.running_of_customer(customer))
+        return self._config_limits.is_customer_full(
+            customer, self._leases.running_of_customer(customer)
+        )
 
     def _is_service_full(self, service: str) -> bool:
-        return self._bounds.is_service_full(service, self._leases.running_of_service(service))
+        return self._config_limits.is_service_full(
+            service, self._leases.running_of_service(service)
+        )
 
     def _add_event(self, sentence: str) -> None:
         self._events.append(sentence)
--- a/src/foldloom/static_peers/placement/views.py
+++ b/src/foldloom/static_peers/placement/views.py
@@ -8,29 +8,33 @@
 
 from collections.abc import Sequence
 
-from foldloom.static_peers.placement.bounds import Bounds
+from foldloom.static_peers.placement.config_limits import ConfigLimits
 from foldloom.static_peers.placement.ejection import Ejection
 from foldloom.static_peers.placement.leases import LeaseTable
 from foldloom.static_peers.placement.policies import View
-from foldloom.static_peers.placement.speeds import SpeedTable
+from foldloom.static_peers.placement.service_times import ServiceTimes
 
 
 class ViewTable:
     """The views of one shard.
 
     Args:
-        bounds: Limits of the configuration.
+        config_limits: Limits of the configuration.
         leases: The active leases.
-        speeds: Learned service times.
+        service_times: Learned service times.
         ejection: Ejection state of the endpoints.
     """
 
     def __init__(
-        self, bounds: Bounds, leases: LeaseTable, speeds: SpeedTable, ejection: Ejection
+        self,
+        config_limits: ConfigLimits,
+        leases: LeaseTable,
+        service_times: ServiceTimes,
+        ejection: Ejection,
     ) -> None:
-        self._bounds = bounds
+        self._config_limits = config_limits
         self._leases = leases
-        self._speeds = speeds
+        self._service_times = service_times
         self._ejection = ejection
         self._endpoints_of: dict[str, list[str]] = {}
         self._free: dict[str, int] = {}
@@ -63,18 +67,18 @@
         """Return the median of the endpoints' mean service times of *service*."""
         view = self._views.get(service)
         if view is None or not view.endpoints:
-            return self._speeds.mean_ms(service, endpoint)
+            return self._service_times.mean_ms(service, endpoint)
         return view.mean_ms[view.endpoints[len(view.endpoints) // 2]]
 
-    def follow(self, endpoints_of: dict[str, list[str]], usable: set[str]) -> None:
+    def set_endpoints(self, endpoints_of: dict[str, list[str]], eligible: set[str]) -> None:
         """Set the endpoints.
 
         Args:
             endpoints_of: The shard's endpoints by service.
-            usable: The endpoints eligible for placement.
+            eligible: The endpoints eligible for placement.
         """
         self._endpoints_of = endpoints_of
-        self._free = {endpoint: self._free_slots_of(endpoint, 0.0) for endpoint in usable}
+        self._free = {endpoint: self._free_slots_of(endpoint, 0.0) for endpoint in eligible}
         self._refresh_views()
 
     def refresh(self, now_ms: float) -> None:
@@ -92,16 +96,18 @@
         """Rebuild each service's view, ordered by speed."""
         for service, names in self._endpoints_of.items():
             means = {
-                name: self._speeds.mean_ms(service, name) for name in names if name in self._free
+                name: self._service_times.mean_ms(service, name)
+                for name in names
+                if name in self._free
             }
             order = sorted(means, key=lambda name: (means[name], name))
             self._views[service] = View(order, means, self._free, self._leases.busy)
-            self._sizes[service] = self._speeds.sizes(service)
+            self._sizes[service] = self._service_times.sizes(service)
             self._rates[service] = self._service_rate(service)
 
     def _free_slots_of(self, endpoint: str, now_ms: float) -> int:
         """Return the free slots of *endpoint*; an ejected endpoint has at most one, for a probe."""
-        slots = self._bounds.slots_of(endpoint)
+        slots = self._config_limits.slots_of(endpoint)
         busy = self._leases.busy.get(endpoint, 0)
         if self._ejection.is_ejected(endpoint):
             may_probe = bool(slots) and self._ejection.may_probe(endpoint, now_ms)
@@ -110,7 +116,7 @@
 
     def _service_rate(self, service: str) -> float:
         return sum(
-            self._bounds.slots_of(endpoint) / mean_ms
+            self._config_limits.slots_of(endpoint) / mean_ms
             for endpoint, mean_ms in self._views[service].mean_ms.items()
             if not self._ejection.is_ejected(endpoint)
         )
--- a/tests/models/standing_boxes.py
+++ b/tests/models/standing_boxes.py
@@ -15,7 +15,7 @@
 
 from foldloom.clock import monotonic_ms
 from foldloom.exceptions import PeerUnreachableError
-from foldloom.peers.lives import FreshLives
+from foldloom.peers.incarnations import UnorderedIncarnations
 from foldloom.seed_discovery.endpoints.calls import (
     CallOutcome,
     CallReply,
@@ -27,7 +27,7 @@
 from foldloom.seed_discovery.job_runner import JobResult
 from foldloom.seed_discovery.jobs.spec import Job, RunId
 from foldloom.tasks import TaskSet
-from models.virtual_time import LIFE, TurnsLoop, Waking
+from models.virtual_time import LIFE, PausableLoop, Waking
 from models.zones_calls import CALL_TIMEOUT_S, LATE_ORDER_MAX_S, SimulatedCalls
 from models.zones_network import SimulatedNetwork
 from models.zones_world import CATALOG_AGE_MS, Answer, SimulatedBox, ZonesWorld
@@ -66,10 +66,10 @@
 class ExpiringNetwork(SimulatedNetwork):
     """The network of one life of a box: outboxes, request ids, and message expiry."""
 
-    def __init__(self, world: StandingZonesWorld, box: str, incarnation: int) -> None:
+    def __init__(self, world: PausableZonesWorld, box: str, incarnation: int) -> None:
         super().__init__(world, box, incarnation)
         self._standing_world = world
-        self._fresh_lives = FreshLives()
+        self._fresh_lives = UnorderedIncarnations()
         self._outboxes: dict[str, list[Frame]] = {}
         self._pending_requests: dict[int, asyncio.Future[Any]] = {}
         self._next_id = 0
@@ -106,7 +106,7 @@
         """Handle the frames of a received envelope that have not expired."""
         if not self.is_alive:
             return
-        age_ms = self._fresh_lives.note(
+        age_ms = self._fresh_lives.record(
             envelope.sender, envelope.incarnation, envelope.sent_ms, monotonic_ms()
         )
         for frame in envelope.frames:
@@ -140,7 +140,7 @@
 class DetachedCalls(SimulatedCalls):
     """Calls of one box to endpoints; a sent order is carried out even if the box ends."""
 
-    def __init__(self, world: StandingZonesWorld, box: str) -> None:
+    def __init__(self, world: PausableZonesWorld, box: str) -> None:
         super().__init__(world, box)
         self._standing_world = world
         self._context = world.context_of(box)
@@ -183,7 +183,7 @@
         return None
 
 
-class StandingZonesWorld(ZonesWorld):
+class PausableZonesWorld(ZonesWorld):
     """Zones of boxes that can be paused one by one.
 
     Args:
@@ -191,7 +191,7 @@
         loop: Event loop of the simulation.
     """
 
-    def __init__(self, seed: int, loop: TurnsLoop) -> None:
+    def __init__(self, seed: int, loop: PausableLoop) -> None:
         self.turns = loop
         self.trouble = EndpointFaults()
         self.errors: list[str] = []
@@ -239,9 +239,9 @@
         for answer in self._open_calls[box]:
             _resolve(answer, None)
 
-    def stop_box(self, box: str, after_callbacks: int, for_s: float, waking: Waking) -> None:
+    def pause_box(self, box: str, after_callbacks: int, for_s: float, waking: Waking) -> None:
         """Pause *box* for *for_s* seconds after *after_callbacks* more of its callbacks."""
-        self.turns.stop_life(self._contexts[box][LIFE], after_callbacks, for_s, waking)
+        self.turns.pause_life(self._contexts[box][LIFE], after_callbacks, for_s, waking)
 
     def catalog_age_ms(self, started_ms: float) -> float:
         """Return the age of the endpoint catalog of a box started at *started_ms*."""
@@ -288,7 +288,7 @@
     def record_start_order(self, box: str, endpoint: str, run_id: RunId) -> None:
         """Record the boxes for which the owner on *box* orders this start."""
         owner = self.boxes[box].elector.owner
-        run = None if owner is None else owner.state.run_of(run_id.task)
+        run = None if owner is None else owner.state.current_run(run_id.task)
         if run is not None:
             waiting_boxes = self.wanted_by.setdefault((run_id, endpoint), set())
             waiting_boxes.update(holder.box for holder in run.holders)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -13,7 +13,7 @@
 from foldloom.static_peers.claims.messages import Claim, ClaimReply, ClaimRequest, Vote, Withdraw
 from foldloom.static_peers.claims.table import ClaimTable
 from foldloom.static_peers.membership import Heartbeat, ShardLoad
-from foldloom.static_peers.placement.messages import SlotGrant, SlotRequest, SlotReturn, SlotUse
+from foldloom.static_peers.placement.messages import SlotGrant, SlotOutcome, SlotRequest, SlotReturn
 
 _ID = "0f8fad5b-d9cb-469f-a165-70867728950e"
 _INCARNATION = 1_790_000_000_000
@@ -21,7 +21,7 @@
 
 
 class TestBytes:
-    """Bytes on the wire and in memory."""
+    """Sizes on the wire and in memory must stay within the capacity figures."""
 
     @pytest.mark.parametrize(
         ("message", "most"),
@@ -37,7 +37,7 @@
             (Withdraw(_ID, _INCARNATION, 1), 50),
             (SlotRequest(9_999, "fleet", "sleep", "team-001", 1, 30_000, 1), 40),
             (SlotGrant(9_999, "worker-0001", _LEASE, 2_000), 30),
-            (SlotReturn(_LEASE, "worker-0001", "sleep", 275.5, SlotUse.DONE), 45),
+            (SlotReturn(_LEASE, "worker-0001", "sleep", 275.5, SlotOutcome.DONE), 45),
         ],
     )
     def test_message(self, message: object, most: int) -> None:
@@ -58,7 +58,9 @@
         table = ClaimTable(10**9, 10**7)
         for number in range(count):
             submission = f"0f8fad5b-d9cb-469f-a165-{number:012d}"
-            table.judge(submission, Claim("ab" * 16, f"box{number % 9}", _INCARNATION, 1), number)
+            table.decide_vote(
+                submission, Claim("ab" * 16, f"box{number % 9}", _INCARNATION, 1), number
+            )
         traced_bytes = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
         assert traced_bytes / count < 500
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Decisions on claims: votes, withdrawals, copies, majorities."""
+"""Guards against two claims granted for one submission."""
 
 from __future__ import annotations
 
@@ -28,52 +28,52 @@
     def test_first_claim_is_granted_and_held(self) -> None:
         """The first claim is granted, also on retransmission; a second one is refused."""
         table = _table()
-        assert table.judge("s", _X, 0).vote is Vote.GRANTED
-        assert table.judge("s", _X, 0).vote is Vote.GRANTED
-        other = table.judge("s", _Y, 0)
-        assert (other.vote, other.holders) == (Vote.HELD, [_X])
+        assert table.decide_vote("s", _X, 0).vote is Vote.GRANTED
+        assert table.decide_vote("s", _X, 0).vote is Vote.GRANTED
+        other = table.decide_vote("s", _Y, 0)
+        assert (other.vote, other.conflicting_claims) == (Vote.HELD, [_X])
 
-    def test_differing_copies_are_all_kept(self) -> None:
+    def test_conflicting_copies_are_all_kept(self) -> None:
         """With two conflicting copies neither claim is granted until the other is withdrawn."""
         table = _table()
         for claim in (_X, _Y):
             table.merge(CopiedClaim("s", claim, 900), 0)
-        assert table.judge("s", _X, 0).vote is Vote.HELD
-        assert table.judge("s", _Y, 0).vote is Vote.HELD
+        assert table.decide_vote("s", _X, 0).vote is Vote.HELD
+        assert table.decide_vote("s", _Y, 0).vote is Vote.HELD
         table.release("s", _Y, 0)
-        assert table.judge("s", _X, 0).vote is Vote.GRANTED
+        assert table.decide_vote("s", _X, 0).vote is Vote.GRANTED
 
     def test_late_withdrawal_leaves_the_newer_attempt(self) -> None:
         """Withdrawal of an earlier attempt does not release a later one."""
         table = _table()
         newer = _X._replace(attempt=2)
-        table.judge("s", newer, 0)
+        table.decide_vote("s", newer, 0)
         table.release("s", _X, 0)
-        assert table.holders("s") == [newer]
-        assert table.judge("s", _Y, 0).vote is Vote.HELD
+        assert table.claims_of("s") == [newer]
+        assert table.decide_vote("s", _Y, 0).vote is Vote.HELD
 
     def test_request_after_its_own_withdrawal(self) -> None:
         """A claim request that arrives after its withdrawal is refused."""
         table = _table()
         table.release("s", _X, 0)
-        assert table.judge("s", _X, 0).vote is Vote.WITHDRAWN
-        assert table.judge("s", _X._replace(attempt=2), 0).vote is Vote.GRANTED
+        assert table.decide_vote("s", _X, 0).vote is Vote.WITHDRAWN
+        assert table.decide_vote("s", _X._replace(attempt=2), 0).vote is Vote.GRANTED
 
     def test_copy_of_a_withdrawn_claim_is_not_taken(self) -> None:
         """A copy does not restore a withdrawn claim."""
         table = _table()
         table.release("s", _X, 0)
         table.merge(CopiedClaim("s", _X, 900), 0)
-        assert table.holders("s") == []
+        assert table.claims_of("s") == []
 
     def test_expiry_and_bound(self) -> None:
         """A claim expires at its retention time, not before; a full table refuses new claims."""
         table = _table(claims_max=1)
-        table.judge("s", _X, 0)
-        assert table.judge("t", _X, 0).vote is Vote.FULL
+        table.decide_vote("s", _X, 0)
+        assert table.decide_vote("t", _X, 0).vote is Vote.FULL
         assert table.expire(999) == 0
         assert table.expire(1_000) == 1
-        assert table.judge("t", _X, 1_000).vote is Vote.GRANTED
+        assert table.decide_vote("t", _X, 1_000).vote is Vote.GRANTED
 
 
 class TestVotes:
@@ -85,14 +85,14 @@
         assert is_won(_SETS, votes, lambda _box: 0)
         assert not is_won(_SETS, {"a1": votes["a1"]}, lambda _box: 0)
 
-    def test_vote_dies_with_its_voters_memory(self) -> None:
+    def test_vote_of_earlier_incarnation_is_invalid(self) -> None:
         """A vote is invalid once another voter or this box knows a newer incarnation of it."""
         votes = {"a1": _vote(1, {"b1": 1}), "b1": _vote(1, {"a1": 2})}
         assert not is_won(_SETS, votes, lambda _box: 0)
         fresh = {"a1": _vote(1, {}), "b1": _vote(1, {})}
         assert not is_won(_SETS, fresh, {"a1": 2, "b1": 0}.__getitem__)
 
-    def test_may_still_win(self) -> None:
+    def test_can_still_win(self) -> None:
         """Two refusals of three rule out a majority."""
         refused = _vote(1, {}, Vote.HELD)
         assert can_still_win(_SETS, {"a1": refused})
--- a/tests/test_controller_box.py
+++ b/tests/test_controller_box.py
@@ -16,13 +16,13 @@
 from cluster import free_port
 from foldloom.controllers import compaction, storage
 from foldloom.controllers.state import Publication
-from foldloom.controllers.storage import write_whole
+from foldloom.controllers.storage import write_atomically
 from foldloom.seed_discovery.controller_box import ControllerHost
 from foldloom.seed_discovery.endpoints.records import EndpointRecord
 from foldloom.seed_discovery.fleet import cache
 from foldloom.seed_discovery.fleet.cache import PublicationCache
 from foldloom.seed_discovery.jobs.spec import Demand
-from test_boxes_controllers import Core, box_settings, play, until
+from test_boxes_controllers import ControllerGroup, box_settings, run_scenario, wait_until
 
 _UNREACHABLE_SEEDS = ["127.0.0.1:1"]
 # Duration of a slow write, and of the wait for one that outlives its controller.
@@ -32,7 +32,7 @@
 
 def _write_slowly(path: Path, data: bytes, fsync: Callable[[int], None]) -> None:
     time.sleep(_WRITE_S)
-    write_whole(path, data, fsync)
+    write_atomically(path, data, fsync)
 
 
 def _contents(folder: Path) -> dict[str, bytes]:
@@ -49,11 +49,11 @@
     """Endpoint reports at a controller without a configuration."""
 
     @pytest.mark.parametrize("is_first_start", [True, False])
-    def test_which_are_taken(self, tmp_path: Path, is_first_start: bool) -> None:
+    def test_accepted_reports(self, tmp_path: Path, is_first_start: bool) -> None:
         """All are accepted at the first start, none after a loss of the configuration."""
         report = EndpointRecord("w1", "svc", "127.0.0.1:9", "a", Demand())
         host = _host(tmp_path, is_first_start)
-        assert asyncio.run(host.note_endpoint(report)) is is_first_start
+        assert asyncio.run(host.handle_report(report)) is is_first_start
 
 
 class TestEnd:
@@ -63,9 +63,9 @@
         self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Stopping waits for a pending write of the configuration cache."""
-        monkeypatch.setattr(cache, "write_whole", _write_slowly)
+        monkeypatch.setattr(cache, "write_atomically", _write_slowly)
 
-        async def scenario(core: Core) -> None:
+        async def scenario(core: ControllerGroup) -> None:
             await core.publish(9)
             for port in core.ports:
                 await core.kill(port)
@@ -73,9 +73,11 @@
             await asyncio.sleep(_OBSERVATION_S)
             assert [_contents(core.folder_of(port)) for port in core.ports] == contents_at_stop
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
-    def test_nor_is_a_snapshot(self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_no_snapshot_is_written_afterwards(
+        self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
         """Stopping waits for a pending snapshot of the replicated log."""
         monkeypatch.setattr(compaction, "_SNAPSHOT_ENTRIES", 1)
         started: list[Path] = []
@@ -87,21 +89,21 @@
         async def has_started() -> bool:
             return bool(started)
 
-        async def scenario(core: Core) -> None:
-            monkeypatch.setattr(storage, "write_whole", write)
+        async def scenario(core: ControllerGroup) -> None:
+            monkeypatch.setattr(storage, "write_atomically", write)
             await core.publish(9)
-            await until(has_started, "a snapshot is being written")
+            await wait_until(has_started, "a snapshot is being written")
             for port in core.ports:
                 await core.kill(port)
             contents_at_stop = [_contents(core.folder_of(port)) for port in core.ports]
             await asyncio.sleep(_OBSERVATION_S)
             assert [_contents(core.folder_of(port)) for port in core.ports] == contents_at_stop
 
-        play(tmp_path, scenario)
+        run_scenario(tmp_path, scenario)
 
     def test_the_newest_is_kept(self, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         """Closing the cache also writes a publication queued behind the current write."""
-        monkeypatch.setattr(cache, "write_whole", _write_slowly)
+        monkeypatch.setattr(cache, "write_atomically", _write_slowly)
 
         async def write() -> None:
             written = PublicationCache(str(tmp_path))
--- a/tests/test_controllers_election.py
+++ b/tests/test_controllers_election.py
@@ -48,7 +48,7 @@
             log=SimpleNamespace(term=1, last_index=3, last_term=1, save_term_vote=self._save),
             state_lock=asyncio.Lock(),
             controllers={"a": "?", "b": "?", "c": "?"},
-            majority=2,
+            quorum_size=2,
             leader="",
             contact=SimpleNamespace(silent_ms=1e9, clear_leader=lambda: None),
             is_leader=False,
@@ -83,7 +83,7 @@
     return candidate
 
 
-class TestOneIsGone:
+class TestUnreachableVoter:
     """Two of three controllers are reachable."""
 
     def test_a_majority_is_enough(self) -> None:
@@ -97,7 +97,7 @@
             ("c", True),
         ]
 
-    def test_one_that_votes_for_nobody(self) -> None:
+    def test_vote_denied(self) -> None:
         """Without the reachable peer's vote, no leader is elected."""
         assert not _run_election(False, 1, 1.0).is_leader
 
--- a/tests/test_controllers_followers.py
+++ b/tests/test_controllers_followers.py
@@ -19,7 +19,7 @@
     controller: Any = SimpleNamespace(
         box="c1",
         may_vote=True,
-        majority=2,
+        quorum_size=2,
         controllers=_FOLDERS,
         is_voter=lambda box, storage_id, _is_first: _FOLDERS.get(box) == storage_id,
         log=SimpleNamespace(last_index=9, durable_index=durable_index),
@@ -35,7 +35,7 @@
     return AppendReply(1, is_ok, match_index, storage_id, False)
 
 
-class TestAgreedIndex:
+class TestQuorumMatchIndex:
     """The index up to which a majority holds the log durably."""
 
     @pytest.mark.parametrize(
--- a/tests/test_endpoints_catalog.py
+++ b/tests/test_endpoints_catalog.py
@@ -36,7 +36,7 @@
         assert catalog.revision == revision
         assert catalog.silent_since(0.5) == []
 
-    def test_leave_is_not_taken_back(self) -> None:
+    def test_draining_is_final(self) -> None:
         """A draining endpoint never becomes ready again."""
         catalog = EndpointCatalog()
         catalog.merge(_READY._replace(sequence=7, state=EndpointState.DRAINING), 0.0)
@@ -47,16 +47,16 @@
         """A delayed heartbeat does not restore an endpoint that has deregistered."""
         catalog = EndpointCatalog()
         catalog.merge(_READY, 0.0)
-        assert catalog.note_farewell("w1", 1.0)
+        assert catalog.note_deregistration("w1", 1.0)
         assert not catalog.merge(_READY._replace(sequence=9), 2.0)
         assert catalog.records == []
 
-    def test_silent_is_forgotten_without_a_word(self) -> None:
+    def test_evicted_is_accepted_again(self) -> None:
         """An evicted endpoint is accepted again, unlike one that is gone."""
         catalog = EndpointCatalog()
         catalog.merge(_READY, 0.0)
         assert catalog.silent_since(1.0) == ["w1"]
-        catalog.forget("w1")
+        catalog.evict("w1")
         assert catalog.merge(_READY._replace(sequence=9), 2.0)
 
 
@@ -68,7 +68,7 @@
 class TestLives:
     """Incarnations with the same id, each with its own sequence."""
 
-    def test_the_leave_of_a_second_life(self) -> None:
+    def test_second_incarnation_drains(self) -> None:
         """A second incarnation's draining is accepted despite its lower sequence."""
         catalog = EndpointCatalog()
         catalog.merge(_FIRST, 0.0)
@@ -85,7 +85,7 @@
         assert catalog.records == [_SECOND]
 
     @pytest.mark.parametrize("born_ms", [1_000, 0])
-    def test_a_report_that_was_held_up(self, born_ms: int) -> None:
+    def test_delayed_report(self, born_ms: int) -> None:
         """Reports of the first incarnation, or without a start time, do not affect the second."""
         catalog = EndpointCatalog()
         catalog.merge(_SECOND, 0.0)
@@ -93,22 +93,22 @@
         assert catalog.records == [_SECOND]
         assert catalog.silent_since(0.5) == ["w1"]
 
-    def test_a_farewell_that_was_held_up(self) -> None:
+    def test_delayed_deregistration(self) -> None:
         """A deregistration has no effect on an incarnation that is not draining."""
         catalog = EndpointCatalog()
         catalog.merge(_SECOND, 0.0)
-        assert not catalog.note_farewell("w1", 1.0)
+        assert not catalog.note_deregistration("w1", 1.0)
         assert catalog.records == [_SECOND]
         catalog.merge(_SECOND._replace(state=_DRAINING), 2.0)
-        assert catalog.note_farewell("w1", 3.0)
+        assert catalog.note_deregistration("w1", 3.0)
         assert catalog.records == []
 
-    def test_another_life_has_begun(self) -> None:
+    def test_end_of_earlier_incarnation(self) -> None:
         """Ending the first incarnation does not end the second."""
         catalog = EndpointCatalog()
         catalog.merge(_SECOND, 0.0)
-        assert not catalog.end_life("w1", _FIRST.born_ms, 1.0)
-        assert catalog.end_life("w1", _SECOND.born_ms, 2.0)
+        assert not catalog.end_incarnation("w1", _FIRST.born_ms, 1.0)
+        assert catalog.end_incarnation("w1", _SECOND.born_ms, 2.0)
 
     @given(st.permutations(list(itertools.product([0, 1_000, 2_000], EndpointState, [1, 5]))))
     def test_whoever_told_it_last(self, told: list[tuple[int, EndpointState, int]]) -> None:
@@ -130,7 +130,7 @@
         catalog.merge(_READY, 0.0)
         catalog.merge(_READY._replace(endpoint="w2"), 0.0)
         revision = catalog.revision
-        catalog.note_farewell("w1", 1.0)
+        catalog.note_deregistration("w1", 1.0)
         changed = catalog.changes_since(revision)
         assert [(one.endpoint, one.state) for one in changed] == [("w1", EndpointState.GONE)]
         assert catalog.changes_since(catalog.revision) == []
--- a/tests/test_fleet_joiner.py
+++ b/tests/test_fleet_joiner.py
@@ -12,7 +12,7 @@
 from foldloom.seed_discovery.fleet.joiner import Joiner
 from foldloom.seed_discovery.fleet.messages import BoxRecord
 from foldloom.seed_discovery.fleet.published import PublishedHolder
-from foldloom.seed_discovery.fleet.registry import Registry
+from foldloom.seed_discovery.fleet.registry import FleetRegistry
 from foldloom.seed_discovery.fleet.view import FleetView
 from foldloom.seed_discovery.jobs.spec import Demand
 from foldloom.settings import ENTRY
@@ -38,7 +38,9 @@
         self.wire: Any
         controller_wire, self.wire = connected(_CONTROLLER, _ENTRY)
         self.catalog = EndpointCatalog()
-        self.registry = Registry(controller_wire, _holder(controller_wire), lambda: [_CONTROLLER])
+        self.registry = FleetRegistry(
+            controller_wire, _holder(controller_wire), lambda: [_CONTROLLER]
+        )
         view = FleetView(BoxRecord(_ENTRY, 1, "a", ENTRY), [_CONTROLLER])
         self._joiner = Joiner(self.wire, view, _holder(self.wire), self.catalog, _JOIN_MS)
 
@@ -58,22 +60,22 @@
             await asyncio.sleep(0)
 
 
-class TestForgottenEndpoint:
+class TestEvictedEndpoint:
     """An endpoint evicted by an owner after a partition between the two, but not by controllers.
 
     Guards against incremental joins that never restore it, since it has not changed there.
     """
 
-    def test_it_is_told_again(self) -> None:
+    def test_restored_by_next_join(self) -> None:
         """The next join restores the endpoint."""
         boxes = _Boxes()
 
         async def scenario() -> None:
-            await boxes.registry.note_endpoint(_ENDPOINT)
+            await boxes.registry.handle_report(_ENDPOINT)
             await boxes.wait_for_joins()
             assert boxes.catalog.get("w1") == _ENDPOINT
-            boxes.catalog.forget("w1")
-            await boxes.registry.note_endpoint(_ENDPOINT._replace(sequence=2))
+            boxes.catalog.evict("w1")
+            await boxes.registry.handle_report(_ENDPOINT._replace(sequence=2))
             await boxes.wait_for_joins()
             known = boxes.catalog.get("w1")
             assert known is not None
@@ -81,15 +83,15 @@
 
         asyncio.run(boxes.run_scenario(scenario))
 
-    def test_one_that_nobody_hears_stays_forgotten(self) -> None:
+    def test_evicted_everywhere(self) -> None:
         """Joins do not restore an endpoint that the controller has evicted too."""
         boxes = _Boxes()
 
         async def scenario() -> None:
-            await boxes.registry.note_endpoint(_ENDPOINT)
+            await boxes.registry.handle_report(_ENDPOINT)
             await boxes.wait_for_joins()
-            boxes.registry.catalog.forget("w1")
-            boxes.catalog.forget("w1")
+            boxes.registry.catalog.evict("w1")
+            boxes.catalog.evict("w1")
             await boxes.wait_for_joins()
             assert boxes.catalog.get("w1") is None
 
--- a/tests/test_fleet_registry.py
+++ b/tests/test_fleet_registry.py
@@ -12,10 +12,10 @@
     EndpointsSeen,
     Join,
     Noted,
-    received_endpoints,
+    decode_endpoints,
 )
 from foldloom.seed_discovery.fleet.published import PublishedHolder
-from foldloom.seed_discovery.fleet.registry import Registry
+from foldloom.seed_discovery.fleet.registry import FleetRegistry
 from foldloom.seed_discovery.jobs.spec import Demand
 from foldloom.settings import ENTRY
 from standins.wire import connected
@@ -42,7 +42,7 @@
         wire, box = connected(_CONTROLLER, _ENTRY)
         holder = PublishedHolder(wire, lambda _publication: None)
         self.services = services
-        self.registry = Registry(wire, holder, lambda: [_CONTROLLER], lambda: self.services)
+        self.registry = FleetRegistry(wire, holder, lambda: [_CONTROLLER], lambda: self.services)
         self.forwarded: list[EndpointRecord] = []
         box.on(EndpointsSeen, self._on_endpoints)
         self._box = box
@@ -50,21 +50,21 @@
     async def note(self, record: EndpointRecord) -> bool:
         """Send an endpoint's report; return whether it is accepted."""
         await self._box.request(_CONTROLLER, Join(BoxRecord(_ENTRY, 1, "a", ENTRY), 0, 0, 0), 1)
-        is_accepted = await self.registry.note_endpoint(record)
+        is_accepted = await self.registry.handle_report(record)
         # Reports of ready endpoints are pushed by separate tasks.
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         return is_accepted
 
     def _on_endpoints(self, _sender: str, message: EndpointsSeen) -> Noted:
-        self.forwarded += received_endpoints(message)
+        self.forwarded += decode_endpoints(message)
         return Noted()
 
 
 class TestServices:
     """Reports of services that are not in the configuration."""
 
-    def test_another_writers_report(self) -> None:
+    def test_unknown_service(self) -> None:
         """A report of an unknown service must not replace the record of an endpoint with its id."""
 
         async def scenario() -> None:
@@ -90,7 +90,7 @@
 
         asyncio.run(scenario())
 
-    def test_one_that_is_named_later(self) -> None:
+    def test_service_configured_later(self) -> None:
         """Once the service is configured, the endpoint's next report is accepted."""
 
         async def scenario() -> None:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -11,7 +11,7 @@
 import logbook
 import msgspec
 
-from foldloom.logs import PLACE_LOG, BatchHandler, EventLimits, start_logging
+from foldloom.logs import PLACE_LOG, BatchHandler, EventRateLimits, start_logging
 from foldloom.settings import LogSettings
 
 
@@ -46,15 +46,15 @@
 class TestLimits:
     """Guards against log floods and slow readers that block the caller."""
 
-    def test_what_was_left_out_is_told(self) -> None:
+    def test_suppressed_events_are_counted(self) -> None:
         """The next admitted event carries the count of suppressed events of its kind only."""
-        limits = EventLimits(per_s=1.0)
-        assert [limits.admit("a", 0.0) for _ in range(4)] == [0, 0, None, None]
-        assert limits.admit("b", 0.0) == 0
-        assert limits.admit("a", 1.5) == 2
-        assert limits.admit("a", 3.0) == 0
+        limits = EventRateLimits(per_s=1.0)
+        assert [limits.try_acquire("a", 0.0) for _ in range(4)] == [0, 0, None, None]
+        assert limits.try_acquire("b", 0.0) == 0
+        assert limits.try_acquire("a", 1.5) == 2
+        assert limits.try_acquire("a", 3.0) == 0
 
-    def test_a_reader_that_does_not_read(self) -> None:
+    def test_slow_reader(self) -> None:
         """Logging does not block while the pipe is full; dropped lines are counted."""
         reading, writing = os.pipe()
         os.set_blocking(reading, False)
--- a/tests/test_owners_crashed_endpoints.py
+++ b/tests/test_owners_crashed_endpoints.py
@@ -38,7 +38,7 @@
     state.place(now_ms)
     starts = state.actions.pop_starts()
     for start in starts:
-        state.note_start(start.run_id, start.endpoint, CallOutcome.DONE, now_ms)
+        state.handle_start_outcome(start.run_id, start.endpoint, CallOutcome.DONE, now_ms)
     return [start.endpoint for start in starts]
 
 
@@ -55,66 +55,66 @@
 
 def _crash_endpoint(state: OwnerState, name: str, now_ms: float) -> list[RunEnd]:
     """Crash an endpoint and expire its leases; return the run ends by run id."""
-    state.note_silent(name)
-    state.note_crashed(name, now_ms)
-    state.note_lapsed(name, now_ms + 650.0)
+    state.handle_unanswered_poll(name)
+    state.handle_crash(name, now_ms)
+    state.handle_lease_expiry(name, now_ms + 650.0)
     return sorted((end for _, end in ends_of(state)), key=lambda end: end.run_id)
 
 
-class TestWhatCounts:
+class TestCrashCounting:
     """Only confirmed crashes count."""
 
-    def test_a_silent_lapse_does_not(self) -> None:
+    def test_expired_leases_are_no_crash(self) -> None:
         """An endpoint that answers again after its leases expired has not crashed."""
         state = owner_with(endpoint("w1"))
         _submit_and_start(state, 10.0)
-        state.note_silent("w1")
-        state.note_lapsed("w1", 700.0)
+        state.handle_unanswered_poll("w1")
+        state.handle_lease_expiry("w1", 700.0)
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount()]
         state.report(EndpointReport("w1", (), (), 800.0, 1), 801.0)
-        state.begin_life("w1", 5_000.0)
+        state.begin_incarnation("w1", 5_000.0)
         state.report(EndpointReport("w1", (), (), 5_001.0, 2), 5_002.0)
         _deliver_next_attempt(state, RunEnd(RunId(_TASK, 1), EndCause.LAPSED), 5_003.0)
         assert _place_and_start(state, 5_003.0) == ["w1"]
         assert [end.crashes for end in _crash_endpoint(state, "w1", 5_100.0)] == [CrashCount(1, 1)]
 
-    def test_a_lapse_before_the_next_life_does(self) -> None:
+    def test_next_incarnation_confirms_crash(self) -> None:
         """A new incarnation confirms a crash after the leases expired, as after a power failure."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
         _submit_and_start(state, 10.0)
-        state.note_silent("w2")
-        state.note_lapsed("w2", 700.0)
+        state.handle_unanswered_poll("w2")
+        state.handle_lease_expiry("w2", 700.0)
         ((_, end),) = ends_of(state)
-        state.begin_life("w2", 3_000.0)
+        state.begin_incarnation("w2", 3_000.0)
         _deliver_next_attempt(state, end, 3_001.0)
         assert _place_and_start(state, 3_001.0) == ["w1"]
         assert [end.crashes for end in _crash_endpoint(state, "w1", 3_100.0)] == [CrashCount(2, 2)]
 
-    def test_once_a_life(self) -> None:
+    def test_one_crash_per_incarnation(self) -> None:
         """Repeated refused connections and the next incarnation are one crash."""
         state = owner_with(endpoint("w1"))
         _submit_and_start(state, 10.0)
         for now_ms in (20.0, 70.0, 170.0):
-            state.note_crashed("w1", now_ms)
-        state.begin_life("w1", 200.0)
-        state.note_lapsed("w1", 700.0)
+            state.handle_crash("w1", now_ms)
+        state.begin_incarnation("w1", 200.0)
+        state.handle_lease_expiry("w1", 700.0)
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount(1, 1)]
 
-    def test_an_endpoint_that_leaves(self) -> None:
+    def test_draining_endpoint_counts_no_crash(self) -> None:
         """The end of a draining endpoint is no crash."""
         state = owner_with(endpoint("w1"))
         _submit_and_start(state, 10.0)
-        state.follow_endpoint(endpoint("w1", state=EndpointState.DRAINING))
+        state.update_endpoint(endpoint("w1", state=EndpointState.DRAINING))
         assert [end.crashes for end in _crash_endpoint(state, "w1", 20.0)] == [CrashCount()]
 
-    def test_a_start_that_found_nobody(self) -> None:
+    def test_start_without_listener(self) -> None:
         """A run whose start order met no listener starts elsewhere at once and is not counted."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
         state.submit(_E1, submission(), 10.0)
         state.place(10.0)
         (start,) = state.actions.pop_starts()
-        state.note_start(start.run_id, start.endpoint, CallOutcome.NO_LISTENER, 11.0)
-        state.note_crashed(start.endpoint, 12.0)
+        state.handle_start_outcome(start.run_id, start.endpoint, CallOutcome.NO_LISTENER, 11.0)
+        state.handle_crash(start.endpoint, 12.0)
         assert _place_and_start(state, 12.0) == [{"w1": "w2", "w2": "w1"}[start.endpoint]]
         assert not state.actions.pop_stops()
         assert [end.crashes for end in _crash_endpoint(state, "w1", 20.0)] in (
@@ -128,19 +128,19 @@
         state.submit(_E1, submission(), 10.0)
         state.place(10.0)
         (start,) = state.actions.pop_starts()
-        state.note_start(start.run_id, "w1", CallOutcome.UNKNOWN, 11.0)
-        state.note_crashed("w1", 60.0)
-        state.note_lapsed("w1", 700.0)
-        state.begin_life("w1", 3_000.0)
+        state.handle_start_outcome(start.run_id, "w1", CallOutcome.UNKNOWN, 11.0)
+        state.handle_crash("w1", 60.0)
+        state.handle_lease_expiry("w1", 700.0)
+        state.begin_incarnation("w1", 3_000.0)
         state.report(EndpointReport("w1", (), (), 3_001.0), 3_002.0)
         assert _place_and_start(state, 3_002.0) == ["w1"]
         assert [end.crashes for end in _crash_endpoint(state, "w1", 3_100.0)] == [CrashCount(2, 2)]
 
 
-class TestNeighbours:
+class TestIsolationAfterCrash:
     """Isolation of the tasks that ran on a crashed endpoint."""
 
-    def test_each_starts_by_itself(self) -> None:
+    def test_each_starts_isolated(self) -> None:
         """Three tasks of one endpoint start on three others, and a new job on none of these."""
         state = owner_with(*(endpoint(f"w{n}") for n in range(1, 6)))
         assert set(_submit_and_start(state, 10.0, tasks=3)) == {"w5"}
@@ -170,7 +170,7 @@
             state.submit(_E1, message._replace(orders=orders), now_ms)
             # Place both on one endpoint: no other is eligible.
             for other in set(state.candidates) - {name}:
-                state.distrust(other)
+                state.exclude_from_placement(other)
             assert _place_and_start(state, now_ms) == [name, name]
             for other in set(state.candidates) - {"w2", "w3"}:
                 state.report(EndpointReport(other, (), (), now_ms), now_ms)
@@ -200,18 +200,18 @@
 class TestGivenUp:
     """Tasks at their crash limit."""
 
-    def test_at_once(self) -> None:
+    def test_ends_before_leases_expire(self) -> None:
         """A task alone on a second crashed endpoint ends before the leases there expire."""
         state = owner_with(endpoint("w1"), endpoint("w2"))
         _submit_and_start(state, 10.0, tasks=2)
         first = _crash_endpoint(state, "w2", 20.0)
         _deliver_next_attempt(state, first[0], 700.0)
         assert _place_and_start(state, 700.0) == ["w1"]
-        state.note_silent("w1")
-        state.note_crashed("w1", 750.0)
+        state.handle_unanswered_poll("w1")
+        state.handle_crash("w1", 750.0)
         assert [end.crashes for _, end in ends_of(state)] == [CrashCount(2, 1)]
 
-    def test_handed_in_again(self) -> None:
+    def test_submitted_again(self) -> None:
         """A task at its limit does not start; the crash count is returned to its box."""
         state = owner_with(endpoint("w1"))
         order = submission().orders[0]._replace(crashes=CrashCount(2, 1))
--- a/tests/test_owners_decisions.py
+++ b/tests/test_owners_decisions.py
@@ -33,7 +33,7 @@
     return run
 
 
-class TestJudgeEnd:
+class TestClassifyEnd:
     """Only matching ends finish a run."""
 
     @pytest.mark.parametrize(
@@ -56,7 +56,7 @@
         assert classify_end(run_in(state), end, endpoint) is expected
 
 
-class TestJudgeAbsence:
+class TestClassifyAbsence:
     """A run missing from a report has ended only if the report is conclusive."""
 
     def test_running_is_lost(self) -> None:
@@ -69,7 +69,7 @@
         """A stopping run may still start until the endpoint has confirmed the stop."""
         run = run_in(RunState.STOPPING)
         assert classify_absence(run, 500.0) is None
-        run.stop_known_ms = 200.0
+        run.stop_confirmed_ms = 200.0
         assert classify_absence(run, 200.0) is None
         assert classify_absence(run, 201.0) is EndCause.STOPPED
 
@@ -91,7 +91,7 @@
 
 
 class TestRecovery:
-    """Runs of an earlier owner are lost neither too early nor never."""
+    """Guards against ending an earlier owner's runs while they may be active, or never."""
 
     def test_until_the_lease_has_lapsed(self) -> None:
         """A run is lost once the earlier owner's grant and its lease have ended."""
@@ -136,8 +136,8 @@
         known.add(run, 0.0)
         tombstone = known.get(_TASK)
         assert tombstone is not None
-        assert tombstone.covers(_BOX, 7)
-        assert tombstone.covers(_BOX, 6)
-        assert not tombstone.covers(_BOX, 8)
-        assert not tombstone.covers(_BOX, 0)
-        assert not tombstone.covers(HolderId("e2", 1), 7)
+        assert tombstone.is_duplicate(_BOX, 7)
+        assert tombstone.is_duplicate(_BOX, 6)
+        assert not tombstone.is_duplicate(_BOX, 8)
+        assert not tombstone.is_duplicate(_BOX, 0)
+        assert not tombstone.is_duplicate(HolderId("e2", 1), 7)
