--- a/tests/test_owners_endpoint_link.py
+++ b/tests/test_owners_endpoint_link.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Guards the link to an endpoint: answers of other incarnations, delayed farewells, lapse."""
+"""Guards the link to an endpoint: answers of other incarnations, late deregistrations, lapse."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from foldloom.seed_discovery.endpoints.records import EndpointRecord, EndpointState
 from foldloom.seed_discovery.jobs.spec import Demand, RunId, TaskId
 from foldloom.seed_discovery.owners.endpoint_link import (
-    Answerer,
+    AnswerSource,
     EndpointLink,
-    LeaseTerms,
+    LeaseDurations,
     classify_answer,
 )
 from foldloom.seed_discovery.owners.endpoint_links import EndpointLinks
@@ -35,7 +35,9 @@
 from test_owners_state import ends_of, start_one
 
 _LEASE_MS = 600.0
-_TERMS = LeaseTerms(5, _LEASE_MS, max_real_duration_ms(_LEASE_MS), max_real_duration_ms(1_000.0))
+_LEASE_DURATIONS = LeaseDurations(
+    5, _LEASE_MS, max_real_duration_ms(_LEASE_MS), max_real_duration_ms(1_000.0)
+)
 _ENDPOINT = EndpointRecord("w1", "svc", "w1:1", "z", Demand(16_000, 32_000, 0))
 # A poll in flight when the endpoint falls silent may still renew the lease.
 _POLL_S = 0.5
@@ -63,14 +65,14 @@
         """Record the call."""
         self.overdue.append(call)
 
-    def note_silent(self, endpoint: str) -> None:
+    def handle_unanswered_poll(self, endpoint: str) -> None:
         """Count failed polls."""
         self.silent_count += 1
 
-    def note_life_over(self, endpoint: str, born_ms: int) -> None:
+    def note_incarnation_ended(self, endpoint: str, born_ms: int) -> None:
         """Do nothing."""
 
-    def note_next_life(self, endpoint: str, born_ms: int) -> None:
+    def note_next_incarnation(self, endpoint: str, born_ms: int) -> None:
         """Record the later incarnation."""
         self.incarnations.append(born_ms)
 
@@ -103,7 +105,7 @@
     """Run a link to the incarnation ``_BORN_MS``; return whether its task is still running."""
     endpoint_calls: Any = calls
     record = _ENDPOINT._replace(born_ms=_BORN_MS)
-    link = EndpointLink(record, _TERMS, endpoint_calls, owner, _BORN_MS)
+    link = EndpointLink(record, _LEASE_DURATIONS, endpoint_calls, owner, _BORN_MS)
     task = asyncio.create_task(link.run())
     await asyncio.sleep(run_s)
     is_running = not task.done()
@@ -129,23 +131,23 @@
         assert owner.silent_count
 
     @pytest.mark.parametrize(
-        ("answer_ms", "born_ms", "has_answered", "answerer"),
+        ("answer_ms", "born_ms", "has_answered", "answer_source"),
         [
-            (0, 0, True, Answerer.THIS),
-            (0, 5, True, Answerer.THIS),
-            (5, 5, True, Answerer.THIS),
-            (5, 0, False, Answerer.THIS),
-            (5, 0, True, Answerer.NEXT),
-            (6, 5, True, Answerer.NEXT),
-            (6, 5, False, Answerer.NEXT),
-            (4, 5, True, Answerer.EARLIER),
+            (0, 0, True, AnswerSource.THIS),
+            (0, 5, True, AnswerSource.THIS),
+            (5, 5, True, AnswerSource.THIS),
+            (5, 0, False, AnswerSource.THIS),
+            (5, 0, True, AnswerSource.NEXT),
+            (6, 5, True, AnswerSource.NEXT),
+            (6, 5, False, AnswerSource.NEXT),
+            (4, 5, True, AnswerSource.EARLIER),
         ],
     )
     def test_which_one_answers(
-        self, answer_ms: int, born_ms: int, has_answered: bool, answerer: Answerer
+        self, answer_ms: int, born_ms: int, has_answered: bool, answer_source: AnswerSource
     ) -> None:
         """Covers each combination of known and answered birth times."""
-        assert classify_answer(answer_ms, born_ms, has_answered) is answerer
+        assert classify_answer(answer_ms, born_ms, has_answered) is answer_source
 
     @pytest.mark.parametrize("born_ms", [_BORN_MS, 0])
     def test_this_one_answers(self, born_ms: int) -> None:
@@ -174,22 +176,22 @@
         run_in_virtual_time(play(), VirtualTimeLoop())
 
     def test_orders_for_the_life_before(self) -> None:
-        """Nothing has lapsed before the longest lease that they may have got has."""
+        """A new link's leases lapse only after the longest lease of the previous incarnation."""
         calls: Any = _Calls(_BORN_MS)
         calls.is_silent = True
 
         async def play() -> float:
             link = EndpointLink(
-                _ENDPOINT, _TERMS, calls, _Owner(), _BORN_MS, replaces_previous=True
+                _ENDPOINT, _LEASE_DURATIONS, calls, _Owner(), _BORN_MS, replaces_previous=True
             )
             task = asyncio.create_task(link.run())
             began_ms = monotonic_ms()
-            while not link.has_lapsed(monotonic_ms()):
+            while not link.take_lease_expiry(monotonic_ms()):
                 await asyncio.sleep(0.02)
             task.cancel()
             return monotonic_ms() - began_ms
 
-        assert run_in_virtual_time(play(), VirtualTimeLoop()) >= _TERMS.longest_real_ms
+        assert run_in_virtual_time(play(), VirtualTimeLoop()) >= _LEASE_DURATIONS.longest_real_ms
 
 
 class _World:
@@ -202,7 +204,7 @@
         self.catalog.merge(self.record, 0.0)
         self.state = OwnerState(750.0)
         calls: Any = self.calls
-        self.links = EndpointLinks("z", self.state, self.catalog, _TERMS, calls, self)
+        self.links = EndpointLinks("z", self.state, self.catalog, _LEASE_DURATIONS, calls, self)
 
     def may_renew(self, _endpoint: str, _now_ms: float) -> bool:
         """Agree."""
@@ -214,19 +216,19 @@
 
     def note_overdue(self, endpoint: str, call: str) -> None:
         """Exclude the endpoint from placement."""
-        self.state.distrust(endpoint)
+        self.state.exclude_from_placement(endpoint)
 
-    def note_silent(self, endpoint: str) -> None:
+    def handle_unanswered_poll(self, endpoint: str) -> None:
         """Exclude the endpoint from placement."""
-        self.state.distrust(endpoint)
+        self.state.exclude_from_placement(endpoint)
 
-    def note_life_over(self, endpoint: str, born_ms: int) -> None:
+    def note_incarnation_ended(self, endpoint: str, born_ms: int) -> None:
         """End the incarnation in the catalog."""
-        self.catalog.end_life(endpoint, born_ms, monotonic_ms())
+        self.catalog.end_incarnation(endpoint, born_ms, monotonic_ms())
 
-    def note_next_life(self, endpoint: str, born_ms: int) -> None:
+    def note_next_incarnation(self, endpoint: str, born_ms: int) -> None:
         """Open a link to the new incarnation."""
-        self.links.begin_life(endpoint, born_ms)
+        self.links.begin_incarnation(endpoint, born_ms)
 
     def note_fenced(self, endpoint: str) -> None:
         """Do nothing."""
@@ -247,9 +249,9 @@
         return run_id
 
     def leave(self) -> None:
-        """Handle the endpoint's draining report and a farewell message."""
+        """Handle the endpoint's draining report and a deregistration."""
         self.catalog.merge(self.record._replace(state=EndpointState.DRAINING), monotonic_ms())
-        assert self.catalog.note_farewell("w1", monotonic_ms())
+        assert self.catalog.note_deregistration("w1", monotonic_ms())
 
     @property
     def causes(self) -> list[EndCause]:
@@ -259,10 +261,10 @@
     @property
     def is_open(self) -> bool:
         """Whether the endpoint is eligible for placement."""
-        return self.state.candidates["w1"].is_open(monotonic_ms())
+        return self.state.candidates["w1"].is_eligible(monotonic_ms())
 
 
-class TestNextLife:
+class TestNextIncarnation:
     """A new incarnation of a known endpoint."""
 
     def test_its_answer_comes_first(self) -> None:
@@ -311,10 +313,10 @@
 
 
 class TestFarewell:
-    """A draining endpoint's farewell message, which does not name its incarnation."""
+    """A draining endpoint's deregistration, which does not name its incarnation."""
 
     def test_of_the_life_before(self) -> None:
-        """After a delayed farewell, runs of an endpoint that answers are not ended."""
+        """After a delayed deregistration, runs of an endpoint that answers are not ended."""
 
         async def play() -> None:
             world = _World()
@@ -340,7 +342,7 @@
             await world.run_one()
             world.calls.is_silent = True
             world.leave()
-            bound_ms = _TERMS.lease_real_ms + LAPSE_MARGIN_MS + _POLL_S * 1_000
+            bound_ms = _LEASE_DURATIONS.lease_real_ms + LAPSE_MARGIN_MS + _POLL_S * 1_000
             await world.follow(bound_ms / 1_000)
             assert world.causes == [EndCause.LAPSED]
             assert world.links.get("w1") is None
@@ -383,19 +385,19 @@
         calls: Any = _Calls()
 
         async def play() -> float:
-            link = EndpointLink(_ENDPOINT, _TERMS, calls, _Owner())
+            link = EndpointLink(_ENDPOINT, _LEASE_DURATIONS, calls, _Owner())
             task = asyncio.create_task(link.run())
             await asyncio.sleep(1.0)
             calls.is_silent = True
             silent_ms = monotonic_ms()
-            while not link.has_lapsed(monotonic_ms()):
+            while not link.take_lease_expiry(monotonic_ms()):
                 assert monotonic_ms() - silent_ms < 10_000.0, "its lease never lapses"
                 await asyncio.sleep(0.02)
             task.cancel()
             return monotonic_ms() - silent_ms
 
         lapsed_ms = run_in_virtual_time(play(), VirtualTimeLoop())
-        bound_ms = _TERMS.lease_real_ms + LAPSE_MARGIN_MS + _POLL_S * 1_000
+        bound_ms = _LEASE_DURATIONS.lease_real_ms + LAPSE_MARGIN_MS + _POLL_S * 1_000
         assert lapsed_ms < bound_ms
         assert not calls.polls[-1].until_ms
 
@@ -412,7 +414,9 @@
         calls: Any = _Calls()
 
         async def play() -> None:
-            task = asyncio.create_task(EndpointLink(_ENDPOINT, _TERMS, calls, _Owner()).run())
+            task = asyncio.create_task(
+                EndpointLink(_ENDPOINT, _LEASE_DURATIONS, calls, _Owner()).run()
+            )
             await asyncio.sleep(1.0)
             calls.is_silent = True
             await asyncio.sleep(_POLL_S)
--- a/tests/test_owners_late_words.py
+++ b/tests/test_owners_late_replies.py
@@ -52,7 +52,7 @@
 _E2 = HolderId("e2", 1)
 # Messages sent before a peer on loopback is connected are lost.
 _CONNECT_S = 0.5
-# Time-to-live of a delivery: the timeout of its reply, and one more millisecond.
+# Time-to-live of a delivery, just above its reply timeout.
 _DELIVERY_TTL_MS = 151.0
 
 
@@ -75,7 +75,9 @@
         reply = self.state.submit(_E1, message, now_ms)
         self.state.place(now_ms)
         for action in self.state.actions.pop_starts():
-            self.state.note_start(action.run_id, action.endpoint, CallOutcome.DONE, now_ms)
+            self.state.handle_start_outcome(
+                action.run_id, action.endpoint, CallOutcome.DONE, now_ms
+            )
         return reply
 
     def cancel(self, message: CancelJob) -> Cancelled:
@@ -90,11 +92,13 @@
         """End the box's session at a time during the box's pause, and its run with it."""
         self.state.end_session(_E1, now_ms - 1_500.0)
         for stop in self.state.actions.pop_stops():
-            self.state.note_stop(stop.run_id, stop.endpoint, CallOutcome.DONE, now_ms - 1_400.0)
+            self.state.handle_stop_outcome(
+                stop.run_id, stop.endpoint, CallOutcome.DONE, now_ms - 1_400.0
+            )
         self.state.report(EndpointReport("w1", (), (), now_ms - 1_300.0), now_ms - 1_300.0)
 
 
-class TestAskedLate:
+class TestLateCancel:
     """A box that cancels too late must not trust the answer, even with an unbroken grant."""
 
     def test_two_pauses_with_a_heartbeat_between(self) -> None:
@@ -123,7 +127,9 @@
             return result, owner.cancel_delays_ms
 
         result, delays_ms = asyncio.run(play())
-        assert result.error.run is Run.MAY_HAVE_RUN, f"asked {delays_ms} ms after the deadline"
+        assert result.error.run is Run.MAY_HAVE_RUN, (
+            f"cancels arrived {delays_ms} ms after the deadline"
+        )
 
     def test_a_starved_box_that_owns_its_zone(self) -> None:
         """Each event-loop iteration takes 0.7 s and handles a heartbeat.
@@ -148,7 +154,9 @@
             return await answer, owner.cancel_delays_ms
 
         result, delays_ms = asyncio.run(play())
-        assert result.error.run is Run.MAY_HAVE_RUN, f"asked {delays_ms} ms after the deadline"
+        assert result.error.run is Run.MAY_HAVE_RUN, (
+            f"cancels arrived {delays_ms} ms after the deadline"
+        )
 
 
 class TestSeveralDeadlines:
@@ -163,7 +171,7 @@
         state.cancel(_E1, _JOB, 1_500.0)
         for now_ms in (2_000.0, 3_000.0, 3_600.0, 4_200.0):
             state.tick(now_ms)
-        assert state.run_of(_TASK) is not None
+        assert state.current_run(_TASK) is not None
         assert state.cancel(_E2, _JOB, 4_200.0)
 
     def test_handed_in_again_at_the_same_box(self) -> None:
@@ -177,7 +185,7 @@
         start_waiting(state, 1_450.0)
         for now_ms in (2_000.0, 3_000.0, 3_600.0, 4_200.0):
             state.tick(now_ms)
-        assert state.run_of(_TASK) is not None
+        assert state.current_run(_TASK) is not None
         assert state.cancel(_E1, _JOB, 4_200.0, delivery=2)
 
 
--- a/tests/test_owners_refusals.py
+++ b/tests/test_owners_refusals.py
@@ -20,12 +20,12 @@
 import pytest
 
 from foldloom.seed_discovery.endpoints.calls import CallOutcome
-from models.standing_boxes import StandingZonesWorld
-from models.virtual_time import TurnsLoop, VirtualTimeLoop, Waking, run_in_virtual_time
+from models.standing_boxes import PausableZonesWorld
+from models.virtual_time import PausableLoop, VirtualTimeLoop, Waking, run_in_virtual_time
 from models.zones_faults import (
-    Trouble,
-    play_through,
-    usual_caller,
+    Faults,
+    default_caller,
+    run_simulation,
 )
 from models.zones_world import Answer, Start, ZonesWorld
 
@@ -44,10 +44,10 @@
 _RETRY_DELAY_S = (0.3, 2.0)
 
 
-class PauseFaults(Trouble):
+class PauseFaults(Faults):
     """Additional pauses, restarts of all boxes, and endpoint faults."""
 
-    def __init__(self, world: StandingZonesWorld) -> None:
+    def __init__(self, world: PausableZonesWorld) -> None:
         super().__init__(world)
         self._standing = world
         own = [
@@ -97,11 +97,11 @@
         rng = self._standing.rng
         for_s = rng.uniform(*rng.choice(_PAUSE_S))
         waking = rng.choice(list(Waking))
-        self._standing.stop_box(box, rng.randint(0, _TURNS_MAX), for_s, waking)
+        self._standing.pause_box(box, rng.randint(0, _TURNS_MAX), for_s, waking)
 
     def _pause_within_turn(self) -> None:
         rng = self._standing.rng
-        self._standing.turns.stand_still_at_read(rng.randint(1, _READS_MAX), rng.uniform(0.2, 3.0))
+        self._standing.turns.jump_clock_at_read(rng.randint(1, _READS_MAX), rng.uniform(0.2, 3.0))
 
     def _refuse_starts(self) -> None:
         """Make some endpoints refuse starts for lack of capacity, or as unhealthy."""
@@ -134,12 +134,12 @@
         answer = next(answer for answer in world.answers[known:] if answer.job_id == job_id)
         return answer.result is not None and not answer.is_refused
 
-    pattern = rng.choice(["once", "at once", "beside", "in turn", "in turn"])
-    if pattern == "once":
+    pattern = rng.choice(["single", "concurrent", "overlapping", "sequential", "sequential"])
+    if pattern == "single":
         await attempt_at(boxes[0])
-    elif pattern in ("at once", "beside"):
+    elif pattern in ("concurrent", "overlapping"):
         first = asyncio.create_task(attempt_at(boxes[0]))
-        if pattern == "beside":
+        if pattern == "overlapping":
             await asyncio.sleep(rng.uniform(*_RETRY_DELAY_S))
         await attempt_at(boxes[1])
         await first
@@ -157,23 +157,23 @@
 
     async def play() -> ZonesWorld:
         world = ZonesWorld(seed, loop)
-        await play_through(world, Trouble, usual_caller)
+        await run_simulation(world, Faults, default_caller)
         return world
 
     world: ZonesWorld = run_in_virtual_time(play(), loop)
     return world
 
 
-def _play_standing(seed: int) -> StandingZonesWorld:
-    loop = TurnsLoop(random.Random(f"turns {seed}"))
+def _play_standing(seed: int) -> PausableZonesWorld:
+    loop = PausableLoop(random.Random(f"turns {seed}"))
     random.seed(seed)
 
-    async def play() -> StandingZonesWorld:
-        world = StandingZonesWorld(seed, loop)
-        await play_through(world, PauseFaults, _retrying_caller)
+    async def play() -> PausableZonesWorld:
+        world = PausableZonesWorld(seed, loop)
+        await run_simulation(world, PauseFaults, _retrying_caller)
         return world
 
-    world: StandingZonesWorld = run_in_virtual_time(play(), loop)
+    world: PausableZonesWorld = run_in_virtual_time(play(), loop)
     return world
 
 
@@ -233,8 +233,8 @@
         completed: Attempts whose job ran to its end.
         refused: Attempts answered with the guarantee that nothing ran.
         may_have_run: Attempts answered with "may have run".
-        needless: Those of them whose job never started.
-        broken: Refusals of jobs that had started.
+        needless: Attempts answered with "may have run" whose job never started.
+        broken: Refusals of jobs that started although every attempt was refused.
         own: Refused attempts for which the answering box had a task started.
         beside: Refused attempts during which any attempt of the job started a task.
         doubled: Tasks on two endpoints at a time, of jobs submitted once.
@@ -283,14 +283,12 @@
 
 _FIRST_SEED = int(os.environ.get("FOLDLOOM_FIRST_SEED", "0"))
 _SEEDS = int(os.environ.get("FOLDLOOM_SEEDS", "16"))
-# Regressions. 65: a run of a lost owner was still retransmitted to it when it was back, while the
-# next attempt ran in the other zone. 172: a box found the grant lapsed and the job's deadline
-# passed at once after a pause, and decided between the two.
+# Regression seeds: 65, retransmission to a lost owner that is back; 172, lapsed grant and deadline
+# due at once after a pause.
 _KEPT_SEEDS = [65, 172]
-# Regressions. 16: the case of 172 when a box paused during a pause of all boxes. 256: a box handled
-# a queued heartbeat after a pause before it noticed the lapsed grant, and accepted the answer of an
-# owner that had dropped its record of the start.
-_KEPT_STANDING_SEEDS = [16, 256]
+# Regression seeds: 16, the case of 172 within a pause of all boxes; 256, queued heartbeat handled
+# before the check for lapsed grants.
+_PAUSE_REGRESSION_SEEDS = [16, 256]
 
 
 @pytest.mark.parametrize("seed", [*_KEPT_SEEDS, *range(_FIRST_SEED, _FIRST_SEED + _SEEDS)])
@@ -305,8 +303,10 @@
         assert world.doubled == []
 
 
-@pytest.mark.parametrize("seed", [*_KEPT_STANDING_SEEDS, *range(_FIRST_SEED, _FIRST_SEED + _SEEDS)])
-class TestRefusalsOfStandingBoxes:
+@pytest.mark.parametrize(
+    "seed", [*_PAUSE_REGRESSION_SEEDS, *range(_FIRST_SEED, _FIRST_SEED + _SEEDS)]
+)
+class TestRefusalsOfPausedBoxes:
     """Pauses of single boxes, restarts of all boxes, and callers that retry at several boxes."""
 
     def test_the_promises_hold(self, seed: int) -> None:
--- a/tests/test_owners_same_id.py
+++ b/tests/test_owners_same_id.py
@@ -16,13 +16,13 @@
 from foldloom.clock import monotonic_ms
 from foldloom.seed_discovery.endpoints.records import EndpointRecord, EndpointState
 from models.virtual_time import VirtualTimeLoop, run_in_virtual_time
-from models.zones_faults import TROUBLE_S, Trouble, play_through, usual_caller
+from models.zones_faults import TROUBLE_S, Faults, default_caller, run_simulation
 from models.zones_world import ZonesWorld
 from test_owners_refusals import broken_promises
 
 _DOWNTIME_S = (0.0, 0.5)
 _REPORT_DELAY_S = (0.0, 1.5)
-_FAREWELL_DELAY_S = (0.0, 0.5)
+_DEREGISTRATION_DELAY_S = (0.0, 0.5)
 # From the restart to the drain, and from the drain to the end.
 _UPTIME_S = (0.2, 1.5)
 _DRAIN_S = (0.5, 1.0)
@@ -38,7 +38,7 @@
 _SEEDS = int(os.environ.get("FOLDLOOM_SEEDS", "16"))
 
 
-class Restarts(Trouble):
+class Restarts(Faults):
     """Box and network faults plus restarts of endpoints."""
 
     def __init__(self, world: ZonesWorld) -> None:
@@ -83,24 +83,26 @@
             # It has crashed in the meantime.
             return
         self.world.tell(ready._replace(sequence=2, state=EndpointState.DRAINING))
-        self.world.left_alone_from_ms[ready.endpoint] = monotonic_ms() + _NO_STARTS_AFTER_MS
+        self.world.no_starts_from_ms[ready.endpoint] = monotonic_ms() + _NO_STARTS_AFTER_MS
 
     def _schedule(self, delay_s: tuple[float, float], act: Callable[[], None]) -> None:
         self.world.loop.call_later(self.world.rng.uniform(*delay_s), act)
 
 
-class Farewells(Restarts):
-    """Additionally, a delayed farewell of an earlier incarnation hits each draining one."""
+class DelayedDeregistrations(Restarts):
+    """Additionally, a delayed deregistration of an earlier incarnation hits each draining one."""
 
     def _leave(self, ready: EndpointRecord) -> None:
         super()._leave(ready)
-        self._schedule(_FAREWELL_DELAY_S, lambda: self.world.bid_farewell(ready.endpoint))
+        self._schedule(
+            _DEREGISTRATION_DELAY_S, lambda: self.world.send_deregistration(ready.endpoint)
+        )
 
 
 class LateOrders(Restarts):
     """Only restarts, with many unanswered orders that later incarnations execute.
 
-    Some incarnations drain, send a farewell and restart at once. A late order reaches an
+    Some incarnations drain, deregister and restart at once. A late order reaches an
     incarnation only after its owner can have discovered it.
     """
 
@@ -109,7 +111,7 @@
         self.kinds = [self._restart_endpoint]
         self.report_delay_s = _SHORT_REPORT_DELAY_S
         world.conditions.late_orders = _LATE_SHARE
-        world.unheard_ms = _DISCOVERY_MAX_MS
+        world.undiscovered_ms = _DISCOVERY_MAX_MS
         self._faults_end_s = world.loop.time() + TROUBLE_S
 
     def _leave(self, ready: EndpointRecord) -> None:
@@ -117,11 +119,11 @@
         self._schedule(_DRAIN_S, lambda: self._end(ready))
 
     def _end(self, ready: EndpointRecord) -> None:
-        """Send a farewell, end, and restart as the next incarnation."""
+        """Deregister, end, and restart as the next incarnation."""
         has_ended = self.world.births[ready.endpoint] != ready.born_ms
         if has_ended or self.world.loop.time() > self._faults_end_s:
             return
-        self.world.bid_farewell(ready.endpoint)
+        self.world.send_deregistration(ready.endpoint)
         self._crash_and_restart(ready.endpoint)
 
 
@@ -130,7 +132,7 @@
 
     def __init__(self, world: ZonesWorld) -> None:
         super().__init__(world)
-        world.unheard_ms = 0.0
+        world.undiscovered_ms = 0.0
 
 
 def _stale_records(world: ZonesWorld) -> list[str]:
@@ -146,18 +148,18 @@
             if record.state is EndpointState.GONE:
                 stale += [f"{box.zone}: {record} is followed"] if known else []
                 continue
-            if known is None or known.record != record or not known.is_trusted:
+            if known is None or known.record != record or not known.has_current_report:
                 stale.append(f"{box.zone}: {record} is known as {known and known.record}")
     return stale
 
 
-def _play(seed: int, trouble_of: Callable[[ZonesWorld], Trouble]) -> ZonesWorld:
+def _play(seed: int, faults_of: Callable[[ZonesWorld], Faults]) -> ZonesWorld:
     loop = VirtualTimeLoop()
     random.seed(seed)
 
     async def play() -> ZonesWorld:
         world = ZonesWorld(seed, loop)
-        await play_through(world, trouble_of, usual_caller)
+        await run_simulation(world, faults_of, default_caller)
         assert _stale_records(world) == []
         return world
 
@@ -165,8 +167,7 @@
     return world
 
 
-# Regression: the first incarnation that reported its birth time was mistaken for its predecessor,
-# and executed a late start that only the predecessor had been ordered to stop.
+# Regression: the first incarnation that reports its birth time, taken for its predecessor.
 _KEPT_SEEDS = [34]
 
 
@@ -188,18 +189,17 @@
 
 @pytest.mark.parametrize("seed", range(_FIRST_SEED, _FIRST_SEED + _SEEDS))
 class TestFarewells:
-    """Delayed farewells of earlier incarnations, combined with the same faults."""
+    """Delayed deregistrations of earlier incarnations, combined with the same faults."""
 
     def test_the_promises_hold(self, seed: int) -> None:
         """No task runs twice, and no owner keeps an endpoint that is gone."""
-        world = _play(seed, Farewells)
+        world = _play(seed, DelayedDeregistrations)
         assert broken_promises(world) == []
         assert world.doubled == []
         assert world.late_starts == []
 
 
-# Regression: the unanswered starts of an endpoint that had left were dropped, and an incarnation
-# that rejoined executed one of them.
+# Regression: unanswered starts of an endpoint that left and rejoined.
 _LATE_SEEDS = [18, 24]
 
 
@@ -215,8 +215,8 @@
         assert world.late_starts == []
 
 
-# An incarnation that its owner has not discovered executes an unanswered start before it can be
-# ordered to stop, while the task runs on another endpoint.
+# Seeds known to fail, see KNOWN-RED.txt: an undiscovered incarnation executes an unanswered start
+# while the task runs on another endpoint.
 _UNDISCOVERED_SEEDS = [1, 9, 17]
 
 
--- a/tests/test_owners_sessions.py
+++ b/tests/test_owners_sessions.py
@@ -48,10 +48,10 @@
     asyncio.run(test)
 
 
-class TestLapsedRights:
+class TestLapsedSessions:
     """A session that lapsed and was renewed with the same owner."""
 
-    def test_first_grant_tells_nothing(self) -> None:
+    def test_first_session_is_not_announced(self) -> None:
         """The first session with a box is not announced."""
 
         async def play() -> None:
@@ -64,7 +64,7 @@
 
         _run(play())
 
-    def test_told_before_any_end(self) -> None:
+    def test_announced_before_any_end(self) -> None:
         """A renewed session is announced before any end, also after a lost message."""
 
         async def play() -> None:
@@ -89,7 +89,7 @@
             sessions = _sessions(network)
             sessions.grant(_HOLDER, 0.0)
             sessions.end_lapsed(_SESSION_MS)
-            sessions.grant(_HOLDER._replace(life=2), 1_000.0)
+            sessions.grant(_HOLDER._replace(incarnation=2), 1_000.0)
             await asyncio.sleep(0)
             sessions.close()
             assert network.received == []
--- a/tests/test_owners_started_jobs.py
+++ b/tests/test_owners_started_jobs.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: MIT
-"""An owner's list of jobs with started runs."""
+"""Guards against dropping a started job while a box may still ask for it."""
 
 from __future__ import annotations
 
-from foldloom.seed_discovery.owners.batches import BELIEVED_MS
+from foldloom.seed_discovery.owners.batches import REPLY_VALID_MS
 from foldloom.seed_discovery.owners.started_jobs import StartedJobs
 
 _JOB, _OTHER = "a" * 16, "b" * 16
@@ -30,11 +30,11 @@
         known.expire(2 * _LONG_MS)
         assert _JOB not in known
 
-    def test_for_as_long_as_a_box_believes_it(self) -> None:
+    def test_kept_while_box_accepts_statement(self) -> None:
         """A job is kept as long as a delayed box accepts the owner's statement."""
         known = StartedJobs()
         known.note(_JOB, 0.0)
-        known.expire(BELIEVED_MS)
+        known.expire(REPLY_VALID_MS)
         assert _JOB in known
 
     def test_delivered_and_not_started(self) -> None:
--- a/tests/test_owners_late_starts.py
+++ b/tests/test_owners_unanswered_starts.py
@@ -5,16 +5,19 @@
 
 from foldloom.seed_discovery.jobs.spec import RunId, TaskId
 from foldloom.seed_discovery.owners.actions import StopAction
-from foldloom.seed_discovery.owners.late_starts import LATE_ORDER_MAX_MS, LateStarts
+from foldloom.seed_discovery.owners.unanswered_starts import (
+    UNANSWERED_ORDER_TTL_MS,
+    UnansweredStarts,
+)
 
 _RUN = RunId(TaskId("1" * 16, 0, 0, 0), 1)
 _STOP = StopAction(_RUN, "w1")
 _SENT_MS = 1_000.0
 
 
-def _one_unanswered() -> LateStarts:
-    unanswered = LateStarts()
-    unanswered.note(_RUN, "w1", _SENT_MS)
+def _one_unanswered() -> UnansweredStarts:
+    unanswered = UnansweredStarts()
+    unanswered.add(_RUN, "w1", _SENT_MS)
     return unanswered
 
 
@@ -34,31 +37,31 @@
         assert _one_unanswered().stops_due({"w2"}, _SENT_MS + 1, _SENT_MS + 101) == []
 
 
-class TestNextLife:
+class TestNextIncarnation:
     """The next incarnation under the endpoint's id."""
 
-    def test_it_is_told_at_once(self) -> None:
+    def test_next_incarnation_gets_stop(self) -> None:
         """A confirmation by the previous incarnation is void, and the stop order is due at once."""
         unanswered = _one_unanswered()
         unanswered.note_stopped(_RUN, "w1")
-        unanswered.end_life("w1")
+        unanswered.end_incarnation("w1")
         assert unanswered.stops_due({"w1"}, _SENT_MS, _SENT_MS + 10) == [_STOP]
 
     def test_not_that_of_another_endpoint(self) -> None:
         """A new incarnation of one endpoint does not affect other endpoints."""
         unanswered = _one_unanswered()
         unanswered.note_stopped(_RUN, "w1")
-        unanswered.end_life("w2")
+        unanswered.end_incarnation("w2")
         assert unanswered.stops_due({"w1"}, _SENT_MS + 1, _SENT_MS + 101) == []
 
 
-class TestTooLate:
+class TestExpiry:
     """A start order that can no longer be carried out."""
 
     def test_is_forgotten(self) -> None:
         """An expired order is removed, a later one is kept."""
         unanswered = _one_unanswered()
         other = RunId(TaskId("2" * 16, 0, 0, 0), 1)
-        unanswered.note(other, "w1", _SENT_MS + 50)
-        now_ms = _SENT_MS + LATE_ORDER_MAX_MS
+        unanswered.add(other, "w1", _SENT_MS + 50)
+        now_ms = _SENT_MS + UNANSWERED_ORDER_TTL_MS
         assert unanswered.stops_due({"w1"}, now_ms - 100, now_ms) == [StopAction(other, "w1")]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -22,19 +22,19 @@
 from foldloom.settings_file import settings_from
 from foldloom.static_peers.placement.health import Health
 from foldloom.static_peers.placement.leased_slots import LeasedSlots
-from foldloom.static_peers.placement.messages import HeldSlot, SlotRequest, SlotReturn, SlotUse
+from foldloom.static_peers.placement.messages import HeldSlot, SlotOutcome, SlotRequest, SlotReturn
 from foldloom.static_peers.placement.policies import (
     POLICIES,
     Choice,
     SlotLeases,
     View,
     choose,
-    job_size,
+    reference_task_size,
 )
 from foldloom.static_peers.placement.retries import RetryBudget, may_retry
+from foldloom.static_peers.placement.service_times import ServiceTimes
 from foldloom.static_peers.placement.shard import Grant, Shard
-from foldloom.static_peers.placement.shards import FLEET, Managers, manager_of, shard_names
-from foldloom.static_peers.placement.speeds import SpeedTable
+from foldloom.static_peers.placement.shards import FLEET, ManagerCache, manager_of, shard_names
 from foldloom.verdicts import may_have_run, not_run
 
 _FAR_DEADLINE_MS = 10**7
@@ -78,9 +78,9 @@
     return SlotRequest(number, FLEET, "s", customer, tasks, left, tasks)
 
 
-def _give_back(shard: Shard, grant: Grant, ms: float, use: SlotUse = SlotUse.DONE) -> None:
+def _give_back(shard: Shard, grant: Grant, ms: float, use: SlotOutcome = SlotOutcome.DONE) -> None:
     message = grant.message
-    shard.give_back(SlotReturn(message.lease_id, message.endpoint, "s", ms, use), 0.0)
+    shard.release(SlotReturn(message.lease_id, message.endpoint, "s", ms, use), 0.0)
 
 
 class TestPolicies:
@@ -132,15 +132,15 @@
     def test_more_tasks_hide_a_wait(self, job_tasks: int, expected: float) -> None:
         """The quantile of the sizes rises with the number of tasks of the job."""
         sizes = [float(size) for size in range(1, 101)]
-        assert job_size(sizes, job_tasks) == expected
+        assert reference_task_size(sizes, job_tasks) == expected
 
     def test_at_most_the_middle(self) -> None:
         """The quantile is bounded by the median."""
-        assert job_size([1.0, 2.0, 3.0, 4.0], 1 << 20) == 3.0
+        assert reference_task_size([1.0, 2.0, 3.0, 4.0], 1 << 20) == 3.0
 
     def test_nothing_known(self) -> None:
         """A service without samples has size 1."""
-        assert job_size([], 8) == 1.0
+        assert reference_task_size([], 8) == 1.0
 
 
 class TestShares:
@@ -247,7 +247,7 @@
 
 
 class TestLeases:
-    """Soft state of a shard."""
+    """Guards against requests counted twice, leases kept too long and slots granted twice."""
 
     def test_resent_request_counts_once(self) -> None:
         """A retransmitted request is queued once."""
@@ -335,14 +335,14 @@
         shard.tick(2_000.0)
         assert "Ejected w0" in " ".join(shard.take_events())
 
-    def test_far_slower_is_ejected_and_probed_only_after_a_sign_of_life(self) -> None:
+    def test_slow_endpoint_is_probed_only_after_liveness_check(self) -> None:
         """An endpoint ten times slower than its peers gets a probe only after a liveness check."""
         shard = _shard(_config(4))
         for number in range(160):
             endpoint = f"w{number % 4}"
             shard.hold("a1", HeldSlot(number, endpoint, "s", "m1", 0), 0.0)
             ms = 1_000.0 if endpoint == "w3" and number > 40 else 100.0
-            shard.give_back(SlotReturn(number, endpoint, "s", ms, SlotUse.DONE), 0.0)
+            shard.release(SlotReturn(number, endpoint, "s", ms, SlotOutcome.DONE), 0.0)
             shard.tick(0.0)
         shard.add("a1", _request(2, 8))
         assert "w3" not in {grant.message.endpoint for grant in shard.match(0.0)}
@@ -358,15 +358,15 @@
 
     def test_stale_average_is_measured_again(self) -> None:
         """An average without recent samples falls back to the service's mean."""
-        speeds = SpeedTable()
+        service_times = ServiceTimes()
         for _ in range(10):
-            speeds.note("s", "slow", 500.0, 0.0)
-            speeds.note("s", "fast", 100.0, 0.0)
-        assert speeds.mean_ms("s", "slow") > 2 * speeds.mean_ms("s", "fast")
-        speeds.note("s", "fast", 100.0, 40_000.0)
-        speeds.mark_stale(40_000.0)
-        assert speeds.mean_ms("s", "slow") == speeds.service_mean_ms("s")
-        assert speeds.mean_ms("s", "fast") == pytest.approx(100.0)
+            service_times.record("s", "slow", 500.0, 0.0)
+            service_times.record("s", "fast", 100.0, 0.0)
+        assert service_times.mean_ms("s", "slow") > 2 * service_times.mean_ms("s", "fast")
+        service_times.record("s", "fast", 100.0, 40_000.0)
+        service_times.mark_stale(40_000.0)
+        assert service_times.mean_ms("s", "slow") == service_times.service_mean_ms("s")
+        assert service_times.mean_ms("s", "fast") == pytest.approx(100.0)
 
 
 class TestRetries:
@@ -389,7 +389,7 @@
         assert may_retry(problem, service, repeatable) is expected
 
     @pytest.mark.parametrize(("deaths", "expected"), [(1, True), (2, False), (3, False)])
-    def test_a_task_that_kills_its_endpoints(self, deaths: int, expected: bool) -> None:
+    def test_no_retry_after_two_endpoint_crashes(self, deaths: int, expected: bool) -> None:
         """A task is not retried after it has crashed two endpoints."""
         service = Service(workers=["*"], concurrency_max=0, restart="after-worker-death")
         assert may_retry(may_have_run("worker-lost"), service, True, deaths) is expected
@@ -398,12 +398,12 @@
     def test_budget_is_a_share_of_starts(self) -> None:
         """Beyond the initial budget, retries are a share of the starts."""
         budget = RetryBudget(0.1)
-        while budget.spend():
+        while budget.consume():
             pass
         for _ in range(100):
-            budget.note_start()
+            budget.record_start()
         allowed = 0
-        while budget.spend():
+        while budget.consume():
             allowed += 1
         assert allowed in (9, 10)
 
@@ -426,7 +426,7 @@
 class TestLeasedSlots:
     """The coordinator's side of leases."""
 
-    def test_asks_a_new_manager_until_it_must_know(self) -> None:
+    def test_fast_retransmission_after_manager_change(self) -> None:
         """After a change of lease manager, requests are retransmitted quickly, later slowly."""
         network: Any = RecordingNetwork()
         config = _config(1)
@@ -437,13 +437,13 @@
         slots.request(waiter, 1)
         slots._refresh_managers()
         began = waiter.last_activity_ms
-        slots.resend_requests(began, has_manager_changed=True)
-        slots.resend_requests(began + 300, has_manager_changed=False)
+        slots.retransmit_requests(began, has_manager_changed=True)
+        slots.retransmit_requests(began + 300, has_manager_changed=False)
         assert len(network.messages) == 2
         waiter.last_activity_ms = began + 2_600
-        slots.resend_requests(began + 3_000, has_manager_changed=False)
+        slots.retransmit_requests(began + 3_000, has_manager_changed=False)
         assert len(network.messages) == 2
-        slots.resend_requests(began + 6_000, has_manager_changed=False)
+        slots.retransmit_requests(began + 6_000, has_manager_changed=False)
         assert len(network.messages) == 3
 
 
@@ -482,7 +482,7 @@
             lookups.append(1)
             return {"a1": "a"}
 
-        managers = Managers(serving, self._CACHE_TTL_MS)
+        managers = ManagerCache(serving, self._CACHE_TTL_MS)
         assert [managers.manager_of("a/0", at_ms) for at_ms in (1_000.0, 1_050.0)] == ["a1", "a1"]
         assert len(lookups) == 1
         managers.manager_of("a/0", 1_101.0)
@@ -491,8 +491,8 @@
     def test_a_change_is_seen_at_once(self) -> None:
         """A shard whose manager is gone gets a new one before the cached entry expires."""
         zones = {"a1": "a", "a2": "a"}
-        managers = Managers(lambda: dict(zones), self._CACHE_TTL_MS)
+        managers = ManagerCache(lambda: dict(zones), self._CACHE_TTL_MS)
         first = managers.manager_of("a/0", 1_000.0)
         del zones[first]
-        managers.look_again()
+        managers.invalidate()
         assert managers.manager_of("a/0", 1_001.0) == next(iter(zones))
--- a/tests/test_placement_faults.py
+++ b/tests/test_placement_faults.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Placement under faults of real processes: leaving, frozen and slow endpoints, lost managers."""
+"""Guards placement against draining, frozen, slow and dead endpoints, and lost lease managers."""
 
 from __future__ import annotations
 
@@ -72,7 +72,9 @@
                 listed.append({"name": "bw1", "state": "leaving"})
                 for box in cluster.boxes:
                     wait_until(
-                        lambda box=box: "Leaving by the platform's list: bw1" in cluster.log(box),
+                        lambda box=box: (
+                            "Leaving according to the platform's list: bw1" in cluster.log(box)
+                        ),
                         f"{box} has the list",
                     )
                 wait_until(lambda: _gets_no_tasks(cluster, "bw1"), "bw1 gets no new tasks")
@@ -89,7 +91,7 @@
     return _starts_on(cluster, endpoint) == before
 
 
-class TestSickEndpoints:
+class TestFaultyEndpoints:
     """Endpoints that hang, slow down or crash."""
 
     @pytest.fixture
--- a/tests/test_resized_endpoints.py
+++ b/tests/test_resized_endpoints.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: MIT
-"""Endpoints whose capacity changes at run time and that do not enforce it themselves."""
+"""Guards against overcommitted endpoints after their capacity changes at run time."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
         play(scenario, tmp_path)
 
 
-class TestFitsNowhere:
+class TestUnplaceable:
     """A job whose tasks exceed the present capacity of every endpoint."""
 
     def test_refused_at_once(self, tmp_path: Path) -> None:
@@ -109,7 +109,7 @@
     def test_other_zones(self, known: list[Any], label: str, expected: SubmitStatus) -> None:
         """Endpoints of other zones count by service, capacity and label."""
         state = OwnerState(750.0, lambda: known)
-        state.follow_endpoint(endpoint("w1", 3_000))
+        state.update_endpoint(endpoint("w1", 3_000))
         state.report(EndpointReport("w1", (), (), 0.0), 1.0)
         # Starts the warm-up, which is over before the next submission.
         state.submit(_E1, submission(job_id="1" * 16, demand=Demand(1, 1, 0)), 1.0)
@@ -126,7 +126,7 @@
         state.submit(_E1, submission(2), 10.0)
         state.place(10.0)
         assert len(state.actions.pop_starts()) == 2
-        state.follow_endpoint(endpoint("w1", 7_000))
+        state.update_endpoint(endpoint("w1", 7_000))
         state.cancel(_E1, "0" * 16, 20.0)
         state.submit(_E1, submission(job_id="1" * 16), 30.0)
         state.place(30.0)
@@ -135,12 +135,12 @@
     def test_room_kept_for_other_zones_runs(self) -> None:
         """A reservation made before a shrink is counted once and not given to other runs."""
         state = owner_with(endpoint("w1", 14_000))
-        room = state.candidates["w1"].room
-        room.reserve(1, Demand(6_800, 64, 0), 1_000.0)
-        room.reserve(2, Demand(6_800, 64, 0), 1_000.0)
-        state.follow_endpoint(endpoint("w1", 7_000))
-        room.cancel_reservation(1)
+        resources = state.candidates["w1"].resources
+        resources.reserve(1, Demand(6_800, 64, 0), 1_000.0)
+        resources.reserve(2, Demand(6_800, 64, 0), 1_000.0)
+        state.update_endpoint(endpoint("w1", 7_000))
+        resources.cancel_reservation(1)
         assert not state.candidates["w1"].has_capacity_for(Demand(6_800, 64, 0))
-        room.cancel_reservation(2)
+        resources.cancel_reservation(2)
         assert state.candidates["w1"].has_capacity_for(Demand(6_800, 64, 0))
-        assert room.free == Demand(7_000, 32_000, 0)
+        assert resources.free == Demand(7_000, 32_000, 0)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -10,15 +10,15 @@
 import pytest
 
 from foldloom.controllers.commands import (
+    BootstrapCommand,
     BoxesSettledCommand,
     ConfirmCommand,
-    FoundCommand,
     IncarnationCommand,
     VoterReadyCommand,
     encode_command,
 )
 from foldloom.controllers.config import BoxList, empty_config
-from foldloom.controllers.holder import ConfigHolder
+from foldloom.controllers.holder import ConfigStore
 from foldloom.controllers.intents import parse_intents
 from foldloom.controllers.messages import ConfigPull, ConfigReply
 from foldloom.controllers.plans import make_plan
@@ -43,7 +43,7 @@
     def test_founding_makes_settings_not_matter(self) -> None:
         """Controllers with different settings reach the same state from the same entries."""
         entries = [
-            encode_command(FoundCommand({"a1": "a"}, {"a1": "?"})),
+            encode_command(BootstrapCommand({"a1": "a"}, {"a1": "?"})),
             encode_command(VoterReadyCommand("a1", "x1")),
         ]
         states = [_state(), ReplicatedState(empty_config({"z": "z"}, {"z": "?"}))]
@@ -82,7 +82,7 @@
             ([{"kind": "controller-replace", "old": "a1", "new": "a1"}], "already"),
         ],
     )
-    def test_intents_that_mean_nothing(self, raw: list[Any], reason: str) -> None:
+    def test_invalid_intents(self, raw: list[Any], reason: str) -> None:
         """Intents that can't be applied are refused with a reason."""
         planned = make_plan(_state().config, parse_intents(raw).ok)
         assert reason in planned.error
@@ -126,14 +126,14 @@
         state = _state()
         peers: list[Any] = [FakeNetwork(), FakeNetwork()]
         peers[1].other = peers[0]
-        source, puller = (ConfigHolder(peer, state.config) for peer in peers)
+        source, puller = (ConfigStore(peer, state.config) for peer in peers)
 
         def change(number: int) -> None:
             _confirm(state, f"c{number}", [{"kind": "member", "name": "m", "quota": number}])
             source.adopt(state.config, state.changes_since(state.config.version - 1))
 
         async def pull() -> None:
-            puller.note_version("a1", source.config.version)
+            puller.pull_if_newer("a1", source.config.version)
             while puller.config.version < source.config.version:
                 await asyncio.sleep(0)
 
--- a/tests/test_unchanged_platform.py
+++ b/tests/test_unchanged_platform.py
@@ -130,11 +130,11 @@
         self.received: list[Any] = []
         self._is_leading = is_leading
 
-    async def note_endpoint(self, record: EndpointRecord) -> bool:
+    async def handle_report(self, record: EndpointRecord) -> bool:
         self.received.append(list(record))
         return True
 
-    async def note_gone(self, endpoint: str) -> None:
+    async def deregister_endpoint(self, endpoint: str) -> None:
         self.received.append(endpoint)
 
     async def publish(self, version: int, document: bytes, timeout_ms: float) -> Any:
