--- a/src/foldloom/cli/main.py
+++ b/src/foldloom/cli/main.py
@@ -259,6 +259,7 @@
     except CommandError as error:
         _exit(str(error), error.exit_code)
     except KeyboardInterrupt:
+        # The user interrupted the command.
         _exit("interrupted", 1)
 
 
--- a/src/foldloom/controllers/intents.py
+++ b/src/foldloom/controllers/intents.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: MIT
 """The operators' intents and their validation.
 
-Kinds and fields are a public interface; GLOSSARY.md maps those that use the older words worker and
-member. A field left out (``UNSET``) keeps its value.
+The names of kinds and fields are a public interface. Some still use the older words ``worker`` and
+``member``; docs/GLOSSARY.md gives the current terms. A field left out (``UNSET``) keeps its value.
 """
 
 from __future__ import annotations
--- a/src/foldloom/peers/curve.py
+++ b/src/foldloom/peers/curve.py
@@ -32,7 +32,7 @@
         self._authenticator: AsyncioAuthenticator | None = None
 
     def start(self, context: zmq.Context[zmq.Socket[bytes]]) -> None:
-        """Read the secret key and start the authenticator."""
+        """Read the secret key and start the authenticator, if CURVE is enabled."""
         if not self._secret_key_file:
             return
         self._secret_key = read_secret_key(self._secret_key_file)
--- a/src/foldloom/seed_discovery/fleet/joiner.py
+++ b/src/foldloom/seed_discovery/fleet/joiner.py
@@ -92,9 +92,10 @@
     async def _join_periodically(self, box: str) -> None:
         """Join one controller periodically.
 
-        Each join requests the catalog changes since the previous one, or the whole catalog after
-        this box has evicted an endpoint. An evicted endpoint that still reports to the controller
-        does not appear as a change there, so incremental joins would never restore it.
+        Each join requests the catalog changes since the last answered join. The first join, and one
+        after this box has evicted an endpoint, request the whole catalog: the controller may still
+        hear from an evicted endpoint, so it would not list it as changed, and this box would never
+        get it back.
         """
         incarnation, revision = 0, 0
         eviction_count = 0
--- a/src/foldloom/seed_discovery/owners/reports.py
+++ b/src/foldloom/seed_discovery/owners/reports.py
@@ -48,12 +48,14 @@
 
 
 def classify_absence(run: Run, polled_ms: float) -> EndCause | None:
-    """Return how a run that a report does not list has ended; ``None`` if it may be present.
+    """Return the end cause of a run that is missing from a report.
+
+    Return ``None`` if the run may still be on the endpoint.
 
     Args:
         run: A run that is expected on the endpoint.
-        polled_ms: When the owner polled for the report. A report polled for before the latest order
-            took effect is inconclusive.
+        polled_ms: When the owner sent the poll. If that was not after the latest order took effect,
+            the report proves nothing about the run.
     """
     if max(run.since_ms, run.stop_confirmed_ms) >= polled_ms:
         return None
--- a/src/foldloom/settings.py
+++ b/src/foldloom/settings.py
@@ -80,7 +80,7 @@
     )
     # Maximum number of connections to one endpoint.
     connections_per_endpoint: PositiveInt = msgspec.field(default=64, name="connections_per_worker")
-    # Maximum size of a task's answer, in bytes.
+    # Maximum size of an endpoint's response body, in bytes.
     answer_max_bytes: PositiveInt = 1024 * 1024
     # Maximum number of jobs whose answers are retained for resubmissions.
     retained_jobs_max: PositiveInt = 200_000
--- a/src/foldloom/static_peers/claims/messages.py
+++ b/src/foldloom/static_peers/claims/messages.py
@@ -53,9 +53,10 @@
     """A vote.
 
     Args:
-        vote: The response.
+        vote: Whether the claim is granted, or why not.
         incarnation: Incarnation of the voter.
-        known: Newest incarnation of each other replica of the submission known to the voter.
+        known: For each other replica of the submission, the newest incarnation that the voter
+            knows.
         holders: Conflicting claims.
     """
 
--- a/src/foldloom/static_peers/entry_role.py
+++ b/src/foldloom/static_peers/entry_role.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: MIT
 """The entry role of a box: claims, slots, and the coordinator of callers' jobs.
 
-Builds the components that only an entry box has on those that every box has
+Builds the components that only entry boxes have. They use the components that every box has
 (:class:`SharedComponents`).
 """
 
--- a/src/foldloom/static_peers/placement/service_times.py
+++ b/src/foldloom/static_peers/placement/service_times.py
@@ -74,7 +74,10 @@
         return average.mean_ms
 
     def sizes(self, service: str) -> list[float]:
-        """Return the sizes of recent tasks in ascending order, relative to the endpoint's mean."""
+        """Return the relative sizes of recent tasks of *service*, in ascending order.
+
+        A task's relative size is its service time divided by the mean service time on its endpoint.
+        """
         return sorted(self._sizes.get(service, ()))
 
     def forget(self, endpoint: str) -> None:
